--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -10,24 +10,24 @@
 const (
 	// ConfidenceBands is how finely the cheap model's own confidence is told apart.
 	ConfidenceBands = 8
-	// memory is how many ratings of one band count; older ones fade, so that a
+	// ratingWindow is how many ratings of one band count; older ones fade, so that a
 	// drift of the model's quality shows within about as many ratings.
-	memory = 60
-	// prior is the weight, in ratings, of the belief before the first rating.
-	prior = 2
-	// caution is the number of standard errors taken off a band's pass rate.
-	caution = 0.75
+	ratingWindow = 60
+	// priorWeight is the weight, in ratings, of the belief before the first rating.
+	priorWeight = 2
+	// lowerBoundErrors is the number of standard errors taken off a band's pass rate.
+	lowerBoundErrors = 0.75
 )
 
-// Rate is a fading estimate of the fraction of good answers.
-type Rate struct {
+// PassRate is a fading estimate of the fraction of good answers.
+type PassRate struct {
 	Good  float64
 	Total float64
 }
 
 // Observe counts one rating.
-func (r *Rate) Observe(good bool) {
-	fade := 1 - 1.0/memory
+func (r *PassRate) Observe(good bool) {
+	fade := 1 - 1.0/ratingWindow
 	r.Good *= fade
 	r.Total *= fade
 	r.Total++
@@ -37,14 +37,14 @@
 }
 
 // Mean returns the estimate, drawn towards believed when ratings are few.
-func (r Rate) Mean(believed float64) float64 {
-	return (r.Good + prior*believed) / (r.Total + prior)
+func (r PassRate) Mean(prior float64) float64 {
+	return (r.Good + priorWeight*prior) / (r.Total + priorWeight)
 }
 
-// Low returns a cautious estimate.
-func (r Rate) Low(believed float64) float64 {
-	m := r.Mean(believed)
-	return m - caution*math.Sqrt(m*(1-m)/(r.Total+prior))
+// LowerBound returns a cautious estimate.
+func (r PassRate) LowerBound(prior float64) float64 {
+	mean := r.Mean(prior)
+	return mean - lowerBoundErrors*math.Sqrt(mean*(1-mean)/(r.Total+priorWeight))
 }
 
 // Band returns the band of a confidence in [0, 1].
@@ -52,85 +52,85 @@
 	return min(max(int(confidence*ConfidenceBands), 0), ConfidenceBands-1)
 }
 
-// Drift watches the ratings of one class for a drop of the cheap model's quality
+// DriftDetector watches the ratings of one class for a drop of the cheap model's quality
 // below what its evidence says: a cumulative sum of likelihood ratios that
 // starts anew whenever it falls to zero. Waiting for a fading mean to follow
 // would let some hundred bad answers stand.
-type Drift struct{ sum float64 }
+type DriftDetector struct{ cusum float64 }
 
 const (
-	// driftDrop is the drop of the pass rate that is looked for.
-	driftDrop = 0.25
-	// driftAlarm is the likelihood ratio at which the evidence is dropped.
-	driftAlarm = 1000
-	// rateFloor keeps likelihoods off zero and one.
-	rateFloor = 0.02
+	// detectedDrop is the drop of the pass rate that is looked for.
+	detectedDrop = 0.25
+	// driftThreshold is the likelihood ratio at which the evidence is dropped.
+	driftThreshold = 1000
+	// minRate keeps likelihoods off zero and one.
+	minRate = 0.02
 )
 
 // Observe takes a rating and the pass rate it was expected to have. It reports
 // a drop.
-func (d *Drift) Observe(good bool, expected float64) bool {
-	was := min(max(expected, rateFloor+driftDrop), 1-rateFloor)
-	now := was - driftDrop
+func (d *DriftDetector) Observe(good bool, expected float64) bool {
+	before := min(max(expected, minRate+detectedDrop), 1-minRate)
+	after := before - detectedDrop
 	if good {
-		d.sum += math.Log(now / was)
+		d.cusum += math.Log(after / before)
 	} else {
-		d.sum += math.Log((1 - now) / (1 - was))
+		d.cusum += math.Log((1 - after) / (1 - before))
 	}
-	d.sum = max(0, d.sum)
-	if d.sum < math.Log(driftAlarm) {
+	d.cusum = max(0, d.cusum)
+	if d.cusum < math.Log(driftThreshold) {
 		return false
 	}
-	d.sum = 0
+	d.cusum = 0
 	return true
 }
 
 // Class is the evidence for one request class of one workspace.
 type Class struct {
-	// Share counts recent requests by band of the cheap model's confidence.
-	Share [ConfidenceBands]float64
+	// BandCounts counts recent requests by band of the cheap model's confidence.
+	BandCounts [ConfidenceBands]float64
 	// Cheap is how often the cheap model's answers of a band are good.
-	Cheap [ConfidenceBands]Rate
-	// Dear is how often the dear model's answers are good.
-	Dear  Rate
-	drift Drift
-	// distrust lowers the belief in cheap answers after a drop.
-	distrust float64
+	Cheap [ConfidenceBands]PassRate
+	// Expensive is how often the dear model's answers are good.
+	Expensive PassRate
+	drift     DriftDetector
+	// priorPenalty lowers the belief in cheap answers after a drop.
+	priorPenalty float64
 }
 
-// Saw counts a cheap answer of some confidence.
-func (c *Class) Saw(confidence float64) {
-	fade := 1 - 1.0/(memory*ConfidenceBands)
-	for i := range c.Share {
-		c.Share[i] *= fade
+// RecordConfidence counts a cheap answer of some confidence.
+func (c *Class) RecordConfidence(confidence float64) {
+	fade := 1 - 1.0/(ratingWindow*ConfidenceBands)
+	for i := range c.BandCounts {
+		c.BandCounts[i] *= fade
 	}
-	c.Share[Band(confidence)]++
+	c.BandCounts[Band(confidence)]++
 }
 
-// Rated counts a rating of a cheap answer. A drop of quality forgets what was
+// RecordRating counts a rating of a cheap answer. A drop of quality forgets what was
 // learned before it and lowers the belief that takes its place.
-func (c *Class) Rated(confidence float64, good bool) {
+func (c *Class) RecordRating(confidence float64, good bool) {
 	band := Band(confidence)
-	if c.drift.Observe(good, c.Cheap[band].Mean(c.believed(band))) {
-		c.Cheap = [ConfidenceBands]Rate{}
-		c.distrust = driftDrop
+	if c.drift.Observe(good, c.Cheap[band].Mean(c.priorRate(band))) {
+		c.Cheap = [ConfidenceBands]PassRate{}
+		c.priorPenalty = detectedDrop
 	}
 	c.Cheap[band].Observe(good)
 }
 
-// believed is the pass rate assumed for a band before its first rating.
-func (c *Class) believed(band int) float64 { return believedCheap(band) - c.distrust }
+// priorRate is the pass rate assumed for a band before its first rating.
+func (c *Class) priorRate(band int) float64 { return cheapPrior(band) - c.priorPenalty }
 
-// RatedDear counts a rating of a dear answer.
-func (c *Class) RatedDear(good bool) { c.Dear.Observe(good) }
+// RecordExpensiveRating counts a rating of a dear answer.
+func (c *Class) RecordExpensiveRating(good bool) { c.Expensive.Observe(good) }
 
 // Reset forgets what was learned of the cheap model, for a new version of it.
 func (c *Class) Reset() {
-	*c = Class{Dear: c.Dear}
+	*c = Class{Expensive: c.Expensive}
 }
 
 // Costs are the prices of one answer in micros.
-type Costs struct{ Cheap, Dear float64 }
+type Costs struct{ Cheap, Expensive float64 }
 
 // Plan says how to answer the requests of each class.
 type Plan struct {
@@ -145,52 +145,52 @@
 const (
 	// believedCheap is assumed of the cheap model before ratings, at full and
 	// at no confidence.
-	believedCheapHigh, believedCheapLow = 0.85, 0.30
-	// believedDear is assumed of the dear model before ratings.
-	believedDear = 0.95
+	cheapPriorHigh, cheapPriorLow = 0.85, 0.30
+	// expensivePrior is assumed of the dear model before ratings.
+	expensivePrior = 0.95
 )
 
-// believedCheap is the pass rate assumed for a band before its first rating: a
+// cheapPrior is the pass rate assumed for a band before its first rating: a
 // confident answer is more likely good.
-func believedCheap(band int) float64 {
+func cheapPrior(band int) float64 {
 	f := (float64(band) + 0.5) / ConfidenceBands
-	return believedCheapLow + f*(believedCheapHigh-believedCheapLow)
+	return cheapPriorLow + f*(cheapPriorHigh-cheapPriorLow)
 }
 
-type option struct {
+type bandOption struct {
 	class string
 	band  int
-	mass  float64
+	count float64
 	loss  float64
 }
 
-// Make plans a cascade: it accepts cheap answers where that costs the least
+// NewPlan plans a cascade: it accepts cheap answers where that costs the least
 // quality, over all classes together, as long as the expected quality stays at
 // the target. A class most of whose cheap answers would be thrown away goes to
 // the dear model at once, since the cheap run would only add cost and delay.
-func Make(classes map[string]*Class, costs Costs, target float64) Plan {
+func NewPlan(classes map[string]*Class, costs Costs, target float64) Plan {
 	p := Plan{CheapFirst: map[string]bool{}, Accept: map[string][ConfidenceBands]bool{}}
-	options, total, quality := gather(classes)
+	options, total, quality := sortedBands(classes)
 	if total == 0 {
 		return p
 	}
 	for _, o := range options {
-		if quality-o.mass*o.loss/total < target {
+		if quality-o.count*o.loss/total < target {
 			continue
 		}
-		quality -= o.mass * o.loss / total
+		quality -= o.count * o.loss / total
 		a := p.Accept[o.class]
 		a[o.band] = true
 		p.Accept[o.class] = a
 	}
 	p.Quality = quality
-	p.prune(classes, costs, total)
+	p.selectCheapFirst(classes, costs, total)
 	return p
 }
 
-// gather lists every band of every class, least loss of quality first, with the
+// sortedBands lists every band of every class, least loss of quality first, with the
 // quality of answering all by the dear model.
-func gather(classes map[string]*Class) (options []option, total, quality float64) {
+func sortedBands(classes map[string]*Class) (options []bandOption, total, quality float64) {
 	names := make([]string, 0, len(classes))
 	for n := range classes {
 		names = append(names, n)
@@ -198,17 +198,17 @@
 	slices.Sort(names)
 	for _, name := range names {
 		c := classes[name]
-		dear := c.Dear.Mean(believedDear)
-		for band, mass := range c.Share {
-			if mass == 0 {
+		expensive := c.Expensive.Mean(expensivePrior)
+		for band, count := range c.BandCounts {
+			if count == 0 {
 				continue
 			}
-			total += mass
-			quality += mass * dear
-			options = append(options, option{name, band, mass, dear - c.Cheap[band].Low(c.believed(band))})
+			total += count
+			quality += count * expensive
+			options = append(options, bandOption{name, band, count, expensive - c.Cheap[band].LowerBound(c.priorRate(band))})
 		}
 	}
-	slices.SortStableFunc(options, func(a, b option) int {
+	slices.SortStableFunc(options, func(a, b bandOption) int {
 		switch {
 		case a.loss < b.loss:
 			return -1
@@ -223,37 +223,37 @@
 	return options, total, quality
 }
 
-func (p *Plan) prune(classes map[string]*Class, costs Costs, total float64) {
+func (p *Plan) selectCheapFirst(classes map[string]*Class, costs Costs, total float64) {
 	for name, c := range classes {
 		var accepted, all float64
-		for band, mass := range c.Share {
-			all += mass
+		for band, count := range c.BandCounts {
+			all += count
 			if p.Accept[name][band] {
-				accepted += mass
+				accepted += count
 			}
 		}
 		if all == 0 {
 			continue
 		}
-		viaCheap := costs.Cheap + (1-accepted/all)*costs.Dear
-		if viaCheap < costs.Dear {
+		viaCheap := costs.Cheap + (1-accepted/all)*costs.Expensive
+		if viaCheap < costs.Expensive {
 			p.CheapFirst[name] = true
 			p.Cost += all / total * viaCheap
 			continue
 		}
-		p.Cost += all / total * costs.Dear
+		p.Cost += all / total * costs.Expensive
 	}
 }
 
-// exploreShare is the fraction of a dear-first class that still asks the cheap
+// explorationRate is the fraction of a dear-first class that still asks the cheap
 // model, so that an improvement of it can show.
-const exploreShare = 0.02
+const explorationRate = 0.02
 
-// First reports whether a request of a class goes to the cheap model first. A
+// UseCheapFirst reports whether a request of a class goes to the cheap model first. A
 // class not planned yet does: nothing is known of it and the cheap answer is
 // judged before it stands. Coin is uniform in [0, 1).
-func (p Plan) First(class string, known bool, coin float64) bool {
-	return !known || p.CheapFirst[class] || coin < exploreShare
+func (p Plan) UseCheapFirst(class string, known bool, draw float64) bool {
+	return !known || p.CheapFirst[class] || draw < explorationRate
 }
 
 // Accepts reports whether a cheap answer of some confidence may stand.
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -9,13 +9,13 @@
 
 // Explanation says how a request would be routed at this moment.
 type Explanation struct {
-	Number  uint64           `json:"number"`
-	Model   string           `json:"model"`
-	Version string           `json:"version"`
-	Why     string           `json:"why"`
-	Pool    string           `json:"pool"`
-	Chosen  string           `json:"chosen,omitempty"`
-	Reasons []routing.Reason `json:"reasons"`
+	Number  uint64               `json:"number"`
+	Model   string               `json:"model"`
+	Version string               `json:"version"`
+	Why     string               `json:"why"`
+	Pool    string               `json:"pool"`
+	Chosen  string               `json:"chosen,omitempty"`
+	Reasons []routing.RuleResult `json:"reasons"`
 }
 
 // Explain routes a request without sending it and returns each rule's word.
@@ -54,9 +54,9 @@
 		return e, nil
 	}
 	candidates := st.picture.Snapshot(nil, time.Now())
-	st.picture.Prefix.Fill(&r)
-	e.Reasons = routing.Default().Explain(&r, candidates)
-	if dec := routing.Default().Pick(&r, candidates, d.pools.rng); dec.Index >= 0 {
+	st.picture.Prefix.Lookup(&r)
+	e.Reasons = routing.DefaultPipeline().Explain(&r, candidates)
+	if dec := routing.DefaultPipeline().Pick(&r, candidates, d.pools.rng); dec.Index >= 0 {
 		e.Chosen = candidates[dec.Index].ID
 	}
 	return e, nil
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -104,7 +104,7 @@
 	for _, st := range p.byName {
 		for _, c := range st.picture.Snapshot(nil, now) {
 			if c.ID != "" && containment.RunKey(c.ID) == run {
-				st.picture.Unreachable(c.ID, now)
+				st.picture.RecordUnreachable(c.ID, now)
 				p.gate.Ended(c.ID, p.boot())
 			}
 		}
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -47,7 +47,7 @@
 	stage    string
 	since    time.Time
 	byDaemon map[string]rollout.Evidence
-	verdict  rollout.Verdict
+	verdict  rollout.Decision
 }
 
 func newRollouts(d *Daemon) *rollouts {
@@ -95,7 +95,7 @@
 	c := r.d.config.current()
 	ro, active := c.RolloutFor(model)
 	isNew := version == ro.To
-	if !active || !rollout.Judged(ro) || !isNew && version != c.Models[model].Stable {
+	if !active || !rollout.CarriesTraffic(ro) || !isNew && version != c.Models[model].Stable {
 		return
 	}
 	r.mu.Lock()
@@ -106,7 +106,7 @@
 		r.own[model] = st
 	}
 	st.cells = st.cells.Merge(rollout.Evidence{{Server: server, FailureDomain: domain, New: isNew, Counts: n}})
-	if signal, stop := rollout.DefaultRules().Brake(st.cells); stop && !r.braked[model+"@"+ro.To] {
+	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(st.cells); stop && !r.braked[model+"@"+ro.To] {
 		r.braked[model+"@"+ro.To] = true
 		r.d.metrics.braked.Inc(1)
 		r.d.log.Warn("stopped using a new version on own evidence", "model", model, "version", ro.To, "signal", signal)
@@ -130,7 +130,7 @@
 		r.reported = time.Now()
 	}
 	for model, ro := range c.Rollouts {
-		if !rollout.Judged(ro) {
+		if !rollout.CarriesTraffic(ro) {
 			continue
 		}
 		homes := r.d.members.homes("rollout/"+model, 1)
@@ -200,7 +200,7 @@
 func (r *rollouts) judge(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout) {
 	r.mu.Lock()
 	f := r.fleet[model]
-	v := rollout.DefaultRules().Judge(ro, f.merged(), time.Since(f.since))
+	v := rollout.DefaultStagePolicy().Evaluate(ro, f.merged(), time.Since(f.since))
 	f.verdict = v
 	r.mu.Unlock()
 	if v.Step == rollout.Wait {
@@ -212,7 +212,7 @@
 // propose appends the step as an ordinary patch. Its id follows from the state
 // it was decided on, so that a step decided twice, by an old and a new home, is
 // one patch; a stale base makes it void.
-func (r *rollouts) propose(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout, v rollout.Verdict) {
+func (r *rollouts) propose(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout, v rollout.Decision) {
 	patch, err := stepPatch(c, model, ro, v.Step)
 	if err != nil {
 		return
@@ -227,7 +227,7 @@
 // stepPatch writes a step as a patch. A roll-back withdraws the version too:
 // sessions pinned to it would otherwise stay on it.
 func stepPatch(c *fleet.Config, model string, ro fleet.Rollout, s rollout.Step) (json.RawMessage, error) {
-	next := rollout.Next(ro, s)
+	next := rollout.ApplyStep(ro, s)
 	p := map[string]map[string]any{"rollouts": {model: map[string]any{"stage": next.Stage, "state": next.State}}}
 	switch {
 	case s == rollout.RollBack:
--- a/internal/relay/others.go
+++ b/internal/relay/others.go
@@ -32,6 +32,6 @@
 	now := time.Now()
 	for key, id := range sv.ids {
 		w := p.sum[key]
-		sv.picture.Peers(id, float64(w.Running), float64(w.Pending), now)
+		sv.picture.SetPeerLoad(id, float64(w.Running), float64(w.Pending), now)
 	}
 }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -57,7 +57,7 @@
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
 		if id, known := sv.ids[ServerKey(run)]; known {
-			sv.picture.Unreachable(id, now)
+			sv.picture.RecordUnreachable(id, now)
 			s.gate.Ended(id, s.boot())
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -70,7 +70,7 @@
 
 	mu      sync.Mutex
 	shares  map[string]*request.Share
-	valuers map[string]*cascade.Valuer
+	valuers map[string]*cascade.Escalator
 	active  int
 	// end is when the daemon stops; zero while it does not leave.
 	end time.Time
@@ -82,7 +82,7 @@
 func New(s *State, b Backend, rules Rules, m *Metrics, l *log.Logger) *Relay {
 	r := &Relay{
 		State: s, Rollouts: NewRollouts(rules.SessionSpan, time.Now, l), Metrics: m, backend: b, rules: rules, log: l, started: time.Now(), Outdated: func() bool { return false },
-		shares: map[string]*request.Share{}, valuers: map[string]*cascade.Valuer{},
+		shares: map[string]*request.Share{}, valuers: map[string]*cascade.Escalator{},
 	}
 	r.watch = newWatch(s, b, l, m)
 	r.Guard = newGuard(r)
@@ -163,12 +163,12 @@
 }
 
 // valuer runs f on what a service's answers taught.
-func (r *Relay) valuer(service string, f func(v *cascade.Valuer)) {
+func (r *Relay) valuer(service string, f func(v *cascade.Escalator)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.valuers[service]
 	if v == nil {
-		v = &cascade.Valuer{}
+		v = &cascade.Escalator{}
 		r.valuers[service] = v
 	}
 	f(v)
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -27,7 +27,7 @@
 // Cause: a daemon's own stop outranked the store's word.
 func TestStoreGoesBeforeOwnBrake(t *testing.T) {
 	r := testRollouts()
-	r.Settled(Settlement{Service: "s", Order: 7, Phase: rollout.Whole, Ago: 15 * time.Second})
+	r.Settled(Settlement{Service: "s", Order: 7, Phase: rollout.Full, Ago: 15 * time.Second})
 	r.Brake("s", 7, "slow")
 	if c := r.Admits("s", "", 1); !c.Prefer("v1") || c.Prefer("v2") {
 		t.Fatal("a braked version is still preferred")
@@ -84,7 +84,7 @@
 	t.Helper()
 	for i := range 10000 {
 		name := fmt.Sprint("session-", i)
-		if float64(xxhash.Sum64String(name)>>versionShift%shareGrain) < rollout.DefaultCourse().CanaryShare*shareGrain {
+		if float64(xxhash.Sum64String(name)>>versionShift%shareGrain) < rollout.DefaultOrderPolicy().CanaryShare*shareGrain {
 			return name
 		}
 	}
@@ -135,7 +135,7 @@
 	later := uint64(feed.At(1, 9))
 	for name, said := range map[string]*Settlement{
 		"nothing said":          nil,
-		"an earlier phase said": {Service: "s", Target: "v2", Order: 7, Phase: rollout.Whole},
+		"an earlier phase said": {Service: "s", Target: "v2", Order: 7, Phase: rollout.Full},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRollouts(0, time.Now, log.New(io.Discard))
@@ -175,7 +175,7 @@
 	r.Ordered(rollout.Order{Service: "s", Target: "v3", Offset: uint64(feed.At(1, 12))})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if o := r.orders["s"]; o.Target != "v3" || o.phase.Over() {
+	if o := r.orders["s"]; o.Target != "v3" || o.phase.Final() {
 		t.Errorf("another target is the same order: %+v", o)
 	}
 }
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -50,7 +50,7 @@
 
 // service is the picture of one service's servers.
 type service struct {
-	picture *routing.Picture
+	picture *routing.LoadTracker
 	members []routing.Member
 	servers map[string]backend.Server
 	// ids names the members by the keys under which daemons tell of them.
@@ -59,7 +59,7 @@
 	// othersAt is the change of the others' work that the picture shows.
 	othersAt uint64
 	// lanes divides engines between models; nil until the first choice.
-	lanes *routing.Lanes
+	lanes *routing.Partition
 }
 
 // NewState returns an empty state. Boot reads a clock that counts while the
@@ -208,8 +208,8 @@
 func (s *State) refresh(name string, now time.Duration) *service {
 	sv := s.services[name]
 	if sv == nil {
-		sv = &service{picture: routing.NewPicture(), pace: paces{}}
-		sv.picture.Exact = true
+		sv = &service{picture: routing.NewLoadTracker(), pace: paces{}}
+		sv.picture.ExactPeerLoad = true
 		sv.picture.Prefix.SetCapacity(prefixCapacity)
 		s.services[name] = sv
 	}
@@ -286,7 +286,7 @@
 	for _, sv := range s.services {
 		for _, p := range list {
 			if id, known := sv.ids[p.Server]; known {
-				sv.picture.Cached(id, p.Blocks)
+				sv.picture.RecordCachedBlocks(id, p.Blocks)
 			}
 		}
 	}
--- a/internal/relay/state_test.go
+++ b/internal/relay/state_test.go
@@ -82,7 +82,7 @@
 					n++
 				}
 			}
-			sv.picture.Prefix.Fill(&r)
+			sv.picture.Prefix.Lookup(&r)
 			for _, blocks := range r.CachedBlocks {
 				if blocks > 0 {
 					n++
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -41,8 +41,8 @@
 	return Counts{c.Requests + o.Requests, c.Errors + o.Errors, c.Timed + o.Timed, c.Slow + o.Slow, c.Rated + o.Rated, c.Bad + o.Bad}
 }
 
-// of returns the trials and the bad events of a signal.
-func (c Counts) of(s Signal) (trials, bad int64) {
+// forSignal returns the trials and the bad events of a signal.
+func (c Counts) forSignal(s Signal) (trials, bad int64) {
 	switch s {
 	case Errors:
 		return c.Requests, c.Errors
@@ -52,8 +52,8 @@
 	return c.Rated, c.Bad
 }
 
-// Cell is the counts of one version on one server.
-type Cell struct {
+// ServerCounts is the counts of one version on one server.
+type ServerCounts struct {
 	Server        string `cbor:"1,keyasint" json:"server"`
 	FailureDomain string `cbor:"2,keyasint" json:"failure_domain"`
 	// New tells the new version from the running one.
@@ -62,7 +62,7 @@
 }
 
 // Evidence is what is known of one stage of a roll-out.
-type Evidence []Cell
+type Evidence []ServerCounts
 
 // Merge adds another daemon's cells.
 func (e Evidence) Merge(o Evidence) Evidence { return Sum(e, o) }
@@ -72,40 +72,40 @@
 // which took 4.4 ms for 195 daemons that each saw a sixth of 126 servers, four times a second;
 // it takes 0.3 ms (BenchmarkDue, beside other load).
 func Sum(parts ...Evidence) Evidence {
-	type side struct {
+	type versionKey struct {
 		server string
 		fresh  bool
 	}
-	at := map[side]int{}
-	var out Evidence
+	indexByKey := map[versionKey]int{}
+	var sum Evidence
 	for _, part := range parts {
 		for _, c := range part {
-			key := side{c.Server, c.New}
-			if i, known := at[key]; known {
-				out[i].Counts = out[i].Counts.Add(c.Counts)
+			key := versionKey{c.Server, c.New}
+			if i, known := indexByKey[key]; known {
+				sum[i].Counts = sum[i].Counts.Add(c.Counts)
 				continue
 			}
-			at[key] = len(out)
-			out = append(out, c)
+			indexByKey[key] = len(sum)
+			sum = append(sum, c)
 		}
 	}
-	slices.SortFunc(out, func(a, b Cell) int { return strings.Compare(a.Server, b.Server) })
-	return out
+	slices.SortFunc(sum, func(a, b ServerCounts) int { return strings.Compare(a.Server, b.Server) })
+	return sum
 }
 
 // Totals sums both sides over the cells that keep admits.
-func (e Evidence) Totals(keep func(Cell) bool) (fresh, running Counts) {
+func (e Evidence) Totals(keep func(ServerCounts) bool) (newCounts, runningCounts Counts) {
 	for _, c := range e {
 		if keep != nil && !keep(c) {
 			continue
 		}
 		if c.New {
-			fresh = fresh.Add(c.Counts)
+			newCounts = newCounts.Add(c.Counts)
 		} else {
-			running = running.Add(c.Counts)
+			runningCounts = runningCounts.Add(c.Counts)
 		}
 	}
-	return fresh, running
+	return newCounts, runningCounts
 }
 
 // oddsRatios are the harms the test looks for: the bad rate of the new version
@@ -113,7 +113,7 @@
 // evidence against knowing the right one.
 var oddsRatios = [...]float64{2, 4, 16, 64}
 
-// LogE returns the logarithm of an e-value against "the new version is no worse
+// LogEValue returns the logarithm of an e-value against "the new version is no worse
 // than the running one" for a signal.
 //
 // Given that a bad event happened, the chance that it fell on the new version is
@@ -125,103 +125,103 @@
 // The share is taken server by server where a server ran both versions: a server
 // that fails more, and by chance got more of the new version, would otherwise
 // count against it.
-func (e Evidence) LogE(s Signal, keep func(Cell) bool) float64 {
-	logs := make([]float64, len(oddsRatios))
+func (e Evidence) LogEValue(s Signal, keep func(ServerCounts) bool) float64 {
+	logRatios := make([]float64, len(oddsRatios))
 	var restNew, restRunning Counts
 	events := int64(0)
-	for _, p := range e.pairs(keep) {
-		if n0, _ := p.running.of(s); n0 == 0 {
-			restNew = restNew.Add(p.fresh)
+	for _, p := range e.strata(keep) {
+		if n0, _ := p.runningCounts.forSignal(s); n0 == 0 {
+			restNew = restNew.Add(p.newCounts)
 			continue
 		}
-		if n1, _ := p.fresh.of(s); n1 == 0 {
-			restRunning = restRunning.Add(p.running)
+		if n1, _ := p.newCounts.forSignal(s); n1 == 0 {
+			restRunning = restRunning.Add(p.runningCounts)
 			continue
 		}
-		events += addLogs(logs, p.fresh, p.running, s)
+		events += addLogLikelihoods(logRatios, p.newCounts, p.runningCounts, s)
 	}
-	events += addLogs(logs, restNew, restRunning, s)
+	events += addLogLikelihoods(logRatios, restNew, restRunning, s)
 	if events == 0 {
 		return 0
 	}
-	return logMean(logs)
+	return logMeanExp(logRatios)
 }
 
-// addLogs adds one stratum's log-likelihood ratios and returns its bad events of
+// addLogLikelihoods adds one stratum's log-likelihood ratios and returns its bad events of
 // the new version.
-func addLogs(logs []float64, fresh, running Counts, s Signal) int64 {
-	n1, k1 := fresh.of(s)
-	n0, k0 := running.of(s)
+func addLogLikelihoods(logRatios []float64, newCounts, runningCounts Counts, s Signal) int64 {
+	n1, k1 := newCounts.forSignal(s)
+	n0, k0 := runningCounts.forSignal(s)
 	if n1 == 0 || n0 == 0 {
 		return 0
 	}
 	share := float64(n1) / float64(n1+n0)
 	for i, ratio := range oddsRatios {
 		norm := math.Log(ratio*share + 1 - share)
-		logs[i] += float64(k1)*(math.Log(ratio)-norm) - float64(k0)*norm
+		logRatios[i] += float64(k1)*(math.Log(ratio)-norm) - float64(k0)*norm
 	}
 	return k1
 }
 
-type pair struct{ fresh, running Counts }
+type stratum struct{ newCounts, runningCounts Counts }
 
-// pairs gathers both versions' counts by server, in the order of the cells.
-func (e Evidence) pairs(keep func(Cell) bool) []pair {
-	at := make(map[string]int, len(e))
-	out := make([]pair, 0, len(e))
+// strata gathers both versions' counts by server, in the order of the cells.
+func (e Evidence) strata(keep func(ServerCounts) bool) []stratum {
+	indexByServer := make(map[string]int, len(e))
+	strata := make([]stratum, 0, len(e))
 	for _, c := range e {
 		if keep != nil && !keep(c) {
 			continue
 		}
-		i, known := at[c.Server]
+		i, known := indexByServer[c.Server]
 		if !known {
-			i = len(out)
-			at[c.Server] = i
-			out = append(out, pair{})
+			i = len(strata)
+			indexByServer[c.Server] = i
+			strata = append(strata, stratum{})
 		}
 		if c.New {
-			out[i].fresh = out[i].fresh.Add(c.Counts)
+			strata[i].newCounts = strata[i].newCounts.Add(c.Counts)
 		} else {
-			out[i].running = out[i].running.Add(c.Counts)
+			strata[i].runningCounts = strata[i].runningCounts.Add(c.Counts)
 		}
 	}
-	return out
+	return strata
 }
 
-func logMean(logs []float64) float64 {
-	top := slices.Max(logs)
+func logMeanExp(logs []float64) float64 {
+	largest := slices.Max(logs)
 	sum := 0.0
 	for _, l := range logs {
-		sum += math.Exp(l - top)
+		sum += math.Exp(l - largest)
 	}
-	return top + math.Log(sum/float64(len(logs)))
+	return largest + math.Log(sum/float64(len(logs)))
 }
 
-// Robust returns the least LogE left when any one server, or any one failure
+// MinLeaveOneOut returns the least LogE left when any one server, or any one failure
 // domain, of the new version is left out. A bad server or failure domain then
 // cannot condemn a version: without it the evidence is gone. It returns 0 when
 // the new version runs on one server only, since then nothing tells them apart.
-func (e Evidence) Robust(s Signal) (least float64, blame string) {
-	least = e.LogE(s, nil)
-	servers, domains := e.places()
+func (e Evidence) MinLeaveOneOut(s Signal) (lowest float64, omitted string) {
+	lowest = e.LogEValue(s, nil)
+	servers, domains := e.newVersionPlacement()
 	for _, name := range servers {
-		if l := e.LogE(s, func(c Cell) bool { return c.Server != name }); l < least {
-			least, blame = l, "server "+name
+		if l := e.LogEValue(s, func(c ServerCounts) bool { return c.Server != name }); l < lowest {
+			lowest, omitted = l, "server "+name
 		}
 	}
 	if len(domains) < 2 {
-		return least, blame
+		return lowest, omitted
 	}
 	for _, name := range domains {
-		if l := e.LogE(s, func(c Cell) bool { return c.FailureDomain != name }); l < least {
-			least, blame = l, "failure domain "+name
+		if l := e.LogEValue(s, func(c ServerCounts) bool { return c.FailureDomain != name }); l < lowest {
+			lowest, omitted = l, "failure domain "+name
 		}
 	}
-	return least, blame
+	return lowest, omitted
 }
 
-// places lists the servers and failure domains that ran the new version.
-func (e Evidence) places() (servers, domains []string) {
+// newVersionPlacement lists the servers and failure domains that ran the new version.
+func (e Evidence) newVersionPlacement() (servers, domains []string) {
 	for _, c := range e {
 		if !c.New || c.Counts.Requests == 0 {
 			continue
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -25,125 +25,127 @@
 // String returns the step's name.
 func (s Step) String() string { return [...]string{"wait", "advance", "hold", "roll_back"}[s] }
 
-// Verdict is a step with its reason.
-type Verdict struct {
+// Decision is a step with its reason.
+type Decision struct {
 	Step   Step
 	Reason string
 }
 
-// Rules are the constants of the judgement; DefaultRules gives the measured ones.
-type Rules struct {
-	// Alarm is the e-value at which the fleet rolls back. The chance of a
+// StagePolicy are the constants of the judgement; DefaultRules gives the measured ones.
+type StagePolicy struct {
+	// RollBackThreshold is the e-value at which the fleet rolls back. The chance of a
 	// false alarm is at most 1/Alarm for each signal.
-	Alarm float64
-	// LocalAlarm is the e-value at which one daemon stops by itself, on its own
+	RollBackThreshold float64
+	// LocalThreshold is the e-value at which one daemon stops by itself, on its own
 	// evidence alone, before the fleet has decided.
-	LocalAlarm float64
-	// RobustAlarm is the e-value that must be left without any one server or
+	LocalThreshold float64
+	// LeaveOneOutThreshold is the e-value that must be left without any one server or
 	// failure domain for a roll-back. It can be low: the false alarms are
 	// bounded by Alarm already, and waiting here hurts callers.
-	RobustAlarm float64
-	// HoldAlarm is the e-value at which evidence that stems from one server or
+	LeaveOneOutThreshold float64
+	// HoldThreshold is the e-value at which evidence that stems from one server or
 	// failure domain holds the roll-out. Until then the next bad event elsewhere
 	// may still turn it into a roll-back.
-	HoldAlarm float64
-	// MinStage is the shortest time between two stages.
-	MinStage time.Duration
+	HoldThreshold float64
+	// MinStageDuration is the shortest time between two stages.
+	MinStageDuration time.Duration
 	// MinRequests is the evidence a stage needs when its roll-out states none.
 	MinRequests int64
 	// MinRated is the number of rated answers of the new version a stage needs
 	// while answers of the running one are being rated.
 	MinRated int64
-	// Doubt is the e-value above which a stage waits for more evidence.
-	Doubt float64
+	// AdvanceThreshold is the e-value above which a stage waits for more evidence.
+	AdvanceThreshold float64
 	// MaxWait ends the waiting of a doubtful or starved stage by a hold.
 	MaxWait time.Duration
 }
 
-// DefaultRules returns the rules in use; docs/design/rollout.md has the figures.
-func DefaultRules() Rules {
-	return Rules{
-		Alarm:       1000,
-		LocalAlarm:  1000,
-		RobustAlarm: 30,
-		HoldAlarm:   1e9,
-		MinStage:    10 * time.Second,
-		MinRequests: 30,
-		MinRated:    15,
-		Doubt:       10,
-		MaxWait:     30 * time.Minute,
+// DefaultStagePolicy returns the rules in use; docs/design/rollout.md has the figures.
+func DefaultStagePolicy() StagePolicy {
+	return StagePolicy{
+		RollBackThreshold:    1000,
+		LocalThreshold:       1000,
+		LeaveOneOutThreshold: 30,
+		HoldThreshold:        1e9,
+		MinStageDuration:     10 * time.Second,
+		MinRequests:          30,
+		MinRated:             15,
+		AdvanceThreshold:     10,
+		MaxWait:              30 * time.Minute,
 	}
 }
 
-// Judge decides the next step of a roll-out from the fleet's evidence of its
+// Evaluate decides the next step of a roll-out from the fleet's evidence of its
 // current stage and the time the stage has lasted. A held roll-out still carries
 // traffic, so it can be rolled back, but it does not advance.
-func (r Rules) Judge(ro fleet.Rollout, e Evidence, lasted time.Duration) Verdict {
-	if !Judged(ro) {
-		return Verdict{Wait, "the roll-out is " + string(ro.State)}
+func (p StagePolicy) Evaluate(ro fleet.Rollout, e Evidence, elapsed time.Duration) Decision {
+	if !CarriesTraffic(ro) {
+		return Decision{Wait, "the roll-out is " + string(ro.State)}
 	}
-	doubt := 0.0
+	maxLogE := 0.0
 	for s := range signalCount {
-		v, level := r.signal(e, s)
+		v, logE := p.evaluateSignal(e, s)
 		if v.Step == RollBack || v.Step == Hold && ro.State == fleet.Running {
 			return v
 		}
-		doubt = math.Max(doubt, level)
+		maxLogE = math.Max(maxLogE, logE)
 	}
 	if ro.State == fleet.Held {
-		return Verdict{Wait, "held"}
+		return Decision{Wait, "held"}
 	}
-	return r.progress(ro, e, lasted, doubt)
+	return p.evaluateProgress(ro, e, elapsed, maxLogE)
 }
 
-// Judged reports whether a roll-out carries traffic that may speak against it.
-func Judged(ro fleet.Rollout) bool { return ro.State == fleet.Running || ro.State == fleet.Held }
+// CarriesTraffic reports whether a roll-out carries traffic that may speak against it.
+func CarriesTraffic(ro fleet.Rollout) bool {
+	return ro.State == fleet.Running || ro.State == fleet.Held
+}
 
-// signal judges one signal and returns how far it speaks against the version.
-func (r Rules) signal(e Evidence, s Signal) (Verdict, float64) {
-	all := e.LogE(s, nil)
-	alarm := math.Log(r.Alarm)
-	if all < alarm {
-		return Verdict{}, all
+// evaluateSignal judges one signal and returns how far it speaks against the version.
+func (p StagePolicy) evaluateSignal(e Evidence, s Signal) (Decision, float64) {
+	logE := e.LogEValue(s, nil)
+	threshold := math.Log(p.RollBackThreshold)
+	if logE < threshold {
+		return Decision{}, logE
 	}
-	robust, blame := e.Robust(s)
-	if robust >= math.Log(r.RobustAlarm) {
-		return Verdict{RollBack, fmt.Sprintf("%s: e-value 10^%.1f", s, all/math.Ln10)}, all
+	leaveOneOut, omitted := e.MinLeaveOneOut(s)
+	if leaveOneOut >= math.Log(p.LeaveOneOutThreshold) {
+		return Decision{RollBack, fmt.Sprintf("%s: e-value 10^%.1f", s, logE/math.Ln10)}, logE
 	}
-	if all < math.Log(r.HoldAlarm) {
-		return Verdict{}, all
+	if logE < math.Log(p.HoldThreshold) {
+		return Decision{}, logE
 	}
-	return Verdict{Hold, fmt.Sprintf("%s: e-value 10^%.1f, but 10^%.1f without %s", s, all/math.Ln10, robust/math.Ln10, blame)}, all
+	return Decision{Hold, fmt.Sprintf("%s: e-value 10^%.1f, but 10^%.1f without %s", s, logE/math.Ln10, leaveOneOut/math.Ln10, omitted)}, logE
 }
 
-func (r Rules) progress(ro fleet.Rollout, e Evidence, lasted time.Duration, doubt float64) Verdict {
-	fresh, running := e.Totals(nil)
-	need := ro.MinRequests
-	if need == 0 {
-		need = r.MinRequests
+func (p StagePolicy) evaluateProgress(ro fleet.Rollout, e Evidence, elapsed time.Duration, maxLogE float64) Decision {
+	newCounts, runningCounts := e.Totals(nil)
+	required := ro.MinRequests
+	if required == 0 {
+		required = p.MinRequests
 	}
 	switch {
-	case fresh.Requests < need && lasted >= r.MaxWait:
-		return Verdict{Hold, fmt.Sprintf("only %d of %d requests in %s", fresh.Requests, need, lasted)}
-	case fresh.Requests < need:
-		return Verdict{Wait, fmt.Sprintf("%d of %d requests", fresh.Requests, need)}
-	case running.Rated > 0 && fresh.Rated < r.MinRated && lasted < r.MaxWait:
-		return Verdict{Wait, fmt.Sprintf("%d of %d ratings", fresh.Rated, r.MinRated)}
-	case doubt > math.Log(r.Doubt) && lasted >= r.MaxWait:
-		return Verdict{Hold, fmt.Sprintf("still in doubt after %s", lasted)}
-	case doubt > math.Log(r.Doubt):
-		return Verdict{Wait, fmt.Sprintf("in doubt: e-value %.1f", math.Exp(doubt))}
-	case lasted < r.MinStage:
-		return Verdict{Wait, "the stage is young"}
+	case newCounts.Requests < required && elapsed >= p.MaxWait:
+		return Decision{Hold, fmt.Sprintf("only %d of %d requests in %s", newCounts.Requests, required, elapsed)}
+	case newCounts.Requests < required:
+		return Decision{Wait, fmt.Sprintf("%d of %d requests", newCounts.Requests, required)}
+	case runningCounts.Rated > 0 && newCounts.Rated < p.MinRated && elapsed < p.MaxWait:
+		return Decision{Wait, fmt.Sprintf("%d of %d ratings", newCounts.Rated, p.MinRated)}
+	case maxLogE > math.Log(p.AdvanceThreshold) && elapsed >= p.MaxWait:
+		return Decision{Hold, fmt.Sprintf("still in doubt after %s", elapsed)}
+	case maxLogE > math.Log(p.AdvanceThreshold):
+		return Decision{Wait, fmt.Sprintf("in doubt: e-value %.1f", math.Exp(maxLogE))}
+	case elapsed < p.MinStageDuration:
+		return Decision{Wait, "the stage is young"}
 	}
-	return Verdict{Advance, fmt.Sprintf("%d requests, e-value %.2f", fresh.Requests, math.Exp(doubt))}
+	return Decision{Advance, fmt.Sprintf("%d requests, e-value %.2f", newCounts.Requests, math.Exp(maxLogE))}
 }
 
-// Brake reports whether one daemon's own evidence suffices to stop using the new
+// ShouldStopLocally reports whether one daemon's own evidence suffices to stop using the new
 // version for sessions that are not pinned to it, before the fleet decides.
-func (r Rules) Brake(own Evidence) (Signal, bool) {
+func (p StagePolicy) ShouldStopLocally(own Evidence) (Signal, bool) {
 	for s := range signalCount {
-		if own.LogE(s, nil) >= math.Log(r.LocalAlarm) {
+		if own.LogEValue(s, nil) >= math.Log(p.LocalThreshold) {
 			return s, true
 		}
 	}
@@ -163,15 +165,15 @@
 	if share <= 0 || share >= 1 {
 		return budget
 	}
-	fresh := min(1, newRatingShare*budget/share)
+	newShare := min(1, newRatingShare*budget/share)
 	if isNew {
-		return fresh
+		return newShare
 	}
-	return max(0, (budget-fresh*share)/(1-share))
+	return max(0, (budget-newShare*share)/(1-share))
 }
 
-// Next returns the roll-out after a step, as it goes into a patch.
-func Next(ro fleet.Rollout, s Step) fleet.Rollout {
+// ApplyStep returns the roll-out after a step, as it goes into a patch.
+func ApplyStep(ro fleet.Rollout, s Step) fleet.Rollout {
 	switch s {
 	case Advance:
 		if ro.Stage+1 >= len(ro.Stages) {
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -13,9 +13,9 @@
 	Target  string
 	// Duration is the time from the order to its deadline.
 	Duration time.Duration
-	// SessionSpan is how long after each other requests of a session belong
+	// SessionWindow is how long after each other requests of a session belong
 	// together.
-	SessionSpan time.Duration
+	SessionWindow time.Duration
 	// Offset is the place of the order in the operator's log and names it.
 	Offset uint64
 }
@@ -29,8 +29,8 @@
 	Canary Phase = iota
 	// Ramp sends half of them.
 	Ramp
-	// Whole sends all, while the old servers finish.
-	Whole
+	// Full sends all, while the old servers finish.
+	Full
 	// Completed is over: the old servers may be stopped.
 	Completed
 	// RolledBack is over: the new version gets nothing.
@@ -42,120 +42,120 @@
 	return [...]string{"canary", "ramp", "whole", "completed", "rolled_back"}[p]
 }
 
-// Over reports whether nothing more will be decided.
-func (p Phase) Over() bool { return p >= Completed }
+// Final reports whether nothing more will be decided.
+func (p Phase) Final() bool { return p >= Completed }
 
-// Course holds the constants of an order's way, as parts of its duration unless
+// OrderPolicy holds the constants of an order's way, as parts of its duration unless
 // said otherwise.
-type Course struct {
+type OrderPolicy struct {
 	// CanaryShare and RampShare are the parts of all requests that the new
 	// version gets. With the canary's length they keep a version that turns bad
 	// late under 15% of the requests between the order and its deadline.
 	CanaryShare, RampShare float64
-	// CanaryUntil and RampUntil end the phases. Sessions must stay on their
+	// CanaryEnd and RampUntil end the phases. Sessions must stay on their
 	// version for the first half, so the ramp begins no sooner.
-	CanaryUntil, RampUntil float64
-	// FinishBy is when the old servers are let go at the latest, even if one of
+	CanaryEnd, RampEnd float64
+	// CompleteBy is when the old servers are let go at the latest, even if one of
 	// their streams still runs.
-	FinishBy float64
-	// LeastRequests is the evidence without which the ramp does not begin.
-	LeastRequests int64
-	// Alarm is the e-value that rolls back; see Rules.Alarm.
-	Alarm float64
-	// RobustAlarm is the e-value that must be left without any one server; see
+	CompleteBy float64
+	// MinRequests is the evidence without which the ramp does not begin.
+	MinRequests int64
+	// RollBackThreshold is the e-value that rolls back; see Rules.Alarm.
+	RollBackThreshold float64
+	// LeaveOneOutThreshold is the e-value that must be left without any one server; see
 	// Rules.RobustAlarm.
-	RobustAlarm float64
-	// SlowShare is the part of the new version's answers that must be slow for a
+	LeaveOneOutThreshold float64
+	// MinSlowShare is the part of the new version's answers that must be slow for a
 	// roll-back; see Usual. A quarter is slow on a like version.
-	SlowShare float64
-	// FewestBad is how many bad answers a roll-back needs: single ones happen on
+	MinSlowShare float64
+	// MinBadEvents is how many bad answers a roll-back needs: single ones happen on
 	// any version.
-	FewestBad int64
+	MinBadEvents int64
 }
 
-// DefaultCourse returns the course in use.
-func DefaultCourse() Course {
-	return Course{
+// DefaultOrderPolicy returns the course in use.
+func DefaultOrderPolicy() OrderPolicy {
+	return OrderPolicy{
 		CanaryShare: 0.1, RampShare: 0.4,
-		CanaryUntil: 0.5, RampUntil: 0.58,
-		FinishBy:      0.93,
-		LeastRequests: 20,
-		Alarm:         100,
-		RobustAlarm:   3,
-		SlowShare:     0.5,
-		FewestBad:     4,
+		CanaryEnd: 0.5, RampEnd: 0.58,
+		CompleteBy:           0.93,
+		MinRequests:          20,
+		RollBackThreshold:    100,
+		LeaveOneOutThreshold: 3,
+		MinSlowShare:         0.5,
+		MinBadEvents:         4,
 	}
 }
 
 // Share returns the part of the requests that the new version gets.
-func (c Course) Share(p Phase) float64 {
+func (c OrderPolicy) Share(p Phase) float64 {
 	switch p {
 	case Canary:
 		return c.CanaryShare
 	case Ramp:
 		return c.RampShare
-	case Whole, Completed:
+	case Full, Completed:
 		return 1
 	}
 	return 0
 }
 
-// Next returns the phase that follows from the evidence of all daemons, the time
+// NextPhase returns the phase that follows from the evidence of all daemons, the time
 // since the order, and how many requests still run on old servers, with the
 // reason. It returns the same phase if nothing changes.
-func (c Course) Next(o Order, p Phase, since time.Duration, e Evidence, oldRunning int) (Phase, string) {
-	if p.Over() {
+func (c OrderPolicy) NextPhase(o Order, p Phase, elapsed time.Duration, e Evidence, oldRunning int) (Phase, string) {
+	if p.Final() {
 		return p, "over"
 	}
-	if why := c.bad(e); why != "" {
-		return RolledBack, why
+	if reason := c.rollBackReason(e); reason != "" {
+		return RolledBack, reason
 	}
-	at := float64(since) / float64(o.Duration)
-	fresh, _ := e.Totals(nil)
+	progress := float64(elapsed) / float64(o.Duration)
+	newCounts, _ := e.Totals(nil)
 	switch {
-	case at >= 1 && p < Whole:
+	case progress >= 1 && p < Full:
 		return RolledBack, "the deadline passed without enough evidence"
-	case p == Canary && at >= c.CanaryUntil && fresh.Requests >= c.LeastRequests:
-		return Ramp, fmt.Sprintf("%d requests on the new version without an alarm", fresh.Requests)
-	case p == Ramp && at >= c.RampUntil:
-		return Whole, fmt.Sprintf("%d requests on the new version without an alarm", fresh.Requests)
-	case p == Whole && oldRunning == 0 && at >= c.RampUntil+o.settle():
+	case p == Canary && progress >= c.CanaryEnd && newCounts.Requests >= c.MinRequests:
+		return Ramp, fmt.Sprintf("%d requests on the new version without an alarm", newCounts.Requests)
+	case p == Ramp && progress >= c.RampEnd:
+		return Full, fmt.Sprintf("%d requests on the new version without an alarm", newCounts.Requests)
+	case p == Full && oldRunning == 0 && progress >= c.RampEnd+o.minFullShare():
 		return Completed, "nothing runs on old servers"
-	case p == Whole && at >= c.FinishBy:
+	case p == Full && progress >= c.CompleteBy:
 		return Completed, fmt.Sprintf("%d requests still run on old servers at the latest moment", oldRunning)
 	}
 	return p, ""
 }
 
-// settle is how long the whole phase lasts at least, as a part of the duration.
+// minFullPhase is how long the whole phase lasts at least, as a part of the duration.
 // Some versions are bad under the whole load only, and once the order is completed
 // there is no way back.
-const settle = 0.2
+const minFullPhase = 0.2
 
-// settle is how long the whole phase lasts at least: also until every session's last
+// minFullShare is how long the whole phase lasts at least: also until every session's last
 // request on the old version is out of its span. The next order may come as soon as
 // this one is completed, and would hold a session to the version it was last on.
-func (o Order) settle() float64 {
-	return max(settle, float64(o.SessionSpan)/float64(o.Duration))
+func (o Order) minFullShare() float64 {
+	return max(minFullPhase, float64(o.SessionWindow)/float64(o.Duration))
 }
 
-// bad returns why the new version is to be withdrawn, or nothing.
-func (c Course) bad(e Evidence) string {
+// rollBackReason returns why the new version is to be withdrawn, or nothing.
+func (p OrderPolicy) rollBackReason(e Evidence) string {
 	for s := range signalCount {
-		fresh, _ := e.Totals(nil)
-		trials, events := fresh.of(s)
-		if events < c.FewestBad {
+		newCounts, _ := e.Totals(nil)
+		trials, events := newCounts.forSignal(s)
+		if events < p.MinBadEvents {
 			continue
 		}
-		if s == Slowness && float64(events) < c.SlowShare*float64(trials) {
+		if s == Slowness && float64(events) < p.MinSlowShare*float64(trials) {
 			continue
 		}
-		level := e.LogE(s, nil)
-		if least, _ := e.Robust(s); least < math.Log(c.RobustAlarm) {
+		logE := e.LogEValue(s, nil)
+		if leaveOneOut, _ := e.MinLeaveOneOut(s); leaveOneOut < math.Log(p.LeaveOneOutThreshold) {
 			continue // one server or failure domain may be to blame
 		}
-		if level >= math.Log(c.Alarm) {
-			return fmt.Sprintf("%s: %d of %d on the new version, e-value 10^%.1f", s, events, trials, level/math.Ln10)
+		if logE >= math.Log(p.RollBackThreshold) {
+			return fmt.Sprintf("%s: %d of %d on the new version, e-value 10^%.1f", s, events, trials, logE/math.Ln10)
 		}
 	}
 	return ""
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -9,26 +9,26 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-var running = fleet.Rollout{Model: "m", To: "v2", Stages: []float64{10, 100}, State: fleet.Running}
+var runningRollout = fleet.Rollout{Model: "m", To: "v2", Stages: []float64{10, 100}, State: fleet.Running}
 
-// spread makes evidence of both versions on n servers in 2 failure domains.
-func spread(n int, fresh, old Counts) Evidence {
+// evidenceOnServers makes evidence of both versions on n servers in 2 failure domains.
+func evidenceOnServers(n int, fresh, old Counts) Evidence {
 	var e Evidence
 	for i := range n {
 		s, d := fmt.Sprint("s", i), fmt.Sprint("fd", i%2)
-		e = append(e, Cell{s, d, true, fresh}, Cell{s, d, false, old})
+		e = append(e, ServerCounts{s, d, true, fresh}, ServerCounts{s, d, false, old})
 	}
 	return e
 }
 
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	good := Counts{Requests: 50, Timed: 50}
 	old := Counts{Requests: 450, Errors: 1, Timed: 450}
-	onOne := spread(4, good, old)
+	onOne := evidenceOnServers(4, good, old)
 	onOne[0].Counts.Errors = 40
-	both := spread(4, good, old)
+	both := evidenceOnServers(4, good, old)
 	both[0].Counts.Errors, both[1].Counts.Errors = 25, 225
-	held := running
+	held := runningRollout
 	held.State = fleet.Held
 	cases := []struct {
 		name string
@@ -36,25 +36,25 @@
 		e    Evidence
 		want Step
 	}{
-		{"a good version", running, spread(4, good, old), Advance},
-		{"too few requests", running, spread(4, Counts{Requests: 2}, old), Wait},
-		{"no evidence", running, nil, Wait},
-		{"errors everywhere", running, spread(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
-		{"slow everywhere", running, spread(4, Counts{Requests: 50, Timed: 50, Slow: 20}, old), RollBack},
-		{"wrong by rating", running, spread(4, Counts{Requests: 50, Rated: 20, Bad: 10}, Counts{Requests: 450, Rated: 100, Bad: 4}), RollBack},
-		{"the same errors on both sides", running, spread(4, Counts{Requests: 50, Errors: 10}, Counts{Requests: 450, Errors: 90}), Advance},
-		{"errors of the new version on one server", running, onOne, Hold},
-		{"a server that fails both", running, both, Advance},
-		{"a held roll-out does not advance", held, spread(4, good, old), Wait},
-		{"a held roll-out is rolled back", held, spread(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
-		{"ratings not in yet", running, spread(4, Counts{Requests: 50}, Counts{Requests: 450, Rated: 100, Bad: 4}), Wait},
+		{"a good version", runningRollout, evidenceOnServers(4, good, old), Advance},
+		{"too few requests", runningRollout, evidenceOnServers(4, Counts{Requests: 2}, old), Wait},
+		{"no evidence", runningRollout, nil, Wait},
+		{"errors everywhere", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
+		{"slow everywhere", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Timed: 50, Slow: 20}, old), RollBack},
+		{"wrong by rating", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Rated: 20, Bad: 10}, Counts{Requests: 450, Rated: 100, Bad: 4}), RollBack},
+		{"the same errors on both sides", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Errors: 10}, Counts{Requests: 450, Errors: 90}), Advance},
+		{"errors of the new version on one server", runningRollout, onOne, Hold},
+		{"a server that fails both", runningRollout, both, Advance},
+		{"a held roll-out does not advance", held, evidenceOnServers(4, good, old), Wait},
+		{"a held roll-out is rolled back", held, evidenceOnServers(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
+		{"ratings not in yet", runningRollout, evidenceOnServers(4, Counts{Requests: 50}, Counts{Requests: 450, Rated: 100, Bad: 4}), Wait},
 	}
 	for _, c := range cases {
-		if v := DefaultRules().Judge(c.ro, c.e, time.Minute); v.Step != c.want {
+		if v := DefaultStagePolicy().Evaluate(c.ro, c.e, time.Minute); v.Step != c.want {
 			t.Errorf("%s: %s (%s), want %s", c.name, v.Step, v.Reason, c.want)
 		}
 	}
-	starved := DefaultRules().Judge(running, spread(4, Counts{Requests: 2}, old), time.Hour)
+	starved := DefaultStagePolicy().Evaluate(runningRollout, evidenceOnServers(4, Counts{Requests: 2}, old), time.Hour)
 	if starved.Step != Hold {
 		t.Errorf("a starved stage: %+v", starved)
 	}
@@ -64,23 +64,23 @@
 // Sequence: the server fails half of its runs, and by chance got more than its
 // share of the new version's traffic.
 // Cause: pooled over servers, its errors lean towards the new version.
-func TestServerShareDoesNotCondemnAVersion(t *testing.T) {
-	e := spread(4, Counts{Requests: 50}, Counts{Requests: 950})
+func TestUnevenTrafficDoesNotBiasEvidence(t *testing.T) {
+	e := evidenceOnServers(4, Counts{Requests: 50}, Counts{Requests: 950})
 	e[0].Counts = Counts{Requests: 150, Errors: 75}
 	e[1].Counts = Counts{Requests: 850, Errors: 425}
-	if l := e.LogE(Errors, nil); l > 1 {
+	if l := e.LogEValue(Errors, nil); l > 1 {
 		t.Fatalf("evidence %v", l)
 	}
 }
 
 // The naive comparison of rates halts good versions often when it is looked at
 // after every event; the e-value must not.
-func TestWatchedEValueRaisesFewFalseAlarms(t *testing.T) {
+func TestContinuousMonitoringBoundsFalseAlarms(t *testing.T) {
 	alarms := 0
 	const runs = 400
 	for seed := range runs {
 		rng := rand.New(rand.NewPCG(uint64(seed), 3))
-		e := spread(3, Counts{}, Counts{})
+		e := evidenceOnServers(3, Counts{}, Counts{})
 		for range 2000 {
 			at := 2*rng.IntN(3) + 1
 			if rng.IntN(10) == 0 {
@@ -89,7 +89,7 @@
 			e[at].Counts.Requests++
 			if rng.IntN(50) == 0 {
 				e[at].Counts.Errors++
-				if e.LogE(Errors, nil) > 4.6 { // an e-value of 100
+				if e.LogEValue(Errors, nil) > 4.6 { // an e-value of 100
 					alarms++
 					break
 				}
@@ -101,15 +101,15 @@
 	}
 }
 
-func TestNextAndRatingShare(t *testing.T) {
-	ro := Next(running, Advance)
+func TestApplyStepAndRatingShare(t *testing.T) {
+	ro := ApplyStep(runningRollout, Advance)
 	if ro.Stage != 1 || ro.State != fleet.Running {
 		t.Fatalf("%+v", ro)
 	}
-	if ro = Next(ro, Advance); ro.State != fleet.Done || ro.Percent() != 100 {
+	if ro = ApplyStep(ro, Advance); ro.State != fleet.Done || ro.Percent() != 100 {
 		t.Fatalf("%+v", ro)
 	}
-	if ro = Next(running, RollBack); ro.Percent() != 0 {
+	if ro = ApplyStep(runningRollout, RollBack); ro.Percent() != 0 {
 		t.Fatalf("%+v", ro)
 	}
 	for _, percent := range []float64{1, 10, 50, 90} {
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// BenchmarkDecision snapshots, scores and picks for a prompt of 8 KiB, at
+// BenchmarkPick snapshots, scores and picks for a prompt of 8 KiB, at
 // several sizes of the subset a daemon works with.
-func BenchmarkDecision(b *testing.B) {
+func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{8, 24, 64, 160} {
 		b.Run(fmt.Sprint(size, "-of-1600"), func(b *testing.B) {
 			members := make([]Member, 1600)
 			for i := range members {
 				members[i] = Member{ID: fmt.Sprint("s", i), Address: "a", Slots: 8}
 			}
-			p := NewPicture()
-			p.Update(Subset("d1", members, size))
+			tracker := NewLoadTracker()
+			tracker.Update(Subset("d1", members, size))
 			blocks := Blocks(nil, "m@v1", strings.Repeat("warrant ", 1024))
 			now := time.Unix(1000, 0)
 			rng := rand.New(rand.NewPCG(1, 1))
 			for _, m := range Subset("d1", members, size)[:size/2] {
-				p.Dispatched(m.ID, blocks, false, now)
-				p.Reported(m.ID, rng.IntN(8), now)
+				tracker.RecordDispatch(m.ID, blocks, false, now)
+				tracker.RecordReport(m.ID, rng.IntN(8), now)
 			}
-			pipe := Default()
-			var room [MaxCandidates]Candidate
+			pipeline := DefaultPipeline()
+			var buffer [MaxCandidates]Candidate
 			b.ReportAllocs()
 			for b.Loop() {
 				r := Request{PromptTokens: 2048, Blocks: blocks, BlockTokens: BlockTokens, Budget: time.Minute}
-				candidates := p.Snapshot(room[:0], now)
-				p.Prefix.Fill(&r)
-				if pipe.Pick(&r, candidates, rng).Index < 0 {
+				candidates := tracker.Snapshot(buffer[:0], now)
+				tracker.Prefix.Lookup(&r)
+				if pipeline.Pick(&r, candidates, rng).Index < 0 {
 					b.Fatal("nothing picked")
 				}
 			}
--- a/internal/routing/lanes.go
+++ b/internal/routing/lanes.go
@@ -6,133 +6,133 @@
 	"time"
 )
 
-// Lanes divides the engines of a service between its models. An engine that runs
+// Partition divides the engines of a service between its models. An engine that runs
 // two models makes a step of each in turn, so every token of the fast model waits
 // for a step of the slow one: a small model's stream takes as long as a large
 // one's. Apart, the small model's streams end several times sooner, and the large
 // model's steps serve a larger batch.
 //
 // The division is a preference: see Lane for what it costs to leave it.
-type Lanes struct {
-	work  map[string]float64
-	at    time.Time
-	share map[string]float64
+type Partition struct {
+	workByModel  map[string]float64
+	updatedAt    time.Time
+	shareByModel map[string]float64
 }
 
 const (
-	// laneHalfLife ages the work that the division goes by.
-	laneHalfLife = 5 * time.Second
-	// laneStep is the change of a model's share, in engines, for which the
+	// workHalfLife ages the work that the division goes by.
+	workHalfLife = 5 * time.Second
+	// rebalanceThreshold is the change of a model's share, in engines, for which the
 	// division is made anew; every change costs cached prompts.
-	laneStep = 0.7
-	// leastShare leaves out models that hardly work.
-	leastShare = 0.01
+	rebalanceThreshold = 0.7
+	// minShare leaves out models that hardly work.
+	minShare = 0.01
 )
 
-// NewLanes returns a division that starts with an expected work by model.
-func NewLanes(expected map[string]float64) *Lanes {
-	l := &Lanes{work: map[string]float64{}, share: map[string]float64{}}
+// NewPartition returns a division that starts with an expected work by model.
+func NewPartition(expected map[string]float64) *Partition {
+	l := &Partition{workByModel: map[string]float64{}, shareByModel: map[string]float64{}}
 	for m, w := range expected {
-		l.work[m] = w
+		l.workByModel[m] = w
 	}
-	l.divide(l.shares())
+	l.setShares(l.currentShares())
 	return l
 }
 
-// Work books engine time spent for a model.
-func (l *Lanes) Work(model string, spent time.Duration, now time.Time) {
-	keep := decay(now.Sub(l.at), laneHalfLife)
-	l.at = now
-	for m := range l.work {
-		l.work[m] *= keep
+// RecordWork books engine time spent for a model.
+func (p *Partition) RecordWork(model string, spent time.Duration, now time.Time) {
+	decayFactor := decay(now.Sub(p.updatedAt), workHalfLife)
+	p.updatedAt = now
+	for m := range p.workByModel {
+		p.workByModel[m] *= decayFactor
 	}
-	l.work[model] += spent.Seconds()
+	p.workByModel[model] += spent.Seconds()
 }
 
-func (l *Lanes) shares() map[string]float64 {
+func (p *Partition) currentShares() map[string]float64 {
 	sum := 0.0
-	for _, w := range l.work {
+	for _, w := range p.workByModel {
 		sum += w
 	}
-	out := make(map[string]float64, len(l.work))
-	for m, w := range l.work {
-		if sum > 0 && w/sum >= leastShare {
-			out[m] = w / sum
+	shares := make(map[string]float64, len(p.workByModel))
+	for m, w := range p.workByModel {
+		if sum > 0 && w/sum >= minShare {
+			shares[m] = w / sum
 		}
 	}
-	return out
+	return shares
 }
 
-func (l *Lanes) divide(shares map[string]float64) { l.share = shares }
+func (p *Partition) setShares(shares map[string]float64) { p.shareByModel = shares }
 
-// Foreign marks the candidates that are not in a model's lane. Daemons see like
+// Outside marks the candidates that are not in a model's lane. Daemons see like
 // traffic, so they divide alike without a word; where they differ by an engine,
 // it serves both.
 //
 // Order lists the candidates that there are by their hashes: see Picture.Order.
-func (l *Lanes) Foreign(model string, order []int) (foreign Set) {
-	l.adapt(len(order))
-	if len(l.share) < 2 || l.share[model] == 0 || len(order) < len(l.share) {
-		return foreign
+func (p *Partition) Outside(model string, order []int) (outside Set) {
+	p.rebalance(len(order))
+	if len(p.shareByModel) < 2 || p.shareByModel[model] == 0 || len(order) < len(p.shareByModel) {
+		return outside
 	}
-	from, to := l.span(model, len(order))
-	for place, index := range order {
-		if place < from || place >= to {
-			foreign.Add(index)
+	from, to := p.indexRange(model, len(order))
+	for rank, index := range order {
+		if rank < from || rank >= to {
+			outside.Add(index)
 		}
 	}
-	return foreign
+	return outside
 }
 
-// adapt makes the division anew if a share has changed by much of an engine.
-func (l *Lanes) adapt(engines int) {
-	now := l.shares()
-	for m := range l.work {
-		if math.Abs(now[m]-l.share[m])*float64(engines) > laneStep {
-			l.divide(now)
+// rebalance makes the division anew if a share has changed by much of an engine.
+func (p *Partition) rebalance(engines int) {
+	current := p.currentShares()
+	for m := range p.workByModel {
+		if math.Abs(current[m]-p.shareByModel[m])*float64(engines) > rebalanceThreshold {
+			p.setShares(current)
 			return
 		}
 	}
 }
 
-// span returns the places of a model's engines among n: at least one each, the
+// indexRange returns the places of a model's engines among n: at least one each, the
 // rest by share.
-func (l *Lanes) span(model string, n int) (from, to int) {
-	names := make([]string, 0, len(l.share))
-	for m := range l.share {
+func (p *Partition) indexRange(model string, n int) (from, to int) {
+	names := make([]string, 0, len(p.shareByModel))
+	for m := range p.shareByModel {
 		names = append(names, m)
 	}
 	slices.Sort(names)
-	left, place, rest := n, 0, 1.0
+	remaining, start, remainingShare := n, 0, 1.0
 	for i, m := range names {
 		others := len(names) - i - 1
-		count := left
+		count := remaining
 		if others > 0 {
-			count = int(math.Round(l.share[m] / rest * float64(left)))
-			count = min(max(count, 1), left-others)
+			count = int(math.Round(p.shareByModel[m] / remainingShare * float64(remaining)))
+			count = min(max(count, 1), remaining-others)
 		}
 		if m == model {
-			return place, place + count
+			return start, start + count
 		}
-		place, left, rest = place+count, left-count, max(rest-l.share[m], leastShare)
+		start, remaining, remainingShare = start+count, remaining-count, max(remainingShare-p.shareByModel[m], minShare)
 	}
 	return 0, n
 }
 
-// Lane is the cost of running where another model's lane is.
-type Lane struct {
-	// Leaving is what it costs to leave the lane. A lane that is behind by more spills
+// PartitionAffinity is the cost of running where another model's lane is.
+type PartitionAffinity struct {
+	// Penalty is what it costs to leave the lane. A lane that is behind by more spills
 	// over into the others.
-	Leaving time.Duration
+	Penalty time.Duration
 }
 
 // Name implements Scorer.
-func (Lane) Name() string { return "lane" }
+func (PartitionAffinity) Name() string { return "lane" }
 
 // Cost implements Scorer.
-func (l Lane) Cost(r *Request, _ *Candidate, index int) time.Duration {
-	if r.Foreign.Has(index) {
-		return l.Leaving
+func (p PartitionAffinity) Cost(r *Request, _ *Candidate, index int) time.Duration {
+	if r.OutsidePartition.Has(index) {
+		return p.Penalty
 	}
 	return 0
 }
--- a/internal/routing/lanes_test.go
+++ b/internal/routing/lanes_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func engines(n int) []Candidate {
+func idleEngines(n int) []Candidate {
 	out := make([]Candidate, n)
 	for i := range out {
 		out[i] = Candidate{ID: fmt.Sprint("e", i), Slots: 8, PrefillPerToken: time.Microsecond}
@@ -15,8 +15,8 @@
 	return out
 }
 
-// indices are those of n candidates.
-func indices(n int) []int {
+// sequentialIndices are those of n candidates.
+func sequentialIndices(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
@@ -24,7 +24,7 @@
 	return out
 }
 
-func TestLanesShareEnginesByWork(t *testing.T) {
+func TestPartitionDividesEnginesByWork(t *testing.T) {
 	for _, tt := range []struct {
 		n            int
 		small, large float64
@@ -32,11 +32,11 @@
 	}{
 		{9, 1, 4, 2}, {9, 1, 1, 5}, {9, 1, 50, 1}, {2, 1, 9, 1}, {64, 1, 3, 16}, {126, 1, 3, 32},
 	} {
-		l := NewLanes(map[string]float64{"small": tt.small, "large": tt.large})
-		c := indices(tt.n)
-		notSmall, notLarge := l.Foreign("small", c), l.Foreign("large", c)
+		partition := NewPartition(map[string]float64{"small": tt.small, "large": tt.large})
+		indices := sequentialIndices(tt.n)
+		notSmall, notLarge := partition.Outside("small", indices), partition.Outside("large", indices)
 		small, large := tt.n-notSmall.Len(), tt.n-notLarge.Len()
-		if both := notSmall.And(notLarge); small+large != tt.n || !both.Empty() {
+		if both := notSmall.Intersect(notLarge); small+large != tt.n || !both.Empty() {
 			t.Errorf("%d engines: %d and %d do not divide them", tt.n, small, large)
 		}
 		if small < tt.wantSmall-1 || small > tt.wantSmall+1 {
@@ -45,65 +45,65 @@
 	}
 }
 
-func TestLanesOfOneModelOrTooFewEngines(t *testing.T) {
-	if f := NewLanes(map[string]float64{"m": 1}).Foreign("m", indices(5)); !f.Empty() {
+func TestPartitionInactiveForOneModelOrTooFewEngines(t *testing.T) {
+	if f := NewPartition(map[string]float64{"m": 1}).Outside("m", sequentialIndices(5)); !f.Empty() {
 		t.Errorf("one model: %b", f)
 	}
-	if f := NewLanes(map[string]float64{"a": 1, "b": 1}).Foreign("a", indices(1)); !f.Empty() {
+	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).Outside("a", sequentialIndices(1)); !f.Empty() {
 		t.Errorf("one engine: %b", f)
 	}
-	if f := NewLanes(map[string]float64{"a": 1, "b": 1}).Foreign("c", indices(5)); !f.Empty() {
+	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).Outside("c", sequentialIndices(5)); !f.Empty() {
 		t.Errorf("an unknown model: %b", f)
 	}
 }
 
-func TestLanesFollowTheWork(t *testing.T) {
-	l := NewLanes(map[string]float64{"small": 1, "large": 4})
+func TestPartitionRebalancesWithWork(t *testing.T) {
+	partition := NewPartition(map[string]float64{"small": 1, "large": 4})
 	now := time.Unix(100, 0)
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		l.Work("small", 100*time.Millisecond, now)
-		l.Work("large", 100*time.Millisecond, now)
+		partition.RecordWork("small", 100*time.Millisecond, now)
+		partition.RecordWork("large", 100*time.Millisecond, now)
 	}
-	foreign := l.Foreign("small", indices(10))
-	if n := 10 - foreign.Len(); n < 4 || n > 6 {
+	outside := partition.Outside("small", sequentialIndices(10))
+	if n := 10 - outside.Len(); n < 4 || n > 6 {
 		t.Errorf("the small model has %d of 10 engines at half of the work", n)
 	}
 }
 
 // A lane that is behind spills over: a request waits no longer than leaving costs.
-func TestBusyLaneSpillsOver(t *testing.T) {
-	c := engines(2)
+func TestOverloadedPartitionSpillsOver(t *testing.T) {
+	c := idleEngines(2)
 	c[0].PendingPrefill = 2_000_000 // 2 s to read
-	r := &Request{PromptTokens: 1000, Foreign: SetOf(1)}
-	if d := Engines().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
+	r := &Request{PromptTokens: 1000, OutsidePartition: SetOf(1)}
+	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
 		t.Errorf("chose %d", d.Index)
 	}
 	c[0].PendingPrefill = 500_000
-	if d := Engines().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 0 {
+	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 0 {
 		t.Errorf("left the lane for 0.5 s")
 	}
 }
 
-func TestLineLearnsFixedAndPerToken(t *testing.T) {
-	l := NewLine(60*time.Millisecond, 5*time.Microsecond)
+func TestFirstTokenFitConverges(t *testing.T) {
+	fit := NewFirstTokenFit(60*time.Millisecond, 5*time.Microsecond)
 	for i := range 400 {
 		tokens := 500 + i%10*700
-		l.Sample(tokens, 40*time.Millisecond+time.Duration(tokens)*30*time.Microsecond)
+		fit.Observe(tokens, 40*time.Millisecond+time.Duration(tokens)*30*time.Microsecond)
 	}
-	if got := l.PerToken(); got < 29*time.Microsecond || got > 31*time.Microsecond {
+	if got := fit.PerToken(); got < 29*time.Microsecond || got > 31*time.Microsecond {
 		t.Errorf("per token %s", got)
 	}
-	if got := l.Fixed(); got < 38*time.Millisecond || got > 42*time.Millisecond {
+	if got := fit.Fixed(); got < 38*time.Millisecond || got > 42*time.Millisecond {
 		t.Errorf("fixed %s", got)
 	}
 }
 
-func TestUncachedByPartsOfUnlikeLength(t *testing.T) {
+func TestUncachedTokensWithBlockEnds(t *testing.T) {
 	r := &Request{PromptTokens: 1000, BlockEnds: []int{600, 900}}
 	for cached, want := range map[uint8]int{0: 1000, 1: 400, 2: 100} {
 		r.CachedBlocks[3] = cached
-		if got := r.Uncached(3); got != want {
+		if got := r.UncachedTokens(3); got != want {
 			t.Errorf("%d parts cached: %d tokens left, want %d", cached, got, want)
 		}
 	}
@@ -113,18 +113,18 @@
 // their server were stuck, or kept for a small model because the large one seemed late.
 // Sequence: the own lane is busy, so a request goes to another lane, which answers soon.
 // Cause: what it costs others to leave the lane counted as time to the first token.
-func TestPreferencesAreNoTime(t *testing.T) {
+func TestPreferencesDoNotCountAsExpectedTime(t *testing.T) {
 	c := []Candidate{{ID: "a", Slots: 8, PrefillPerToken: time.Millisecond, PendingPrefill: 5000}, {ID: "b", Slots: 8, PrefillPerToken: time.Millisecond}}
-	r := &Request{PromptTokens: 10, Foreign: SetOf(1)}
-	if d := Engines().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 || d.Expected > 50*time.Millisecond {
+	r := &Request{PromptTokens: 10, OutsidePartition: SetOf(1)}
+	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 || d.Expected > 50*time.Millisecond {
 		t.Errorf("got %+v", d)
 	}
 }
 
-func TestServerThatIsTooLateGivesWay(t *testing.T) {
+func TestPickSkipsServersOverBudget(t *testing.T) {
 	c := []Candidate{{ID: "a", Slots: 8, PrefillPerToken: time.Millisecond, PendingPrefill: 300}, {ID: "b", Slots: 8, PrefillPerToken: time.Millisecond}}
-	r := &Request{PromptTokens: 10, Foreign: SetOf(1), Budget: 200 * time.Millisecond}
-	if d := Engines().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
+	r := &Request{PromptTokens: 10, OutsidePartition: SetOf(1), Budget: 200 * time.Millisecond}
+	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
 		t.Errorf("got %+v: the preferred server begins after the deadline", d)
 	}
 }
--- a/internal/routing/picture.go
+++ b/internal/routing/picture.go
@@ -12,8 +12,8 @@
 const (
 	// initialServiceTime is assumed before the first completion.
 	initialServiceTime = 500 * time.Millisecond
-	// initialPrefill is assumed before the first first-token time, per token.
-	initialPrefill = 200 * time.Microsecond
+	// initialPrefillPerToken is assumed before the first first-token time, per token.
+	initialPrefillPerToken = 200 * time.Microsecond
 	// smoothing is the weight of a new sample in the moving averages: about
 	// the last 20 samples count.
 	smoothing = 0.1
@@ -26,23 +26,23 @@
 	// single one tells of load that has moved on; daemons that follow it chase
 	// each other from server to server. Their mean tells which servers are busy.
 	reportWeight = 0.2
-	// surgeLeast is the least mean work for which a surge is told from noise.
-	surgeLeast = 2
-	// surgeMost bounds the surge that is believed.
-	surgeMost = 4
-	// waitHalfLife ages the delay of own first tokens.
-	waitHalfLife = time.Second
-	// waitWeight is the weight of a new first token in that delay.
-	waitWeight = 0.4
-	// ownHalfLife smooths the own work that is taken out of a lagged report.
-	ownHalfLife = 2 * time.Second
-	// silenceLimit is the number of silent attempts in a row that make a
+	// minSurgeBaseline is the least mean work for which a surge is told from noise.
+	minSurgeBaseline = 2
+	// maxSurgeFactor bounds the surge that is believed.
+	maxSurgeFactor = 4
+	// firstTokenDelayHalfLife ages the delay of own first tokens.
+	firstTokenDelayHalfLife = time.Second
+	// firstTokenDelayWeight is the weight of a new first token in that delay.
+	firstTokenDelayWeight = 0.4
+	// ownMeanHalfLife smooths the own work that is taken out of a lagged report.
+	ownMeanHalfLife = 2 * time.Second
+	// suspectAfterTimeouts is the number of silent attempts in a row that make a
 	// server suspect.
-	silenceLimit = 2
-	// suspectFor is how long a suspect server gets no work before it is tried
+	suspectAfterTimeouts = 2
+	// initialSuspectTime is how long a suspect server gets no work before it is tried
 	// again; it doubles with every failure in a row up to suspectMost.
-	suspectFor  = 3 * time.Second
-	suspectMost = 24 * time.Second
+	initialSuspectTime = 3 * time.Second
+	maxSuspectTime     = 24 * time.Second
 )
 
 // Member is a server as the configuration or the VM list names it.
@@ -53,99 +53,99 @@
 	Slots         int
 }
 
-// Picture is a daemon's knowledge of the servers of one pool. It is owned by
+// LoadTracker is a daemon's knowledge of the servers of one pool. It is owned by
 // one goroutine or guarded by its owner's lock.
-type Picture struct {
-	servers []state
-	index   map[string]int
-	Prefix  *PrefixIndex
-	// Exact says that Peers tells the work of others as it is now, so that
+type LoadTracker struct {
+	servers   []serverState
+	indexByID map[string]int
+	Prefix    *PrefixIndex
+	// ExactPeerLoad says that Peers tells the work of others as it is now, so that
 	// nothing is added for a surge that lagging reports would miss.
-	Exact bool
-	// own is this daemon's work on all servers.
-	own int
-	// order lists the slots in use by the hashes of their servers.
-	order []int
+	ExactPeerLoad bool
+	// ownInFlight is this daemon's work on all servers.
+	ownInFlight int
+	// byHash lists the slots in use by the hashes of their servers.
+	byHash []int
 }
 
-// surge is how much more work this daemon has than it had when the reports were made
+// surgeFactor is how much more work this daemon has than it had when the reports were made
 // from which the work of the others is estimated. Callers spread over all daemons, so
 // the others have about as much more. The usual spread of a count is taken off, or
 // noise would look like a surge.
-func (p *Picture) surge() float64 {
-	then := 0.0
-	for i := range p.servers {
-		then += p.servers[i].ownReported
+func (t *LoadTracker) surgeFactor() float64 {
+	baseline := 0.0
+	for i := range t.servers {
+		baseline += t.servers[i].ownMeanInReports
 	}
-	if then < surgeLeast {
+	if baseline < minSurgeBaseline {
 		return 1
 	}
-	now := float64(p.own)
-	return min(max((now-math.Sqrt(now))/then, 1), surgeMost)
+	current := float64(t.ownInFlight)
+	return min(max((current-math.Sqrt(current))/baseline, 1), maxSurgeFactor)
 }
 
-type state struct {
+type serverState struct {
 	Candidate
 	used         bool
-	silent       int
+	timeouts     int
 	suspectUntil time.Time
-	errorAt      time.Time
-	others       float64
+	errorRateAt  time.Time
+	othersMean   float64
 	othersAt     time.Time
 	ownMean      float64
-	ownAt        time.Time
-	// ownReported is the mean of the own work that was taken out of reports. It
+	ownMeanAt    time.Time
+	// ownMeanInReports is the mean of the own work that was taken out of reports. It
 	// lags as others does, so that their relation holds while both change.
-	ownReported float64
-	wait        time.Duration
-	waitAt      time.Time
+	ownMeanInReports  float64
+	firstTokenDelay   time.Duration
+	firstTokenDelayAt time.Time
 }
 
-// NewPicture returns an empty picture.
-func NewPicture() *Picture {
-	return &Picture{index: map[string]int{}, Prefix: NewPrefixIndex()}
+// NewLoadTracker returns an empty picture.
+func NewLoadTracker() *LoadTracker {
+	return &LoadTracker{indexByID: map[string]int{}, Prefix: NewPrefixIndex()}
 }
 
 // Update sets the members. A server keeps its slot and its averages as long as
 // it stays; one replaced at the same id but another address starts anew.
-func (p *Picture) Update(members []Member) {
+func (t *LoadTracker) Update(members []Member) {
 	wanted := make(map[string]Member, len(members))
 	for _, m := range members {
 		wanted[m.ID] = m
 	}
-	for id, i := range p.index {
-		m, stays := wanted[id]
-		if stays && m.Address == p.servers[i].Address {
-			p.servers[i].Slots, p.servers[i].FailureDomain = slotsOf(m), m.FailureDomain
+	for id, i := range t.indexByID {
+		m, found := wanted[id]
+		if found && m.Address == t.servers[i].Address {
+			t.servers[i].Slots, t.servers[i].FailureDomain = slotsOrDefault(m), m.FailureDomain
 			continue
 		}
-		p.remove(id, i)
+		t.remove(id, i)
 	}
 	for _, m := range members {
-		if _, known := p.index[m.ID]; !known {
-			p.add(m)
+		if _, known := t.indexByID[m.ID]; !known {
+			t.add(m)
 		}
 	}
-	p.sort()
+	t.sortByHash()
 }
 
-// sort puts the servers into the order that all daemons agree on. Members change seldom; a
+// sortByHash puts the servers into the order that all daemons agree on. Members change seldom; a
 // choice that sorted them would take most of its time for that.
-func (p *Picture) sort() {
-	p.order = p.order[:0]
-	for i := range p.servers {
-		if p.servers[i].used {
-			p.order = append(p.order, i)
+func (t *LoadTracker) sortByHash() {
+	t.byHash = t.byHash[:0]
+	for i := range t.servers {
+		if t.servers[i].used {
+			t.byHash = append(t.byHash, i)
 		}
 	}
-	slices.SortFunc(p.order, func(a, b int) int { return cmp.Compare(p.servers[a].Hash, p.servers[b].Hash) })
+	slices.SortFunc(t.byHash, func(a, b int) int { return cmp.Compare(t.servers[a].Hash, t.servers[b].Hash) })
 }
 
-// Order lists the candidates of a snapshot that there are by the hashes of their ids, which
+// IndicesByHash lists the candidates of a snapshot that there are by the hashes of their ids, which
 // have nothing to do with where they are, in an order that all daemons agree on.
-func (p *Picture) Order() []int { return p.order }
+func (t *LoadTracker) IndicesByHash() []int { return t.byHash }
 
-func slotsOf(m Member) int {
+func slotsOrDefault(m Member) int {
 	if m.Slots > 0 {
 		return m.Slots
 	}
@@ -155,62 +155,62 @@
 // defaultSlots is the batch width of a server that states none.
 const defaultSlots = 8
 
-func (p *Picture) remove(id string, i int) {
-	delete(p.index, id)
-	p.own = max(0, p.own-p.servers[i].InFlight)
-	p.servers[i] = state{Candidate: Candidate{Leaving: true}}
-	p.Prefix.Forget(i)
+func (t *LoadTracker) remove(id string, i int) {
+	delete(t.indexByID, id)
+	t.ownInFlight = max(0, t.ownInFlight-t.servers[i].InFlight)
+	t.servers[i] = serverState{Candidate: Candidate{Leaving: true}}
+	t.Prefix.RemoveServer(i)
 }
 
-func (p *Picture) add(m Member) {
-	fresh := state{used: true, Candidate: Candidate{
-		ID: m.ID, Address: m.Address, FailureDomain: m.FailureDomain, Hash: xxhash.Sum64String(m.ID), Slots: slotsOf(m),
-		ServiceTime: initialServiceTime, PrefillPerToken: initialPrefill,
+func (t *LoadTracker) add(m Member) {
+	state := serverState{used: true, Candidate: Candidate{
+		ID: m.ID, Address: m.Address, FailureDomain: m.FailureDomain, Hash: xxhash.Sum64String(m.ID), Slots: slotsOrDefault(m),
+		ServiceTime: initialServiceTime, PrefillPerToken: initialPrefillPerToken,
 	}}
-	for i := range p.servers {
-		if !p.servers[i].used {
-			p.servers[i], p.index[m.ID] = fresh, i
+	for i := range t.servers {
+		if !t.servers[i].used {
+			t.servers[i], t.indexByID[m.ID] = state, i
 			return
 		}
 	}
-	if len(p.servers) == MaxCandidates {
+	if len(t.servers) == MaxCandidates {
 		return
 	}
-	p.servers = append(p.servers, fresh)
-	p.index[m.ID] = len(p.servers) - 1
+	t.servers = append(t.servers, state)
+	t.indexByID[m.ID] = len(t.servers) - 1
 }
 
 // Snapshot appends the candidates at a time to dst. Index i is slot i.
-func (p *Picture) Snapshot(dst []Candidate, now time.Time) []Candidate {
+func (t *LoadTracker) Snapshot(dst []Candidate, now time.Time) []Candidate {
 	first := len(dst)
 	others := 0.0
-	for i := range p.servers {
-		s := &p.servers[i]
+	for i := range t.servers {
+		s := &t.servers[i]
 		dst = append(dst, s.Candidate)
 		c := &dst[len(dst)-1]
 		c.Suspect = now.Before(s.suspectUntil)
 		// Most values are zero most of the time; ageing them would be most of
 		// the cost of a decision.
-		if s.others > 0 {
-			c.OthersInFlight = s.others * decay(now.Sub(s.othersAt), reportHalfLife)
+		if s.othersMean > 0 {
+			c.OthersInFlight = s.othersMean * decay(now.Sub(s.othersAt), reportHalfLife)
 			others += c.OthersInFlight
 		}
-		if s.wait > 0 {
-			c.Wait = time.Duration(float64(s.wait) * decay(now.Sub(s.waitAt), waitHalfLife))
+		if s.firstTokenDelay > 0 {
+			c.Wait = time.Duration(float64(s.firstTokenDelay) * decay(now.Sub(s.firstTokenDelayAt), firstTokenDelayHalfLife))
 		}
 		if s.ErrorRate > 0 {
-			c.ErrorRate *= decay(now.Sub(s.errorAt), errorHalfLife)
+			c.ErrorRate *= decay(now.Sub(s.errorRateAt), errorHalfLife)
 		}
 	}
-	p.addSurge(dst[first:], others)
+	t.addSurge(dst[first:], others)
 	return dst
 }
 
 // EachBusy calls f for each server on which this daemon has unfinished work.
-func (p *Picture) EachBusy(f func(c *Candidate)) {
-	for i := range p.servers {
-		if p.servers[i].InFlight > 0 {
-			f(&p.servers[i].Candidate)
+func (t *LoadTracker) EachBusy(f func(c *Candidate)) {
+	for i := range t.servers {
+		if t.servers[i].InFlight > 0 {
+			f(&t.servers[i].Candidate)
 		}
 	}
 }
@@ -218,14 +218,14 @@
 // addSurge adds the work that a surge brought the others, alike to all servers:
 // scaling each server's estimate would scale its noise too, and send the daemons
 // after the servers that look best by chance.
-func (p *Picture) addSurge(candidates []Candidate, others float64) {
-	surge := p.surge()
-	if p.Exact || surge <= 1 || len(candidates) == 0 {
+func (t *LoadTracker) addSurge(candidates []Candidate, totalOthers float64) {
+	surge := t.surgeFactor()
+	if t.ExactPeerLoad || surge <= 1 || len(candidates) == 0 {
 		return
 	}
-	more := (surge - 1) * others / float64(len(candidates))
+	extra := (surge - 1) * totalOthers / float64(len(candidates))
 	for i := range candidates {
-		candidates[i].OthersInFlight += more
+		candidates[i].OthersInFlight += extra
 	}
 }
 
@@ -236,190 +236,190 @@
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-func (p *Picture) find(id string) *state {
-	i, ok := p.index[id]
+func (t *LoadTracker) server(id string) *serverState {
+	i, ok := t.indexByID[id]
 	if !ok {
 		return nil
 	}
-	return &p.servers[i]
+	return &t.servers[i]
 }
 
-// Dispatched records an attempt sent to a server.
-func (p *Picture) Dispatched(id string, blocks []uint64, urgent bool, now time.Time) {
-	s := p.find(id)
+// RecordDispatch records an attempt sent to a server.
+func (t *LoadTracker) RecordDispatch(id string, blocks []uint64, urgent bool, now time.Time) {
+	s := t.server(id)
 	if s == nil {
 		return
 	}
-	s.smoothOwn(now)
-	p.own++
+	s.updateOwnMean(now)
+	t.ownInFlight++
 	s.InFlight++
 	if urgent {
 		s.Urgent++
 	}
-	p.Prefix.Sent(p.index[id], blocks)
+	t.Prefix.Add(t.indexByID[id], blocks)
 }
 
-// smoothOwn moves the mean of the own work up to a time.
-func (s *state) smoothOwn(now time.Time) {
-	keep := decay(now.Sub(s.ownAt), ownHalfLife)
-	s.ownMean = s.ownMean*keep + float64(s.InFlight)*(1-keep)
-	s.ownAt = now
+// updateOwnMean moves the mean of the own work up to a time.
+func (s *serverState) updateOwnMean(now time.Time) {
+	decayFactor := decay(now.Sub(s.ownMeanAt), ownMeanHalfLife)
+	s.ownMean = s.ownMean*decayFactor + float64(s.InFlight)*(1-decayFactor)
+	s.ownMeanAt = now
 }
 
-// FirstToken records the time to the first token of an attempt whose uncached
+// RecordFirstToken records the time to the first token of an attempt whose uncached
 // prompt was estimated at some tokens, and returns the part of it that was a
 // wait: what exceeds the prefill, which the fastest first tokens tell.
-func (p *Picture) FirstToken(id string, took time.Duration, uncached int, now time.Time) (wait time.Duration) {
-	s := p.find(id)
+func (t *LoadTracker) RecordFirstToken(id string, elapsed time.Duration, uncached int, now time.Time) (wait time.Duration) {
+	s := t.server(id)
 	if s == nil {
 		return 0
 	}
-	s.silent, s.suspectUntil = 0, time.Time{}
-	excess := max(0, took-s.Network-time.Duration(uncached)*s.PrefillPerToken)
-	old := time.Duration(float64(s.wait) * decay(now.Sub(s.waitAt), waitHalfLife))
-	s.wait = old + time.Duration(waitWeight*float64(excess-old))
-	s.waitAt = now
-	if uncached >= minPrefillSample {
-		s.PrefillPerToken = lowAverage(s.PrefillPerToken, took/time.Duration(uncached))
+	s.timeouts, s.suspectUntil = 0, time.Time{}
+	excess := max(0, elapsed-s.Network-time.Duration(uncached)*s.PrefillPerToken)
+	old := time.Duration(float64(s.firstTokenDelay) * decay(now.Sub(s.firstTokenDelayAt), firstTokenDelayHalfLife))
+	s.firstTokenDelay = old + time.Duration(firstTokenDelayWeight*float64(excess-old))
+	s.firstTokenDelayAt = now
+	if uncached >= minPrefillTokens {
+		s.PrefillPerToken = lowBiasedAverage(s.PrefillPerToken, elapsed/time.Duration(uncached))
 	}
 	return excess
 }
 
-// minPrefillSample is the least uncached prompt, in tokens, whose first token
+// minPrefillTokens is the least uncached prompt, in tokens, whose first token
 // says something about the prefill.
-const minPrefillSample = 64
+const minPrefillTokens = 64
 
-// Completed records the end of an attempt that held a slot for some time, its
+// RecordCompletion records the end of an attempt that held a slot for some time, its
 // wait not counted: a service time that grew with the queue would make the queue
 // look longer still. Failed attempts raise the error rate.
-func (p *Picture) Completed(id string, held time.Duration, failed, urgent bool, now time.Time) {
-	s := p.find(id)
+func (t *LoadTracker) RecordCompletion(id string, held time.Duration, failed, urgent bool, now time.Time) {
+	s := t.server(id)
 	if s == nil {
 		return
 	}
-	s.smoothOwn(now)
-	p.own = max(0, p.own-1)
+	s.updateOwnMean(now)
+	t.ownInFlight = max(0, t.ownInFlight-1)
 	s.InFlight = max(0, s.InFlight-1)
 	if urgent {
 		s.Urgent = max(0, s.Urgent-1)
 	}
-	old := s.ErrorRate * decay(now.Sub(s.errorAt), errorHalfLife)
-	s.errorAt = now
+	old := s.ErrorRate * decay(now.Sub(s.errorRateAt), errorHalfLife)
+	s.errorRateAt = now
 	if failed {
 		s.ErrorRate = old + smoothing*(1-old)
 		return
 	}
 	s.ErrorRate = old * (1 - smoothing)
-	s.ServiceTime = average(s.ServiceTime, held)
+	s.ServiceTime = movingAverage(s.ServiceTime, held)
 }
 
-// Silent records an attempt on which nothing came back in time. New connections
+// RecordTimeout records an attempt on which nothing came back in time. New connections
 // often work while old ones hang, so one silence is no verdict on the server.
-func (p *Picture) Silent(id string, now time.Time) {
-	if s := p.find(id); s != nil {
-		if s.silent++; s.silent >= silenceLimit {
-			s.suspect(now)
+func (t *LoadTracker) RecordTimeout(id string, now time.Time) {
+	if s := t.server(id); s != nil {
+		if s.timeouts++; s.timeouts >= suspectAfterTimeouts {
+			s.markSuspect(now)
 		}
 	}
 }
 
-// Unreachable records that no connection could be made, or that the server lost
+// RecordUnreachable records that no connection could be made, or that the server lost
 // a run: it went away or was restarted. It gets no work for a while at once,
 // since every further attempt there costs a retry.
-func (p *Picture) Unreachable(id string, now time.Time) {
-	if s := p.find(id); s != nil {
-		s.silent = max(s.silent+1, silenceLimit)
-		s.suspect(now)
+func (t *LoadTracker) RecordUnreachable(id string, now time.Time) {
+	if s := t.server(id); s != nil {
+		s.timeouts = max(s.timeouts+1, suspectAfterTimeouts)
+		s.markSuspect(now)
 	}
 }
 
-func (s *state) suspect(now time.Time) {
-	span := suspectFor << min(s.silent-silenceLimit, maxDoublings)
-	s.suspectUntil = now.Add(min(span, suspectMost))
+func (s *serverState) markSuspect(now time.Time) {
+	duration := initialSuspectTime << min(s.timeouts-suspectAfterTimeouts, maxDoublings)
+	s.suspectUntil = now.Add(min(duration, maxSuspectTime))
 }
 
 // maxDoublings keeps the shift in range; suspectMost is reached before it.
 const maxDoublings = 8
 
-// Reported takes a server's own load report. Work that this daemon had there
+// RecordReport takes a server's own load report. Work that this daemon had there
 // lately is not counted twice.
-func (p *Picture) Reported(id string, inFlight int, now time.Time) {
-	s := p.find(id)
+func (t *LoadTracker) RecordReport(id string, inFlight int, now time.Time) {
+	s := t.server(id)
 	if s == nil {
 		return
 	}
-	s.smoothOwn(now)
-	foreign := max(0, float64(inFlight)-s.ownMean)
+	s.updateOwnMean(now)
+	others := max(0, float64(inFlight)-s.ownMean)
 	if s.othersAt.IsZero() {
-		s.others, s.ownReported = foreign, s.ownMean
+		s.othersMean, s.ownMeanInReports = others, s.ownMean
 	} else {
-		s.others += reportWeight * (foreign - s.others)
-		s.ownReported += reportWeight * (s.ownMean - s.ownReported)
+		s.othersMean += reportWeight * (others - s.othersMean)
+		s.ownMeanInReports += reportWeight * (s.ownMean - s.ownMeanInReports)
 	}
 	s.othersAt = now
 }
 
-// Cached records prompt blocks that another daemon sent to a server.
-func (p *Picture) Cached(id string, blocks []uint64) {
-	if i, known := p.index[id]; known {
-		p.Prefix.Sent(i, blocks)
+// RecordCachedBlocks records prompt blocks that another daemon sent to a server.
+func (t *LoadTracker) RecordCachedBlocks(id string, blocks []uint64) {
+	if i, known := t.indexByID[id]; known {
+		t.Prefix.Add(i, blocks)
 	}
 }
 
-// Late records how much later than expected a first token came.
-func (p *Picture) Late(id string, excess time.Duration, now time.Time) {
-	s := p.find(id)
+// RecordLateness records how much later than expected a first token came.
+func (t *LoadTracker) RecordLateness(id string, excess time.Duration, now time.Time) {
+	s := t.server(id)
 	if s == nil {
 		return
 	}
-	s.silent, s.suspectUntil = 0, time.Time{}
-	old := time.Duration(float64(s.wait) * decay(now.Sub(s.waitAt), waitHalfLife))
-	s.wait = old + time.Duration(waitWeight*float64(max(0, excess)-old))
-	s.waitAt = now
+	s.timeouts, s.suspectUntil = 0, time.Time{}
+	old := time.Duration(float64(s.firstTokenDelay) * decay(now.Sub(s.firstTokenDelayAt), firstTokenDelayHalfLife))
+	s.firstTokenDelay = old + time.Duration(firstTokenDelayWeight*float64(max(0, excess)-old))
+	s.firstTokenDelayAt = now
 }
 
-// ReadAt sets the time for one prompt token on all servers.
-func (p *Picture) ReadAt(perToken time.Duration) {
-	for i := range p.servers {
-		p.servers[i].PrefillPerToken = perToken
+// SetPrefillPerToken sets the time for one prompt token on all servers.
+func (t *LoadTracker) SetPrefillPerToken(perToken time.Duration) {
+	for i := range t.servers {
+		t.servers[i].PrefillPerToken = perToken
 	}
 }
 
-// Pending adds prompt tokens that a server was sent and has not read, or takes
+// AddPendingPrefill adds prompt tokens that a server was sent and has not read, or takes
 // them off.
-func (p *Picture) Pending(id string, tokens float64) {
-	if s := p.find(id); s != nil {
+func (t *LoadTracker) AddPendingPrefill(id string, tokens float64) {
+	if s := t.server(id); s != nil {
 		s.PendingPrefill = max(0, s.PendingPrefill+tokens)
 	}
 }
 
-// Peers sets the work of all other daemons on a server, as they themselves tell
+// SetPeerLoad sets the work of all other daemons on a server, as they themselves tell
 // it. It replaces the estimate from reports.
-func (p *Picture) Peers(id string, inFlight, pending float64, now time.Time) {
-	if s := p.find(id); s != nil {
-		s.others, s.othersAt, s.OthersPending = inFlight, now, pending
+func (t *LoadTracker) SetPeerLoad(id string, inFlight, pending float64, now time.Time) {
+	if s := t.server(id); s != nil {
+		s.othersMean, s.othersAt, s.OthersPending = inFlight, now, pending
 	}
 }
 
-// Leaving marks a server that gets no new work, or takes the mark back.
-func (p *Picture) Leaving(id string, leaving bool) {
-	if s := p.find(id); s != nil {
+// SetLeaving marks a server that gets no new work, or takes the mark back.
+func (t *LoadTracker) SetLeaving(id string, leaving bool) {
+	if s := t.server(id); s != nil {
 		s.Candidate.Leaving = leaving
 	}
 }
 
-// lowAverage follows the lower samples: a first token that waited in a queue
+// lowBiasedAverage follows the lower samples: a first token that waited in a queue
 // says little about the prefill, and Wait has it already.
-func lowAverage(old, sample time.Duration) time.Duration {
+func lowBiasedAverage(old, sample time.Duration) time.Duration {
 	if sample < old {
-		return average(old, sample)
+		return movingAverage(old, sample)
 	}
-	return old + time.Duration(smoothing*riseShare*float64(sample-old))
+	return old + time.Duration(smoothing*riseFactor*float64(sample-old))
 }
 
-// riseShare is how much slower lowAverage rises than it falls.
-const riseShare = 0.1
+// riseFactor is how much slower lowAverage rises than it falls.
+const riseFactor = 0.1
 
-func average(old, sample time.Duration) time.Duration {
+func movingAverage(old, sample time.Duration) time.Duration {
 	return old + time.Duration(smoothing*float64(sample-old))
 }
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -39,70 +39,70 @@
 // events, which come late and with gaps. Two generations bound the memory: the
 // older one is forgotten when the newer one is full.
 type PrefixIndex struct {
-	young, old map[uint64]Set
-	capacity   int
-	since      time.Time
+	recent, previous   map[uint64]Set
+	generationCapacity int
+	rotatedAt          time.Time
 }
 
-// prefixLife is how long one generation lasts where Age is called: engines drop what
+// generationLifetime is how long one generation lasts where Age is called: engines drop what
 // was not used for so long, and believing in more sends prompts to servers that read
 // them again.
-const prefixLife = 12 * time.Second
+const generationLifetime = 12 * time.Second
 
-// Age forgets the older generation if its time is over.
-func (p *PrefixIndex) Age(now time.Time) {
-	if now.Sub(p.since) >= prefixLife {
-		p.turn()
-		p.since = now
+// Expire forgets the older generation if its time is over.
+func (p *PrefixIndex) Expire(now time.Time) {
+	if now.Sub(p.rotatedAt) >= generationLifetime {
+		p.rotate()
+		p.rotatedAt = now
 	}
 }
 
-func (p *PrefixIndex) turn() { p.old, p.young = p.young, make(map[uint64]Set, len(p.young)) }
+func (p *PrefixIndex) rotate() { p.previous, p.recent = p.recent, make(map[uint64]Set, len(p.recent)) }
 
 // SetCapacity bounds the remembered blocks.
-func (p *PrefixIndex) SetCapacity(blocks int) { p.capacity = blocks / 2 }
+func (p *PrefixIndex) SetCapacity(blocks int) { p.generationCapacity = blocks / 2 }
 
 // NewPrefixIndex returns an empty index.
 func NewPrefixIndex() *PrefixIndex {
-	return &PrefixIndex{young: map[uint64]Set{}, old: map[uint64]Set{}, capacity: prefixCapacity / 2}
+	return &PrefixIndex{recent: map[uint64]Set{}, previous: map[uint64]Set{}, generationCapacity: prefixCapacity / 2}
 }
 
-// Sent records that a server (by candidate slot) got a prompt.
-func (p *PrefixIndex) Sent(slot int, blocks []uint64) {
+// Add records that a server (by candidate slot) got a prompt.
+func (p *PrefixIndex) Add(index int, blocks []uint64) {
 	for _, b := range blocks {
-		held := p.young[b].With(p.old[b])
-		held.Add(slot)
-		p.young[b] = held
+		servers := p.recent[b].Union(p.previous[b])
+		servers.Add(index)
+		p.recent[b] = servers
 	}
-	if len(p.young) >= p.capacity {
-		p.turn()
+	if len(p.recent) >= p.generationCapacity {
+		p.rotate()
 	}
 }
 
-// Forget drops all knowledge of a slot, for a server that was replaced.
-func (p *PrefixIndex) Forget(slot int) {
-	for _, m := range []map[uint64]Set{p.young, p.old} {
-		for b, held := range m {
-			if held.Has(slot) {
-				held.Remove(slot)
-				m[b] = held
+// RemoveServer drops all knowledge of a slot, for a server that was replaced.
+func (p *PrefixIndex) RemoveServer(index int) {
+	for _, m := range []map[uint64]Set{p.recent, p.previous} {
+		for b, servers := range m {
+			if servers.Has(index) {
+				servers.Remove(index)
+				m[b] = servers
 			}
 		}
 	}
 }
 
-// Fill sets CachedBlocks of r for every slot.
-func (p *PrefixIndex) Fill(r *Request) {
-	var alive Set
+// Lookup sets CachedBlocks of r for every slot.
+func (p *PrefixIndex) Lookup(r *Request) {
+	var matching Set
 	for i, b := range r.Blocks {
-		held := p.young[b].With(p.old[b])
+		servers := p.recent[b].Union(p.previous[b])
 		if i > 0 {
-			held = held.And(alive)
+			servers = servers.Intersect(matching)
 		}
-		alive = held
-		if alive.Empty() {
+		matching = servers
+		if matching.Empty() {
 			return
 		}
-		alive.Each(func(slot int) { r.CachedBlocks[slot] = uint8(i + 1) })
+		matching.Each(func(index int) { r.CachedBlocks[index] = uint8(i + 1) })
 	}
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-var now = time.Unix(1000, 0)
+var testTime = time.Unix(1000, 0)
 
-func idle(n int) []Candidate {
+func idleServers(n int) []Candidate {
 	out := make([]Candidate, n)
 	for i := range out {
 		out[i] = Candidate{ID: fmt.Sprint("s", i), Slots: 8, ServiceTime: time.Second, PrefillPerToken: time.Millisecond}
@@ -18,12 +18,12 @@
 	return out
 }
 
-func pickMany(t *testing.T, r Request, c []Candidate) map[int]int {
+func countPicks(t *testing.T, r Request, c []Candidate) map[int]int {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(1, 2))
 	got := map[int]int{}
 	for range 400 {
-		got[Default().Pick(&r, c, rng).Index]++
+		got[DefaultPipeline().Pick(&r, c, rng).Index]++
 	}
 	return got
 }
@@ -31,7 +31,7 @@
 // Where servers are alike, the choice spreads like round robin; each other case
 // says why it differs.
 func TestPick(t *testing.T) {
-	even := pickMany(t, Request{PromptTokens: 100}, idle(4))
+	even := countPicks(t, Request{PromptTokens: 100}, idleServers(4))
 	for i := range 4 {
 		if even[i] < 60 {
 			t.Errorf("like servers: %v", even)
@@ -57,9 +57,9 @@
 		{"a failing server costs a retry", func(c []Candidate, _ *Request) { c[0].ErrorRate, c[2].ErrorRate, c[3].ErrorRate = 0.5, 0.5, 0.5 }, 1},
 	}
 	for _, x := range cases {
-		c, r := idle(4), Request{PromptTokens: 1000}
+		c, r := idleServers(4), Request{PromptTokens: 1000}
 		x.change(c, &r)
-		if got := pickMany(t, r, c); got[x.want] != 400 {
+		if got := countPicks(t, r, c); got[x.want] != 400 {
 			t.Errorf("%s: %v", x.name, got)
 		}
 	}
@@ -67,19 +67,19 @@
 
 func TestRefusals(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	c := idle(2)
+	c := idleServers(2)
 	c[0].Leaving, c[1].Leaving = true, true
-	if d := Default().Pick(&Request{}, c, rng); d.Index != -1 || d.Refusal != NoCandidate {
+	if d := DefaultPipeline().Pick(&Request{}, c, rng); d.Index != -1 || d.Refusal != NoCandidate {
 		t.Errorf("all leaving: %+v", d)
 	}
-	busy := idle(2)
+	busy := idleServers(2)
 	busy[0].InFlight, busy[1].InFlight = 40, 40
 	r := Request{Budget: 2 * time.Second}
-	if d := Default().Pick(&r, busy, rng); d.Index != -1 || d.Refusal != TooLate || d.Expected < 4*time.Second {
+	if d := DefaultPipeline().Pick(&r, busy, rng); d.Index != -1 || d.Refusal != BudgetExceeded || d.Expected < 4*time.Second {
 		t.Errorf("late: %+v", d)
 	}
 	r.Urgent = true
-	if d := Default().Pick(&r, busy, rng); d.Index < 0 {
+	if d := DefaultPipeline().Pick(&r, busy, rng); d.Index < 0 {
 		t.Errorf("an urgent request waits behind all others: %+v", d)
 	}
 }
@@ -88,16 +88,16 @@
 // known of the old one.
 // Sequence: a server gets prompts, then a new VM takes its id at another address.
 // Cause: the averages, the prefix knowledge and the slot belong to the old VM.
-func TestReplacedServerStartsAnew(t *testing.T) {
-	p := NewPicture()
-	p.Update([]Member{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}})
+func TestReplacedServerStartsWithoutState(t *testing.T) {
+	tracker := NewLoadTracker()
+	tracker.Update([]Member{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}})
 	blocks := Blocks(nil, "m@v1", strings.Repeat("x", 4*BlockBytes))
-	p.Dispatched("a", blocks, false, now)
-	p.Unreachable("a", now)
-	p.Update([]Member{{ID: "b", Address: "2"}, {ID: "a", Address: "3"}})
+	tracker.RecordDispatch("a", blocks, false, testTime)
+	tracker.RecordUnreachable("a", testTime)
+	tracker.Update([]Member{{ID: "b", Address: "2"}, {ID: "a", Address: "3"}})
 	r := Request{Blocks: blocks}
-	p.Prefix.Fill(&r)
-	for i, c := range p.Snapshot(nil, now) {
+	tracker.Prefix.Lookup(&r)
+	for i, c := range tracker.Snapshot(nil, testTime) {
 		if c.ID == "a" && (c.InFlight != 0 || c.Suspect || r.CachedBlocks[i] != 0 || c.Address != "3") {
 			t.Errorf("the new server: %+v, cached %d", c, r.CachedBlocks[i])
 		}
@@ -107,26 +107,26 @@
 // Symptom: a server gets no work for ever after it was silent or down once.
 // Sequence: silences and failed connections, then time passes.
 // Cause: suspicion must end, later each time, and a first token must clear it.
-func TestSuspicionEnds(t *testing.T) {
-	p := NewPicture()
-	p.Update([]Member{{ID: "a", Address: "1"}})
-	suspect := func(at time.Time) bool { return p.Snapshot(nil, at)[0].Suspect }
-	p.Silent("a", now)
-	if suspect(now) {
+func TestSuspectStateExpires(t *testing.T) {
+	tracker := NewLoadTracker()
+	tracker.Update([]Member{{ID: "a", Address: "1"}})
+	suspect := func(at time.Time) bool { return tracker.Snapshot(nil, at)[0].Suspect }
+	tracker.RecordTimeout("a", testTime)
+	if suspect(testTime) {
 		t.Fatal("one silence is a verdict")
 	}
-	p.Silent("a", now)
-	if !suspect(now) || suspect(now.Add(suspectFor)) {
+	tracker.RecordTimeout("a", testTime)
+	if !suspect(testTime) || suspect(testTime.Add(initialSuspectTime)) {
 		t.Fatal("two silences")
 	}
 	for range 10 {
-		p.Unreachable("a", now)
+		tracker.RecordUnreachable("a", testTime)
 	}
-	if !suspect(now.Add(suspectMost-time.Second)) || suspect(now.Add(suspectMost)) {
+	if !suspect(testTime.Add(maxSuspectTime-time.Second)) || suspect(testTime.Add(maxSuspectTime)) {
 		t.Fatal("the pause does not end at its most")
 	}
-	p.FirstToken("a", time.Millisecond, 0, now)
-	if suspect(now) {
+	tracker.RecordFirstToken("a", time.Millisecond, 0, testTime)
+	if suspect(testTime) {
 		t.Fatal("a first token does not clear the suspicion")
 	}
 }
@@ -134,23 +134,23 @@
 // Symptom: daemons chase each other from server to server.
 // Sequence: one lagged report says a server is full, the next that it is idle.
 // Cause: a single report tells of load that has moved on; the mean counts.
-func TestReportsAreSmoothed(t *testing.T) {
-	p := NewPicture()
-	p.Update([]Member{{ID: "a", Address: "1"}})
-	p.Reported("a", 0, now)
-	p.Reported("a", 40, now)
-	if got := p.Snapshot(nil, now)[0].OthersInFlight; got > 10 {
+func TestLoadReportsAreSmoothed(t *testing.T) {
+	tracker := NewLoadTracker()
+	tracker.Update([]Member{{ID: "a", Address: "1"}})
+	tracker.RecordReport("a", 0, testTime)
+	tracker.RecordReport("a", 40, testTime)
+	if got := tracker.Snapshot(nil, testTime)[0].OthersInFlight; got > 10 {
 		t.Fatalf("one report moved the estimate to %v", got)
 	}
 	for range 50 {
-		p.Reported("a", 40, now)
+		tracker.RecordReport("a", 40, testTime)
 	}
-	if got := p.Snapshot(nil, now)[0].OthersInFlight; got < 35 {
+	if got := tracker.Snapshot(nil, testTime)[0].OthersInFlight; got < 35 {
 		t.Fatalf("fifty reports moved the estimate to %v only", got)
 	}
 }
 
-func TestSubsetMovesLittle(t *testing.T) {
+func TestSubsetIsStable(t *testing.T) {
 	var members []Member
 	for i := range 200 {
 		members = append(members, Member{ID: fmt.Sprint("s", i)})
@@ -185,12 +185,12 @@
 	}
 }
 
-func TestPrefixKnowledgeIsBounded(t *testing.T) {
+func TestPrefixIndexIsBounded(t *testing.T) {
 	x := NewPrefixIndex()
 	for i := range 4 * prefixCapacity {
-		x.Sent(i%8, []uint64{uint64(i)})
+		x.Add(i%8, []uint64{uint64(i)})
 	}
-	if n := len(x.young) + len(x.old); n > prefixCapacity {
+	if n := len(x.recent) + len(x.previous); n > prefixCapacity {
 		t.Fatalf("%d blocks remembered", n)
 	}
 }
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -24,13 +24,13 @@
 // sum would refuse requests that could start in time.
 type Queue struct{}
 
-// maxUse caps the load at which the approximation is read; beyond the slots the
+// maxUtilization caps the load at which the approximation is read; beyond the slots the
 // excess is counted as it is.
-const maxUse = 0.95
+const maxUtilization = 0.95
 
-// idleUse is the load below which the wait is not worth computing: under a
+// minUtilization is the load below which the wait is not worth computing: under a
 // thousandth of the service time with 8 slots.
-const idleUse = 0.25
+const minUtilization = 0.25
 
 // Name implements Scorer.
 func (Queue) Name() string { return "queue" }
@@ -39,16 +39,16 @@
 func (Queue) Cost(r *Request, c *Candidate, _ int) time.Duration {
 	slots := float64(max(c.Slots, 1))
 	load := float64(c.InFlight) + c.OthersInFlight
-	use := min(load/slots, maxUse)
+	utilization := min(load/slots, maxUtilization)
 	wait := 0.0
-	if use > idleUse {
-		wait = math.Pow(use, math.Sqrt(2*(slots+1))-1) / (slots * (1 - use))
+	if utilization > minUtilization {
+		wait = math.Pow(utilization, math.Sqrt(2*(slots+1))-1) / (slots * (1 - utilization))
 	}
-	ahead := max(0, load+1-slots)
+	queued := max(0, load+1-slots)
 	if r.Urgent {
-		wait, ahead = wait/slots, min(ahead, float64(c.Urgent)+1)
+		wait, queued = wait/slots, min(queued, float64(c.Urgent)+1)
 	}
-	estimate := time.Duration((wait + ahead/slots) * float64(c.ServiceTime))
+	estimate := time.Duration((wait + queued/slots) * float64(c.ServiceTime))
 	if r.Urgent {
 		return estimate
 	}
@@ -63,11 +63,11 @@
 
 // Cost implements Scorer.
 func (Prefill) Cost(r *Request, c *Candidate, index int) time.Duration {
-	return time.Duration(float64(r.Uncached(index)) * r.scale() * float64(c.PrefillPerToken))
+	return time.Duration(float64(r.UncachedTokens(index)) * r.prefillScale() * float64(c.PrefillPerToken))
 }
 
-// Uncached returns the prompt tokens that a candidate is believed not to have.
-func (r *Request) Uncached(index int) int {
+// UncachedTokens returns the prompt tokens that a candidate is believed not to have.
+func (r *Request) UncachedTokens(index int) int {
 	n := int(r.CachedBlocks[index])
 	cached := n * r.BlockTokens
 	if len(r.BlockEnds) > 0 {
@@ -79,88 +79,88 @@
 	return max(r.PromptTokens-cached, 0)
 }
 
-func (r *Request) scale() float64 {
+func (r *Request) prefillScale() float64 {
 	if r.PrefillScale > 0 {
 		return r.PrefillScale
 	}
 	return 1
 }
 
-// Backlog is the time to read the prompts that were sent to the server before
+// PrefillBacklog is the time to read the prompts that were sent to the server before
 // and have no first token yet. Engines read prompts one after the other, so a
 // burst of long ones delays the next however many slots are free.
-type Backlog struct{}
+type PrefillBacklog struct{}
 
 // Name implements Scorer.
-func (Backlog) Name() string { return "backlog" }
+func (PrefillBacklog) Name() string { return "backlog" }
 
 // Cost implements Scorer.
-func (Backlog) Cost(_ *Request, c *Candidate, _ int) time.Duration {
+func (PrefillBacklog) Cost(_ *Request, c *Candidate, _ int) time.Duration {
 	return time.Duration((c.PendingPrefill + c.OthersPending) * float64(c.PrefillPerToken))
 }
 
-// Homing sends prompts with the same beginning to the same server. Daemons hear of a
+// HomeAffinity sends prompts with the same beginning to the same server. Daemons hear of a
 // part of each other's placements only, and late; but all send to the same homes, so
 // the first home has most likely read the beginning already, the second less likely.
 // Without it, each daemon would begin caches of its own elsewhere, and the beginning
 // would be read once for each.
-type Homing struct {
-	// Step is the cost of one place further down the order.
-	Step time.Duration
-	// Belief is the part of the time to read a shared beginning that the last
+type HomeAffinity struct {
+	// RankCost is the cost of one place further down the order.
+	RankCost time.Duration
+	// PrefillShare is the part of the time to read a shared beginning that the last
 	// place costs more than the first.
-	Belief float64
+	PrefillShare float64
 }
 
 // Name implements Scorer.
-func (Homing) Name() string { return "homing" }
+func (HomeAffinity) Name() string { return "homing" }
 
 // Cost implements Scorer.
-func (h Homing) Cost(r *Request, c *Candidate, index int) time.Duration {
-	place := r.Home[index]
-	unread := r.SharedTokens - (r.PromptTokens - r.Uncached(index))
-	reading := float64(max(unread, 0)) * r.scale() * float64(c.PrefillPerToken)
-	return time.Duration(place)*h.Step + time.Duration(h.Belief*reading*float64(place)/FarHome)
+func (h HomeAffinity) Cost(r *Request, c *Candidate, index int) time.Duration {
+	rank := r.HomeRank[index]
+	uncachedShared := r.SharedPrefixTokens - (r.PromptTokens - r.UncachedTokens(index))
+	prefill := float64(max(uncachedShared, 0)) * r.prefillScale() * float64(c.PrefillPerToken)
+	return time.Duration(rank)*h.RankCost + time.Duration(h.PrefillShare*prefill*float64(rank)/MaxHomeRank)
 }
 
-// FarHome is the place in the order of homes from which all count as equally far.
-const FarHome = 4
+// MaxHomeRank is the place in the order of homes from which all count as equally far.
+const MaxHomeRank = 4
 
-// Reading is what reading a prompt costs everybody else. Prefill counts that time for
+// PrefillImpact is what reading a prompt costs everybody else. Prefill counts that time for
 // the request alone, which would so rather have a prompt read again at an idle engine
 // than wait a little where it is cached; the engine's time is then gone for all.
-type Reading struct {
-	// Others is the number of requests that each second of it delays.
-	Others float64
+type PrefillImpact struct {
+	// DelayedPerSecond is the number of requests that each second of it delays.
+	DelayedPerSecond float64
 }
 
 // Name implements Scorer.
-func (Reading) Name() string { return "reading" }
+func (PrefillImpact) Name() string { return "reading" }
 
 // Cost implements Scorer.
-func (s Reading) Cost(r *Request, c *Candidate, index int) time.Duration {
-	return time.Duration(s.Others * float64(Prefill{}.Cost(r, c, index)))
+func (p PrefillImpact) Cost(r *Request, c *Candidate, index int) time.Duration {
+	return time.Duration(p.DelayedPerSecond * float64(Prefill{}.Cost(r, c, index)))
 }
 
-// Distance is what the body of a request costs on its way to another failure domain. It counts
+// Locality is what the body of a request costs on its way to another failure domain. It counts
 // the less the fewer engines are near: work that keeps to a few fills them unevenly.
-type Distance struct {
+type Locality struct {
 	// PerKB is the delay that moving 1,000 bytes is worth among many near engines.
 	PerKB time.Duration
-	// Halved is the number of near engines with which it is worth half.
-	Halved int
+	// HalfCostAt is the number of near engines with which it is worth half.
+	HalfCostAt int
 }
 
 // Name implements Scorer.
-func (Distance) Name() string { return "distance" }
+func (Locality) Name() string { return "distance" }
 
 // Cost implements Scorer.
-func (d Distance) Cost(r *Request, c *Candidate, _ int) time.Duration {
-	if r.Near == 0 || c.FailureDomain == r.FailureDomain {
+func (l Locality) Cost(r *Request, c *Candidate, _ int) time.Duration {
+	if r.LocalCandidates == 0 || c.FailureDomain == r.FailureDomain {
 		return 0
 	}
-	part := float64(r.Near) / float64(r.Near+d.Halved)
-	return time.Duration(part * float64(r.BodyBytes) / 1000 * float64(d.PerKB))
+	weight := float64(r.LocalCandidates) / float64(r.LocalCandidates+l.HalfCostAt)
+	return time.Duration(weight * float64(r.BodyBytes) / 1000 * float64(l.PerKB))
 }
 
 // Network is the round trip to the server.
@@ -172,20 +172,20 @@
 // Cost implements Scorer.
 func (Network) Cost(_ *Request, c *Candidate, _ int) time.Duration { return c.Network }
 
-// Sharing spreads work over servers whose queues look empty: each request in a
+// Contention spreads work over servers whose queues look empty: each request in a
 // batch slows the others. Without it all work below the slot limit costs the
 // same and piles up where a prefix is cached. What waits in the queue is in no
 // batch yet and is Queue's to count.
-type Sharing struct {
+type Contention struct {
 	// Fraction of the service time that each request in the batch adds.
 	Fraction float64
 }
 
 // Name implements Scorer.
-func (Sharing) Name() string { return "sharing" }
+func (Contention) Name() string { return "sharing" }
 
 // Cost implements Scorer.
-func (s Sharing) Cost(_ *Request, c *Candidate, _ int) time.Duration {
+func (s Contention) Cost(_ *Request, c *Candidate, _ int) time.Duration {
 	batch := min(float64(c.InFlight)+c.OthersInFlight, float64(c.Slots))
 	return time.Duration(batch * s.Fraction * float64(c.ServiceTime))
 }
@@ -219,19 +219,19 @@
 	return time.Duration((float64(c.InFlight) + c.OthersInFlight) * float64(b.PerRequest))
 }
 
-// Full is the wait for a slot of an engine whose batch is full.
-type Full struct{}
+// FullBatch is the wait for a slot of an engine whose batch is full.
+type FullBatch struct{}
 
 // Name implements Scorer.
-func (Full) Name() string { return "full" }
+func (FullBatch) Name() string { return "full" }
 
 // Cost implements Scorer.
-func (Full) Cost(_ *Request, c *Candidate, _ int) time.Duration {
-	over := float64(c.InFlight) + c.OthersInFlight + 1 - float64(c.Slots)
-	if over <= 0 {
+func (FullBatch) Cost(_ *Request, c *Candidate, _ int) time.Duration {
+	excess := float64(c.InFlight) + c.OthersInFlight + 1 - float64(c.Slots)
+	if excess <= 0 {
 		return 0
 	}
-	return time.Duration(over / float64(max(c.Slots, 1)) * float64(c.ServiceTime))
+	return time.Duration(excess / float64(max(c.Slots, 1)) * float64(c.ServiceTime))
 }
 
 // Lateness is how much later than expected first tokens came from the server
--- a/internal/routing/set.go
+++ b/internal/routing/set.go
@@ -35,16 +35,16 @@
 	return n
 }
 
-// With returns the indices that are in either set.
-func (s Set) With(o Set) Set {
+// Union returns the indices that are in either set.
+func (s Set) Union(o Set) Set {
 	for i, w := range o {
 		s[i] |= w
 	}
 	return s
 }
 
-// And returns the indices that are in both sets.
-func (s Set) And(o Set) Set {
+// Intersect returns the indices that are in both sets.
+func (s Set) Intersect(o Set) Set {
 	for i, w := range o {
 		s[i] &= w
 	}
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -17,11 +17,11 @@
 		weight uint64
 		m      Member
 	}
-	all := make([]ranked, len(members))
+	rankedMembers := make([]ranked, len(members))
 	for i, m := range members {
-		all[i] = ranked{xxhash.Sum64String(daemon + "\x00" + m.ID), m}
+		rankedMembers[i] = ranked{xxhash.Sum64String(daemon + "\x00" + m.ID), m}
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
+	slices.SortFunc(rankedMembers, func(a, b ranked) int {
 		if a.weight != b.weight {
 			if a.weight > b.weight {
 				return -1
@@ -33,16 +33,16 @@
 		}
 		return 1
 	})
-	out := make([]Member, size)
+	subset := make([]Member, size)
 	for i := range size {
-		out[i] = all[i].m
+		subset[i] = rankedMembers[i].m
 	}
-	return out
+	return subset
 }
 
-// shardMean is the most servers that a shard has on average. Their number varies by its
+// meanShardSize is the most servers that a shard has on average. Their number varies by its
 // square root, so that one in a million has more than MaxCandidates.
-const shardMean = 184
+const meanShardSize = 184
 
 // Shard returns the servers of a service that a daemon works with: all of them up to
 // MaxCandidates, and beyond that the part of the daemon's shard. All daemons of a shard
@@ -58,15 +58,15 @@
 		return members
 	}
 	shards := uint64(2)
-	for uint64(len(members)) > shards*shardMean {
+	for uint64(len(members)) > shards*meanShardSize {
 		shards *= 2
 	}
-	own := xxhash.Sum64String(daemon) % shards
-	var out []Member
+	ownShard := xxhash.Sum64String(daemon) % shards
+	var shard []Member
 	for _, m := range members {
-		if xxhash.Sum64String(m.ID)%shards == own {
-			out = append(out, m)
+		if xxhash.Sum64String(m.ID)%shards == ownShard {
+			shard = append(shard, m)
 		}
 	}
-	return out[:min(len(out), MaxCandidates)]
+	return shard[:min(len(shard), MaxCandidates)]
 }
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestSetIsASet(t *testing.T) {
+func TestSetOperations(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var s Set
 	want := map[int]bool{}
@@ -29,13 +29,13 @@
 	if !slices.IsSorted(each) || SetOf(each...) != s {
 		t.Errorf("%v", each)
 	}
-	if a, b := SetOf(1, 70, 200), SetOf(70, 201); a.And(b) != SetOf(70) || a.With(b) != SetOf(1, 70, 200, 201) {
+	if a, b := SetOf(1, 70, 200), SetOf(70, 201); a.Intersect(b) != SetOf(70) || a.Union(b) != SetOf(1, 70, 200, 201) {
 		t.Errorf("%v and %v", a, b)
 	}
 }
 
-// pool is servers of two versions in five failure domains.
-func pool(n int) []Member {
+// poolMembers is servers of two versions in five failure domains.
+func poolMembers(n int) []Member {
 	out := make([]Member, n)
 	for i := range out {
 		out[i] = Member{ID: fmt.Sprintf("v%d-%d", i%2, i), FailureDomain: fmt.Sprint("d", i/2%5)}
@@ -48,16 +48,16 @@
 // other daemons had given to another model.
 // Sequence: a service has more servers than a daemon works with.
 // Cause: the subsets were drawn by each daemon for itself.
-func TestDaemonsThatShareServersShareAllOfThem(t *testing.T) {
+func TestShardsAreDisjointAndBalanced(t *testing.T) {
 	const daemons = 520
 	for _, n := range []int{6, 63, 126, 256, 257, 400, 1600} {
-		members, sets, uses := pool(n), map[string][]Member{}, map[string]int{}
+		members, shards, uses := poolMembers(n), map[string][]Member{}, map[string]int{}
 		for d := range daemons {
 			shard := Shard(fmt.Sprint("daemon-", d), members)
-			sets[shard[0].ID] = shard
+			shards[shard[0].ID] = shard
 			for _, m := range shard {
 				uses[m.ID]++
-				if !slices.Equal(shard, sets[shard[0].ID]) {
+				if !slices.Equal(shard, shards[shard[0].ID]) {
 					t.Fatalf("%d servers: daemons that share %s differ", n, m.ID)
 				}
 			}
@@ -65,7 +65,7 @@
 		if len(uses) != n {
 			t.Errorf("%d servers: %d are used", n, len(uses))
 		}
-		for _, shard := range sets {
+		for _, shard := range shards {
 			versions, domains := map[string]int{}, map[string]int{}
 			for _, m := range shard {
 				versions[m.ID[:2]]++
--- a/lab/sim/router.go
+++ b/lab/sim/router.go
@@ -165,7 +165,7 @@
 // Ours is the project's routing in one daemon.
 type Ours struct {
 	cluster *Cluster
-	picture *routing.Picture
+	picture *routing.LoadTracker
 	pipe    routing.Pipeline
 	rng     *rand.Rand
 	room    []routing.Candidate
@@ -174,7 +174,7 @@
 // NewOurs returns the policy with a pipeline.
 func NewOurs(pipe routing.Pipeline) func(*Cluster, int, *rand.Rand) Policy {
 	return func(c *Cluster, _ int, rng *rand.Rand) Policy {
-		o := &Ours{cluster: c, picture: routing.NewPicture(), pipe: pipe, rng: rng}
+		o := &Ours{cluster: c, picture: routing.NewLoadTracker(), pipe: pipe, rng: rng}
 		var members []routing.Member
 		for i, e := range c.Engines {
 			members = append(members, routing.Member{ID: serverID(i), Address: serverID(i), Slots: e.Slots})
@@ -197,35 +197,35 @@
 	for _, t := range tried {
 		q.Tried.Add(t)
 	}
-	o.picture.Prefix.Fill(&q)
+	o.picture.Prefix.Lookup(&q)
 	return o.pipe.Pick(&q, o.room, o.rng).Index
 }
 
 // Began implements Policy.
 func (o *Ours) Began(server int, r *Request) {
-	o.picture.Dispatched(serverID(server), r.Blocks, r.Priority == 0, o.cluster.Clock.Now())
+	o.picture.RecordDispatch(serverID(server), r.Blocks, r.Priority == 0, o.cluster.Clock.Now())
 }
 
 // First implements Policy.
 func (o *Ours) First(server int, r *Request, took time.Duration) time.Duration {
 	q := o.request(r)
-	o.picture.Prefix.Fill(&q)
-	return o.picture.FirstToken(serverID(server), took, max(0, r.Prompt-int(q.CachedBlocks[server])*routing.BlockTokens), o.cluster.Clock.Now())
+	o.picture.Prefix.Lookup(&q)
+	return o.picture.RecordFirstToken(serverID(server), took, max(0, r.Prompt-int(q.CachedBlocks[server])*routing.BlockTokens), o.cluster.Clock.Now())
 }
 
 // Ended implements Policy.
 func (o *Ours) Ended(server int, r *Request, held time.Duration, failed bool) {
-	o.picture.Completed(serverID(server), held, failed, r.Priority == 0, o.cluster.Clock.Now())
+	o.picture.RecordCompletion(serverID(server), held, failed, r.Priority == 0, o.cluster.Clock.Now())
 }
 
 // Unreachable implements Policy.
 func (o *Ours) Unreachable(server int) {
-	o.picture.Unreachable(serverID(server), o.cluster.Clock.Now())
+	o.picture.RecordUnreachable(serverID(server), o.cluster.Clock.Now())
 }
 
 // Report implements Policy.
 func (o *Ours) Report(server, load int) {
-	o.picture.Reported(serverID(server), load, o.cluster.Clock.Now())
+	o.picture.RecordReport(serverID(server), load, o.cluster.Clock.Now())
 }
 
 // Naive wraps one of the plain rules.
