--- a/internal/routing/reading_test.go
+++ b/internal/routing/affinity_test.go
@@ -5,11 +5,8 @@
 	"testing"
 )
 
-// Symptom: a fifth of all prompt tokens were read again though another engine had them.
-// Sequence: the engine that has a prompt's beginning has 60 ms to read; an idle one
-// would read the whole prompt in 50 ms.
-// Cause: the time to the request's own first token was all that counted; the engine time
-// that reading again takes is paid by those that come after.
+// A short wait at the engine that has the prefix cached must be preferred to a repeated
+// prefill on an idle engine, which would delay other requests.
 func TestPickPrefersCachedPrefixOverIdleEngine(t *testing.T) {
 	c := idleEngines(2)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -17,10 +14,10 @@
 	r := Request{PromptTokens: 50_000, Blocks: []uint64{1, 2}, BlockEnds: []int{45_000, 50_000}, SharedPrefixTokens: 45_000}
 	r.CachedBlocks[0] = 1
 	if got := EnginePipeline().Pick(&r, c, rng).Index; got != 0 {
-		t.Errorf("the prompt went to engine %d", got)
+		t.Errorf("picked engine %d, want 0", got)
 	}
 	c[0].PendingPrefill = 2_000_000
 	if got := EnginePipeline().Pick(&r, c, rng).Index; got != 1 {
-		t.Errorf("with two seconds of work ahead the prompt went to engine %d", got)
+		t.Errorf("cached engine busy for 2 s: picked engine %d, want 1", got)
 	}
 }
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkPick snapshots, scores and picks for a prompt of 8 KiB, at
-// several sizes of the subset a daemon works with.
+// BenchmarkPick measures snapshot, prefix lookup and pick for an 8 KiB prompt, at several
+// subset sizes.
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{8, 24, 64, 160} {
 		b.Run(fmt.Sprint(size, "-of-1600"), func(b *testing.B) {
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -1,14 +1,14 @@
 package routing
 
-// Filter rejects candidates that must not get the request.
+// Filter excludes candidates that must not get the request.
 type Filter interface {
 	// Name identifies the filter in an explanation.
 	Name() string
-	// Keep reports whether the candidate stays.
+	// Keep reports whether the candidate may get the request.
 	Keep(r *Request, c *Candidate, index int) bool
 }
 
-// Live drops servers that leave or have gone silent.
+// Live excludes servers that are leaving or suspect.
 type Live struct{}
 
 // Name implements Filter.
@@ -17,7 +17,7 @@
 // Keep implements Filter.
 func (Live) Keep(_ *Request, c *Candidate, _ int) bool { return !c.Leaving && !c.Suspect }
 
-// Untried drops servers that an earlier attempt of the request used.
+// Untried excludes the servers of earlier attempts.
 type Untried struct{}
 
 // Name implements Filter.
--- a/internal/routing/line.go
+++ b/internal/routing/firsttoken.go
@@ -2,33 +2,32 @@
 
 import "time"
 
-// FirstTokenFit learns how long a model takes to its first token: a fixed time, and a time
-// for each prompt token that is not cached. It is a least-squares fit that forgets
-// old samples, so that it follows a service whose VMs or versions change.
+// FirstTokenFit estimates a model's time to first token as a fixed time plus a time per
+// uncached prompt token. It is a least-squares fit with exponentially decaying sample
+// weights.
 type FirstTokenFit struct {
 	sumWeight, sumX, sumY, sumXX, sumXY float64
-	// fixed and perToken are the fit in seconds.
+	// fixed and perToken are the fitted coefficients in seconds.
 	fixed, perToken float64
 }
 
 const (
-	// sampleDecay is what a sample's weight keeps with each newer one: about the
-	// last 60 count, some seconds of one daemon's load.
+	// sampleDecay is the factor applied to the weight of older samples at each new one:
+	// about the last 60 count.
 	sampleDecay = 0.983
-	// priorSamples is the number of samples that the start values count for.
+	// priorSamples is the number of times that the initial values are entered.
 	priorSamples = 4
-	// priorTokens are the prompt lengths at which the start values are put in.
+	// priorTokens is the prompt length at which the initial slope is entered.
 	priorTokens = 2000
-	// minPerToken and mostPerToken bound the slope in seconds: no engine reads
-	// a million tokens a second, and one that needs a millisecond for each is
-	// waiting for something else.
+	// minPerToken and maxPerToken bound the slope, in seconds per token. A steeper slope
+	// indicates queueing rather than prefill.
 	minPerToken = 1e-6
 	maxPerToken = 1e-3
-	// maxFixed bounds the fixed time in seconds.
+	// maxFixed bounds the fixed time, in seconds.
 	maxFixed = 1.0
 )
 
-// NewFirstTokenFit returns a line that starts with the given values.
+// NewFirstTokenFit returns a fit that starts at the given values.
 func NewFirstTokenFit(fixed, perToken time.Duration) *FirstTokenFit {
 	l := &FirstTokenFit{}
 	for range priorSamples {
@@ -39,8 +38,8 @@
 	return l
 }
 
-// Observe takes the time to a first token after some uncached prompt tokens on a
-// server that had nothing else to read.
+// Observe adds the time to first token of a prompt on a server without other pending
+// prefills.
 func (f *FirstTokenFit) Observe(uncached int, elapsed time.Duration) {
 	f.add(float64(uncached), elapsed.Seconds())
 	f.solve()
@@ -62,15 +61,16 @@
 	f.fixed = min(max((f.sumY-f.perToken*f.sumX)/f.sumWeight, 0), maxFixed)
 }
 
-// PerToken returns the time for one uncached prompt token.
+// PerToken returns the prefill time per uncached prompt token.
 func (f *FirstTokenFit) PerToken() time.Duration {
 	return time.Duration(f.perToken * float64(time.Second))
 }
 
-// Fixed returns the time to the first token of a prompt that is wholly cached.
+// Fixed returns the time to first token of a fully cached prompt.
 func (f *FirstTokenFit) Fixed() time.Duration { return time.Duration(f.fixed * float64(time.Second)) }
 
-// Predict returns the expected time to the first token.
+// Predict returns the expected time to first token of a prompt with the given number of
+// uncached tokens.
 func (f *FirstTokenFit) Predict(uncached int) time.Duration {
 	return time.Duration((f.fixed + f.perToken*float64(uncached)) * float64(time.Second))
 }
--- a/internal/routing/distance_test.go
+++ b/internal/routing/locality_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// Guards against long bodies that are moved to another failure domain although a near engine
-// would answer as soon, and against a near engine that is preferred over much work less.
+// Large bodies must stay in their failure domain unless its engines are much busier.
 func TestLocalityPrefersOwnFailureDomainForLargeBodies(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	candidatesWithLocalBacklog := func(nearBacklog float64) []Candidate {
@@ -21,26 +20,26 @@
 	r := &Request{PromptTokens: 1000, FailureDomain: "near", LocalCandidates: 8, BodyBytes: 18000}
 	for range 50 {
 		if d := EnginePipeline().Pick(r, candidatesWithLocalBacklog(1000), rng); d.Index != 5 {
-			t.Fatalf("with little work near: %d", d.Index)
+			t.Fatalf("small local backlog: picked %d, want 5", d.Index)
 		}
 		if d := EnginePipeline().Pick(r, candidatesWithLocalBacklog(20000), rng); d.Index == 5 {
-			t.Fatal("near although 0.2 s of work waits there")
+			t.Fatal("picked the local engine despite a backlog of 0.2 s")
 		}
 	}
 	d := EnginePipeline().Pick(r, candidatesWithLocalBacklog(1000), rng)
 	if d.Expected > 30*time.Millisecond {
-		t.Errorf("the distance counts as time: %s", d.Expected)
+		t.Errorf("locality cost counted as expected time: %s", d.Expected)
 	}
 }
 
-// Guards against few near engines that are filled while many others are idle.
+// A few local engines must not fill up while many remote ones are idle.
 func TestLocalityCostDecreasesWithFewLocalCandidates(t *testing.T) {
 	s := Locality{PerKB: 10 * time.Millisecond, HalfCostAt: 8}
 	far := &Candidate{ID: "a", FailureDomain: "far"}
 	for near, want := range map[int]time.Duration{0: 0, 2: 4 * time.Millisecond, 8: 10 * time.Millisecond, 24: 15 * time.Millisecond} {
 		r := &Request{FailureDomain: "near", LocalCandidates: near, BodyBytes: 2000}
 		if got := s.Cost(r, far, 0); got != want {
-			t.Errorf("%d near: %s in place of %s", near, got, want)
+			t.Errorf("%d local candidates: %s, want %s", near, got, want)
 		}
 	}
 }
--- a/internal/routing/lanes.go
+++ b/internal/routing/partition.go
@@ -6,13 +6,10 @@
 	"time"
 )
 
-// Partition divides the engines of a service between its models. An engine that runs
-// two models makes a step of each in turn, so every token of the fast model waits
-// for a step of the slow one: a small model's stream takes as long as a large
-// one's. Apart, the small model's streams end several times sooner, and the large
-// model's steps serve a larger batch.
-//
-// The division is a preference: see Lane for what it costs to leave it.
+// Partition assigns the engines of a service to its models in proportion to their work. An
+// engine that serves two models alternates between their steps, so the streams of the
+// small model run at the speed of the large one. The assignment is a preference:
+// PartitionAffinity sets the cost of leaving it.
 type Partition struct {
 	workByModel  map[string]float64
 	updatedAt    time.Time
@@ -20,16 +17,17 @@
 }
 
 const (
-	// workHalfLife ages the work that the division goes by.
+	// workHalfLife is the half-life of the recorded work.
 	workHalfLife = 5 * time.Second
-	// rebalanceThreshold is the change of a model's share, in engines, for which the
-	// division is made anew; every change costs cached prompts.
+	// rebalanceThreshold is the change of a model's share, in engines, that triggers a new
+	// assignment. Every reassignment loses cached prompts.
 	rebalanceThreshold = 0.7
-	// minShare leaves out models that hardly work.
+	// minShare is the share of work below which a model gets no engines of its own.
 	minShare = 0.01
 )
 
-// NewPartition returns a division that starts with an expected work by model.
+// NewPartition returns a partition for the expected work by model. Only the ratios of the
+// values matter.
 func NewPartition(expected map[string]float64) *Partition {
 	l := &Partition{workByModel: map[string]float64{}, shareByModel: map[string]float64{}}
 	for m, w := range expected {
@@ -39,7 +37,7 @@
 	return l
 }
 
-// RecordWork books engine time spent for a model.
+// RecordWork adds engine time spent on a model.
 func (p *Partition) RecordWork(model string, spent time.Duration, now time.Time) {
 	decayFactor := decay(now.Sub(p.updatedAt), workHalfLife)
 	p.updatedAt = now
@@ -65,11 +63,9 @@
 
 func (p *Partition) setShares(shares map[string]float64) { p.shareByModel = shares }
 
-// Outside marks the candidates that are not in a model's lane. Daemons see like
-// traffic, so they divide alike without a word; where they differ by an engine,
-// it serves both.
-//
-// Order lists the candidates that there are by their hashes: see Picture.Order.
+// Outside returns the candidates outside a model's part. The order lists the candidate
+// indices by hash, see LoadTracker.IndicesByHash. Daemons with similar traffic compute the
+// same partition without coordination.
 func (p *Partition) Outside(model string, order []int) (outside Set) {
 	p.rebalance(len(order))
 	if len(p.shareByModel) < 2 || p.shareByModel[model] == 0 || len(order) < len(p.shareByModel) {
@@ -84,7 +80,7 @@
 	return outside
 }
 
-// rebalance makes the division anew if a share has changed by much of an engine.
+// rebalance recomputes the shares if one has changed by more than rebalanceThreshold.
 func (p *Partition) rebalance(engines int) {
 	current := p.currentShares()
 	for m := range p.workByModel {
@@ -95,8 +91,8 @@
 	}
 }
 
-// indexRange returns the places of a model's engines among n: at least one each, the
-// rest by share.
+// indexRange returns the half-open range of a model's engines among n: at least one engine
+// per model, the rest by share.
 func (p *Partition) indexRange(model string, n int) (from, to int) {
 	names := make([]string, 0, len(p.shareByModel))
 	for m := range p.shareByModel {
@@ -119,10 +115,10 @@
 	return 0, n
 }
 
-// PartitionAffinity is the cost of running where another model's lane is.
+// PartitionAffinity is the cost of running on an engine assigned to another model.
 type PartitionAffinity struct {
-	// Penalty is what it costs to leave the lane. A lane that is behind by more spills
-	// over into the others.
+	// Penalty is the cost of leaving the partition. Requests spill over when the
+	// partition's delay exceeds that of other engines by more than this.
 	Penalty time.Duration
 }
 
--- a/internal/routing/lanes_test.go
+++ b/internal/routing/partition_test.go
@@ -15,7 +15,7 @@
 	return out
 }
 
-// sequentialIndices are those of n candidates.
+// sequentialIndices returns 0 to n-1.
 func sequentialIndices(n int) []int {
 	out := make([]int, n)
 	for i := range out {
@@ -37,23 +37,23 @@
 		notSmall, notLarge := partition.Outside("small", indices), partition.Outside("large", indices)
 		small, large := tt.n-notSmall.Len(), tt.n-notLarge.Len()
 		if both := notSmall.Intersect(notLarge); small+large != tt.n || !both.Empty() {
-			t.Errorf("%d engines: %d and %d do not divide them", tt.n, small, large)
+			t.Errorf("%d engines: parts of %d and %d engines overlap or leave engines out", tt.n, small, large)
 		}
 		if small < tt.wantSmall-1 || small > tt.wantSmall+1 {
-			t.Errorf("%d engines by %g to %g: the small model has %d, want about %d", tt.n, tt.small, tt.large, small, tt.wantSmall)
+			t.Errorf("%d engines at work %g to %g: the small model has %d, want about %d", tt.n, tt.small, tt.large, small, tt.wantSmall)
 		}
 	}
 }
 
 func TestPartitionInactiveForOneModelOrTooFewEngines(t *testing.T) {
 	if f := NewPartition(map[string]float64{"m": 1}).Outside("m", sequentialIndices(5)); !f.Empty() {
-		t.Errorf("one model: %b", f)
+		t.Errorf("one model: outside %b", f)
 	}
 	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).Outside("a", sequentialIndices(1)); !f.Empty() {
-		t.Errorf("one engine: %b", f)
+		t.Errorf("one engine: outside %b", f)
 	}
 	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).Outside("c", sequentialIndices(5)); !f.Empty() {
-		t.Errorf("an unknown model: %b", f)
+		t.Errorf("unknown model: outside %b", f)
 	}
 }
 
@@ -67,21 +67,21 @@
 	}
 	outside := partition.Outside("small", sequentialIndices(10))
 	if n := 10 - outside.Len(); n < 4 || n > 6 {
-		t.Errorf("the small model has %d of 10 engines at half of the work", n)
+		t.Errorf("the small model has %d of 10 engines for half of the work", n)
 	}
 }
 
-// A lane that is behind spills over: a request waits no longer than leaving costs.
+// A request must leave its partition once the delay there exceeds the penalty.
 func TestOverloadedPartitionSpillsOver(t *testing.T) {
 	c := idleEngines(2)
-	c[0].PendingPrefill = 2_000_000 // 2 s to read
+	c[0].PendingPrefill = 2_000_000 // 2 s of prefill
 	r := &Request{PromptTokens: 1000, OutsidePartition: SetOf(1)}
 	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
-		t.Errorf("chose %d", d.Index)
+		t.Errorf("partition overloaded by 2 s: picked %d, want 1", d.Index)
 	}
 	c[0].PendingPrefill = 500_000
 	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 0 {
-		t.Errorf("left the lane for 0.5 s")
+		t.Errorf("left the partition for a delay of 0.5 s")
 	}
 }
 
@@ -104,20 +104,18 @@
 	for cached, want := range map[uint8]int{0: 1000, 1: 400, 2: 100} {
 		r.CachedBlocks[3] = cached
 		if got := r.UncachedTokens(3); got != want {
-			t.Errorf("%d parts cached: %d tokens left, want %d", cached, got, want)
+			t.Errorf("%d blocks cached: %d uncached tokens, want %d", cached, got, want)
 		}
 	}
 }
 
-// Symptom: requests with a small prompt were given up after a second and a half as if
-// their server were stuck, or kept for a small model because the large one seemed late.
-// Sequence: the own lane is busy, so a request goes to another lane, which answers soon.
-// Cause: what it costs others to leave the lane counted as time to the first token.
+// Preferences must not be part of the expected time, or the server of a request outside
+// its partition is taken for late.
 func TestPreferencesDoNotCountAsExpectedTime(t *testing.T) {
 	c := []Candidate{{ID: "a", Slots: 8, PrefillPerToken: time.Millisecond, PendingPrefill: 5000}, {ID: "b", Slots: 8, PrefillPerToken: time.Millisecond}}
 	r := &Request{PromptTokens: 10, OutsidePartition: SetOf(1)}
 	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 || d.Expected > 50*time.Millisecond {
-		t.Errorf("got %+v", d)
+		t.Errorf("got %+v, want index 1 within 50 ms", d)
 	}
 }
 
@@ -125,6 +123,6 @@
 	c := []Candidate{{ID: "a", Slots: 8, PrefillPerToken: time.Millisecond, PendingPrefill: 300}, {ID: "b", Slots: 8, PrefillPerToken: time.Millisecond}}
 	r := &Request{PromptTokens: 10, OutsidePartition: SetOf(1), Budget: 200 * time.Millisecond}
 	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
-		t.Errorf("got %+v: the preferred server begins after the deadline", d)
+		t.Errorf("got %+v, want index 1: the preferred server exceeds the budget", d)
 	}
 }
--- a/internal/routing/pipeline.go
+++ b/internal/routing/pipeline.go
@@ -6,32 +6,31 @@
 	"time"
 )
 
-// Pipeline is the ordered set of rules. The zero value keeps and scores nothing;
-// use Default.
+// Pipeline filters and scores candidates. The zero value admits all candidates at equal
+// cost.
 type Pipeline struct {
 	Filters []Filter
-	// Scorers make up the expected time to the first token.
+	// Scorers add up to the expected time to first token.
 	Scorers []Scorer
-	// Preferences count for the choice alone: what a choice costs others, or where a
-	// request should rather go.
+	// Preferences are added to the cost for the choice only, not to the expected time:
+	// costs to other requests, and affinities.
 	Preferences []Scorer
-	// TieWindow is how much worse than the best a candidate may be to share in
-	// the random choice. Daemons see the same lagged reports, so a strict
-	// minimum sends them all to one server at once.
+	// TieWindow is the cost difference to the best candidate within which the choice is
+	// random. A strict minimum would make all daemons choose the same server from the same
+	// reports.
 	TieWindow time.Duration
 }
 
 const (
 	// defaultTieWindow is below the noise of the estimates.
 	defaultTieWindow = 2 * time.Millisecond
-	// defaultContention is the share of the service time that a request in a batch
-	// adds; docs/design/routing.md has the trials.
+	// defaultContention is the fraction of the service time added per request in a batch.
 	defaultContention = 0.08
-	// defaultRetryCost is one lost attempt.
+	// defaultRetryCost is the delay caused by one failed attempt.
 	defaultRetryCost = 500 * time.Millisecond
 )
 
-// DefaultPipeline returns the pipeline that the daemon uses.
+// DefaultPipeline returns the pipeline for servers whose load is known from reports.
 func DefaultPipeline() Pipeline {
 	return Pipeline{
 		Filters: []Filter{Live{}, Untried{}},
@@ -45,36 +44,34 @@
 }
 
 const (
-	// homeRankCost is the cost of one place down the order of homes. It is above
-	// the tie window, so that like loads go home, and below the cost of reading a
-	// shared prompt again, so that a busy home is passed over.
+	// homeRankCost exceeds the tie window, so that equally loaded servers are chosen by
+	// rank, and is less than the prefill of a shared prefix, so that a busy home is
+	// skipped.
 	homeRankCost = 4 * time.Millisecond
-	// homePrefillShare is how sure it is that a home has read a shared beginning.
+	// homePrefillShare is the assumed probability that a home server has cached the shared
+	// prefix.
 	homePrefillShare = 0.6
-	// batchCost is what one running request costs a new one: a step of some
-	// milliseconds grows by a fiftieth, over some hundred steps.
+	// batchCost is the delay that one running request adds to a new one over all its
+	// steps.
 	batchCost = 4 * time.Millisecond
-	// localityCostPerKB is the delay that 1,000 bytes between failure domains are worth among many
-	// near engines: it keeps requests of like cost near, and is less than reading a shared
-	// prompt again costs. distanceHalved is the number of near engines with which it is half.
+	// localityCostPerKB is the cost of sending 1,000 bytes to another failure domain when
+	// there are many local candidates, and localityHalfCostAt the number of local
+	// candidates at which half of it applies. The cost is below that of repeating the
+	// prefill of a shared prefix.
 	localityCostPerKB  = 10 * time.Millisecond
 	localityHalfCostAt = 8
-	// prefillDelayedPerSecond is how many others each second of reading a prompt delays, on
-	// average over busy and idle engines: those that come while it is read, and the
-	// streams that make no tokens meanwhile. Twelve heavy days of 18 engines earned 0.677
-	// of what was owed without it, and 0.688 at 1, 0.688 at 2, 0.695 at 4 and 0.691 at
-	// 8; at 4, 15 in 100 fewer shared tokens were read again.
+	// prefillDelayedPerSecond is the average number of other requests delayed during each
+	// second of prefill: those that arrive meanwhile and those whose decoding is
+	// interrupted.
 	prefillDelayedPerSecond = 4
-	// partitionPenalty is what it costs to run among another model's requests: some sixty
-	// tokens, each of which waits for a step of the other model, 15 ms and more. At
-	// 120 ms a busy lane spilled over and made both models slow: of what was owed
-	// under overload 0.83 was served, at this cost 0.86, at four seconds as much.
+	// partitionPenalty is the delay from running among another model's requests, whose
+	// steps alternate with the request's own. A lower penalty lets busy partitions spill
+	// over and slows both models.
 	partitionPenalty = 1200 * time.Millisecond
 )
 
-// EnginePipeline returns the pipeline for model engines whose work all daemons tell
-// each other. Reading prompts takes most of an engine's time, so the prompts that
-// wait to be read are what tells a busy server from an idle one.
+// EnginePipeline returns the pipeline for model engines whose load the daemons exchange
+// directly. Pending prefills dominate the expected delay.
 func EnginePipeline() Pipeline {
 	return Pipeline{
 		Filters: []Filter{Live{}, Untried{}},
@@ -90,8 +87,8 @@
 	}
 }
 
-// Pick chooses among candidates. A request whose best expected time exceeds its
-// budget is refused at once, because queueing it would only delay the refusal.
+// Pick chooses among candidates. A request whose best expected time exceeds its budget is
+// refused at once instead of queued.
 func (p Pipeline) Pick(r *Request, candidates []Candidate, rng *rand.Rand) Decision {
 	var expected, costs [MaxCandidates]time.Duration
 	earliest, best := time.Duration(-1), time.Duration(-1)
@@ -119,7 +116,7 @@
 	return Decision{Index: -1, Refusal: NoCandidate}
 }
 
-// minNonNegative returns the smaller of two durations, of which a negative one is none.
+// minNonNegative returns the smaller of a and b, or b if a is negative.
 func minNonNegative(a, b time.Duration) time.Duration {
 	if a < 0 {
 		return b
@@ -144,7 +141,7 @@
 	return total
 }
 
-// sampleWithin chooses uniformly among costs in [0, limit] by reservoir sampling.
+// sampleWithin chooses uniformly among the costs in [0, limit] by reservoir sampling.
 func sampleWithin(costs []time.Duration, limit time.Duration, rng *rand.Rand) int {
 	chosen, seen := -1, 0
 	for i, c := range costs {
@@ -159,7 +156,7 @@
 	return chosen
 }
 
-// RuleResult is one rule's word on one candidate.
+// RuleResult is the outcome of one filter or scorer for one candidate.
 type RuleResult struct {
 	Server string        `json:"server"`
 	Rule   string        `json:"rule"`
@@ -167,7 +164,7 @@
 	Cost   time.Duration `json:"cost_ns"`
 }
 
-// Explain returns every rule's word on every candidate.
+// Explain returns the outcome of every filter and scorer for every candidate.
 func (p Pipeline) Explain(r *Request, candidates []Candidate) []RuleResult {
 	var out []RuleResult
 	for i := range min(len(candidates), MaxCandidates) {
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -7,23 +7,22 @@
 )
 
 const (
-	// BlockBytes is the prompt length hashed into one block.
+	// BlockBytes is the length of a prompt block.
 	BlockBytes = 256
-	// BlockTokens approximates the tokens of one block at 4 bytes a token.
+	// BlockTokens is the approximate number of tokens of a block, at 4 bytes per token.
 	BlockTokens = BlockBytes / 4
-	// MaxBlocks bounds the blocks of one prompt; longer prompts share a prefix
-	// of 8 KiB at most in our estimate.
+	// MaxBlocks bounds the number of blocks hashed per prompt.
 	MaxBlocks = 32
-	// chainMultiplier is the odd 64-bit golden ratio; it keeps block order
-	// significant in the chain.
+	// chainMultiplier is the odd 64-bit golden ratio; it makes the chained hash depend on
+	// the order of blocks.
 	chainMultiplier = 0x9E3779B97F4A7C15
-	// prefixCapacity bounds the remembered blocks of one pool and version.
+	// prefixCapacity is the default number of blocks kept in a PrefixIndex.
 	prefixCapacity = 1 << 14
 )
 
-// Blocks returns the chained hashes of a prompt's whole leading blocks, appended
-// to dst. Equal values mean equal prompts up to that block for the same seed;
-// the seed names the model and version, whose caches share nothing.
+// Blocks appends the chained hashes of a prompt's complete leading blocks to dst. For the
+// same seed, equal hashes mean equal prompts up to that block. The seed identifies the
+// model and version, whose caches are separate.
 func Blocks(dst []uint64, seed, prompt string) []uint64 {
 	chain := xxhash.Sum64String(seed)
 	for len(prompt) >= BlockBytes && len(dst) < MaxBlocks {
@@ -34,22 +33,20 @@
 	return dst
 }
 
-// PrefixIndex remembers which servers were sent which prefix blocks. What this
-// daemon routed is a fresher sign of what is cached than the engines' own cache
-// events, which come late and with gaps. Two generations bound the memory: the
-// older one is forgotten when the newer one is full.
+// PrefixIndex records which servers were sent which prefix blocks. Dispatches are a
+// fresher indication of cached blocks than the engines' cache events. Two generations
+// bound its size: when the recent one is full, the previous one is dropped.
 type PrefixIndex struct {
 	recent, previous   map[uint64]Set
 	generationCapacity int
 	rotatedAt          time.Time
 }
 
-// generationLifetime is how long one generation lasts where Age is called: engines drop what
-// was not used for so long, and believing in more sends prompts to servers that read
-// them again.
+// generationLifetime is how long a generation lasts if Expire is called. It approximates
+// the time after which engines evict unused blocks.
 const generationLifetime = 12 * time.Second
 
-// Expire forgets the older generation if its time is over.
+// Expire drops the previous generation once the recent one has reached its lifetime.
 func (p *PrefixIndex) Expire(now time.Time) {
 	if now.Sub(p.rotatedAt) >= generationLifetime {
 		p.rotate()
@@ -59,7 +56,7 @@
 
 func (p *PrefixIndex) rotate() { p.previous, p.recent = p.recent, make(map[uint64]Set, len(p.recent)) }
 
-// SetCapacity bounds the remembered blocks.
+// SetCapacity bounds the number of blocks kept.
 func (p *PrefixIndex) SetCapacity(blocks int) { p.generationCapacity = blocks / 2 }
 
 // NewPrefixIndex returns an empty index.
@@ -67,7 +64,7 @@
 	return &PrefixIndex{recent: map[uint64]Set{}, previous: map[uint64]Set{}, generationCapacity: prefixCapacity / 2}
 }
 
-// Add records that a server (by candidate slot) got a prompt.
+// Add records that the server with a candidate index was sent blocks.
 func (p *PrefixIndex) Add(index int, blocks []uint64) {
 	for _, b := range blocks {
 		servers := p.recent[b].Union(p.previous[b])
@@ -79,7 +76,7 @@
 	}
 }
 
-// RemoveServer drops all knowledge of a slot, for a server that was replaced.
+// RemoveServer drops all blocks recorded for a candidate index.
 func (p *PrefixIndex) RemoveServer(index int) {
 	for _, m := range []map[uint64]Set{p.recent, p.previous} {
 		for b, servers := range m {
@@ -91,7 +88,7 @@
 	}
 }
 
-// Lookup sets CachedBlocks of r for every slot.
+// Lookup sets r.CachedBlocks from r.Blocks for every candidate index.
 func (p *PrefixIndex) Lookup(r *Request) {
 	var matching Set
 	for i, b := range r.Blocks {
--- /dev/null
+++ b/internal/routing/rate.go
@@ -0,0 +1,37 @@
+package routing
+
+import (
+	"math"
+	"time"
+)
+
+// PromptRate estimates the rate of a model's prompts, from which follows how many requests
+// a prefill delays.
+type PromptRate struct {
+	// decayedCount is the exponentially decaying number of prompts sent.
+	decayedCount float64
+	updatedAt    time.Time
+}
+
+// rateHalfLife is the half-life of decayedCount.
+const rateHalfLife = 2 * time.Second
+
+// Record counts a prompt sent to an engine.
+func (r *PromptRate) Record(now time.Time) {
+	r.decayedCount = r.decayedCount*decay(now.Sub(r.updatedAt), rateHalfLife) + 1
+	r.updatedAt = now
+}
+
+// PerSecond returns the number of prompts sent per second.
+func (r *PromptRate) PerSecond(now time.Time) float64 {
+	// A steady rate of one per second yields a decayed count of half-life / ln 2.
+	return r.decayedCount * decay(now.Sub(r.updatedAt), rateHalfLife) * math.Ln2 / rateHalfLife.Seconds()
+}
+
+// ArrivalsDuring returns the expected number of prompts that arrive at one engine while it
+// processes its queued prefills and a new one. It assumes that all daemons send at the
+// same rate.
+func (r *PromptRate) ArrivalsDuring(queued, prefill time.Duration, daemons, engines int, now time.Time) float64 {
+	perEngine := r.PerSecond(now) * float64(daemons) / float64(max(engines, 1))
+	return perEngine * (queued + prefill).Seconds()
+}
--- a/internal/routing/load_test.go
+++ b/internal/routing/rate_test.go
@@ -14,13 +14,13 @@
 		rate.Record(now)
 	}
 	if r := rate.PerSecond(now); math.Abs(r-20) > 0.5 {
-		t.Errorf("20 prompts a second: %.2f", r)
+		t.Errorf("rate %.2f, want 20 per second", r)
 	}
-	// 5 daemons send 100 prompts a second to 10 engines: 10 to each.
+	// 5 daemons send 20 prompts per second each to 10 engines: 10 per engine.
 	if n := rate.ArrivalsDuring(400*time.Millisecond, 100*time.Millisecond, 5, 10, now); math.Abs(n-5) > 0.2 {
-		t.Errorf("while 0.5 s are read %.2f prompts come", n)
+		t.Errorf("%.2f arrivals in 0.5 s, want 5", n)
 	}
 	if r := rate.PerSecond(now.Add(10 * rateHalfLife)); r > 0.05 {
-		t.Errorf("long after the last prompt: %.2f", r)
+		t.Errorf("rate %.2f long after the last prompt, want 0", r)
 	}
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -28,13 +28,13 @@
 	return got
 }
 
-// Where servers are alike, the choice spreads like round robin; each other case
-// says why it differs.
+// TestPick checks the choice by load, cached prefix, state and error rate. Equal servers
+// share the load evenly.
 func TestPick(t *testing.T) {
 	even := countPicks(t, Request{PromptTokens: 100}, idleServers(4))
 	for i := range 4 {
 		if even[i] < 60 {
-			t.Errorf("like servers: %v", even)
+			t.Errorf("equal servers: %v", even)
 		}
 	}
 	cases := []struct {
@@ -42,25 +42,25 @@
 		change func(c []Candidate, r *Request)
 		want   int
 	}{
-		{"a cached prefix saves its prefill", func(_ []Candidate, r *Request) { r.CachedBlocks[2], r.BlockTokens = 10, 64 }, 2},
-		{"a full server is not worth its cache", func(c []Candidate, r *Request) {
+		{"cached prefix", func(_ []Candidate, r *Request) { r.CachedBlocks[2], r.BlockTokens = 10, 64 }, 2},
+		{"full server with cached prefix", func(c []Candidate, r *Request) {
 			r.CachedBlocks[2], r.BlockTokens = 10, 64
 			c[2].InFlight = 20
 			c[0].InFlight, c[1].InFlight = 3, 3
 		}, 3},
-		{"a leaving server gets nothing", func(c []Candidate, _ *Request) { c[0].Leaving, c[1].Leaving, c[2].Leaving = true, true, true }, 3},
-		{"nor does a suspect one", func(c []Candidate, _ *Request) { c[0].Suspect, c[1].Suspect, c[2].Suspect = true, true, true }, 3},
-		{"nor one that was tried", func(_ []Candidate, r *Request) { r.Tried = SetOf(0, 1, 3) }, 2},
-		{"own delays show before reports do", func(c []Candidate, _ *Request) {
+		{"leaving servers", func(c []Candidate, _ *Request) { c[0].Leaving, c[1].Leaving, c[2].Leaving = true, true, true }, 3},
+		{"suspect servers", func(c []Candidate, _ *Request) { c[0].Suspect, c[1].Suspect, c[2].Suspect = true, true, true }, 3},
+		{"tried servers", func(_ []Candidate, r *Request) { r.Tried = SetOf(0, 1, 3) }, 2},
+		{"own first-token delays before reports", func(c []Candidate, _ *Request) {
 			c[0].Wait, c[1].Wait, c[3].Wait = time.Second, time.Second, time.Second
 		}, 2},
-		{"a failing server costs a retry", func(c []Candidate, _ *Request) { c[0].ErrorRate, c[2].ErrorRate, c[3].ErrorRate = 0.5, 0.5, 0.5 }, 1},
+		{"failing servers", func(c []Candidate, _ *Request) { c[0].ErrorRate, c[2].ErrorRate, c[3].ErrorRate = 0.5, 0.5, 0.5 }, 1},
 	}
 	for _, x := range cases {
 		c, r := idleServers(4), Request{PromptTokens: 1000}
 		x.change(c, &r)
 		if got := countPicks(t, r, c); got[x.want] != 400 {
-			t.Errorf("%s: %v", x.name, got)
+			t.Errorf("%s: picks by index: %v", x.name, got)
 		}
 	}
 }
@@ -76,18 +76,15 @@
 	busy[0].InFlight, busy[1].InFlight = 40, 40
 	r := Request{Budget: 2 * time.Second}
 	if d := DefaultPipeline().Pick(&r, busy, rng); d.Index != -1 || d.Refusal != BudgetExceeded || d.Expected < 4*time.Second {
-		t.Errorf("late: %+v", d)
+		t.Errorf("busy servers: %+v", d)
 	}
 	r.Urgent = true
 	if d := DefaultPipeline().Pick(&r, busy, rng); d.Index < 0 {
-		t.Errorf("an urgent request waits behind all others: %+v", d)
+		t.Errorf("urgent request refused: %+v", d)
 	}
 }
 
-// Symptom: work goes to a server that was replaced at the same name, by what was
-// known of the old one.
-// Sequence: a server gets prompts, then a new VM takes its id at another address.
-// Cause: the averages, the prefix knowledge and the slot belong to the old VM.
+// A new server with the id of an old one must not inherit its estimates and cached blocks.
 func TestReplacedServerStartsWithoutState(t *testing.T) {
 	tracker := NewLoadTracker()
 	tracker.Update([]Member{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}})
@@ -99,54 +96,51 @@
 	tracker.Prefix.Lookup(&r)
 	for i, c := range tracker.Snapshot(nil, testTime) {
 		if c.ID == "a" && (c.InFlight != 0 || c.Suspect || r.CachedBlocks[i] != 0 || c.Address != "3") {
-			t.Errorf("the new server: %+v, cached %d", c, r.CachedBlocks[i])
+			t.Errorf("replaced server: %+v, cached blocks %d", c, r.CachedBlocks[i])
 		}
 	}
 }
 
-// Symptom: a server gets no work for ever after it was silent or down once.
-// Sequence: silences and failed connections, then time passes.
-// Cause: suspicion must end, later each time, and a first token must clear it.
+// The suspect state must expire, even after many failures, and end at a first token.
 func TestSuspectStateExpires(t *testing.T) {
 	tracker := NewLoadTracker()
 	tracker.Update([]Member{{ID: "a", Address: "1"}})
 	suspect := func(at time.Time) bool { return tracker.Snapshot(nil, at)[0].Suspect }
 	tracker.RecordTimeout("a", testTime)
 	if suspect(testTime) {
-		t.Fatal("one silence is a verdict")
+		t.Fatal("suspect after one timeout")
 	}
 	tracker.RecordTimeout("a", testTime)
 	if !suspect(testTime) || suspect(testTime.Add(initialSuspectTime)) {
-		t.Fatal("two silences")
+		t.Fatal("not suspect after two timeouts, or for too long")
 	}
 	for range 10 {
 		tracker.RecordUnreachable("a", testTime)
 	}
 	if !suspect(testTime.Add(maxSuspectTime-time.Second)) || suspect(testTime.Add(maxSuspectTime)) {
-		t.Fatal("the pause does not end at its most")
+		t.Fatal("the suspect state does not last for maxSuspectTime")
 	}
 	tracker.RecordFirstToken("a", time.Millisecond, 0, testTime)
 	if suspect(testTime) {
-		t.Fatal("a first token does not clear the suspicion")
+		t.Fatal("still suspect after a first token")
 	}
 }
 
-// Symptom: daemons chase each other from server to server.
-// Sequence: one lagged report says a server is full, the next that it is idle.
-// Cause: a single report tells of load that has moved on; the mean counts.
+// A single lagging report must not move the load estimate much, or all daemons switch to
+// the same server.
 func TestLoadReportsAreSmoothed(t *testing.T) {
 	tracker := NewLoadTracker()
 	tracker.Update([]Member{{ID: "a", Address: "1"}})
 	tracker.RecordReport("a", 0, testTime)
 	tracker.RecordReport("a", 40, testTime)
 	if got := tracker.Snapshot(nil, testTime)[0].OthersInFlight; got > 10 {
-		t.Fatalf("one report moved the estimate to %v", got)
+		t.Fatalf("estimate %v after one report of 40", got)
 	}
 	for range 50 {
 		tracker.RecordReport("a", 40, testTime)
 	}
 	if got := tracker.Snapshot(nil, testTime)[0].OthersInFlight; got < 35 {
-		t.Fatalf("fifty reports moved the estimate to %v only", got)
+		t.Fatalf("estimate %v after fifty reports of 40", got)
 	}
 }
 
@@ -170,7 +164,7 @@
 		}
 	}
 	if len(before) != 24 || lost > 1 {
-		t.Fatalf("%d members, %d lost with one server", len(before), lost)
+		t.Fatalf("subset of %d members, %d replaced when one server left", len(before), lost)
 	}
 	uses := map[string]int{}
 	for d := range 520 {
@@ -180,7 +174,7 @@
 	}
 	for id, n := range uses {
 		if n < 30 || n > 100 {
-			t.Errorf("server %s is used by %d of 520 daemons, 62 in the mean", id, n)
+			t.Errorf("server %s is used by %d of 520 daemons, want about 62", id, n)
 		}
 	}
 }
@@ -191,6 +185,6 @@
 		x.Add(i%8, []uint64{uint64(i)})
 	}
 	if n := len(x.recent) + len(x.previous); n > prefixCapacity {
-		t.Fatalf("%d blocks remembered", n)
+		t.Fatalf("%d blocks kept", n)
 	}
 }
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -5,31 +5,28 @@
 	"time"
 )
 
-// Scorer gives one part of the expected time to the first token.
+// Scorer computes one part of a candidate's cost.
 type Scorer interface {
 	// Name identifies the scorer in an explanation.
 	Name() string
-	// Cost returns the expected delay that this part adds.
+	// Cost returns the delay added by this part.
 	Cost(r *Request, c *Candidate, index int) time.Duration
 }
 
-// Queue is the expected wait for a slot. Own work is known exactly; the work of
-// others is a mean, around which the real number varies, so the wait grows
-// smoothly before the slots are full. The shape is Sakasegawa's approximation
-// for a queue with several servers (Annals of the Institute of Statistical
-// Mathematics 29, 1977). An urgent request waits behind urgent work only.
+// Queue is the expected wait for a slot by Sakasegawa's approximation for multi-server
+// queues (Annals of the Institute of Statistical Mathematics 29, 1977). Since the load of
+// other daemons is an average, the wait grows smoothly before all slots are taken. An
+// urgent request waits behind urgent requests only.
 //
-// Reports lag by seconds; the delay that own requests met there lately is as old
-// as the newest first token. Both tell of one queue, so the larger counts: their
-// sum would refuse requests that could start in time.
+// The result is the larger of the estimate from lagging reports and the recent first-token
+// delay: both measure the same queue.
 type Queue struct{}
 
-// maxUtilization caps the load at which the approximation is read; beyond the slots the
-// excess is counted as it is.
+// maxUtilization caps the utilization in the approximation; requests beyond the slots are
+// added separately.
 const maxUtilization = 0.95
 
-// minUtilization is the load below which the wait is not worth computing: under a
-// thousandth of the service time with 8 slots.
+// minUtilization is the utilization below which the wait is negligible and not computed.
 const minUtilization = 0.25
 
 // Name implements Scorer.
@@ -55,7 +52,7 @@
 	return max(estimate, c.Wait)
 }
 
-// Prefill is the time to compute the part of the prompt that is not cached.
+// Prefill is the time to process the uncached part of the prompt.
 type Prefill struct{}
 
 // Name implements Scorer.
@@ -66,7 +63,7 @@
 	return time.Duration(float64(r.UncachedTokens(index)) * r.prefillScale() * float64(c.PrefillPerToken))
 }
 
-// UncachedTokens returns the prompt tokens that a candidate is believed not to have.
+// UncachedTokens returns the estimated number of prompt tokens not cached at a candidate.
 func (r *Request) UncachedTokens(index int) int {
 	n := int(r.CachedBlocks[index])
 	cached := n * r.BlockTokens
@@ -86,9 +83,8 @@
 	return 1
 }
 
-// PrefillBacklog is the time to read the prompts that were sent to the server before
-// and have no first token yet. Engines read prompts one after the other, so a
-// burst of long ones delays the next however many slots are free.
+// PrefillBacklog is the time to process the prompts sent to the server that have no first
+// token yet. Engines process prompts sequentially, whatever the number of free slots.
 type PrefillBacklog struct{}
 
 // Name implements Scorer.
@@ -99,16 +95,14 @@
 	return time.Duration((c.PendingPrefill + c.OthersPending) * float64(c.PrefillPerToken))
 }
 
-// HomeAffinity sends prompts with the same beginning to the same server. Daemons hear of a
-// part of each other's placements only, and late; but all send to the same homes, so
-// the first home has most likely read the beginning already, the second less likely.
-// Without it, each daemon would begin caches of its own elsewhere, and the beginning
-// would be read once for each.
+// HomeAffinity sends prompts with a common prefix to the same servers. All daemons rank
+// the servers of a prefix alike, so its prefill is repeated on few servers although
+// daemons know each other's placements only partly and late.
 type HomeAffinity struct {
-	// RankCost is the cost of one place further down the order.
+	// RankCost is the cost per rank.
 	RankCost time.Duration
-	// PrefillShare is the part of the time to read a shared beginning that the last
-	// place costs more than the first.
+	// PrefillShare is the fraction of the shared prefix's prefill time by which the last
+	// rank costs more than the first.
 	PrefillShare float64
 }
 
@@ -123,14 +117,14 @@
 	return time.Duration(rank)*h.RankCost + time.Duration(h.PrefillShare*prefill*float64(rank)/MaxHomeRank)
 }
 
-// MaxHomeRank is the place in the order of homes from which all count as equally far.
+// MaxHomeRank is the rank of all candidates that are not among the first homes.
 const MaxHomeRank = 4
 
-// PrefillImpact is what reading a prompt costs everybody else. Prefill counts that time for
-// the request alone, which would so rather have a prompt read again at an idle engine
-// than wait a little where it is cached; the engine's time is then gone for all.
+// PrefillImpact is the delay that the request's prefill causes to other requests. It
+// prefers a server that has the prompt cached over an idle one that would repeat the
+// prefill.
 type PrefillImpact struct {
-	// DelayedPerSecond is the number of requests that each second of it delays.
+	// DelayedPerSecond is the number of requests delayed during each second of prefill.
 	DelayedPerSecond float64
 }
 
@@ -142,12 +136,13 @@
 	return time.Duration(p.DelayedPerSecond * float64(Prefill{}.Cost(r, c, index)))
 }
 
-// Locality is what the body of a request costs on its way to another failure domain. It counts
-// the less the fewer engines are near: work that keeps to a few fills them unevenly.
+// Locality is the cost of sending the request body to another failure domain. It decreases
+// with the number of local candidates, since keeping requests to a few servers would load
+// them unevenly.
 type Locality struct {
-	// PerKB is the delay that moving 1,000 bytes is worth among many near engines.
+	// PerKB is the cost of sending 1,000 bytes when there are many local candidates.
 	PerKB time.Duration
-	// HalfCostAt is the number of near engines with which it is worth half.
+	// HalfCostAt is the number of local candidates at which half of PerKB applies.
 	HalfCostAt int
 }
 
@@ -163,7 +158,7 @@
 	return time.Duration(weight * float64(r.BodyBytes) / 1000 * float64(l.PerKB))
 }
 
-// Network is the round trip to the server.
+// Network is the round-trip time to the server.
 type Network struct{}
 
 // Name implements Scorer.
@@ -172,12 +167,10 @@
 // Cost implements Scorer.
 func (Network) Cost(_ *Request, c *Candidate, _ int) time.Duration { return c.Network }
 
-// Contention spreads work over servers whose queues look empty: each request in a
-// batch slows the others. Without it all work below the slot limit costs the
-// same and piles up where a prefix is cached. What waits in the queue is in no
-// batch yet and is Queue's to count.
+// Contention is the slowdown by the requests in a server's batch. It spreads requests over
+// servers that have free slots. Requests beyond the slots are counted by Queue.
 type Contention struct {
-	// Fraction of the service time that each request in the batch adds.
+	// Fraction is the fraction of the service time added per request in the batch.
 	Fraction float64
 }
 
@@ -190,7 +183,7 @@
 	return time.Duration(batch * s.Fraction * float64(c.ServiceTime))
 }
 
-// Reliability charges the expected cost of failing and having to try again.
+// Reliability is the expected cost of a failed attempt.
 type Reliability struct {
 	// RetryCost is the delay of one failed attempt.
 	RetryCost time.Duration
@@ -204,8 +197,7 @@
 	return time.Duration(c.ErrorRate * float64(s.RetryCost))
 }
 
-// Batch is what the requests that run on an engine cost a new one: each makes
-// every step of the batch a little longer.
+// Batch is the delay that the requests running on an engine add to each step of the batch.
 type Batch struct {
 	// PerRequest is the cost of one running request.
 	PerRequest time.Duration
@@ -234,9 +226,8 @@
 	return time.Duration(excess / float64(max(c.Slots, 1)) * float64(c.ServiceTime))
 }
 
-// Lateness is how much later than expected first tokens came from the server
-// lately. It tells of what no count of requests shows: a VM that has turned
-// slow, or memory that has run out.
+// Lateness is the recent delay of first tokens beyond their expected time. It reveals
+// problems that request counts don't show, such as a slow VM or exhausted memory.
 type Lateness struct{}
 
 // Name implements Scorer.
--- a/internal/routing/set.go
+++ b/internal/routing/set.go
@@ -18,7 +18,7 @@
 // Add adds an index.
 func (s *Set) Add(i int) { s[i/wordBits] |= 1 << (i % wordBits) }
 
-// Remove takes an index out.
+// Remove removes an index.
 func (s *Set) Remove(i int) { s[i/wordBits] &^= 1 << (i % wordBits) }
 
 // Has reports whether an index is in the set.
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -1,98 +1,96 @@
-// Package routing picks a backend server for one attempt: filter, score, pick,
-// over a snapshot of the servers that hold the wanted version.
+// Package routing picks a backend server for one attempt: it filters and scores a snapshot
+// of the servers that run the requested version, and chooses among the best.
 //
-// All decisions are pure: the snapshot, the time and the random numbers are
-// arguments. Picture, which keeps the load estimates behind a snapshot, takes
-// the time with every event.
+// Decisions are pure: the snapshot, the time and the random numbers are arguments.
+// LoadTracker maintains the estimates behind a snapshot.
 package routing
 
 import "time"
 
-// MaxCandidates bounds the servers of one snapshot: prefix knowledge is a bit per server,
-// and a choice looks at each. During a roll-out a service has twice its servers. Of more, a
-// daemon works on a part: see Shard.
+// MaxCandidates bounds the servers of one snapshot. For larger services a daemon uses a
+// shard, see Shard.
 const MaxCandidates = 256
 
-// Candidate is what is known of one backend server at one moment.
+// Candidate is the state of one backend server in a snapshot.
 type Candidate struct {
 	ID            string
 	Address       string
 	FailureDomain string
-	// Hash places the server in orders that all daemons agree on.
+	// Hash is the hash of the ID, which gives all daemons the same order of servers.
 	Hash uint64
-	// Slots is how many requests the server runs at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots int
-	// InFlight is the work this daemon has there, and Urgent the part of it that
-	// goes before other work.
+	// InFlight is the number of this daemon's requests on the server, and Urgent the
+	// number of those with priority.
 	InFlight int
 	Urgent   int
-	// OthersInFlight estimates the mean work of other daemons there, from the
-	// server's lagged reports.
+	// OthersInFlight estimates the number of other daemons' requests on the server.
 	OthersInFlight float64
-	// PendingPrefill and OthersPending are the prompt tokens, own and of other
-	// daemons, sent to the server and not yet read, scaled by their model.
+	// PendingPrefill and OthersPending are the prompt tokens of this and of other daemons
+	// awaiting prefill on the server, scaled by Request.PrefillScale.
 	PendingPrefill float64
 	OthersPending  float64
-	// Wait is the recent delay of own first tokens beyond network and prefill,
-	// aged: the freshest sign of a queue.
+	// Wait is the recent delay of this daemon's first tokens beyond network and prefill
+	// time.
 	Wait time.Duration
-	// ServiceTime is the recent mean time a request holds a slot.
+	// ServiceTime is the mean time that a request occupies a slot.
 	ServiceTime time.Duration
-	// PrefillPerToken is the recent prefill time per uncached prompt token.
+	// PrefillPerToken is the prefill time per uncached prompt token.
 	PrefillPerToken time.Duration
-	// Network is the recent round trip to the server.
+	// Network is the round-trip time to the server.
 	Network time.Duration
 	// ErrorRate is the recent fraction of failed attempts, 0 to 1.
 	ErrorRate float64
-	// Leaving servers finish their work and get none.
+	// Leaving servers finish their requests and get no new ones.
 	Leaving bool
-	// Suspect servers have gone silent and get none until a probe answers.
+	// Suspect servers have failed to respond and get no requests for a while.
 	Suspect bool
 }
 
-// Request is what the pipeline knows of one attempt.
+// Request describes one attempt to the pipeline.
 type Request struct {
 	PromptTokens int
 	// Blocks are the chained hashes of the prompt's prefix blocks.
 	Blocks []uint64
-	// BlockTokens is how many tokens one block spans.
+	// BlockTokens is the number of tokens per block.
 	BlockTokens int
-	// BlockEnds gives, for blocks of unlike length, the prompt tokens up to the
-	// end of each; BlockTokens is then not used.
+	// BlockEnds gives, for blocks of varying length, the number of prompt tokens up to the
+	// end of each block. If set, BlockTokens is ignored.
 	BlockEnds []int
-	// CachedBlocks gives, per candidate index, the leading blocks believed cached.
+	// CachedBlocks is the estimated number of leading blocks cached, by candidate index.
 	CachedBlocks [MaxCandidates]uint8
-	// PrefillScale is how much longer the model takes over a prompt token than
-	// the one that PrefillPerToken is measured by; zero is 1.
+	// PrefillScale is the ratio of the model's prefill time per token to PrefillPerToken;
+	// zero means 1.
 	PrefillScale float64
-	// HomeRank orders, per candidate index, where a prompt nobody has cached should
-	// go: 0 first. Daemons agree on it without a word.
+	// HomeRank ranks the candidates, by index, as the home of the prompt's prefix, 0
+	// first. All daemons compute the same ranks.
 	HomeRank [MaxCandidates]uint8
-	// SharedPrefixTokens is the length of the beginning that other prompts share.
+	// SharedPrefixTokens is the length of the prefix shared with other prompts.
 	SharedPrefixTokens int
-	// FailureDomain is where the daemon runs, and BodyBytes what the request carries to a
-	// server.
+	// FailureDomain is the daemon's failure domain, and BodyBytes the size of the request
+	// body.
 	FailureDomain string
 	BodyBytes     int
-	// LocalCandidates is the number of candidates in that failure domain.
+	// LocalCandidates is the number of candidates in the daemon's failure domain.
 	LocalCandidates int
-	// OutsidePartition marks, by candidate index, the engines in another model's lane.
+	// OutsidePartition marks, by index, the candidates assigned to other models.
 	OutsidePartition Set
-	// Tried marks, by candidate index, the servers of earlier attempts.
+	// Tried marks, by index, the candidates of earlier attempts.
 	Tried Set
-	// Budget is the time left to the first token; zero is unbounded.
+	// Budget is the time left to the first token; zero means unlimited.
 	Budget time.Duration
-	// Urgent requests go before others in a server's queue.
+	// Urgent requests precede others in a server's queue.
 	Urgent bool
 }
 
-// Decision is the outcome of one pick.
+// Decision is the result of Pick.
 type Decision struct {
 	// Index is the chosen candidate, or -1.
 	Index int
-	// Expected is the expected time to the first token at the chosen server.
+	// Expected is the expected time to first token at the chosen candidate, or at the best
+	// one over budget.
 	Expected time.Duration
-	// Refusal says why nothing was chosen.
+	// Refusal is the reason why none was chosen.
 	Refusal Refusal
 }
 
@@ -100,10 +98,10 @@
 type Refusal uint8
 
 const (
-	// NotRefused means a server was chosen.
+	// NotRefused means that a candidate was chosen.
 	NotRefused Refusal = iota
-	// NoCandidate means every server was filtered out.
+	// NoCandidate means that every candidate was filtered out.
 	NoCandidate
-	// BudgetExceeded means no server can start within the budget.
+	// BudgetExceeded means that no candidate can respond within the budget.
 	BudgetExceeded
 )
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subset chooses up to size of members for one daemon by rendezvous
-// hashing, so that a changed member moves few others and daemons differ.
+// Subset returns up to size members for a daemon, chosen by rendezvous hashing: a
+// membership change replaces few of them, and the choices of daemons differ.
 func Subset(daemon string, members []Member, size int) []Member {
 	size = min(size, MaxCandidates)
 	if len(members) <= size {
@@ -40,19 +40,17 @@
 	return subset
 }
 
-// meanShardSize is the most servers that a shard has on average. Their number varies by its
-// square root, so that one in a million has more than MaxCandidates.
+// meanShardSize bounds the average size of a shard. Sizes vary by their square root, so
+// that exceeding MaxCandidates is improbable.
 const meanShardSize = 184
 
-// Shard returns the servers of a service that a daemon works with: all of them up to
-// MaxCandidates, and beyond that the part of the daemon's shard. All daemons of a shard
-// have the same servers, in like parts of all versions and failure domains, so that what
-// they divide by a common order (engines between models, a canary's part, where a prompt
-// has its home) fits together. With subsets of 64 drawn by each daemon for itself, 63
-// engines and the 63 of their next version gave each of 195 daemons another half.
+// Shard returns the servers of a service that a daemon uses: all up to MaxCandidates,
+// beyond that the servers of the daemon's shard. All daemons of a shard use the same
+// servers, so that decisions based on a common order (partitions, canary shares, homes)
+// agree.
 //
-// The number of shards is a power of two: one more server than fit splits each shard in
-// two, and moves no server between others.
+// The number of shards is a power of two: growing it splits each shard in two and moves no
+// server between others.
 func Shard(daemon string, members []Member) []Member {
 	if len(members) <= MaxCandidates {
 		return members
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -21,20 +21,20 @@
 			delete(want, i)
 		}
 		if s.Has(i) != want[i] || s.Len() != len(want) || s.Empty() != (len(want) == 0) {
-			t.Fatalf("%d: %t, %d of %d", i, s.Has(i), s.Len(), len(want))
+			t.Fatalf("index %d: has %t, %d indices, want %d", i, s.Has(i), s.Len(), len(want))
 		}
 	}
 	var each []int
 	s.Each(func(i int) { each = append(each, i) })
 	if !slices.IsSorted(each) || SetOf(each...) != s {
-		t.Errorf("%v", each)
+		t.Errorf("Each: %v", each)
 	}
 	if a, b := SetOf(1, 70, 200), SetOf(70, 201); a.Intersect(b) != SetOf(70) || a.Union(b) != SetOf(1, 70, 200, 201) {
-		t.Errorf("%v and %v", a, b)
+		t.Errorf("intersection or union of %v and %v", a, b)
 	}
 }
 
-// poolMembers is servers of two versions in five failure domains.
+// poolMembers returns n servers of two versions in five failure domains.
 func poolMembers(n int) []Member {
 	out := make([]Member, n)
 	for i := range out {
@@ -43,11 +43,8 @@
 	return out
 }
 
-// Symptom: during a roll-out 63 engines and the 63 of the next version were 64 to each
-// daemon, others to each; a canary part was another for each, and models met engines that
-// other daemons had given to another model.
-// Sequence: a service has more servers than a daemon works with.
-// Cause: the subsets were drawn by each daemon for itself.
+// Daemons that share one server must share all servers of their shard, and shards must
+// contain both versions and all failure domains.
 func TestShardsAreDisjointAndBalanced(t *testing.T) {
 	const daemons = 520
 	for _, n := range []int{6, 63, 126, 256, 257, 400, 1600} {
@@ -58,12 +55,12 @@
 			for _, m := range shard {
 				uses[m.ID]++
 				if !slices.Equal(shard, shards[shard[0].ID]) {
-					t.Fatalf("%d servers: daemons that share %s differ", n, m.ID)
+					t.Fatalf("%d servers: daemons sharing %s have different shards", n, m.ID)
 				}
 			}
 		}
 		if len(uses) != n {
-			t.Errorf("%d servers: %d are used", n, len(uses))
+			t.Errorf("%d servers: only %d are used", n, len(uses))
 		}
 		for _, shard := range shards {
 			versions, domains := map[string]int{}, map[string]int{}
@@ -72,7 +69,7 @@
 				domains[m.FailureDomain]++
 			}
 			if len(shard) > MaxCandidates || n >= 126 && (versions["v0"] < len(shard)/3 || versions["v1"] < len(shard)/3 || len(domains) != 5) {
-				t.Errorf("%d servers: a shard of %d, by version %v, by domain %v", n, len(shard), versions, domains)
+				t.Errorf("%d servers: shard of %d, versions %v, failure domains %v", n, len(shard), versions, domains)
 			}
 		}
 	}
--- a/internal/routing/picture.go
+++ b/internal/routing/tracker.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// initialServiceTime is assumed before the first completion.
+	// initialServiceTime is used until the first completion.
 	initialServiceTime = 500 * time.Millisecond
-	// initialPrefillPerToken is assumed before the first first-token time, per token.
+	// initialPrefillPerToken is used until the first observed time to first token.
 	initialPrefillPerToken = 200 * time.Microsecond
-	// smoothing is the weight of a new sample in the moving averages: about
-	// the last 20 samples count.
+	// smoothing is the weight of a new sample in the moving averages.
 	smoothing = 0.1
-	// errorHalfLife halves the remembered error rate without new attempts, so
-	// that a mended server gets work again.
+	// errorHalfLife is the half-life of the error rate in the absence of attempts, so that
+	// a recovered server gets requests again.
 	errorHalfLife = 5 * time.Second
-	// reportHalfLife ages what reports told of foreign work when no more come.
+	// reportHalfLife is the half-life of the load reported for other daemons in the
+	// absence of reports.
 	reportHalfLife = 10 * time.Second
-	// reportWeight is the weight of a new report. Reports lag by seconds, so a
-	// single one tells of load that has moved on; daemons that follow it chase
-	// each other from server to server. Their mean tells which servers are busy.
+	// reportWeight is the weight of a new load report. Reports lag by seconds; following
+	// single reports would make all daemons move to the same server at once.
 	reportWeight = 0.2
-	// minSurgeBaseline is the least mean work for which a surge is told from noise.
+	// minSurgeBaseline is the mean number of requests in flight below which no surge is
+	// detected.
 	minSurgeBaseline = 2
-	// maxSurgeFactor bounds the surge that is believed.
+	// maxSurgeFactor bounds the surge factor.
 	maxSurgeFactor = 4
-	// firstTokenDelayHalfLife ages the delay of own first tokens.
+	// firstTokenDelayHalfLife is the half-life of the first-token delay.
 	firstTokenDelayHalfLife = time.Second
-	// firstTokenDelayWeight is the weight of a new first token in that delay.
+	// firstTokenDelayWeight is the weight of a new sample in the first-token delay.
 	firstTokenDelayWeight = 0.4
-	// ownMeanHalfLife smooths the own work that is taken out of a lagged report.
+	// ownMeanHalfLife is the half-life of the mean of own requests, which is subtracted
+	// from lagging reports.
 	ownMeanHalfLife = 2 * time.Second
-	// suspectAfterTimeouts is the number of silent attempts in a row that make a
-	// server suspect.
+	// suspectAfterTimeouts is the number of consecutive timeouts after which a server is
+	// suspect.
 	suspectAfterTimeouts = 2
-	// initialSuspectTime is how long a suspect server gets no work before it is tried
-	// again; it doubles with every failure in a row up to suspectMost.
+	// initialSuspectTime is how long a server stays suspect at first. It doubles with
+	// every consecutive failure, up to maxSuspectTime.
 	initialSuspectTime = 3 * time.Second
 	maxSuspectTime     = 24 * time.Second
 )
 
-// Member is a server as the configuration or the VM list names it.
+// Member is a server of the configuration or the VM list.
 type Member struct {
 	ID            string
 	Address       string
@@ -53,25 +54,24 @@
 	Slots         int
 }
 
-// LoadTracker is a daemon's knowledge of the servers of one pool. It is owned by
-// one goroutine or guarded by its owner's lock.
+// LoadTracker estimates the load, latency and error rate of the servers of one pool. It is
+// not safe for concurrent use.
 type LoadTracker struct {
 	servers   []serverState
 	indexByID map[string]int
 	Prefix    *PrefixIndex
-	// ExactPeerLoad says that Peers tells the work of others as it is now, so that
-	// nothing is added for a surge that lagging reports would miss.
+	// ExactPeerLoad states that SetPeerLoad supplies current values, so that no correction
+	// for lagging reports is applied.
 	ExactPeerLoad bool
-	// ownInFlight is this daemon's work on all servers.
+	// ownInFlight is the number of this daemon's requests in flight on all servers.
 	ownInFlight int
-	// byHash lists the slots in use by the hashes of their servers.
+	// byHash lists the used indices, ordered by the hash of the server id.
 	byHash []int
 }
 
-// surgeFactor is how much more work this daemon has than it had when the reports were made
-// from which the work of the others is estimated. Callers spread over all daemons, so
-// the others have about as much more. The usual spread of a count is taken off, or
-// noise would look like a surge.
+// surgeFactor returns the ratio of this daemon's current load to its load at the time of
+// the reports, less one standard deviation of the count. The load of other daemons is
+// assumed to have grown by the same factor.
 func (t *LoadTracker) surgeFactor() float64 {
 	baseline := 0.0
 	for i := range t.servers {
@@ -94,20 +94,20 @@
 	othersAt     time.Time
 	ownMean      float64
 	ownMeanAt    time.Time
-	// ownMeanInReports is the mean of the own work that was taken out of reports. It
-	// lags as others does, so that their relation holds while both change.
+	// ownMeanInReports is the mean of the own requests subtracted from reports. It is
+	// smoothed like othersMean, so that both lag by the same time.
 	ownMeanInReports  float64
 	firstTokenDelay   time.Duration
 	firstTokenDelayAt time.Time
 }
 
-// NewLoadTracker returns an empty picture.
+// NewLoadTracker returns a tracker without servers.
 func NewLoadTracker() *LoadTracker {
 	return &LoadTracker{indexByID: map[string]int{}, Prefix: NewPrefixIndex()}
 }
 
-// Update sets the members. A server keeps its slot and its averages as long as
-// it stays; one replaced at the same id but another address starts anew.
+// Update sets the members. A server keeps its index and its estimates while its id and
+// address stay the same; a new address resets them.
 func (t *LoadTracker) Update(members []Member) {
 	wanted := make(map[string]Member, len(members))
 	for _, m := range members {
@@ -129,8 +129,7 @@
 	t.sortByHash()
 }
 
-// sortByHash puts the servers into the order that all daemons agree on. Members change seldom; a
-// choice that sorted them would take most of its time for that.
+// sortByHash rebuilds byHash on membership changes, which keeps sorting out of Pick.
 func (t *LoadTracker) sortByHash() {
 	t.byHash = t.byHash[:0]
 	for i := range t.servers {
@@ -141,8 +140,8 @@
 	slices.SortFunc(t.byHash, func(a, b int) int { return cmp.Compare(t.servers[a].Hash, t.servers[b].Hash) })
 }
 
-// IndicesByHash lists the candidates of a snapshot that there are by the hashes of their ids, which
-// have nothing to do with where they are, in an order that all daemons agree on.
+// IndicesByHash returns the candidate indices of the current members, ordered by the hash
+// of their ids. All daemons with the same members have the same order.
 func (t *LoadTracker) IndicesByHash() []int { return t.byHash }
 
 func slotsOrDefault(m Member) int {
@@ -152,7 +151,7 @@
 	return defaultSlots
 }
 
-// defaultSlots is the batch width of a server that states none.
+// defaultSlots is the batch size of a server that states none.
 const defaultSlots = 8
 
 func (t *LoadTracker) remove(id string, i int) {
@@ -180,7 +179,8 @@
 	t.indexByID[m.ID] = len(t.servers) - 1
 }
 
-// Snapshot appends the candidates at a time to dst. Index i is slot i.
+// Snapshot appends the candidates as of now to dst. Candidate indices equal those of the
+// tracker; an unused index is a candidate marked as leaving.
 func (t *LoadTracker) Snapshot(dst []Candidate, now time.Time) []Candidate {
 	first := len(dst)
 	others := 0.0
@@ -189,8 +189,7 @@
 		dst = append(dst, s.Candidate)
 		c := &dst[len(dst)-1]
 		c.Suspect = now.Before(s.suspectUntil)
-		// Most values are zero most of the time; ageing them would be most of
-		// the cost of a decision.
+		// Skip the decay of zero values, which are the common case.
 		if s.othersMean > 0 {
 			c.OthersInFlight = s.othersMean * decay(now.Sub(s.othersAt), reportHalfLife)
 			others += c.OthersInFlight
@@ -206,7 +205,7 @@
 	return dst
 }
 
-// EachBusy calls f for each server on which this daemon has unfinished work.
+// EachBusy calls f for each server with requests of this daemon in flight.
 func (t *LoadTracker) EachBusy(f func(c *Candidate)) {
 	for i := range t.servers {
 		if t.servers[i].InFlight > 0 {
@@ -215,9 +214,8 @@
 	}
 }
 
-// addSurge adds the work that a surge brought the others, alike to all servers:
-// scaling each server's estimate would scale its noise too, and send the daemons
-// after the servers that look best by chance.
+// addSurge spreads the additional load of other daemons evenly over all servers. Scaling
+// each estimate instead would amplify its noise.
 func (t *LoadTracker) addSurge(candidates []Candidate, totalOthers float64) {
 	surge := t.surgeFactor()
 	if t.ExactPeerLoad || surge <= 1 || len(candidates) == 0 {
@@ -259,16 +257,15 @@
 	t.Prefix.Add(t.indexByID[id], blocks)
 }
 
-// updateOwnMean moves the mean of the own work up to a time.
+// updateOwnMean advances the mean of own requests to now.
 func (s *serverState) updateOwnMean(now time.Time) {
 	decayFactor := decay(now.Sub(s.ownMeanAt), ownMeanHalfLife)
 	s.ownMean = s.ownMean*decayFactor + float64(s.InFlight)*(1-decayFactor)
 	s.ownMeanAt = now
 }
 
-// RecordFirstToken records the time to the first token of an attempt whose uncached
-// prompt was estimated at some tokens, and returns the part of it that was a
-// wait: what exceeds the prefill, which the fastest first tokens tell.
+// RecordFirstToken records an attempt's time to first token and returns the part of it
+// that exceeds network and prefill time.
 func (t *LoadTracker) RecordFirstToken(id string, elapsed time.Duration, uncached int, now time.Time) (wait time.Duration) {
 	s := t.server(id)
 	if s == nil {
@@ -285,13 +282,11 @@
 	return excess
 }
 
-// minPrefillTokens is the least uncached prompt, in tokens, whose first token
-// says something about the prefill.
+// minPrefillTokens is the least number of uncached tokens for a prefill time sample.
 const minPrefillTokens = 64
 
-// RecordCompletion records the end of an attempt that held a slot for some time, its
-// wait not counted: a service time that grew with the queue would make the queue
-// look longer still. Failed attempts raise the error rate.
+// RecordCompletion records the end of an attempt. The held time excludes the queueing
+// delay, which would otherwise be counted twice.
 func (t *LoadTracker) RecordCompletion(id string, held time.Duration, failed, urgent bool, now time.Time) {
 	s := t.server(id)
 	if s == nil {
@@ -313,8 +308,8 @@
 	s.ServiceTime = movingAverage(s.ServiceTime, held)
 }
 
-// RecordTimeout records an attempt on which nothing came back in time. New connections
-// often work while old ones hang, so one silence is no verdict on the server.
+// RecordTimeout records an attempt without a response in time. A single timeout may be due
+// to a stale connection, so only consecutive ones make a server suspect.
 func (t *LoadTracker) RecordTimeout(id string, now time.Time) {
 	if s := t.server(id); s != nil {
 		if s.timeouts++; s.timeouts >= suspectAfterTimeouts {
@@ -323,9 +318,8 @@
 	}
 }
 
-// RecordUnreachable records that no connection could be made, or that the server lost
-// a run: it went away or was restarted. It gets no work for a while at once,
-// since every further attempt there costs a retry.
+// RecordUnreachable records a failed connection or a run lost by the server. It makes the
+// server suspect at once.
 func (t *LoadTracker) RecordUnreachable(id string, now time.Time) {
 	if s := t.server(id); s != nil {
 		s.timeouts = max(s.timeouts+1, suspectAfterTimeouts)
@@ -338,11 +332,11 @@
 	s.suspectUntil = now.Add(min(duration, maxSuspectTime))
 }
 
-// maxDoublings keeps the shift in range; suspectMost is reached before it.
+// maxDoublings bounds the shift; maxSuspectTime is reached before it.
 const maxDoublings = 8
 
-// RecordReport takes a server's own load report. Work that this daemon had there
-// lately is not counted twice.
+// RecordReport records a server's load report, less the mean of this daemon's own
+// requests.
 func (t *LoadTracker) RecordReport(id string, inFlight int, now time.Time) {
 	s := t.server(id)
 	if s == nil {
@@ -366,7 +360,7 @@
 	}
 }
 
-// RecordLateness records how much later than expected a first token came.
+// RecordLateness records by how much a first token exceeded its expected time.
 func (t *LoadTracker) RecordLateness(id string, excess time.Duration, now time.Time) {
 	s := t.server(id)
 	if s == nil {
@@ -378,38 +372,38 @@
 	s.firstTokenDelayAt = now
 }
 
-// SetPrefillPerToken sets the time for one prompt token on all servers.
+// SetPrefillPerToken sets the prefill time per token on all servers.
 func (t *LoadTracker) SetPrefillPerToken(perToken time.Duration) {
 	for i := range t.servers {
 		t.servers[i].PrefillPerToken = perToken
 	}
 }
 
-// AddPendingPrefill adds prompt tokens that a server was sent and has not read, or takes
-// them off.
+// AddPendingPrefill changes the number of prompt tokens awaiting prefill on a server.
+// Tokens may be negative.
 func (t *LoadTracker) AddPendingPrefill(id string, tokens float64) {
 	if s := t.server(id); s != nil {
 		s.PendingPrefill = max(0, s.PendingPrefill+tokens)
 	}
 }
 
-// SetPeerLoad sets the work of all other daemons on a server, as they themselves tell
-// it. It replaces the estimate from reports.
+// SetPeerLoad sets the load of all other daemons on a server, as reported by them. It
+// replaces the estimate from server reports.
 func (t *LoadTracker) SetPeerLoad(id string, inFlight, pending float64, now time.Time) {
 	if s := t.server(id); s != nil {
 		s.othersMean, s.othersAt, s.OthersPending = inFlight, now, pending
 	}
 }
 
-// SetLeaving marks a server that gets no new work, or takes the mark back.
+// SetLeaving sets whether a server is leaving and gets no new requests.
 func (t *LoadTracker) SetLeaving(id string, leaving bool) {
 	if s := t.server(id); s != nil {
 		s.Candidate.Leaving = leaving
 	}
 }
 
-// lowBiasedAverage follows the lower samples: a first token that waited in a queue
-// says little about the prefill, and Wait has it already.
+// lowBiasedAverage is a moving average that falls faster than it rises, since samples
+// above the prefill time include queueing.
 func lowBiasedAverage(old, sample time.Duration) time.Duration {
 	if sample < old {
 		return movingAverage(old, sample)
@@ -417,7 +411,7 @@
 	return old + time.Duration(smoothing*riseFactor*float64(sample-old))
 }
 
-// riseFactor is how much slower lowAverage rises than it falls.
+// riseFactor is the ratio of the rising to the falling rate of lowBiasedAverage.
 const riseFactor = 0.1
 
 func movingAverage(old, sample time.Duration) time.Duration {
