--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -1,5 +1,5 @@
-// Package rollout judges a new version against the running one while both carry
-// traffic, and decides each next step of a roll-out. It does no I/O.
+// Package rollout compares a new version with the running one while both serve traffic,
+// and decides the next step of a roll-out. It does no I/O.
 package rollout
 
 import (
@@ -8,40 +8,40 @@
 	"strings"
 )
 
-// Signal is one way in which a version can be worse.
+// Signal is a criterion by which versions are compared.
 type Signal uint8
 
 const (
-	// Errors are runs that the engine reported as failed.
+	// Errors counts runs that the engine reported as failed.
 	Errors Signal = iota
-	// Slowness are runs slower than the pool's limit on a server that was not full.
+	// Slowness counts runs slower than the pool's limit on a server with free slots.
 	Slowness
-	// Quality are rated answers that were rated bad.
+	// Quality counts answers that were rated bad.
 	Quality
 	signalCount
 )
 
-// String returns the signal's name.
+// String returns the name of the signal.
 func (s Signal) String() string { return [...]string{"errors", "slowness", "quality"}[s] }
 
-// Counts are totals since a roll-out's stage began.
+// Counts holds totals since the start of a roll-out stage.
 type Counts struct {
 	Requests int64 `cbor:"1,keyasint" json:"requests"`
 	Errors   int64 `cbor:"2,keyasint" json:"errors"`
-	// Timed counts the runs whose speed says something about the version: those
-	// on a server with free slots. A drained pool makes every run slow.
+	// Timed is the number of runs on a server with free slots, where the run time depends
+	// on the version rather than on the load.
 	Timed int64 `cbor:"3,keyasint" json:"timed"`
 	Slow  int64 `cbor:"4,keyasint" json:"slow"`
 	Rated int64 `cbor:"5,keyasint" json:"rated"`
 	Bad   int64 `cbor:"6,keyasint" json:"bad"`
 }
 
-// Add sums two counts.
+// Add returns the sum of two counts.
 func (c Counts) Add(o Counts) Counts {
 	return Counts{c.Requests + o.Requests, c.Errors + o.Errors, c.Timed + o.Timed, c.Slow + o.Slow, c.Rated + o.Rated, c.Bad + o.Bad}
 }
 
-// forSignal returns the trials and the bad events of a signal.
+// forSignal returns the number of trials and of bad events of a signal.
 func (c Counts) forSignal(s Signal) (trials, bad int64) {
 	switch s {
 	case Errors:
@@ -52,29 +52,28 @@
 	return c.Rated, c.Bad
 }
 
-// ServerCounts is the counts of one version on one server.
+// ServerCounts holds the counts of one version on one server.
 type ServerCounts struct {
 	Server        string `cbor:"1,keyasint" json:"server"`
 	FailureDomain string `cbor:"2,keyasint" json:"failure_domain"`
-	// New tells the new version from the running one.
+	// New is set for the new version and unset for the running one.
 	New    bool   `cbor:"3,keyasint" json:"new"`
 	Counts Counts `cbor:"4,keyasint" json:"counts"`
 }
 
-// Evidence is what is known of one stage of a roll-out.
+// Evidence holds the counts of one roll-out stage by server and version.
 type Evidence []ServerCounts
 
-// Merge adds another daemon's cells.
+// Merge returns the sum of the evidence of two daemons.
 func (e Evidence) Merge(o Evidence) Evidence { return Sum(e, o) }
 
-// Sum adds up the cells of any number of daemons, in the order of servers. Its cost is that
-// of their cells: added one daemon after the other, the sum was copied and sorted for each,
-// which took 4.4 ms for 195 daemons that each saw a sixth of 126 servers, four times a second;
-// it takes 0.3 ms (BenchmarkDue, beside other load).
+// Sum returns the combined evidence of any number of daemons, sorted by server. It merges
+// all parts in one pass, so that its cost is linear in the number of entries before
+// sorting.
 func Sum(parts ...Evidence) Evidence {
 	type versionKey struct {
 		server string
-		fresh  bool
+		isNew  bool
 	}
 	indexByKey := map[versionKey]int{}
 	var sum Evidence
@@ -93,7 +92,8 @@
 	return sum
 }
 
-// Totals sums both sides over the cells that keep admits.
+// Totals sums the counts of both versions over the entries that keep accepts; a nil keep
+// accepts all.
 func (e Evidence) Totals(keep func(ServerCounts) bool) (newCounts, runningCounts Counts) {
 	for _, c := range e {
 		if keep != nil && !keep(c) {
@@ -108,23 +108,21 @@
 	return newCounts, runningCounts
 }
 
-// oddsRatios are the harms the test looks for: the bad rate of the new version
-// as a multiple of the running one's. A mixture of them loses only ln(4) of
-// evidence against knowing the right one.
+// oddsRatios are the alternative hypotheses: bad rates of the new version as multiples of
+// the running version's. The mixture of four costs at most a factor of 4 of the e-value.
 var oddsRatios = [...]float64{2, 4, 16, 64}
 
-// LogEValue returns the logarithm of an e-value against "the new version is no worse
-// than the running one" for a signal.
+// LogEValue returns the natural logarithm of the e-value of a signal against the null
+// hypothesis that the new version is no worse than the running one.
 //
-// Given that a bad event happened, the chance that it fell on the new version is
-// its share of the trials if both are alike, whatever their common rate is. So a
-// cause that hits both sides, such as a lost failure domain or a drained pool,
-// gives no evidence. The e-value may be watched after every event without
-// raising the false alarms above 1/threshold (Ville's inequality).
+// Given a bad event, its probability to fall on the new version under the null hypothesis
+// is the new version's share of the trials, whatever the common rate. A cause that affects
+// both versions, such as a lost failure domain, thus gives no evidence. The e-value may be
+// evaluated after every event with a false alarm rate of at most 1/threshold (Ville's
+// inequality).
 //
-// The share is taken server by server where a server ran both versions: a server
-// that fails more, and by chance got more of the new version, would otherwise
-// count against it.
+// The test is stratified by server where a server ran both versions, so that a failing
+// server with an uneven share of the new version doesn't bias the result.
 func (e Evidence) LogEValue(s Signal, keep func(ServerCounts) bool) float64 {
 	logRatios := make([]float64, len(oddsRatios))
 	var restNew, restRunning Counts
@@ -147,8 +145,8 @@
 	return logMeanExp(logRatios)
 }
 
-// addLogLikelihoods adds one stratum's log-likelihood ratios and returns its bad events of
-// the new version.
+// addLogLikelihoods adds the log-likelihood ratios of one stratum and returns the number
+// of bad events of the new version.
 func addLogLikelihoods(logRatios []float64, newCounts, runningCounts Counts, s Signal) int64 {
 	n1, k1 := newCounts.forSignal(s)
 	n0, k0 := runningCounts.forSignal(s)
@@ -165,7 +163,7 @@
 
 type stratum struct{ newCounts, runningCounts Counts }
 
-// strata gathers both versions' counts by server, in the order of the cells.
+// strata returns both versions' counts by server, in the order of first occurrence.
 func (e Evidence) strata(keep func(ServerCounts) bool) []stratum {
 	indexByServer := make(map[string]int, len(e))
 	strata := make([]stratum, 0, len(e))
@@ -197,10 +195,9 @@
 	return largest + math.Log(sum/float64(len(logs)))
 }
 
-// MinLeaveOneOut returns the least LogE left when any one server, or any one failure
-// domain, of the new version is left out. A bad server or failure domain then
-// cannot condemn a version: without it the evidence is gone. It returns 0 when
-// the new version runs on one server only, since then nothing tells them apart.
+// MinLeaveOneOut returns the lowest LogEValue when any one server or failure domain of the
+// new version is left out, and which one that is. A single bad server or failure domain
+// can thus not fail a version. The result is 0 if the new version runs on one server only.
 func (e Evidence) MinLeaveOneOut(s Signal) (lowest float64, omitted string) {
 	lowest = e.LogEValue(s, nil)
 	servers, domains := e.newVersionPlacement()
@@ -220,7 +217,7 @@
 	return lowest, omitted
 }
 
-// newVersionPlacement lists the servers and failure domains that ran the new version.
+// newVersionPlacement returns the servers and failure domains that ran the new version.
 func (e Evidence) newVersionPlacement() (servers, domains []string) {
 	for _, c := range e {
 		if !c.New || c.Counts.Requests == 0 {
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -6,74 +6,70 @@
 	"time"
 )
 
-// Order is an operator's wish to move a service to a version of its servers
-// that has been started beside the present one, within a time.
+// Order requests to move a service to another version within a time. Servers of the target
+// version run next to those of the current one.
 type Order struct {
 	Service string
 	Target  string
 	// Duration is the time from the order to its deadline.
 	Duration time.Duration
-	// SessionWindow is how long after each other requests of a session belong
-	// together.
+	// SessionWindow is the maximum time between consecutive requests of a session.
 	SessionWindow time.Duration
-	// Offset is the place of the order in the operator's log and names it.
+	// Offset is the order's offset in the operator log and identifies it.
 	Offset uint64
 }
 
-// Phase is how far an order has come.
+// Phase is the progress of an order.
 type Phase uint8
 
 // The phases of an order.
 const (
-	// Canary sends a small part of the requests to the new version.
+	// Canary sends a small share of the requests to the new version.
 	Canary Phase = iota
-	// Ramp sends half of them.
+	// Ramp sends a larger share of the requests to the new version.
 	Ramp
-	// Full sends all, while the old servers finish.
+	// Full sends all new requests to the new version while the old servers finish theirs.
 	Full
-	// Completed is over: the old servers may be stopped.
+	// Completed is final: the old servers may be stopped.
 	Completed
-	// RolledBack is over: the new version gets nothing.
+	// RolledBack is final: the new version gets no requests.
 	RolledBack
 )
 
-// String returns the phase's name.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	return [...]string{"canary", "ramp", "whole", "completed", "rolled_back"}[p]
 }
 
-// Final reports whether nothing more will be decided.
+// Final reports whether the phase is final.
 func (p Phase) Final() bool { return p >= Completed }
 
-// OrderPolicy holds the constants of an order's way, as parts of its duration unless
-// said otherwise.
+// OrderPolicy holds the schedule and the thresholds of an order. Times are fractions of
+// the order's duration.
 type OrderPolicy struct {
-	// CanaryShare and RampShare are the parts of all requests that the new
-	// version gets. With the canary's length they keep a version that turns bad
-	// late under 15% of the requests between the order and its deadline.
+	// CanaryShare and RampShare are the fractions of requests sent to the new version in
+	// each phase.
 	CanaryShare, RampShare float64
-	// CanaryEnd and RampUntil end the phases. Sessions must stay on their
-	// version for the first half, so the ramp begins no sooner.
+	// CanaryEnd and RampEnd are the earliest ends of the phases. Sessions stay on their
+	// version for the first half of the duration, so the ramp starts no sooner.
 	CanaryEnd, RampEnd float64
-	// CompleteBy is when the old servers are let go at the latest, even if one of
-	// their streams still runs.
+	// CompleteBy is when the order is completed even if streams still run on old servers.
 	CompleteBy float64
-	// MinRequests is the evidence without which the ramp does not begin.
+	// MinRequests is the number of requests to the new version required for the ramp.
 	MinRequests int64
-	// RollBackThreshold is the e-value that rolls back; see Rules.Alarm.
+	// RollBackThreshold is the e-value at which the order is rolled back; see StagePolicy.
 	RollBackThreshold float64
-	// LeaveOneOutThreshold is the e-value that must be left without any one server; see
-	// Rules.RobustAlarm.
+	// LeaveOneOutThreshold is the e-value that must remain for a roll-back without any one
+	// server or failure domain; see StagePolicy.
 	LeaveOneOutThreshold float64
-	// MinSlowShare is the part of the new version's answers that must be slow for a
-	// roll-back; see Usual. A quarter is slow on a like version.
+	// MinSlowShare is the fraction of slow answers of the new version required for a
+	// roll-back due to slowness; see LatencyBaseline.
 	MinSlowShare float64
-	// MinBadEvents is how many bad answers a roll-back needs: single ones happen on
-	// any version.
+	// MinBadEvents is the number of bad answers required for a roll-back.
 	MinBadEvents int64
 }
 
-// DefaultOrderPolicy returns the course in use.
+// DefaultOrderPolicy returns the policy in use.
 func DefaultOrderPolicy() OrderPolicy {
 	return OrderPolicy{
 		CanaryShare: 0.1, RampShare: 0.4,
@@ -87,59 +83,57 @@
 	}
 }
 
-// Share returns the part of the requests that the new version gets.
-func (c OrderPolicy) Share(p Phase) float64 {
-	switch p {
+// Share returns the fraction of requests sent to the new version in a phase.
+func (p OrderPolicy) Share(phase Phase) float64 {
+	switch phase {
 	case Canary:
-		return c.CanaryShare
+		return p.CanaryShare
 	case Ramp:
-		return c.RampShare
+		return p.RampShare
 	case Full, Completed:
 		return 1
 	}
 	return 0
 }
 
-// NextPhase returns the phase that follows from the evidence of all daemons, the time
-// since the order, and how many requests still run on old servers, with the
-// reason. It returns the same phase if nothing changes.
-func (c OrderPolicy) NextPhase(o Order, p Phase, elapsed time.Duration, e Evidence, oldRunning int) (Phase, string) {
-	if p.Final() {
-		return p, "over"
+// NextPhase returns the next phase and its reason from the evidence of all daemons, the
+// time since the order, and the number of requests that still run on old servers. It
+// returns the same phase if nothing changes.
+func (p OrderPolicy) NextPhase(o Order, phase Phase, elapsed time.Duration, e Evidence, oldRunning int) (Phase, string) {
+	if phase.Final() {
+		return phase, "over"
 	}
-	if reason := c.rollBackReason(e); reason != "" {
+	if reason := p.rollBackReason(e); reason != "" {
 		return RolledBack, reason
 	}
 	progress := float64(elapsed) / float64(o.Duration)
 	newCounts, _ := e.Totals(nil)
 	switch {
-	case progress >= 1 && p < Full:
+	case progress >= 1 && phase < Full:
 		return RolledBack, "the deadline passed without enough evidence"
-	case p == Canary && progress >= c.CanaryEnd && newCounts.Requests >= c.MinRequests:
+	case phase == Canary && progress >= p.CanaryEnd && newCounts.Requests >= p.MinRequests:
 		return Ramp, fmt.Sprintf("%d requests on the new version without an alarm", newCounts.Requests)
-	case p == Ramp && progress >= c.RampEnd:
+	case phase == Ramp && progress >= p.RampEnd:
 		return Full, fmt.Sprintf("%d requests on the new version without an alarm", newCounts.Requests)
-	case p == Full && oldRunning == 0 && progress >= c.RampEnd+o.minFullShare():
+	case phase == Full && oldRunning == 0 && progress >= p.RampEnd+o.minFullShare():
 		return Completed, "nothing runs on old servers"
-	case p == Full && progress >= c.CompleteBy:
+	case phase == Full && progress >= p.CompleteBy:
 		return Completed, fmt.Sprintf("%d requests still run on old servers at the latest moment", oldRunning)
 	}
-	return p, ""
+	return phase, ""
 }
 
-// minFullPhase is how long the whole phase lasts at least, as a part of the duration.
-// Some versions are bad under the whole load only, and once the order is completed
-// there is no way back.
+// minFullPhase is the minimum length of the full phase, as a fraction of the duration.
+// Some faults show under full load only, and a completed order can't be rolled back.
 const minFullPhase = 0.2
 
-// minFullShare is how long the whole phase lasts at least: also until every session's last
-// request on the old version is out of its span. The next order may come as soon as
-// this one is completed, and would hold a session to the version it was last on.
+// minFullShare returns the minimum length of the full phase, extended to the session
+// window: the next order may follow at once and must not find sessions on the old version.
 func (o Order) minFullShare() float64 {
 	return max(minFullPhase, float64(o.SessionWindow)/float64(o.Duration))
 }
 
-// rollBackReason returns why the new version is to be withdrawn, or nothing.
+// rollBackReason returns why the new version is to be rolled back, or "".
 func (p OrderPolicy) rollBackReason(e Evidence) string {
 	for s := range signalCount {
 		newCounts, _ := e.Totals(nil)
@@ -152,7 +146,7 @@
 		}
 		logE := e.LogEValue(s, nil)
 		if leaveOneOut, _ := e.MinLeaveOneOut(s); leaveOneOut < math.Log(p.LeaveOneOutThreshold) {
-			continue // one server or failure domain may be to blame
+			continue // a single server or failure domain may be the cause
 		}
 		if logE >= math.Log(p.RollBackThreshold) {
 			return fmt.Sprintf("%s: %d of %d on the new version, e-value 10^%.1f", s, events, trials, logE/math.Ln10)
--- a/internal/rollout/order_test.go
+++ b/internal/rollout/order_test.go
@@ -6,7 +6,7 @@
 )
 
 // evidenceOf returns evidence spread over three servers of each version.
-func evidenceOf(freshBad, fresh, oldBad, old int64, slow bool) Evidence {
+func evidenceOf(newBad, newRequests, oldBad, oldRequests int64, slow bool) Evidence {
 	var e Evidence
 	add := func(name string, isNew bool, n, bad int64) {
 		c := Counts{Requests: n, Timed: n}
@@ -18,8 +18,8 @@
 		e = append(e, ServerCounts{Server: name, FailureDomain: "d" + name[1:], New: isNew, Counts: c})
 	}
 	for i, name := range []string{"1", "2", "3"} {
-		add("n"+name, true, splitByThree(fresh, i), splitByThree(freshBad, i))
-		add("o"+name, false, splitByThree(old, i), splitByThree(oldBad, i))
+		add("n"+name, true, splitByThree(newRequests, i), splitByThree(newBad, i))
+		add("o"+name, false, splitByThree(oldRequests, i), splitByThree(oldBad, i))
 	}
 	return e
 }
@@ -43,23 +43,23 @@
 		oldRunning int
 		want       Phase
 	}{
-		{"young canary", Canary, 5 * time.Second, good, 9, Canary},
-		{"canary at half", Canary, 12 * time.Second, good, 9, Ramp},
+		{"canary before its end", Canary, 5 * time.Second, good, 9, Canary},
+		{"canary at its end", Canary, 12 * time.Second, good, 9, Ramp},
 		{"canary without evidence", Canary, 13 * time.Second, nil, 9, Canary},
 		{"deadline without evidence", Canary, 24 * time.Second, nil, 9, RolledBack},
 		{"ramp", Ramp, 13 * time.Second, good, 9, Ramp},
-		{"ramp over", Ramp, 14 * time.Second, good, 9, Full},
+		{"ramp at its end", Ramp, 14 * time.Second, good, 9, Full},
 		{"old servers busy", Full, 19 * time.Second, good, 9, Full},
-		{"old servers idle too soon", Full, 17 * time.Second, good, 0, Full},
+		{"old servers idle before the minimum full phase", Full, 17 * time.Second, good, 0, Full},
 		{"old servers idle", Full, 19 * time.Second, good, 0, Completed},
-		{"latest moment", Full, 22500 * time.Millisecond, good, 9, Completed},
+		{"old servers busy at CompleteBy", Full, 22500 * time.Millisecond, good, 9, Completed},
 		{"errors", Canary, 3 * time.Second, evidenceOf(8, 20, 0, 200, false), 9, RolledBack},
-		{"errors in the whole phase", Full, 15 * time.Second, evidenceOf(30, 90, 3, 600, false), 9, RolledBack},
+		{"errors in the full phase", Full, 15 * time.Second, evidenceOf(30, 90, 3, 600, false), 9, RolledBack},
 		{"few errors", Canary, 3 * time.Second, evidenceOf(3, 20, 0, 200, false), 9, Canary},
-		{"errors on both", Canary, 3 * time.Second, evidenceOf(8, 20, 80, 200, false), 9, Canary},
+		{"errors on both versions", Canary, 3 * time.Second, evidenceOf(8, 20, 80, 200, false), 9, Canary},
 		{"slow", Canary, 3 * time.Second, evidenceOf(24, 30, 50, 200, true), 9, RolledBack},
-		{"as slow as the old", Canary, 3 * time.Second, evidenceOf(5, 20, 50, 200, true), 9, Canary},
-		{"over", Completed, 30 * time.Second, evidenceOf(30, 90, 3, 600, false), 0, Completed},
+		{"as slow as the old version", Canary, 3 * time.Second, evidenceOf(5, 20, 50, 200, true), 9, Canary},
+		{"already completed", Completed, 30 * time.Second, evidenceOf(30, 90, 3, 600, false), 0, Completed},
 	} {
 		if got, why := DefaultOrderPolicy().NextPhase(o, tt.at, tt.since, tt.evidence, tt.oldRunning); got != tt.want {
 			t.Errorf("%s: %s (%s), want %s", tt.name, got, why, tt.want)
@@ -67,11 +67,8 @@
 	}
 }
 
-// Symptom: a good version was rolled back when it had carried all requests for
-// eight seconds, and one daemon had no server left.
-// Sequence: under the whole load 102 of 676 answers took over three times the time
-// that was usual while the old version carried most of it.
-// Cause: the load made them slow, and there is no old version to compare with.
+// Slow answers caused by full load must not roll back a good version, since there is no
+// old version to compare with.
 func TestNoRollBackForSlownessUnderFullLoad(t *testing.T) {
 	o := Order{Duration: 24 * time.Second}
 	e := evidenceOf(102, 676, 10, 700, true)
@@ -88,17 +85,15 @@
 	}
 }
 
-// Symptom: sessions ran on two versions within seconds, in the first half of an order.
-// Sequence: an order is completed; the next one comes at once; a session whose last
-// request ran before the first order's whole phase sends another.
-// Cause: the first order was completed before all sessions had moved.
+// An order must not complete before every session has moved, or a following order finds
+// sessions on the old version.
 func TestOrderCompletesAfterSessionWindow(t *testing.T) {
 	o := Order{Duration: 16 * time.Second, SessionWindow: 5 * time.Second}
 	good := evidenceOf(0, 60, 3, 600, false)
 	if got, _ := DefaultOrderPolicy().NextPhase(o, Full, 13*time.Second, good, 0); got != Full {
-		t.Errorf("%s 3.7 s into the whole phase", got)
+		t.Errorf("%s 3.7 s into the full phase, want full", got)
 	}
 	if got, _ := DefaultOrderPolicy().NextPhase(o, Full, 14400*time.Millisecond, good, 0); got != Completed {
-		t.Errorf("%s when all sessions had moved", got)
+		t.Errorf("%s after the session window, want completed", got)
 	}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -11,12 +11,12 @@
 
 var runningRollout = fleet.Rollout{Model: "m", To: "v2", Stages: []float64{10, 100}, State: fleet.Running}
 
-// evidenceOnServers makes evidence of both versions on n servers in 2 failure domains.
-func evidenceOnServers(n int, fresh, old Counts) Evidence {
+// evidenceOnServers returns evidence of both versions on n servers in 2 failure domains.
+func evidenceOnServers(n int, newCounts, oldCounts Counts) Evidence {
 	var e Evidence
 	for i := range n {
 		s, d := fmt.Sprint("s", i), fmt.Sprint("fd", i%2)
-		e = append(e, ServerCounts{s, d, true, fresh}, ServerCounts{s, d, false, old})
+		e = append(e, ServerCounts{s, d, true, newCounts}, ServerCounts{s, d, false, oldCounts})
 	}
 	return e
 }
@@ -36,18 +36,18 @@
 		e    Evidence
 		want Step
 	}{
-		{"a good version", runningRollout, evidenceOnServers(4, good, old), Advance},
+		{"good version", runningRollout, evidenceOnServers(4, good, old), Advance},
 		{"too few requests", runningRollout, evidenceOnServers(4, Counts{Requests: 2}, old), Wait},
 		{"no evidence", runningRollout, nil, Wait},
-		{"errors everywhere", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
-		{"slow everywhere", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Timed: 50, Slow: 20}, old), RollBack},
-		{"wrong by rating", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Rated: 20, Bad: 10}, Counts{Requests: 450, Rated: 100, Bad: 4}), RollBack},
-		{"the same errors on both sides", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Errors: 10}, Counts{Requests: 450, Errors: 90}), Advance},
-		{"errors of the new version on one server", runningRollout, onOne, Hold},
-		{"a server that fails both", runningRollout, both, Advance},
-		{"a held roll-out does not advance", held, evidenceOnServers(4, good, old), Wait},
-		{"a held roll-out is rolled back", held, evidenceOnServers(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
-		{"ratings not in yet", runningRollout, evidenceOnServers(4, Counts{Requests: 50}, Counts{Requests: 450, Rated: 100, Bad: 4}), Wait},
+		{"errors on all servers", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
+		{"slow on all servers", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Timed: 50, Slow: 20}, old), RollBack},
+		{"bad ratings", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Rated: 20, Bad: 10}, Counts{Requests: 450, Rated: 100, Bad: 4}), RollBack},
+		{"same error rate on both versions", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Errors: 10}, Counts{Requests: 450, Errors: 90}), Advance},
+		{"new version fails on one server", runningRollout, onOne, Hold},
+		{"server that fails both versions", runningRollout, both, Advance},
+		{"held roll-out with good version", held, evidenceOnServers(4, good, old), Wait},
+		{"held roll-out with errors", held, evidenceOnServers(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
+		{"too few ratings", runningRollout, evidenceOnServers(4, Counts{Requests: 50}, Counts{Requests: 450, Rated: 100, Bad: 4}), Wait},
 	}
 	for _, c := range cases {
 		if v := DefaultStagePolicy().Evaluate(c.ro, c.e, time.Minute); v.Step != c.want {
@@ -56,25 +56,22 @@
 	}
 	starved := DefaultStagePolicy().Evaluate(runningRollout, evidenceOnServers(4, Counts{Requests: 2}, old), time.Hour)
 	if starved.Step != Hold {
-		t.Errorf("a starved stage: %+v", starved)
+		t.Errorf("too few requests after MaxWait: %+v, want hold", starved)
 	}
 }
 
-// Symptom: a good version is rolled back for a server that fails whatever it runs.
-// Sequence: the server fails half of its runs, and by chance got more than its
-// share of the new version's traffic.
-// Cause: pooled over servers, its errors lean towards the new version.
+// A server that fails for both versions and by chance serves more of the new version must
+// not count against it.
 func TestUnevenTrafficDoesNotBiasEvidence(t *testing.T) {
 	e := evidenceOnServers(4, Counts{Requests: 50}, Counts{Requests: 950})
 	e[0].Counts = Counts{Requests: 150, Errors: 75}
 	e[1].Counts = Counts{Requests: 850, Errors: 425}
 	if l := e.LogEValue(Errors, nil); l > 1 {
-		t.Fatalf("evidence %v", l)
+		t.Fatalf("log e-value %v, want at most 1", l)
 	}
 }
 
-// The naive comparison of rates halts good versions often when it is looked at
-// after every event; the e-value must not.
+// Evaluating the e-value after every event must not raise the false alarm rate.
 func TestContinuousMonitoringBoundsFalseAlarms(t *testing.T) {
 	alarms := 0
 	const runs = 400
@@ -89,7 +86,7 @@
 			e[at].Counts.Requests++
 			if rng.IntN(50) == 0 {
 				e[at].Counts.Errors++
-				if e.LogEValue(Errors, nil) > 4.6 { // an e-value of 100
+				if e.LogEValue(Errors, nil) > 4.6 { // e-value of 100
 					alarms++
 					break
 				}
@@ -113,10 +110,10 @@
 		t.Fatalf("%+v", ro)
 	}
 	for _, percent := range []float64{1, 10, 50, 90} {
-		fresh, old := RatingShare(0.05, percent, true), RatingShare(0.05, percent, false)
-		spent := fresh*percent/100 + old*(1-percent/100)
-		if spent > 0.05001 || fresh > 1 || old < 0 {
-			t.Errorf("at %v%%: new %v, running %v, spent %v", percent, fresh, old, spent)
+		newShare, oldShare := RatingShare(0.05, percent, true), RatingShare(0.05, percent, false)
+		total := newShare*percent/100 + oldShare*(1-percent/100)
+		if total > 0.05001 || newShare > 1 || oldShare < 0 {
+			t.Errorf("at %v%%: new %v, running %v, total %v", percent, newShare, oldShare, total)
 		}
 	}
 }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/stage.go
@@ -8,21 +8,21 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// Step is what to do with a roll-out.
+// Step is an action on a roll-out.
 type Step uint8
 
 const (
 	// Wait changes nothing.
 	Wait Step = iota
-	// Advance starts the next stage, or ends the roll-out after the last.
+	// Advance starts the next stage, or completes the roll-out after the last.
 	Advance
-	// Hold stops at the stage for an operator to look at.
+	// Hold stops at the current stage until an operator decides.
 	Hold
-	// RollBack sends nobody to the new version any more.
+	// RollBack sends no more requests to the new version.
 	RollBack
 )
 
-// String returns the step's name.
+// String returns the name of the step.
 func (s Step) String() string { return [...]string{"wait", "advance", "hold", "roll_back"}[s] }
 
 // Decision is a step with its reason.
@@ -31,36 +31,37 @@
 	Reason string
 }
 
-// StagePolicy are the constants of the judgement; DefaultRules gives the measured ones.
+// StagePolicy holds the thresholds for advancing, holding and rolling back a staged
+// roll-out.
 type StagePolicy struct {
-	// RollBackThreshold is the e-value at which the fleet rolls back. The chance of a
-	// false alarm is at most 1/Alarm for each signal.
+	// RollBackThreshold is the e-value at which the fleet rolls back. The false alarm rate
+	// of each signal is at most its inverse.
 	RollBackThreshold float64
-	// LocalThreshold is the e-value at which one daemon stops by itself, on its own
-	// evidence alone, before the fleet has decided.
+	// LocalThreshold is the e-value of its own evidence at which a daemon stops using the
+	// new version before the fleet has decided.
 	LocalThreshold float64
-	// LeaveOneOutThreshold is the e-value that must be left without any one server or
-	// failure domain for a roll-back. It can be low: the false alarms are
-	// bounded by Alarm already, and waiting here hurts callers.
+	// LeaveOneOutThreshold is the e-value that must remain for a roll-back without any one
+	// server or failure domain. It may be low, since RollBackThreshold bounds the false
+	// alarms.
 	LeaveOneOutThreshold float64
-	// HoldThreshold is the e-value at which evidence that stems from one server or
-	// failure domain holds the roll-out. Until then the next bad event elsewhere
-	// may still turn it into a roll-back.
+	// HoldThreshold is the e-value at which evidence from a single server or failure
+	// domain holds the roll-out.
 	HoldThreshold float64
-	// MinStageDuration is the shortest time between two stages.
+	// MinStageDuration is the minimum duration of a stage.
 	MinStageDuration time.Duration
-	// MinRequests is the evidence a stage needs when its roll-out states none.
+	// MinRequests is the minimum number of requests to the new version per stage, if the
+	// roll-out sets none.
 	MinRequests int64
-	// MinRated is the number of rated answers of the new version a stage needs
-	// while answers of the running one are being rated.
+	// MinRated is the minimum number of rated answers of the new version per stage, if
+	// answers of the running version are rated.
 	MinRated int64
 	// AdvanceThreshold is the e-value above which a stage waits for more evidence.
 	AdvanceThreshold float64
-	// MaxWait ends the waiting of a doubtful or starved stage by a hold.
+	// MaxWait is how long a stage waits for evidence before it is held.
 	MaxWait time.Duration
 }
 
-// DefaultStagePolicy returns the rules in use; docs/design/rollout.md has the figures.
+// DefaultStagePolicy returns the policy in use; see docs/design/rollout.md.
 func DefaultStagePolicy() StagePolicy {
 	return StagePolicy{
 		RollBackThreshold:    1000,
@@ -75,9 +76,9 @@
 	}
 }
 
-// Evaluate decides the next step of a roll-out from the fleet's evidence of its
-// current stage and the time the stage has lasted. A held roll-out still carries
-// traffic, so it can be rolled back, but it does not advance.
+// Evaluate returns the next step of a roll-out from the fleet's evidence of its current
+// stage and the time since the stage began. A held roll-out can be rolled back but does
+// not advance.
 func (p StagePolicy) Evaluate(ro fleet.Rollout, e Evidence, elapsed time.Duration) Decision {
 	if !CarriesTraffic(ro) {
 		return Decision{Wait, "the roll-out is " + string(ro.State)}
@@ -96,12 +97,12 @@
 	return p.evaluateProgress(ro, e, elapsed, maxLogE)
 }
 
-// CarriesTraffic reports whether a roll-out carries traffic that may speak against it.
+// CarriesTraffic reports whether the new version of a roll-out may receive requests.
 func CarriesTraffic(ro fleet.Rollout) bool {
 	return ro.State == fleet.Running || ro.State == fleet.Held
 }
 
-// evaluateSignal judges one signal and returns how far it speaks against the version.
+// evaluateSignal returns the decision for one signal and its log e-value.
 func (p StagePolicy) evaluateSignal(e Evidence, s Signal) (Decision, float64) {
 	logE := e.LogEValue(s, nil)
 	threshold := math.Log(p.RollBackThreshold)
@@ -141,8 +142,8 @@
 	return Decision{Advance, fmt.Sprintf("%d requests, e-value %.2f", newCounts.Requests, math.Exp(maxLogE))}
 }
 
-// ShouldStopLocally reports whether one daemon's own evidence suffices to stop using the new
-// version for sessions that are not pinned to it, before the fleet decides.
+// ShouldStopLocally reports whether a daemon's own evidence suffices to stop using the new
+// version for sessions that are not pinned to it, and by which signal.
 func (p StagePolicy) ShouldStopLocally(own Evidence) (Signal, bool) {
 	for s := range signalCount {
 		if own.LogEValue(s, nil) >= math.Log(p.LocalThreshold) {
@@ -152,14 +153,13 @@
 	return 0, false
 }
 
-// newRatingShare is the part of the rating budget spent on the new version while
-// a roll-out runs. Equal parts tell a difference soonest.
+// newRatingShare is the fraction of the rating budget spent on the new version. Equal
+// parts detect a difference soonest.
 const newRatingShare = 0.5
 
-// RatingShare returns the fraction of a version's answers to have rated, when a
-// fraction budget of all the model's answers may be and percent of them come
-// from the new version. Sampling both alike would leave the first stages, where
-// a bad version should be caught, with hardly a rating.
+// RatingShare returns the fraction of a version's answers to rate, given the fraction
+// budget of all the model's answers and the percentage of answers from the new version.
+// Uniform sampling would yield too few ratings of the new version in the first stages.
 func RatingShare(budget, percent float64, isNew bool) float64 {
 	share := percent / 100
 	if share <= 0 || share >= 1 {
@@ -172,7 +172,7 @@
 	return max(0, (budget-newShare*share)/(1-share))
 }
 
-// ApplyStep returns the roll-out after a step, as it goes into a patch.
+// ApplyStep returns the roll-out after a step.
 func ApplyStep(ro fleet.Rollout, s Step) fleet.Rollout {
 	switch s {
 	case Advance:
