--- a/internal/cascade/sureness.go
+++ b/internal/cascade/calibration.go
@@ -1,44 +1,42 @@
 package cascade
 
-// confidenceCalibration learns from the opinions that models state of their own answers how
-// likely an answer is right, and how much surer a larger model would be.
+// confidenceCalibration estimates how much more confident a larger model is than a smaller
+// one about the same request.
 type confidenceCalibration struct{ gains map[modelPair]*confidenceGain }
 
 type modelPair struct{ from, to string }
 
-// confidenceGain is how many points surer one model is than another of the same request.
+// confidenceGain is the mean difference in confidence of two models, in points, and its
+// weight in samples.
 type confidenceGain struct{ points, weight float64 }
 
 const (
-	// midpointConfidence is the confidence at which an answer is as likely right as
-	// wrong: a model that doubts its answer more than it trusts it says less.
+	// midpointConfidence is the confidence, in percent, at which half of the answers are
+	// correct.
 	midpointConfidence = 50
-	// confidenceScale is how many points from there an answer is right three times
-	// in four. Of 640 answers of a small model, asked under a light load, a quarter
-	// was right at 40 to 50, a half at 50 to 60, nine in ten at 60 to 70.
+	// confidenceScale is the scale of the logistic function from confidence to
+	// probability, in points.
 	confidenceScale = 5.5
-	// maxConfidence is where opinions end; nothing tells how much surer a model
-	// that says so is.
+	// maxConfidence is the upper end of the confidence scale.
 	maxConfidence = 100
-	// priorGain is how many points the dearest model is believed to be surer than
-	// the cheapest until it was asked. Models between them get a part of it by their
-	// prices: operators pay for what helps.
+	// priorGain is the initial gain, in points, of the most expensive model over the
+	// cheapest. Models in between get a part of it by price.
 	priorGain = 50
-	// priorGainWeight and gainMemory are the samples that the prior counts for, and that
-	// count at most.
+	// priorGainWeight is the weight of the prior and maxGainWeight the maximum weight, in
+	// samples.
 	priorGainWeight = 2
 	maxGainWeight   = 40
 )
 
-// correctProbability returns the probability that an answer is right of which its model has this
-// opinion.
+// correctProbability returns the probability that an answer with a stated confidence is
+// correct.
 func correctProbability(confidence float64) float64 {
 	return logistic((confidence - midpointConfidence) / confidenceScale)
 }
 
-// observe takes the opinions of two models on one request. Opinions at either end of
-// the scale are bounds, which count only if they contradict what is believed; a
-// negative one is none stated.
+// observe adds the confidences stated by two models on one request. A second confidence at
+// either end of the scale is a bound and changes the gain in its direction only. Samples
+// with a first confidence of 0 or less, or a negative second one, are ignored.
 func (c *confidenceCalibration) observe(from, to Model, before, after float64) {
 	if before <= 0 || after < 0 {
 		return
@@ -68,13 +66,14 @@
 	return g
 }
 
-// predict returns the probability that a larger model's answer is right if a smaller
-// one has this opinion of its own.
+// predict returns the probability that a larger model's answer is correct, given the
+// confidence of a smaller one.
 func (c *confidenceCalibration) predict(from, to Model, confidence float64) float64 {
 	return correctProbability(confidence + c.gain(from, to).points)
 }
 
-// priceRank places a model between a cheaper one, 0, and the dearest, 1, by price.
+// priceRank returns the position of a model's price between that of a cheaper model, 0,
+// and the highest price, 1.
 func (m Model) priceRank(cheaper Model) float64 {
 	if m.Price <= cheaper.Price || m.HighestPrice <= cheaper.Price {
 		return 0
--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -1,5 +1,6 @@
-// Package cascade decides which model of a cascade answers first and whether
-// its answer is good enough, from late ratings of a sample. It does no I/O.
+// Package cascade decides which model of a cascade answers a request first and whether its
+// answer is accepted or escalated, based on ratings of a sample of answers. It does no
+// I/O.
 package cascade
 
 import (
@@ -8,18 +9,18 @@
 )
 
 const (
-	// ConfidenceBands is how finely the cheap model's own confidence is told apart.
+	// ConfidenceBands is the number of intervals of the cheap model's confidence.
 	ConfidenceBands = 8
-	// ratingWindow is how many ratings of one band count; older ones fade, so that a
-	// drift of the model's quality shows within about as many ratings.
+	// ratingWindow is the time constant, in ratings, of the exponentially decaying pass
+	// rates.
 	ratingWindow = 60
-	// priorWeight is the weight, in ratings, of the belief before the first rating.
+	// priorWeight is the weight of the prior pass rate, in ratings.
 	priorWeight = 2
-	// lowerBoundErrors is the number of standard errors taken off a band's pass rate.
+	// lowerBoundErrors is the number of standard errors subtracted for a lower bound.
 	lowerBoundErrors = 0.75
 )
 
-// PassRate is a fading estimate of the fraction of good answers.
+// PassRate is an exponentially decaying estimate of the fraction of good answers.
 type PassRate struct {
 	Good  float64
 	Total float64
@@ -36,39 +37,37 @@
 	}
 }
 
-// Mean returns the estimate, drawn towards believed when ratings are few.
+// Mean returns the estimated rate given a prior rate.
 func (r PassRate) Mean(prior float64) float64 {
 	return (r.Good + priorWeight*prior) / (r.Total + priorWeight)
 }
 
-// LowerBound returns a cautious estimate.
+// LowerBound returns the mean less lowerBoundErrors standard errors.
 func (r PassRate) LowerBound(prior float64) float64 {
 	mean := r.Mean(prior)
 	return mean - lowerBoundErrors*math.Sqrt(mean*(1-mean)/(r.Total+priorWeight))
 }
 
-// Band returns the band of a confidence in [0, 1].
+// Band returns the interval of a confidence in [0, 1].
 func Band(confidence float64) int {
 	return min(max(int(confidence*ConfidenceBands), 0), ConfidenceBands-1)
 }
 
-// DriftDetector watches the ratings of one class for a drop of the cheap model's quality
-// below what its evidence says: a cumulative sum of likelihood ratios that
-// starts anew whenever it falls to zero. Waiting for a fading mean to follow
-// would let some hundred bad answers stand.
+// DriftDetector detects a drop of the cheap model's pass rate by a cumulative sum (CUSUM)
+// of log-likelihood ratios. It reacts sooner than the decaying pass rate.
 type DriftDetector struct{ cusum float64 }
 
 const (
-	// detectedDrop is the drop of the pass rate that is looked for.
+	// detectedDrop is the drop of the pass rate to detect.
 	detectedDrop = 0.25
-	// driftThreshold is the likelihood ratio at which the evidence is dropped.
+	// driftThreshold is the likelihood ratio at which a drop is reported.
 	driftThreshold = 1000
-	// minRate keeps likelihoods off zero and one.
+	// minRate keeps the likelihoods away from 0 and 1.
 	minRate = 0.02
 )
 
-// Observe takes a rating and the pass rate it was expected to have. It reports
-// a drop.
+// Observe takes a rating and its expected pass rate, and reports whether a drop was
+// detected. A detection resets the sum.
 func (d *DriftDetector) Observe(good bool, expected float64) bool {
 	before := min(max(expected, minRate+detectedDrop), 1-minRate)
 	after := before - detectedDrop
@@ -85,20 +84,20 @@
 	return true
 }
 
-// Class is the evidence for one request class of one workspace.
+// Class holds the statistics of one request class of one workspace.
 type Class struct {
 	// BandCounts counts recent requests by band of the cheap model's confidence.
 	BandCounts [ConfidenceBands]float64
-	// Cheap is how often the cheap model's answers of a band are good.
+	// Cheap is the pass rate of the cheap model by band.
 	Cheap [ConfidenceBands]PassRate
-	// Expensive is how often the dear model's answers are good.
+	// Expensive is the pass rate of the expensive model.
 	Expensive PassRate
 	drift     DriftDetector
-	// priorPenalty lowers the belief in cheap answers after a drop.
+	// priorPenalty is subtracted from the prior pass rates after a detected drop.
 	priorPenalty float64
 }
 
-// RecordConfidence counts a cheap answer of some confidence.
+// RecordConfidence counts a cheap answer by its confidence.
 func (c *Class) RecordConfidence(confidence float64) {
 	fade := 1 - 1.0/(ratingWindow*ConfidenceBands)
 	for i := range c.BandCounts {
@@ -107,8 +106,8 @@
 	c.BandCounts[Band(confidence)]++
 }
 
-// RecordRating counts a rating of a cheap answer. A drop of quality forgets what was
-// learned before it and lowers the belief that takes its place.
+// RecordRating adds a rating of a cheap answer. A detected drop resets the cheap model's
+// pass rates and lowers their priors.
 func (c *Class) RecordRating(confidence float64, good bool) {
 	band := Band(confidence)
 	if c.drift.Observe(good, c.Cheap[band].Mean(c.priorRate(band))) {
@@ -118,40 +117,39 @@
 	c.Cheap[band].Observe(good)
 }
 
-// priorRate is the pass rate assumed for a band before its first rating.
+// priorRate is the prior pass rate of a band.
 func (c *Class) priorRate(band int) float64 { return cheapPrior(band) - c.priorPenalty }
 
-// RecordExpensiveRating counts a rating of a dear answer.
+// RecordExpensiveRating adds a rating of an expensive answer.
 func (c *Class) RecordExpensiveRating(good bool) { c.Expensive.Observe(good) }
 
-// Reset forgets what was learned of the cheap model, for a new version of it.
+// Reset drops the statistics of the cheap model, for use when its version changes.
 func (c *Class) Reset() {
 	*c = Class{Expensive: c.Expensive}
 }
 
-// Costs are the prices of one answer in micros.
+// Costs holds the prices of one answer in micros.
 type Costs struct{ Cheap, Expensive float64 }
 
-// Plan says how to answer the requests of each class.
+// Plan determines how the requests of each class are answered.
 type Plan struct {
-	// CheapFirst lists the classes whose requests go to the cheap model first.
+	// CheapFirst contains the classes whose requests go to the cheap model first.
 	CheapFirst map[string]bool
-	// Accept gives, by class and band, whether a cheap answer may stand.
+	// Accept tells, by class and band, whether a cheap answer is accepted.
 	Accept map[string][ConfidenceBands]bool
-	// Quality and Cost are the expected values per request.
+	// Quality and Cost are the expected values per request: pass rate and micros.
 	Quality, Cost float64
 }
 
 const (
-	// believedCheap is assumed of the cheap model before ratings, at full and
-	// at no confidence.
+	// cheapPriorHigh and cheapPriorLow are the prior pass rates of the cheap model at full
+	// and at no confidence.
 	cheapPriorHigh, cheapPriorLow = 0.85, 0.30
-	// expensivePrior is assumed of the dear model before ratings.
+	// expensivePrior is the prior pass rate of the expensive model.
 	expensivePrior = 0.95
 )
 
-// cheapPrior is the pass rate assumed for a band before its first rating: a
-// confident answer is more likely good.
+// cheapPrior returns the prior pass rate of a band, interpolated linearly.
 func cheapPrior(band int) float64 {
 	f := (float64(band) + 0.5) / ConfidenceBands
 	return cheapPriorLow + f*(cheapPriorHigh-cheapPriorLow)
@@ -164,10 +162,9 @@
 	loss  float64
 }
 
-// NewPlan plans a cascade: it accepts cheap answers where that costs the least
-// quality, over all classes together, as long as the expected quality stays at
-// the target. A class most of whose cheap answers would be thrown away goes to
-// the dear model at once, since the cheap run would only add cost and delay.
+// NewPlan returns a plan that accepts cheap answers in the order of least quality loss,
+// over all classes, as long as the expected quality meets the target. Classes for which
+// trying the cheap model first would not lower the cost go directly to the expensive one.
 func NewPlan(classes map[string]*Class, costs Costs, target float64) Plan {
 	p := Plan{CheapFirst: map[string]bool{}, Accept: map[string][ConfidenceBands]bool{}}
 	options, total, quality := sortedBands(classes)
@@ -188,8 +185,8 @@
 	return p
 }
 
-// sortedBands lists every band of every class, least loss of quality first, with the
-// quality of answering all by the dear model.
+// sortedBands returns every band of every class by ascending quality loss, the total
+// count, and the quality if the expensive model answers all requests.
 func sortedBands(classes map[string]*Class) (options []bandOption, total, quality float64) {
 	names := make([]string, 0, len(classes))
 	for n := range classes {
@@ -245,18 +242,17 @@
 	}
 }
 
-// explorationRate is the fraction of a dear-first class that still asks the cheap
-// model, so that an improvement of it can show.
+// explorationRate is the fraction of requests of other classes that still go to the cheap
+// model first, so that an improvement of it is detected.
 const explorationRate = 0.02
 
-// UseCheapFirst reports whether a request of a class goes to the cheap model first. A
-// class not planned yet does: nothing is known of it and the cheap answer is
-// judged before it stands. Coin is uniform in [0, 1).
+// UseCheapFirst reports whether a request of a class goes to the cheap model first.
+// Classes unknown to the plan do. The draw is uniform in [0, 1).
 func (p Plan) UseCheapFirst(class string, known bool, draw float64) bool {
 	return !known || p.CheapFirst[class] || draw < explorationRate
 }
 
-// Accepts reports whether a cheap answer of some confidence may stand.
+// Accepts reports whether a cheap answer with a confidence is accepted.
 func (p Plan) Accepts(class string, confidence float64) bool {
 	return p.Accept[class][Band(confidence)]
 }
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// uniformClass makes a class whose cheap answers of every band are good at a rate.
-func uniformClass(mass, cheap, dear float64) *Class {
-	c := &Class{Expensive: PassRate{Good: dear * 1000, Total: 1000}}
+// uniformClass returns a class with the same count and the same pass rates in every band.
+func uniformClass(count, cheap, expensive float64) *Class {
+	c := &Class{Expensive: PassRate{Good: expensive * 1000, Total: 1000}}
 	for i := range c.BandCounts {
-		c.BandCounts[i] = mass
+		c.BandCounts[i] = count
 		c.Cheap[i] = PassRate{Good: cheap * 1000, Total: 1000}
 	}
 	return c
@@ -14,60 +14,56 @@
 
 var testCosts = Costs{Cheap: 1, Expensive: 10}
 
-// On easy cases the plan is the naive one; where it differs, the case says why.
 func TestNewPlan(t *testing.T) {
 	easy, hard := uniformClass(1, 0.98, 0.98), uniformClass(1, 0.2, 0.98)
 	p := NewPlan(map[string]*Class{"easy": easy}, testCosts, 0.9)
 	if !p.UseCheapFirst("easy", true, 1) || !p.Accepts("easy", 0.1) {
-		t.Error("a cheap model as good as the dear one is not used")
+		t.Error("cheap model as good as the expensive one is not used")
 	}
 	p = NewPlan(map[string]*Class{"hard": hard}, testCosts, 0.9)
 	if p.UseCheapFirst("hard", true, 1) || p.Accepts("hard", 0.99) {
-		t.Error("a class whose cheap answers are bad still asks for them: cheap-then-escalate pays twice")
+		t.Error("class with bad cheap answers goes to the cheap model first")
 	}
 	if !p.UseCheapFirst("hard", true, 0) {
-		t.Error("a dear-first class never finds out that the cheap model got better")
+		t.Error("no exploration of the cheap model in an expensive-first class")
 	}
 	p = NewPlan(map[string]*Class{"easy": easy, "hard": hard}, testCosts, 0.9)
 	if !p.Accepts("easy", 0.5) || p.Accepts("hard", 0.5) || p.Quality < 0.9 {
-		t.Errorf("mixed: %+v", p)
+		t.Errorf("easy and hard class: %+v", p)
 	}
 	if p := (Plan{}); !p.UseCheapFirst("new", false, 1) || p.Accepts("new", 0.99) {
-		t.Error("an unknown class must ask the cheap model and let nothing stand unjudged")
+		t.Error("unknown class must go to the cheap model first and accept no answer")
 	}
 	if p := NewPlan(nil, testCosts, 0.9); p.Cost != 0 {
-		t.Errorf("no class: %+v", p)
+		t.Errorf("no classes: %+v", p)
 	}
 }
 
 func TestUnreachableTargetUsesExpensiveModel(t *testing.T) {
 	p := NewPlan(map[string]*Class{"a": uniformClass(1, 0.9, 0.92)}, testCosts, 0.99)
 	if p.UseCheapFirst("a", true, 1) {
-		t.Error("a target that even the dear model misses is no reason to go cheap")
+		t.Error("cheap model used although even the expensive one misses the target")
 	}
 }
 
-// Symptom: bad cheap answers stand for hundreds of requests after a silent change
-// of the cheap model.
-// Sequence: 200 good ratings, then four of ten are bad.
-// Cause: a fading mean follows slowly; the evidence must be dropped at once.
+// A silent drop of the cheap model's quality must be detected within a few ratings.
 func TestQualityDropIsDetected(t *testing.T) {
 	c := uniformClass(1, 0.97, 0.98)
 	for i := range 200 {
 		c.RecordRating(0.9, i%33 != 0)
 	}
 	if c.priorPenalty != 0 {
-		t.Fatal("good ratings raised an alarm")
+		t.Fatal("drop detected in good ratings")
 	}
 	n := 0
 	for ; c.priorPenalty == 0 && n < 60; n++ {
 		c.RecordRating(0.9, n%10 >= 4)
 	}
 	if n > 25 {
-		t.Fatalf("noticed after %d ratings", n)
+		t.Fatalf("drop detected after %d ratings, want at most 25", n)
 	}
 	c.Reset()
 	if c.priorPenalty != 0 || c.Expensive.Total == 0 {
-		t.Fatal("a new version of the cheap model starts with distrust, or the dear model's evidence is gone")
+		t.Fatal("Reset kept the prior penalty or dropped the expensive model's ratings")
 	}
 }
--- a/internal/cascade/value.go
+++ b/internal/cascade/escalator.go
@@ -5,93 +5,94 @@
 	"time"
 )
 
-// Escalator decides for streams whose head carries the model's own opinion whether a
-// larger model is asked before anything is passed on. It chooses what brings most:
-// the value of an answer by the probability that it is right and in time, less the
-// price of the run, less what the engine time it takes costs the requests that wait
-// behind it. The cheapest model always begins: its opinion tells more of a request
-// than anything else does, for a tenth of the largest model's time.
+// Escalator decides whether a request is escalated to a larger model before any of a
+// smaller model's answer is passed on. It relies on the confidence that the model states
+// at the start of its answer and maximizes the expected net value: the answer's value
+// times the probability that it is correct and in time, less the price of the run and the
+// delay it causes to other requests.
 type Escalator struct {
 	firstEvent, remainder LatencyForecast
 	calibration           confidenceCalibration
 	sizeByRoute           map[string]*requestSize
-	// delayCostByModel is what one second more to the first event costs a request of a model
-	// lately, in the unit of prices.
+	// delayCostByModel is the recent mean cost, in the unit of prices, of one second of
+	// additional time to first event per request of a model.
 	delayCostByModel map[string]float64
 }
 
-// Model is one of the models that may answer, cheapest first.
+// Model is one of the models of a route. Models are ordered by price, cheapest first.
 type Model struct {
 	Name string
-	// Price is that of 1,000 generated tokens, and Dearest the dearest model's.
+	// Price is the price of 1,000 generated tokens, and HighestPrice that of the most
+	// expensive model.
 	Price, HighestPrice float64
 }
 
-// Request is what a decision knows of a request. Times count from the decision.
+// Request describes the request to decide on. Times count from the decision.
 type Request struct {
 	Route string
-	// PromptTokens is the prompt's length and Answer the expected one of the answer, in
-	// tokens.
+	// PromptTokens is the length of the prompt, and AnswerTokens the expected length of
+	// the answer.
 	PromptTokens, AnswerTokens int
-	// FirstEventTarget is the time until which a first event is in time, and Left the time
-	// until which the answer must be whole.
+	// FirstEventTarget is the time left to the target for the first event, zero if there
+	// is none. Remaining is the time left to the deadline of the complete answer.
 	FirstEventTarget, Remaining time.Duration
 }
 
-// Estimate is what is expected of one model's answer at the server that it would get.
+// Estimate is the expected performance of one model on the best available server.
 type Estimate struct {
-	// Unavailable says that no server could answer.
+	// Unavailable is set if no server can answer.
 	Unavailable bool
-	// FirstEvent is the time to the first event, and Rest the time from there to the last.
+	// FirstEvent is the time to the first event, and Remainder the time from there to the
+	// last.
 	FirstEvent, Remainder time.Duration
-	// EngineTime is the engine time to read the prompt, and Delayed the number of requests
-	// that each second of it delays.
+	// EngineTime is the time of the prompt's prefill, and DelayedPerSecond the number of
+	// other requests delayed during each second of it.
 	EngineTime       time.Duration
 	DelayedPerSecond float64
 }
 
-// Decision is a decision and what it was made of.
+// Decision is the result of Decide and the values that led to it.
 type Decision struct {
-	// Model is the index of the model to ask, or of the one whose answer stands.
+	// Model is the index of the model to escalate to, or of the current one if its answer
+	// is kept.
 	Model int
-	// KeepValue and Ask are the worth of letting the answer stand and of the best other
-	// model, in the unit of prices.
+	// KeepValue and EscalateValue are the net values of keeping the answer and of the best
+	// escalation, in the unit of prices.
 	KeepValue, EscalateValue float64
-	// CorrectProbability is how likely the answer is taken to be right.
+	// CorrectProbability is the probability that the current answer is correct.
 	CorrectProbability float64
 }
 
 const (
-	// valuePerCost is the value of a mean answer of a route over the price of a run
-	// of its dearest model. Nobody tells it. Operators ask a model because its answers
-	// are worth several times its price.
+	// valuePerCost is the assumed ratio of the value of an average answer to the cost of a
+	// run of the most expensive model.
 	valuePerCost = 6
-	// lateValueShare is the part of its value that a late answer keeps.
+	// lateValueShare is the fraction of its value that an answer retains if its first
+	// event is late.
 	lateValueShare = 0.3
-	// sizeValueShare is the part of an answer's value that grows with its size against the
-	// route's mean, mostSize the most it can be worth over the mean, and answerSize
-	// the size of a generated token in tokens read, as the operators reckon.
+	// sizeValueShare is the fraction of an answer's value that is proportional to its size
+	// relative to the route's mean, maxSizeFactor the bound of its value relative to the
+	// mean, and answerTokenSize the size of a generated token in prompt tokens.
 	sizeValueShare  = 0.7
 	maxSizeFactor   = 4
 	answerTokenSize = 10
-	// promptTokenPrice is the price of a token read over that of one generated.
+	// promptTokenPrice is the price of a prompt token relative to a generated one.
 	promptTokenPrice = 0.25
-	// priceTokens is the number of tokens that a model's price is for.
+	// priceTokens is the number of tokens that Model.Price refers to.
 	priceTokens = 1000
-	// delayWeight is the weight of a new request in the cost of a delay: about the
-	// last 50 count.
+	// delayWeight is the weight of a new request in the cost of delay.
 	delayWeight = 0.02
-	// delayStep is the delay by which its cost is measured.
+	// delayStep is the difference in time by which the cost of delay is computed.
 	delayStep = 100 * time.Millisecond
 )
 
 // requestSize is the mean size of a route's requests in tokens.
 type requestSize struct{ prompt, answer float64 }
 
-// requestSizeWeight is the weight of a new request: about the last 50 count.
+// requestSizeWeight is the weight of a new request in the mean size.
 const requestSizeWeight = 0.02
 
-func (e *Escalator) meanSize(r Request) *requestSize {
+func (e *Escalator) meanRequestSize(r Request) *requestSize {
 	size := e.sizeByRoute[r.Route]
 	if size == nil {
 		if e.sizeByRoute == nil {
@@ -103,21 +104,21 @@
 	return size
 }
 
-// cost returns the price of a run.
+// cost returns the price of a run with the given numbers of tokens.
 func (m Model) cost(prompt, answer float64) float64 {
 	return m.Price * (answer + promptTokenPrice*prompt) / priceTokens
 }
 
-// AnswerValue returns what the right answer to a request is worth in time, in the unit of
-// prices.
+// AnswerValue returns the value of a correct answer in time, in the unit of prices.
 func (e *Escalator) AnswerValue(r Request, models []Model) float64 {
-	meanSize := e.meanSize(r)
+	meanSize := e.meanRequestSize(r)
 	relativeSize := (float64(r.PromptTokens) + answerTokenSize*float64(r.AnswerTokens)) / max(meanSize.prompt+answerTokenSize*meanSize.answer, 1)
 	meanValue := valuePerCost * models[len(models)-1].cost(meanSize.prompt, meanSize.answer)
 	return meanValue * min(1-sizeValueShare+sizeValueShare*relativeSize, maxSizeFactor)
 }
 
-// expectedShare returns the part of its value that a right answer is expected to earn.
+// expectedShare returns the expected fraction of its value that a correct answer yields,
+// given the probabilities of being in time and complete.
 func (e *Escalator) expectedShare(r Request, o Estimate) float64 {
 	inTime := 1.0
 	if r.FirstEventTarget != 0 {
@@ -127,14 +128,14 @@
 	return complete * (lateValueShare + (1-lateValueShare)*inTime)
 }
 
-// startingAfter returns what an offer becomes if another model is asked before.
+// startingAfter returns the estimate for a run that starts at the first event of another.
 func (e Estimate) startingAfter(before Estimate) Estimate {
 	e.FirstEvent += before.FirstEvent
 	return e
 }
 
-// evaluation is one decision between models: value is what the right answer is worth, and
-// likely how likely each model's answer is right.
+// evaluation holds the inputs of one decision: the value of a correct answer and, by model
+// index, the probability that the model's answer is correct.
 type evaluation struct {
 	*Escalator
 	request   Request
@@ -144,8 +145,8 @@
 	correct   func(at int) float64
 }
 
-// escalationValue returns the worth of asking a model, and larger ones after it as long as runs
-// are left. Before is the offer of the model that is asked before it.
+// escalationValue returns the expected net value of a run of a model, including further
+// escalations while runs are left. Before is the estimate of the preceding run.
 func (e *evaluation) escalationValue(at int, before Estimate, runs int) float64 {
 	o := e.estimates[at].startingAfter(before)
 	if o.Unavailable || runs < 1 {
@@ -161,28 +162,28 @@
 	return probability*e.value*e.expectedShare(r, o) + (1-probability)*next - cost
 }
 
-// ObserveRequest takes a request into the means of its route.
+// ObserveRequest adds a request to the mean size of its route.
 func (e *Escalator) ObserveRequest(r Request) {
-	size := e.meanSize(r)
+	size := e.meanRequestSize(r)
 	size.prompt += requestSizeWeight * (float64(r.PromptTokens) - size.prompt)
 	size.answer += requestSizeWeight * (float64(r.AnswerTokens) - size.answer)
 }
 
-// Decide decides on an answer of which the model has an opinion, before any of it is
-// passed on. Standing tells when the rest of it is expected. A negative confidence is
-// none stated.
+// Decide decides on an answer by the confidence its model states, before any of it is
+// passed on. Current is the estimate for the rest of that answer. An answer without a
+// stated confidence, given as a negative value, is kept.
 func (e *Escalator) Decide(r Request, models []Model, estimates []Estimate, at int, confidence float64, current Estimate, runs int) Decision {
 	if confidence < 0 {
 		return Decision{Model: at}
 	}
 	decision := Decision{Model: at, CorrectProbability: correctProbability(confidence), EscalateValue: math.Inf(-1)}
-	c := evaluation{
+	eval := evaluation{
 		Escalator: e, request: r, models: models, estimates: estimates, value: e.AnswerValue(r, models),
 		correct: func(to int) float64 { return e.calibration.predict(models[at], models[to], confidence) },
 	}
-	decision.KeepValue = decision.CorrectProbability * c.value * e.expectedShare(r, current)
+	decision.KeepValue = decision.CorrectProbability * eval.value * e.expectedShare(r, current)
 	for to := at + 1; to < len(models); to++ {
-		escalateValue := c.escalationValue(to, Estimate{}, runs)
+		escalateValue := eval.escalationValue(to, Estimate{}, runs)
 		if escalateValue > decision.KeepValue && escalateValue > decision.EscalateValue {
 			decision.Model = to
 		}
@@ -191,15 +192,15 @@
 	return decision
 }
 
-// ObserveEscalation takes the opinions of two models that were asked the same.
+// ObserveEscalation adds the confidences that two models state on the same request.
 func (e *Escalator) ObserveEscalation(from, to Model, before, after float64) {
 	e.calibration.observe(from, to, before, after)
 }
 
-// ObserveDispatch learns from a request that is sent to a server what a delay costs: the larger
-// of what a little more would cost it, and of what each second of the expected one
-// does. The first alone falls to nothing where all requests are late, and a queue
-// that costs nothing is never left: see TestValuerLeavesAnOverload.
+// ObserveDispatch updates the cost of delay from a dispatched request. The cost is the
+// larger of the marginal cost of a delay and the average cost per second of the expected
+// delay. The marginal cost alone vanishes once all requests are late, which would keep an
+// overload going.
 func (e *Escalator) ObserveDispatch(r Request, models []Model, at int, estimate Estimate) {
 	if e.delayCostByModel == nil {
 		e.delayCostByModel = map[string]float64{}
@@ -215,16 +216,16 @@
 	e.delayCostByModel[name] += delayWeight * (e.AnswerValue(r, models)*perSecond - e.delayCostByModel[name])
 }
 
-// DelayCost returns what one second more to a first event costs a request of a model
-// lately.
+// DelayCost returns the recent cost, in the unit of prices, of one second of additional
+// time to first event for a request of a model.
 func (e *Escalator) DelayCost(m Model) float64 { return e.delayCostByModel[m.Name] }
 
-// ObserveFirstEvent takes the time to the first event of a run and what was expected.
+// ObserveFirstEvent adds the expected and actual time to the first event of a run.
 func (e *Escalator) ObserveFirstEvent(expected, actual time.Duration) {
 	e.firstEvent.Observe(expected, actual)
 }
 
-// ObserveCompletion takes the time from the first event to the last and what was expected.
+// ObserveCompletion adds the expected and actual time from the first event to the last.
 func (e *Escalator) ObserveCompletion(expected, actual time.Duration) {
 	if expected > 0 {
 		e.remainder.Observe(expected, actual)
--- a/internal/cascade/forecast.go
+++ b/internal/cascade/forecast.go
@@ -5,39 +5,33 @@
 	"time"
 )
 
-// LatencyForecast learns by which factor times come out from what was expected of them,
-// so that a decision can ask how likely something is over by then. An estimate that
-// is right on average says little there: first events come after twice the expected
-// time in one case of ten, and it is these that miss a target.
-//
-// The logarithm of the factor is taken for normal. The zero value expects no bias
-// and the spread of priorSpread.
+// LatencyForecast estimates the distribution of the ratio of actual to expected times, to
+// predict the probability that a deadline is met. The ratio is modelled as log-normal. The
+// zero value assumes no bias and a deviation of priorStdDev.
 type LatencyForecast struct {
 	weight, bias, variance float64
 }
 
 const (
-	// priorStdDev is the spread of the factor's logarithm before the first sample:
-	// two thirds of the times lie within 0.55 to 1.8 of the expected one.
+	// priorStdDev is the initial standard deviation of the ratio's logarithm.
 	priorStdDev = 0.6
-	// priorSamples is the number of samples that the prior counts for.
+	// priorSamples is the weight of the prior, in samples.
 	priorSamples = 10
-	// maxForecastWeight is the number of samples that count: some ten seconds of one
-	// daemon's requests.
+	// maxForecastWeight bounds the weight of the past, in samples, so that old samples
+	// decay.
 	maxForecastWeight = 100
-	// minStdDev keeps the forecast from certainty.
+	// minStdDev bounds the standard deviation from below.
 	minStdDev = 0.1
-	// maxFactor bounds one sample: a wait that is a hundred times the expected one
-	// is a lost connection.
+	// maxFactor bounds the ratio of one sample.
 	maxFactor = 100
-	// minExpected keeps factors finite, in seconds.
+	// minExpected bounds times from below, in seconds, to keep ratios finite.
 	minExpected = 0.001
-	// logisticScale turns a deviation in units of the spread into the argument of
-	// the logistic curve that has the same spread.
+	// logisticScale converts standard deviations to the argument of the logistic function,
+	// which approximates the normal distribution.
 	logisticScale = math.Pi / 1.7320508
 )
 
-// Observe takes a time and what had been expected of it.
+// Observe adds an actual time and its expected value.
 func (f *LatencyForecast) Observe(expected, actual time.Duration) {
 	f.initialize()
 	factor := max(actual.Seconds(), minExpected) / max(expected.Seconds(), minExpected)
@@ -54,8 +48,8 @@
 	}
 }
 
-// Within returns the probability that something of which a time is expected is over
-// within another.
+// Within returns the probability that an operation with an expected time ends within the
+// limit.
 func (f *LatencyForecast) Within(expected, limit time.Duration) float64 {
 	if limit <= 0 {
 		return 0
