--- a/internal/routing/firsttoken.go
+++ b/internal/routing/firsttoken.go
@@ -29,13 +29,13 @@
 
 // NewFirstTokenFit returns a fit that starts at the given values.
 func NewFirstTokenFit(fixed, perToken time.Duration) *FirstTokenFit {
-	l := &FirstTokenFit{}
+	f := &FirstTokenFit{}
 	for range priorSamples {
-		l.add(0, fixed.Seconds())
-		l.add(priorTokens, fixed.Seconds()+priorTokens*perToken.Seconds())
+		f.add(0, fixed.Seconds())
+		f.add(priorTokens, fixed.Seconds()+priorTokens*perToken.Seconds())
 	}
-	l.solve()
-	return l
+	f.solve()
+	return f
 }
 
 // Observe adds the time to first token of a prompt on a server without other pending
--- a/internal/routing/partition.go
+++ b/internal/routing/partition.go
@@ -26,15 +26,14 @@
 	minShare = 0.01
 )
 
-// NewPartition returns a partition for the expected work by model. Only the ratios of the
-// values matter.
+// NewPartition returns a partition for the expected work by model.
 func NewPartition(expected map[string]float64) *Partition {
-	l := &Partition{workByModel: map[string]float64{}, shareByModel: map[string]float64{}}
+	p := &Partition{workByModel: map[string]float64{}, shareByModel: map[string]float64{}}
 	for m, w := range expected {
-		l.workByModel[m] = w
+		p.workByModel[m] = w
 	}
-	l.setShares(l.currentShares())
-	return l
+	p.setShares(p.currentShares())
+	return p
 }
 
 // RecordWork adds engine time spent on a model.
