--- /dev/null
+++ b/internal/routing/partition.go
@@ -0,0 +1,133 @@
+package routing
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// Partition assigns the engines of a service to its models in proportion to their work. An
+// engine that serves two models alternates between their steps, so the streams of the
+// small model run at the speed of the large one. The assignment is a preference:
+// PartitionAffinity sets the cost of leaving it.
+type Partition struct {
+	workByModel  map[string]float64
+	updatedAt    time.Time
+	shareByModel map[string]float64
+}
+
+const (
+	// workHalfLife is the half-life of the recorded work.
+	workHalfLife = 5 * time.Second
+	// rebalanceThreshold is the change of a model's share, in engines, that triggers a new
+	// assignment. Every reassignment loses cached prompts.
+	rebalanceThreshold = 0.7
+	// minShare is the share of work below which a model gets no engines of its own.
+	minShare = 0.01
+)
+
+// NewPartition returns a partition for the expected work by model.
+func NewPartition(expected map[string]float64) *Partition {
+	p := &Partition{workByModel: map[string]float64{}, shareByModel: map[string]float64{}}
+	for m, w := range expected {
+		p.workByModel[m] = w
+	}
+	p.setShares(p.currentShares())
+	return p
+}
+
+// RecordWork adds engine time spent on a model.
+func (p *Partition) RecordWork(model string, spent time.Duration, now time.Time) {
+	decayFactor := decay(now.Sub(p.updatedAt), workHalfLife)
+	p.updatedAt = now
+	for m := range p.workByModel {
+		p.workByModel[m] *= decayFactor
+	}
+	p.workByModel[model] += spent.Seconds()
+}
+
+func (p *Partition) currentShares() map[string]float64 {
+	sum := 0.0
+	for _, w := range p.workByModel {
+		sum += w
+	}
+	shares := make(map[string]float64, len(p.workByModel))
+	for m, w := range p.workByModel {
+		if sum > 0 && w/sum >= minShare {
+			shares[m] = w / sum
+		}
+	}
+	return shares
+}
+
+func (p *Partition) setShares(shares map[string]float64) { p.shareByModel = shares }
+
+// Outside returns the candidates outside a model's part. The order lists the candidate
+// indices by hash, see LoadTracker.IndicesByHash. Daemons with similar traffic compute the
+// same partition without coordination.
+func (p *Partition) Outside(model string, order []int) (outside Set) {
+	p.rebalance(len(order))
+	if len(p.shareByModel) < 2 || p.shareByModel[model] == 0 || len(order) < len(p.shareByModel) {
+		return outside
+	}
+	from, to := p.indexRange(model, len(order))
+	for rank, index := range order {
+		if rank < from || rank >= to {
+			outside.Add(index)
+		}
+	}
+	return outside
+}
+
+// rebalance recomputes the shares if one has changed by more than rebalanceThreshold.
+func (p *Partition) rebalance(engines int) {
+	current := p.currentShares()
+	for m := range p.workByModel {
+		if math.Abs(current[m]-p.shareByModel[m])*float64(engines) > rebalanceThreshold {
+			p.setShares(current)
+			return
+		}
+	}
+}
+
+// indexRange returns the half-open range of a model's engines among n: at least one engine
+// per model, the rest by share.
+func (p *Partition) indexRange(model string, n int) (from, to int) {
+	names := make([]string, 0, len(p.shareByModel))
+	for m := range p.shareByModel {
+		names = append(names, m)
+	}
+	slices.Sort(names)
+	remaining, start, remainingShare := n, 0, 1.0
+	for i, m := range names {
+		others := len(names) - i - 1
+		count := remaining
+		if others > 0 {
+			count = int(math.Round(p.shareByModel[m] / remainingShare * float64(remaining)))
+			count = min(max(count, 1), remaining-others)
+		}
+		if m == model {
+			return start, start + count
+		}
+		start, remaining, remainingShare = start+count, remaining-count, max(remainingShare-p.shareByModel[m], minShare)
+	}
+	return 0, n
+}
+
+// PartitionAffinity is the cost of running on an engine assigned to another model.
+type PartitionAffinity struct {
+	// Penalty is the cost of leaving the partition. Requests spill over when the
+	// partition's delay exceeds that of other engines by more than this.
+	Penalty time.Duration
+}
+
+// Name implements Scorer.
+func (PartitionAffinity) Name() string { return "lane" }
+
+// Cost implements Scorer.
+func (p PartitionAffinity) Cost(r *Request, _ *Candidate, index int) time.Duration {
+	if r.OutsidePartition.Has(index) {
+		return p.Penalty
+	}
+	return 0
+}
--- a/internal/routing/set.go
+++ b/internal/routing/set.go
@@ -18,7 +18,7 @@
 // Add adds an index.
 func (s *Set) Add(i int) { s[i/wordBits] |= 1 << (i % wordBits) }
 
-// Remove takes an index out.
+// Remove removes an index.
 func (s *Set) Remove(i int) { s[i/wordBits] &^= 1 << (i % wordBits) }
 
 // Has reports whether an index is in the set.
@@ -35,16 +35,16 @@
 	return n
 }
 
-// With returns the indices that are in either set.
-func (s Set) With(o Set) Set {
+// Union returns the indices that are in either set.
+func (s Set) Union(o Set) Set {
 	for i, w := range o {
 		s[i] |= w
 	}
 	return s
 }
 
-// And returns the indices that are in both sets.
-func (s Set) And(o Set) Set {
+// Intersect returns the indices that are in both sets.
+func (s Set) Intersect(o Set) Set {
 	for i, w := range o {
 		s[i] &= w
 	}
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subset chooses up to size of members for one daemon by rendezvous
-// hashing, so that a changed member moves few others and daemons differ.
+// Subset returns up to size members for a daemon, chosen by rendezvous hashing: a
+// membership change replaces few of them, and the choices of daemons differ.
 func Subset(daemon string, members []Member, size int) []Member {
 	size = min(size, MaxCandidates)
 	if len(members) <= size {
@@ -17,11 +17,11 @@
 		weight uint64
 		m      Member
 	}
-	all := make([]ranked, len(members))
+	rankedMembers := make([]ranked, len(members))
 	for i, m := range members {
-		all[i] = ranked{xxhash.Sum64String(daemon + "\x00" + m.ID), m}
+		rankedMembers[i] = ranked{xxhash.Sum64String(daemon + "\x00" + m.ID), m}
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
+	slices.SortFunc(rankedMembers, func(a, b ranked) int {
 		if a.weight != b.weight {
 			if a.weight > b.weight {
 				return -1
@@ -33,40 +33,38 @@
 		}
 		return 1
 	})
-	out := make([]Member, size)
+	subset := make([]Member, size)
 	for i := range size {
-		out[i] = all[i].m
+		subset[i] = rankedMembers[i].m
 	}
-	return out
+	return subset
 }
 
-// shardMean is the most servers that a shard has on average. Their number varies by its
-// square root, so that one in a million has more than MaxCandidates.
-const shardMean = 184
+// meanShardSize bounds the average size of a shard. Sizes vary by their square root, so
+// that exceeding MaxCandidates is improbable.
+const meanShardSize = 184
 
-// Shard returns the servers of a service that a daemon works with: all of them up to
-// MaxCandidates, and beyond that the part of the daemon's shard. All daemons of a shard
-// have the same servers, in like parts of all versions and failure domains, so that what
-// they divide by a common order (engines between models, a canary's part, where a prompt
-// has its home) fits together. With subsets of 64 drawn by each daemon for itself, 63
-// engines and the 63 of their next version gave each of 195 daemons another half.
+// Shard returns the servers of a service that a daemon uses: all up to MaxCandidates,
+// beyond that the servers of the daemon's shard. All daemons of a shard use the same
+// servers, so that decisions based on a common order (partitions, canary shares, homes)
+// agree.
 //
-// The number of shards is a power of two: one more server than fit splits each shard in
-// two, and moves no server between others.
+// The number of shards is a power of two: growing it splits each shard in two and moves no
+// server between others.
 func Shard(daemon string, members []Member) []Member {
 	if len(members) <= MaxCandidates {
 		return members
 	}
 	shards := uint64(2)
-	for uint64(len(members)) > shards*shardMean {
+	for uint64(len(members)) > shards*meanShardSize {
 		shards *= 2
 	}
-	own := xxhash.Sum64String(daemon) % shards
-	var out []Member
+	ownShard := xxhash.Sum64String(daemon) % shards
+	var shard []Member
 	for _, m := range members {
-		if xxhash.Sum64String(m.ID)%shards == own {
-			out = append(out, m)
+		if xxhash.Sum64String(m.ID)%shards == ownShard {
+			shard = append(shard, m)
 		}
 	}
-	return out[:min(len(out), MaxCandidates)]
+	return shard[:min(len(shard), MaxCandidates)]
 }
