--- a/internal/api/holds.go
+++ b/internal/api/holds.go
@@ -22,7 +22,7 @@
 func (a *API) holds(c echo.Context) error {
 	out := []HeldRequest{}
 	for _, h := range a.d.Holds() {
-		out = append(out, HeldRequest{h.Fingerprint.String(), seconds(h.AgeMs), seconds(h.LeftMs)})
+		out = append(out, HeldRequest{h.Fingerprint.String(), seconds(h.AgeMs), seconds(h.RemainingMs)})
 	}
 	return c.JSON(http.StatusOK, out)
 }
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -145,8 +145,8 @@
 
 func (t *tool) burn(ctx context.Context, c *client, _ []string) error {
 	var r struct {
-		Lines   []slo.Line `json:"lines"`
-		Missing []string   `json:"missing"`
+		Lines   []slo.ObjectiveBurn `json:"lines"`
+		Missing []string            `json:"missing"`
 	}
 	if err := c.do(ctx, http.MethodGet, "/operator/v1/burn", nil, &r); err != nil {
 		return err
@@ -157,10 +157,10 @@
 	var rows []string
 	for _, l := range r.Lines {
 		end := "-"
-		if l.Exhausted > 0 {
-			end = l.Exhausted.Round(time.Minute).String()
+		if l.ExhaustedIn > 0 {
+			end = l.ExhaustedIn.Round(time.Minute).String()
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%.2f\t%.0f%%\t%s\t%s", l.Workspace, l.Objective, l.Window, l.Requests, l.Bad, l.Burn, 100*l.Left, end, orDash(l.Worst)))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%.2f\t%.0f%%\t%s\t%s", l.Workspace, l.Objective, l.Window, l.Requests, l.Bad, l.Burn, 100*l.Remaining, end, orDash(l.Worst)))
 	}
 	if err := t.table("WORKSPACE\tOBJECTIVE\tWINDOW\tREQUESTS\tBAD\tBURN\tLEFT\tEXHAUSTED IN\tMOST FROM", rows); err != nil {
 		return err
--- a/internal/daemon/burn.go
+++ b/internal/daemon/burn.go
@@ -28,15 +28,15 @@
 	b.mu.Unlock()
 }
 
-func (b *burn) cells() []slo.Cell {
+func (b *burn) cells() []slo.WindowCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.counters.Cells(time.Now())
+	return b.counters.Snapshot(time.Now())
 }
 
 // Burn merges the counters of all daemons into the burn report. Missing lists
 // the daemons that did not answer.
-func (d *Daemon) Burn(ctx context.Context) (lines []slo.Line, missing []string) {
+func (d *Daemon) Burn(ctx context.Context) (lines []slo.ObjectiveBurn, missing []string) {
 	cells := d.burn.cells()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -123,7 +123,7 @@
 	life := &request.Life{Repeatable: q.Key == "", Deadline: time.Now().Add(limit)}
 	d.retries.earn()
 	var tried []string
-	fingerprint := quarantine.Of(q.Workspace, "", "call", q.Service, q.Body)
+	fingerprint := quarantine.FingerprintOf(q.Workspace, "", "call", q.Service, q.Body)
 	for {
 		if refusal := d.held(fingerprint, life); refusal != nil {
 			return nil, refusal
@@ -161,18 +161,18 @@
 func (d *Daemon) guardedCall(ctx context.Context, id string, ch choice, f quarantine.Fingerprint, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	u := d.guard.Enter(guarded(ch.candidate), f, cancel)
+	u := d.guard.Begin(guarded(ch.candidate), f, cancel)
 	status, answer, err := d.engine.Call(ctx, ch.candidate.Address, id, body)
-	fate := containment.Broke
+	fate := containment.ConnectionLost
 	switch {
 	case err == nil, errors.Is(err, engine.ErrNotConnected):
-		fate = containment.Finished
+		fate = containment.Completed
 	case ctx.Err() != nil:
-		fate = containment.Left
+		fate = containment.Canceled
 	}
-	d.guard.Leave(ctx, u, guarded(ch.candidate), fate)
+	d.guard.End(ctx, u, guarded(ch.candidate), fate)
 	if err == nil && status < http.StatusInternalServerError {
-		d.guard.Succeeded(f)
+		d.guard.RecordSuccess(f)
 	}
 	return status, answer, err
 }
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -108,8 +108,8 @@
 	defer func() { d.finishAttempt(s, ch, began, res, failed) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	u := d.guard.Enter(guarded(ch.candidate), s.fingerprint, cancel)
-	defer func() { d.guard.Leave(ctx, u, guarded(ch.candidate), fateOf(event, res.complete, started)) }()
+	u := d.guard.Begin(guarded(ch.candidate), s.fingerprint, cancel)
+	defer func() { d.guard.End(ctx, u, guarded(ch.candidate), fateOf(event, res.complete, started)) }()
 	// The configuration may have changed since the pick; this check is the last
 	// thing before the request leaves.
 	if !d.config.current().MayDispatch(s.workspace, s.model, s.version) {
@@ -124,7 +124,7 @@
 		event = d.pump(s, res, ch, asm, stream, err, began)
 		if res.complete {
 			failed = false
-			d.guard.Succeeded(s.fingerprint)
+			d.guard.RecordSuccess(s.fingerprint)
 			return request.Decision{}
 		}
 		if ctx.Err() != nil {
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -28,7 +28,7 @@
 		pool.Servers = append(pool.Servers, fleet.Server{ID: domain, Address: fmt.Sprint("10.0.0.", i, ":1"), FailureDomain: domain})
 	}
 	c.Pools["p"] = pool
-	d.pools.gate.SetView(slowstart.View{Own: 1, Trusted: true}, 0)
+	d.pools.gate.SetView(slowstart.View{Self: 1, Trusted: true}, 0)
 	return d.pools, c
 }
 
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -152,11 +152,11 @@
 	}, nil
 }
 
-func refusal(dec routing.Decision, pool string, refused *gate.Tally) *fault.Error {
+func refusal(dec routing.Decision, pool string, refused *gate.Refusals) *fault.Error {
 	if dec.Refusal == routing.TooLate {
 		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, dec.Expected.Round(time.Millisecond)).After(max(time.Second, dec.Expected/2))
 	}
-	switch reason, left := refused.Main(); reason {
+	switch reason, left := refused.Primary(); reason {
 	case gate.Warming:
 		return fault.New(fault.Warming, "the servers of pool %s that are left are warming up", pool).After(left)
 	case gate.Evacuated:
@@ -199,7 +199,7 @@
 func (p *pools) unreachable(c choice) {
 	p.with(c.pool, func(st *pool) {
 		st.picture.Unreachable(c.candidate.ID, time.Now())
-		p.gate.Ended(c.candidate.ID, p.boot())
+		p.gate.ServerTerminated(c.candidate.ID, p.boot())
 	})
 }
 
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -197,7 +197,7 @@
 	for i := first; ; i++ {
 		last := i == len(models)-1
 		s := &step{requestID: id, workspace: q.Workspace, priority: w.Priority, prompt: q.Prompt, body: q.Body, deadline: began.Add(deadline)}
-		s.fingerprint = quarantine.Of(q.Workspace, "", "chat", q.Model, q.Raw)
+		s.fingerprint = quarantine.FingerprintOf(q.Workspace, "", "chat", q.Model, q.Raw)
 		if i > 0 {
 			s.requestID = id + "-" + models[i]
 		}
--- a/internal/enginetest/engines.go
+++ b/internal/enginetest/engines.go
@@ -113,7 +113,7 @@
 // Send implements relay.Backend.
 func (e *Engines) Send(ctx context.Context, s relay.Send) (*relay.Reply, error) {
 	time.Sleep(oneWay)
-	run, body := e.find(s.Server.Run.Name), string(s.Call.Body)
+	run, body := e.find(s.Server.Incarnation.Name), string(s.Call.Body)
 	if run == nil {
 		return nil, &upstream.Error{Reason: upstream.Unreachable, Err: syscall.ECONNREFUSED}
 	}
@@ -139,7 +139,7 @@
 
 // Alive implements relay.Backend.
 func (e *Engines) Alive(_ context.Context, s backend.Server, _ bool) error {
-	if e.find(s.Run.Name) == nil {
+	if e.find(s.Incarnation.Name) == nil {
 		return syscall.ECONNREFUSED
 	}
 	return nil
--- a/internal/freshness/upkeep_test.go
+++ b/internal/freshness/refresh_test.go
@@ -6,21 +6,21 @@
 )
 
 var plan = Plan{
-	Configuration: {Bears: 2 * time.Second, First: 0.4, Step: 150 * time.Millisecond, Most: 0.6},
-	Servers:       {Bears: 2 * time.Second, First: 0.25, Step: 250 * time.Millisecond, Most: 0.6},
+	Configuration: {MaxAge: 2 * time.Second, FirstFraction: 0.4, RankDelay: 150 * time.Millisecond, LastFraction: 0.6},
+	Servers:       {MaxAge: 2 * time.Second, FirstFraction: 0.25, RankDelay: 250 * time.Millisecond, LastFraction: 0.6},
 }
 
-func TestFurtherDaemonsLookLaterAndAllInTime(t *testing.T) {
+func TestRefreshAgeByRank(t *testing.T) {
 	u := plan[Servers]
 	for rank, want := range map[int]time.Duration{0: 500, 1: 750, 2: 1000, 3: 1200, 300: 1200} {
-		if got := u.Limit(rank); got != want*time.Millisecond {
+		if got := u.RefreshAge(rank); got != want*time.Millisecond {
 			t.Errorf("rank %d looks at an age of %s", rank, got)
 		}
 	}
 }
 
-func TestTheSubjectThatIsDueFirstIsLookedAt(t *testing.T) {
-	var l Ledger
+func TestNextReturnsEarliestDueSubject(t *testing.T) {
+	var l Tracker
 	const long = time.Hour
 	if _, _, any := plan.Next(&l, 0, 0, long); any {
 		t.Error("a look before anything is known")
@@ -51,9 +51,9 @@
 	}
 }
 
-func TestATimeWithoutConfirmationBeyondAllLooksIsAnOutage(t *testing.T) {
+func TestIsOutage(t *testing.T) {
 	u := plan[Servers]
-	if u.Away(u.Limit(300)+200*time.Millisecond) || !u.Away(1500*time.Millisecond) {
+	if u.IsOutage(u.RefreshAge(300)+200*time.Millisecond) || !u.IsOutage(1500*time.Millisecond) {
 		t.Error("an outage is told wrongly")
 	}
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -15,8 +15,8 @@
 
 // The reasons. The list is closed: they are the values of a counter.
 const (
-	// Open is no reason to refuse.
-	Open Reason = ""
+	// Allowed is no reason to refuse.
+	Allowed Reason = ""
 	// Held requests are kept from all servers because servers ended that ran them.
 	Held Reason = "held"
 	// Leaving servers finish what they run.
@@ -25,12 +25,12 @@
 	Evacuated Reason = "evacuated"
 	// Warming servers have started a moment ago and have had what they bear.
 	Warming Reason = "warming"
-	// Excluded servers stand in a region that the request may not be sent to.
-	Excluded Reason = "region_excluded"
+	// RegionExcluded servers stand in a region that the request may not be sent to.
+	RegionExcluded Reason = "region_excluded"
 )
 
 // Reasons returns all reasons to refuse, the one that tells a caller most first.
-func Reasons() []Reason { return []Reason{Held, Excluded, Evacuated, Warming, Leaving} }
+func Reasons() []Reason { return []Reason{Held, RegionExcluded, Evacuated, Warming, Leaving} }
 
 // Server is what the gate goes by of one run of a backend server.
 type Server struct {
@@ -57,28 +57,28 @@
 // suspended.
 type Gate struct {
 	evacuated map[string]time.Duration
-	// lifted is when the evacuation of a domain was taken back.
-	lifted map[string]time.Duration
-	view   slowstart.View
-	meters map[string]*meter
-	// ended are servers that have ended and may start again under their name.
-	ended map[string]*restart
+	// readmitted is when the evacuation of a domain was taken back.
+	readmitted map[string]time.Duration
+	view       slowstart.View
+	pacers     map[string]*pacer
+	// restarts are servers that have ended and may start again under their name.
+	restarts map[string]*restart
 }
 
 // restart is what is known of a server's next start under the same name.
 type restart struct {
-	at time.Duration
-	// answered says that the server has answered since, and warmAt when it is then warm.
-	answered bool
-	warmAt   time.Duration
+	terminatedAt time.Duration
+	// responded says that the server has answered since, and warmAt when it is then warm.
+	responded bool
+	warmAt    time.Duration
 }
 
-// endedRetention is how long the end of a server is remembered that does not come back.
-const endedRetention = time.Minute
+// restartRetention is how long the end of a server is remembered that does not come back.
+const restartRetention = time.Minute
 
-// meter is the count of sends to a warming server, with the choice of its senders.
-type meter struct {
-	slowstart.Meter
+// pacer is the count of sends to a warming server, with the choice of its senders.
+type pacer struct {
+	slowstart.Pacer
 	share  slowstart.Share
 	sender bool
 	warmAt time.Duration
@@ -86,12 +86,12 @@
 
 // New returns a gate that knows of no evacuation and no other daemon.
 func New() *Gate {
-	return &Gate{evacuated: map[string]time.Duration{}, lifted: map[string]time.Duration{}, meters: map[string]*meter{}, ended: map[string]*restart{}}
+	return &Gate{evacuated: map[string]time.Duration{}, readmitted: map[string]time.Duration{}, pacers: map[string]*pacer{}, restarts: map[string]*restart{}}
 }
 
 // Evacuate closes a failure domain and reports whether it was open.
 func (g *Gate) Evacuate(domain string, now time.Duration) bool {
-	if _, closed := g.evacuated[domain]; closed {
+	if _, evacuated := g.evacuated[domain]; evacuated {
 		return false
 	}
 	g.evacuated[domain] = now
@@ -101,11 +101,11 @@
 // Readmit opens a failure domain again and reports whether it was closed. Its servers count
 // as just started: they have served nothing, and their entries tell of it some time later.
 func (g *Gate) Readmit(domain string, now time.Duration) bool {
-	if _, closed := g.evacuated[domain]; !closed {
+	if _, evacuated := g.evacuated[domain]; !evacuated {
 		return false
 	}
 	delete(g.evacuated, domain)
-	g.lifted[domain] = now
+	g.readmitted[domain] = now
 	return true
 }
 
@@ -130,31 +130,33 @@
 	return out
 }
 
-// Ended takes it that a server has ended. If it comes back under its name it counts as just
+// ServerTerminated takes it that a server has ended. If it comes back under its name it counts as just
 // started from its first answer on, whatever its entry said before.
-func (g *Gate) Ended(id string, now time.Duration) { g.ended[id] = &restart{at: now} }
+func (g *Gate) ServerTerminated(id string, now time.Duration) {
+	g.restarts[id] = &restart{terminatedAt: now}
+}
 
-// Answered takes it that a server has answered.
-func (g *Gate) Answered(id string, limit slowstart.Limit, now time.Duration) {
-	if r := g.ended[id]; r != nil && !r.answered {
-		r.answered, r.warmAt = true, now+limit.For
+// ServerResponded takes it that a server has answered.
+func (g *Gate) ServerResponded(id string, limit slowstart.Limit, now time.Duration) {
+	if r := g.restarts[id]; r != nil && !r.responded {
+		r.responded, r.warmAt = true, now+limit.WarmupPeriod
 	}
 }
 
 // SetView takes who shares the limits of warming servers.
 func (g *Gate) SetView(v slowstart.View, now time.Duration) {
 	g.view = v
-	for id, m := range g.meters {
+	for id, m := range g.pacers {
 		if now >= m.warmAt {
-			delete(g.meters, id)
+			delete(g.pacers, id)
 		}
 	}
-	for _, m := range g.meters {
+	for _, m := range g.pacers {
 		m.share = slowstart.Share{}
 	}
-	for id, r := range g.ended {
-		if r.answered && now >= r.warmAt || now-r.at > endedRetention {
-			delete(g.ended, id)
+	for id, r := range g.restarts {
+		if r.responded && now >= r.warmAt || now-r.terminatedAt > restartRetention {
+			delete(g.restarts, id)
 		}
 	}
 }
@@ -165,13 +167,13 @@
 		return 0
 	}
 	at := s.WarmAt
-	if r := g.ended[s.ID]; r != nil && r.answered {
+	if r := g.restarts[s.ID]; r != nil && r.responded {
 		at = max(at, r.warmAt)
 	} else if r != nil {
-		at = max(at, now+s.Limit.For)
+		at = max(at, now+s.Limit.WarmupPeriod)
 	}
-	if lifted, any := g.lifted[s.FailureDomain]; any {
-		at = max(at, lifted+s.Limit.For)
+	if readmittedAt, any := g.readmitted[s.FailureDomain]; any {
+		at = max(at, readmittedAt+s.Limit.WarmupPeriod)
 	}
 	return at
 }
@@ -182,87 +184,87 @@
 	case r.Held:
 		return Held
 	case len(r.Regions) > 0 && !slices.Contains(r.Regions, s.Region):
-		return Excluded
-	case g.closed(s.FailureDomain):
+		return RegionExcluded
+	case g.isEvacuated(s.FailureDomain):
 		return Evacuated
 	case s.Leaving:
 		return Leaving
 	}
-	if warmAt := g.WarmAt(s, now); now < warmAt && !g.ready(s, warmAt, now) {
+	if warmAt := g.WarmAt(s, now); now < warmAt && !g.warmupReady(s, warmAt, now) {
 		return Warming
 	}
-	return Open
+	return Allowed
 }
 
 // Admit reports whether a request may be sent to a server, and counts why not.
-func (g *Gate) Admit(r Request, s Server, now time.Duration, refused *Tally) bool {
+func (g *Gate) Admit(r Request, s Server, now time.Duration, refusals *Refusals) bool {
 	reason := g.Check(r, s, now)
-	if reason != Open {
-		refused.Add(reason, g.WarmAt(s, now)-now)
+	if reason != Allowed {
+		refusals.Add(reason, g.WarmAt(s, now)-now)
 	}
-	return reason == Open
+	return reason == Allowed
 }
 
-func (g *Gate) closed(domain string) bool {
-	_, closed := g.evacuated[domain]
-	return closed
+func (g *Gate) isEvacuated(domain string) bool {
+	_, evacuated := g.evacuated[domain]
+	return evacuated
 }
 
-// ready reports whether this daemon may send to a warming server.
-func (g *Gate) ready(s Server, warmAt, now time.Duration) bool {
-	m := g.meters[s.ID]
+// warmupReady reports whether this daemon may send to a warming server.
+func (g *Gate) warmupReady(s Server, warmAt, now time.Duration) bool {
+	m := g.pacers[s.ID]
 	if m == nil {
-		m = &meter{}
-		g.meters[s.ID] = m
+		m = &pacer{}
+		g.pacers[s.ID] = m
 	}
 	m.warmAt = warmAt
 	if m.share.Senders == 0 {
 		m.share = s.Limit.Share()
-		m.sender = g.view.Sends(s.Hash, m.share.Senders)
+		m.sender = g.view.IsSender(s.Hash, m.share.Senders)
 	}
 	return m.sender && m.Ready(m.share, now)
 }
 
-// Pass records a send to a server that Check has let through.
-func (g *Gate) Pass(s Server, now time.Duration) {
+// RecordSend records a send to a server that Check has let through.
+func (g *Gate) RecordSend(s Server, now time.Duration) {
 	if now >= g.WarmAt(s, now) {
 		return
 	}
-	if m := g.meters[s.ID]; m != nil {
-		m.Take(now)
+	if m := g.pacers[s.ID]; m != nil {
+		m.RecordSend(now)
 	}
 }
 
-// Tally counts why the servers of a service were refused, for the answer to a request that no
+// Refusals counts why the servers of a service were refused, for the answer to a request that no
 // server is left for.
-type Tally struct {
+type Refusals struct {
 	counts map[Reason]int
-	// warm is the time until the first of the warming servers has warmed up.
-	warm time.Duration
+	// warmIn is the time until the first of the warming servers has warmed up.
+	warmIn time.Duration
 }
 
 // Add counts a refused server. Warm is the time until it has warmed up, if it is warming.
-func (t *Tally) Add(r Reason, warm time.Duration) {
+func (t *Refusals) Add(r Reason, warmIn time.Duration) {
 	if t.counts == nil {
 		t.counts = map[Reason]int{}
 	}
 	t.counts[r]++
-	if r == Warming && (t.warm == 0 || warm < t.warm) {
-		t.warm = warm
+	if r == Warming && (t.warmIn == 0 || warmIn < t.warmIn) {
+		t.warmIn = warmIn
 	}
 }
 
-// Main returns the reason that tells the caller most, or Open if none was counted, and the
+// Primary returns the reason that tells the caller most, or Open if none was counted, and the
 // time until it ends, if that is known.
-func (t *Tally) Main() (Reason, time.Duration) {
+func (t *Refusals) Primary() (Reason, time.Duration) {
 	for _, r := range Reasons() {
 		if t.counts[r] == 0 {
 			continue
 		}
 		if r == Warming {
-			return r, t.warm
+			return r, t.warmIn
 		}
 		return r, 0
 	}
-	return Open, 0
+	return Allowed, 0
 }
--- a/internal/gossip/views.go
+++ b/internal/gossip/views.go
@@ -24,7 +24,7 @@
 	defer m.mu.Unlock()
 	m.expire(time.Now())
 	own, others := m.roster.Hashes()
-	return slowstart.View{Own: own, Others: others, Trusted: 2*m.roster.Len() >= len(m.all)}
+	return slowstart.View{Self: own, Peers: others, Trusted: 2*m.roster.Len() >= len(m.all)}
 }
 
 // Fronts returns the daemons heard lately as callers are told of them, in no order. One
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -6,11 +6,11 @@
 import "time"
 
 const (
-	// Term is how long a holder may act after it asked for its lease.
-	Term = 10 * time.Second
-	// Margin is what a claimant waits beyond Term before it takes over: the
+	// Duration is how long a holder may act after it asked for its lease.
+	Duration = 10 * time.Second
+	// TakeoverDelay is what a claimant waits beyond Term before it takes over: the
 	// holder may have been paused between its last check and its order.
-	Margin = 5 * time.Second
+	TakeoverDelay = 5 * time.Second
 	// RenewAfter is when a holder renews.
 	RenewAfter = 4 * time.Second
 )
@@ -28,63 +28,63 @@
 // Lease is the lease in force.
 type Lease struct {
 	Owner string
-	// Fence rises with every accepted record; 0 means nobody held it yet.
-	Fence uint64
-	// Seen is when the own daemon folded the record, by its own clock.
-	Seen time.Time
+	// FencingToken rises with every accepted record; 0 means nobody held it yet.
+	FencingToken uint64
+	// ObservedAt is when the own daemon folded the record, by its own clock.
+	ObservedAt time.Time
 }
 
-// Fold folds the lease stream.
-type Fold struct {
-	next   uint64
-	leases map[string]Lease
+// State folds the lease stream.
+type State struct {
+	nextOffset uint64
+	leases     map[string]Lease
 }
 
-// NewFold returns an empty fold.
-func NewFold() *Fold { return &Fold{leases: map[string]Lease{}} }
+// NewState returns an empty fold.
+func NewState() *State { return &State{leases: map[string]Lease{}} }
 
-// Next returns the offset of the next record to fold.
-func (f *Fold) Next() uint64 { return f.next }
+// NextOffset returns the offset of the next record to fold.
+func (f *State) NextOffset() uint64 { return f.nextOffset }
 
 // Apply folds a record that was read at a time. A record whose predecessor aged
 // out of the log is accepted when nothing is known of the lease.
-func (f *Fold) Apply(offset uint64, r Record, now time.Time) {
-	if offset < f.next {
+func (f *State) Apply(offset uint64, r Record, now time.Time) {
+	if offset < f.nextOffset {
 		return
 	}
-	f.next = offset + 1
+	f.nextOffset = offset + 1
 	cur, known := f.leases[r.Name]
-	if known && r.Supersedes != cur.Fence {
+	if known && r.Supersedes != cur.FencingToken {
 		return
 	}
-	f.leases[r.Name] = Lease{Owner: r.Owner, Fence: offset + 1, Seen: now}
+	f.leases[r.Name] = Lease{Owner: r.Owner, FencingToken: offset + 1, ObservedAt: now}
 }
 
 // Current returns the lease of a name.
-func (f *Fold) Current(name string) Lease { return f.leases[name] }
+func (f *State) Current(name string) Lease { return f.leases[name] }
 
 // Claim returns the record to append now, if there is one: a renewal by the
 // holder, or a takeover of a lease that was not renewed for Term and Margin.
-func (f *Fold) Claim(name, owner string, now time.Time) (Record, bool) {
+func (f *State) Claim(name, owner string, now time.Time) (Record, bool) {
 	cur := f.leases[name]
-	age := now.Sub(cur.Seen)
-	r := Record{Name: name, Owner: owner, Supersedes: cur.Fence}
+	age := now.Sub(cur.ObservedAt)
+	r := Record{Name: name, Owner: owner, Supersedes: cur.FencingToken}
 	switch {
-	case cur.Fence == 0:
+	case cur.FencingToken == 0:
 		return r, true
 	case cur.Owner == owner:
 		return r, age >= RenewAfter
 	}
-	return r, age >= Term+Margin
+	return r, age >= Duration+TakeoverDelay
 }
 
 // MayAct is the check right before each order: the lease is the owner's, and
 // less than Term has passed since the record was asked for. A holder that was
 // paused finds its time over here, instead of acting on a lease that others
 // already hold.
-func (f *Fold) MayAct(name, owner string, askedAt, now time.Time) (fence uint64, ok bool) {
+func (f *State) MayAct(name, owner string, askedAt, now time.Time) (token uint64, ok bool) {
 	cur := f.leases[name]
-	return cur.Fence, cur.Owner == owner && now.Sub(askedAt) < Term
+	return cur.FencingToken, cur.Owner == owner && now.Sub(askedAt) < Duration
 }
 
 // Order is what one server must do to hold what the configuration wants.
@@ -93,19 +93,19 @@
 	Version string `json:"version"`
 }
 
-// Orders returns the orders that turn what a server holds into what it should
+// Reconcile returns the orders that turn what a server holds into what it should
 // hold. They are declarative: repeated or late ones do no harm, and a holder
 // that acted after its time is corrected by the next round of the rightful one.
-func Orders(wanted, held []string) []Order {
+func Reconcile(wanted, held []string) []Order {
 	var out []Order
-	has := map[string]bool{}
+	loaded := map[string]bool{}
 	for _, h := range held {
-		has[h] = true
+		loaded[h] = true
 	}
 	want := map[string]bool{}
 	for _, w := range wanted {
 		want[w] = true
-		if !has[w] {
+		if !loaded[w] {
 			out = append(out, Order{"load", w})
 		}
 	}
--- a/internal/node/deadly_test.go
+++ b/internal/node/deadly_test.go
@@ -277,8 +277,8 @@
 			time.Sleep(6 * time.Second)
 			const held = quarantine.Fingerprint(7)
 			word := quarantine.Update{}
-			for run := range quarantine.RunKey(3) {
-				word.Ends = append(word.Ends, quarantine.End{Run: run, Suspects: []quarantine.Fingerprint{held}})
+			for run := range quarantine.IncarnationKey(3) {
+				word.Crashes = append(word.Crashes, quarantine.Crash{Incarnation: run, Suspects: []quarantine.Fingerprint{held}})
 			}
 			before := f.pulses.Load()
 			f.member(address(daemons / 2)).Relay.Guard.Merge(word)
--- a/internal/node/fresh.go
+++ b/internal/node/fresh.go
@@ -36,8 +36,8 @@
 // as long as the word of others takes.
 func upkeep(inForce, leave time.Duration) freshness.Plan {
 	return freshness.Plan{
-		freshness.Configuration: {Bears: inForce, First: 0.4, Step: 150 * time.Millisecond, Most: 0.6},
-		freshness.Servers:       {Bears: leave, First: 0.25, Step: gossip.Every, Most: 0.6},
+		freshness.Configuration: {MaxAge: inForce, FirstFraction: 0.4, RankDelay: 150 * time.Millisecond, LastFraction: 0.6},
+		freshness.Servers:       {MaxAge: leave, FirstFraction: 0.25, RankDelay: gossip.Every, LastFraction: 0.6},
 	}
 }
 
@@ -61,7 +61,7 @@
 		return n.reader()
 	}
 	by, age := n.state.Confirmed(freshness.Configuration)
-	return by == freshness.Own && age >= peerReportDelay
+	return by == freshness.FromStore && age >= peerReportDelay
 }
 
 // peerReportDelay is the time within which peers report that they reach the store again, when
@@ -136,7 +136,7 @@
 	if age, known := n.state.Age(about); about == freshness.Configuration && known && age > n.part(ownReadPart) {
 		n.stoodIn.Store(int64(n.ports.Boot()))
 	}
-	n.take(about, freshness.Confirmation{At: sent, By: freshness.Own})
+	n.take(about, freshness.Confirmation{At: sent, Source: freshness.FromStore})
 	n.unanswered.Store(0)
 	n.cutOff.Store(false)
 }
@@ -158,7 +158,7 @@
 	if about == freshness.Servers {
 		n.noteGap(gap)
 	}
-	if u, looked := n.plan[about]; looked && u.Away(gap) {
+	if u, looked := n.plan[about]; looked && u.IsOutage(gap) {
 		n.renew()
 	}
 }
@@ -182,7 +182,7 @@
 // gone. A read that did not fail is no sign against it: it may have waited all the while.
 func (n *Node) noteGap(gap time.Duration) {
 	since := time.Duration(n.unanswered.Load())
-	if since == 0 || n.ports.Boot()-since < outageLeast || !n.plan[freshness.Servers].Away(gap) {
+	if since == 0 || n.ports.Boot()-since < outageLeast || !n.plan[freshness.Servers].IsOutage(gap) {
 		return
 	}
 	n.log.Info("store back", "subject", freshness.Servers, "unconfirmed_ms", gap.Milliseconds(), "unanswered_ms", (n.ports.Boot() - since).Milliseconds())
@@ -212,7 +212,7 @@
 	for about := range freshness.Subjects {
 		age, known := p.Age(about)
 		if known && n.followers[about].Next() >= p.Next(int(about)) {
-			n.take(about, freshness.Confirmation{At: after - age, By: p.Name})
+			n.take(about, freshness.Confirmation{At: after - age, Source: p.Name})
 		}
 	}
 }
--- a/internal/node/holds.go
+++ b/internal/node/holds.go
@@ -74,7 +74,7 @@
 			delete(s.differs, h.Fingerprint)
 			continue
 		}
-		until := at.Add(time.Duration(h.LeftMs) * time.Millisecond)
+		until := at.Add(time.Duration(h.RemainingMs) * time.Millisecond)
 		out[Held{Fingerprint: h.Fingerprint, Until: until}] = s.since(h.Fingerprint, now)
 	}
 	for f, until := range s.until {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -46,12 +46,12 @@
 func (words) Server(r feed.Record) (backend.Server, error) {
 	state, born, _ := strings.Cut(string(r.Value), " ")
 	if state != "ready" && state != "leaving" {
-		return backend.Server{}, backend.Bad(backend.UnknownState, "%s", state)
+		return backend.Server{}, backend.Invalid(backend.UnknownState, "%s", state)
 	}
-	s := backend.Server{Run: backend.Incarnation{Name: r.Key}, Service: "s", Address: r.Key, Leaving: state == "leaving"}
-	_, err := fmt.Sscan(born, &s.Run.Born)
+	s := backend.Server{Incarnation: backend.Incarnation{Name: r.Key}, Service: "s", Address: r.Key, Leaving: state == "leaving"}
+	_, err := fmt.Sscan(born, &s.Incarnation.StartMillis)
 	if born != "" && err != nil {
-		return backend.Server{}, backend.Bad(backend.FieldType, "born")
+		return backend.Server{}, backend.Invalid(backend.FieldType, "born")
 	}
 	return s, nil
 }
@@ -222,7 +222,7 @@
 			t.Errorf("place %d in an outage, others ready %t; %d before", got, ready, among)
 		}
 	}
-	n.take(freshness.Configuration, freshness.Confirmation{At: *now, By: "d1"})
+	n.take(freshness.Configuration, freshness.Confirmation{At: *now, Source: "d1"})
 	if got := n.rank(); got != among {
 		t.Errorf("place %d when the store is back, %d before", got, among)
 	}
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -135,10 +135,10 @@
 // daemon knows. A server that left would get requests again.
 func (n *Node) passedOver(reg *backend.Registry, r feed.Record, now time.Duration) bool {
 	s, err := n.ports.Translator.Server(r)
-	if err != nil || !reg.Outdated(s, now) {
+	if err != nil || !reg.Stale(s, now) {
 		return false
 	}
-	n.log.Info("server entry of a copy passed over", "server", s.Run.ID(), "leaving", s.Leaving, "at", r.At)
+	n.log.Info("server entry of a copy passed over", "server", s.Incarnation.ID(), "leaving", s.Leaving, "at", r.At)
 	return true
 }
 
@@ -156,12 +156,12 @@
 	}
 	s, err := n.ports.Translator.Server(r)
 	if err != nil {
-		reg.Bar(r.Key)
+		reg.MarkUnusable(r.Key)
 		n.badEntry(r, err)
 		return nil
 	}
-	if s.Warming > 0 {
-		s.WarmAt = now + s.Warming
+	if s.WarmupRemaining > 0 {
+		s.WarmAt = now + s.WarmupRemaining
 	}
 	ended, err := reg.Put(s)
 	if err != nil {
@@ -169,8 +169,8 @@
 		return nil
 	}
 	n.faults.clear(r.Key)
-	if !known || !usable || ended != nil || old.Leaving != s.Leaving || old.Address != s.Address || s.Warming > 0 && old.Warming == 0 {
-		n.log.Info("server entry", "server", s.Run.ID(), "service", s.Service, "address", s.Address, "version", s.Version, "leaving", s.Leaving, "warming_ms", s.Warming.Milliseconds(), "started_again", ended != nil, "at", r.At, "confirmed_ms", confirmed.Milliseconds())
+	if !known || !usable || ended != nil || old.Leaving != s.Leaving || old.Address != s.Address || s.WarmupRemaining > 0 && old.WarmupRemaining == 0 {
+		n.log.Info("server entry", "server", s.Incarnation.ID(), "service", s.Service, "address", s.Address, "version", s.Version, "leaving", s.Leaving, "warming_ms", s.WarmupRemaining.Milliseconds(), "started_again", ended != nil, "at", r.At, "confirmed_ms", confirmed.Milliseconds())
 	}
 	return ended
 }
@@ -178,7 +178,7 @@
 // badEntry counts an entry that names no server to use, and logs it when it has turned bad
 // or is bad in another way: its writer may repeat it with each heartbeat.
 func (n *Node) badEntry(r feed.Record, err error) {
-	fault := backend.FaultOf(err)
+	fault := backend.InvalidReasonOf(err)
 	n.ports.Metrics.BadEntry(fault).Inc(1)
 	if n.faults.note(r.Key, fault) {
 		n.log.Error("server entry names no server to use", "server", r.Key, "at", r.At, "fault", fault, "err", err)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -84,7 +84,7 @@
 
 // BurnCells is the answer to AskBurn.
 type BurnCells struct {
-	Cells []slo.Cell `cbor:"1,keyasint"`
+	Cells []slo.WindowCounts `cbor:"1,keyasint"`
 }
 
 // Done is the answer to a call that returns nothing.
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -240,7 +240,7 @@
 // begin books the first event of this server.
 func (s *streaming) begin() {
 	s.first = time.Now()
-	s.x.relay.Guard.Pass(s.x.run)
+	s.x.relay.Guard.MarkForwarded(s.x.run)
 	took := s.first.Sub(s.began)
 	s.x.relay.State.began(s.t, took, true)
 	s.x.learnBegan(s.t, took)
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -17,7 +17,7 @@
 	s.Servers(func(r *backend.Registry, _ time.Duration) {
 		for i := range engines {
 			_, _ = r.Put(backend.Server{
-				Run: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1),
+				Incarnation: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1),
 				Slots: 32, Version: fmt.Sprint("v", 1+i%2),
 			})
 		}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -35,9 +35,9 @@
 	// fingerprint is the same for every repeat of the request by its caller.
 	fingerprint quarantine.Fingerprint
 	// standing is what was known of the request before the last send.
-	standing quarantine.Standing
+	standing quarantine.Status
 	// run is the last send.
-	run *containment.Run
+	run *containment.Attempt
 	// succeeded says that a server answered in full, and not with a failure.
 	succeeded bool
 	// model indexes the route's models.
@@ -92,7 +92,7 @@
 		}
 		// One that servers may end by asks the larger model of the same server: its cancelled
 		// run may end that one all the same, and a second would end with it.
-		if outcome != request.Unconvincing || x.standing.Ends == 0 {
+		if outcome != request.Unconvincing || x.standing.Crashes == 0 {
 			x.tried = append(x.tried, t.server.ID)
 		}
 		refusal = x.journey.After(outcome, time.Now(), func() bool {
@@ -157,11 +157,11 @@
 func (x *exchange) attempt(ctx context.Context, t *target) (request.Outcome, bool) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	x.run = x.relay.Guard.Enter(guarded(t.server), x.fingerprint, cancel)
+	x.run = x.relay.Guard.Begin(guarded(t.server), x.fingerprint, cancel)
 	outcome, done := x.send(ctx, cancel, t)
-	x.relay.Guard.Leave(ctx, x.run, guarded(t.server), fateOf(ctx, outcome, done))
+	x.relay.Guard.End(ctx, x.run, guarded(t.server), fateOf(ctx, outcome, done))
 	if x.succeeded {
-		x.relay.Guard.Succeeded(x.fingerprint)
+		x.relay.Guard.RecordSuccess(x.fingerprint)
 	}
 	return outcome, done
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -87,7 +87,7 @@
 }
 
 // BadEntry counts entries of servers that name none to use, by fault.
-func (m *Metrics) BadEntry(f backend.Fault) tally.Counter {
+func (m *Metrics) BadEntry(f backend.InvalidReason) tally.Counter {
 	return m.scope.Tagged(map[string]string{"fault": string(f)}).Counter("server_entries_bad")
 }
 
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -28,7 +28,7 @@
 	tried     []string
 	// fingerprint and standing say whether servers have ended that ran the request.
 	fingerprint quarantine.Fingerprint
-	standing    quarantine.Standing
+	standing    quarantine.Status
 	// choice says which versions of servers may get the request.
 	choice Choice
 	// gated is the request as the gate sees it, and limit what a warming server bears.
@@ -63,7 +63,7 @@
 	candidates []routing.Candidate
 	decision   routing.Decision
 	// refused says why the gate refused servers.
-	refused gate.Tally
+	refused gate.Refusals
 }
 
 // choose runs the pipeline. Callers hold mu.
@@ -93,7 +93,7 @@
 	}
 	s.mark(&out, w, w.choice.Prefer, boot)
 	limit(r, out.candidates, sv.picture.Order(), w.choice.Part)
-	if w.standing.Ends > 0 {
+	if w.standing.Crashes > 0 {
 		out.decision = s.pickApart(pipeline, *r, &out, w)
 		if out.decision.Index >= 0 {
 			return out
@@ -300,7 +300,7 @@
 func (s *State) began(t *target, took time.Duration, engine bool) {
 	s.with(t.service, func(sv *service) {
 		s.read(sv, t)
-		s.gate.Answered(t.server.ID, t.limit, s.boot())
+		s.gate.ServerResponded(t.server.ID, t.limit, s.boot())
 		p := sv.pace.of(t.model, nil)
 		if !engine {
 			// An answer is the whole work, of which no part tells of a queue.
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -33,7 +33,7 @@
 
 // printOf is the fingerprint of a request that ask sends.
 func printOf(path, body string) quarantine.Fingerprint {
-	return quarantine.Of("w", "h", "POST", path, []byte(body))
+	return quarantine.FingerprintOf("w", "h", "POST", path, []byte(body))
 }
 
 // refusing is a backend whose servers have ended for whoever asks.
@@ -113,14 +113,14 @@
 		f := printOf("/s/1", "x")
 		server := w.backend.sends[0].Server
 		ended := func(age time.Duration) {
-			w.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
-				Run: containment.RunKey(server.ID), AgeMs: age.Milliseconds(), Suspects: []quarantine.Fingerprint{1},
+			w.relay.Guard.Merge(quarantine.Update{Crashes: []quarantine.Crash{{
+				Incarnation: containment.IncarnationKey(server.ID), AgeMs: age.Milliseconds(), Suspects: []quarantine.Fingerprint{1},
 			}}})
 		}
 		*w.clock = clock{now: w.clock.now + 2*time.Second}
 		time.Sleep(2 * time.Second)
 		ended(1900 * time.Millisecond)
-		if n := w.relay.Guard.Check(f).Ends; n != 0 {
+		if n := w.relay.Guard.Check(f).Crashes; n != 0 {
 			t.Fatalf("answered in full, and suspected for %d ends", n)
 		}
 	})
@@ -128,10 +128,10 @@
 		w := newWorld(t, streamingFrom(0, nil, 1, 2), brokenStream)
 		w.ask("/s/1", "x")
 		time.Sleep(100 * time.Millisecond)
-		w.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
-			Run: containment.RunKey(w.backend.sends[0].Server.ID), Suspects: []quarantine.Fingerprint{1},
+		w.relay.Guard.Merge(quarantine.Update{Crashes: []quarantine.Crash{{
+			Incarnation: containment.IncarnationKey(w.backend.sends[0].Server.ID), Suspects: []quarantine.Fingerprint{1},
 		}}})
-		if n := w.relay.Guard.Check(printOf("/s/1", "x")).Ends; n != 1 {
+		if n := w.relay.Guard.Check(printOf("/s/1", "x")).Crashes; n != 1 {
 			t.Errorf("suspected for %d ends", n)
 		}
 	})
@@ -147,7 +147,7 @@
 	for range 4 {
 		w.ask("/s/1", "x")
 	}
-	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Ends != 0 {
+	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Crashes != 0 {
 		t.Errorf("servers that are well: %+v", s)
 	}
 	w = newWorld(t, failed(upstream.Broken, true))
@@ -160,10 +160,10 @@
 		}
 	})
 	for _, id := range []string{"e0", "e1", "e2"} {
-		u := w.relay.Guard.Enter(containment.Server{ID: id}, 7, func(error) {})
-		w.relay.Guard.Leave(t.Context(), u, containment.Server{ID: id}, containment.Broke)
+		u := w.relay.Guard.Begin(containment.Server{ID: id}, 7, func(error) {})
+		w.relay.Guard.End(t.Context(), u, containment.Server{ID: id}, containment.ConnectionLost)
 	}
-	if s := w.relay.Guard.Check(7); s.Ends != 0 {
+	if s := w.relay.Guard.Check(7); s.Crashes != 0 {
 		t.Errorf("servers that leave: %+v", s)
 	}
 }
@@ -179,7 +179,7 @@
 		w.relay.Ended(s.Server)
 		w.relay.Ended(s.Server)
 	}
-	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Ends != 3 || !s.Held {
+	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Crashes != 3 || !s.Held {
 		t.Errorf("stands %+v", s)
 	}
 }
@@ -189,12 +189,12 @@
 func TestSendsThatWaitEndWhenTheirRequestIsHeld(t *testing.T) {
 	w := newWorld(t, answering(200, ""))
 	var causes []error
-	enter := func(server string) *containment.Run {
-		return w.relay.Guard.Enter(containment.Server{ID: server}, 7, func(err error) { causes = append(causes, err) })
+	enter := func(server string) *containment.Attempt {
+		return w.relay.Guard.Begin(containment.Server{ID: server}, 7, func(err error) { causes = append(causes, err) })
 	}
 	enter("e0")
-	w.relay.Guard.Pass(enter("e1"))
-	w.relay.Guard.Leave(t.Context(), enter("e2"), containment.Server{ID: "e2"}, containment.Finished)
+	w.relay.Guard.MarkForwarded(enter("e1"))
+	w.relay.Guard.End(t.Context(), enter("e2"), containment.Server{ID: "e2"}, containment.Completed)
 	w.relay.Guard.ApplyHold(7, time.Minute)
 	if len(causes) != 1 || !errors.Is(causes[0], containment.ErrHeld) {
 		t.Errorf("ended with %v", causes)
@@ -207,7 +207,7 @@
 	w := newWorld(t, answering(200, ""))
 	to := map[string]int{}
 	for f := quarantine.Fingerprint(1); f <= 60; f++ {
-		x := &want{service: "app", fingerprint: f, standing: quarantine.Standing{Ends: 1}, choice: Choice{Prefer: everyVersion, Else: everyVersion}}
+		x := &want{service: "app", fingerprint: f, standing: quarantine.Status{Crashes: 1}, choice: Choice{Prefer: everyVersion, Else: everyVersion}}
 		first := ""
 		for range 3 {
 			got, err := w.relay.State.pick(x, 100)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -96,7 +96,7 @@
 // is known of a run is kept by its id, so that nothing of it counts for the next one; what
 // waits for it, and connections to it, are ended here.
 func (r *Relay) Ended(run backend.Server) {
-	r.Guard.Restarted(guarded(run))
+	r.Guard.ServerRestarted(guarded(run))
 	moved := r.watch.ended(run.ID, time.Now())
 	r.backend.Forget(run.Address)
 	r.Metrics.Restarts.Inc(1)
@@ -240,7 +240,7 @@
 	if known {
 		x.workspace = w.Name
 	}
-	x.fingerprint = quarantine.Of(x.workspace, c.Host, c.Method, c.Target, c.Body)
+	x.fingerprint = quarantine.FingerprintOf(x.workspace, c.Host, c.Method, c.Target, c.Body)
 	x.urgency = urgency(rt, w)
 	if limit := t.Limits.BodyBytes; limit > 0 && int64(len(c.Body)) > limit {
 		return nil, fault.New(fault.TooLarge, "the body is longer than %d bytes", limit)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -123,11 +123,11 @@
 	s.SetTable(table)
 	s.Servers(func(r *backend.Registry, _ time.Duration) {
 		for i := range 3 {
-			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.0.%d:1", i), Slots: 8, Version: "v1"})
-			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: fmt.Sprint("a", i)}, Service: "app", Address: fmt.Sprintf("10.0.1.%d:1", i), Slots: 4, Version: "v1"})
+			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.0.%d:1", i), Slots: 8, Version: "v1"})
+			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: fmt.Sprint("a", i)}, Service: "app", Address: fmt.Sprintf("10.0.1.%d:1", i), Slots: 4, Version: "v1"})
 		}
 	})
-	s.Confirm(freshness.Configuration, freshness.Confirmation{At: c.now, By: freshness.Own})
+	s.Confirm(freshness.Configuration, freshness.Confirmation{At: c.now, Source: freshness.FromStore})
 	rules := Rules{KeyFreshness: 4 * time.Second, BudgetWindow: 10 * time.Second, BudgetRatio: 0.9, BudgetReserve: 50}
 	return &world{New(s, b, rules, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
 }
@@ -304,7 +304,7 @@
 	if out.refusal == nil || out.refusal.Kind != fault.ConfigurationStale || len(w.backend.sends) != 0 {
 		t.Fatalf("got %+v after %d sends", out.refusal, len(w.backend.sends))
 	}
-	w.relay.State.Confirm(freshness.Configuration, freshness.Confirmation{At: w.clock.now, By: freshness.Own})
+	w.relay.State.Confirm(freshness.Configuration, freshness.Confirmation{At: w.clock.now, Source: freshness.FromStore})
 	if out := w.call("/l/1"); out.status != 200 {
 		t.Fatalf("got %+v after a confirmation", out.refusal)
 	}
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -22,7 +22,7 @@
 	boot  func() time.Duration
 
 	mu       sync.Mutex
-	fresh    freshness.Ledger
+	fresh    freshness.Tracker
 	registry *backend.Registry
 	listed   bool
 	// known is closed when the configuration and the servers are known.
@@ -130,7 +130,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c, _ := s.fresh.Newest(about)
-	return c.By, now - c.At
+	return c.Source, now - c.At
 }
 
 // Known reports whether a configuration and the servers are known.
@@ -213,7 +213,7 @@
 		sv.picture.Prefix.SetCapacity(prefixCapacity)
 		s.services[name] = sv
 	}
-	all := s.registry.Of(name, now)
+	all := s.registry.ForService(name, now)
 	sv.servers = make(map[string]backend.Server, len(all))
 	members := make([]routing.Member, 0, len(all))
 	for _, b := range all {
@@ -375,7 +375,7 @@
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.registry.Healed(now)
+	s.registry.StoreRecovered(now)
 }
 
 // EachServer calls f for every server of a service that may get requests.
--- a/internal/relay/state_test.go
+++ b/internal/relay/state_test.go
@@ -25,7 +25,7 @@
 	c := &clock{now: time.Minute}
 	s := NewState("d1", "", c.read)
 	s.Servers(func(r *backend.Registry, _ time.Duration) {
-		_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
+		_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
 	})
 	s.Healed()
 	s.Servers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
@@ -47,7 +47,7 @@
 	c := &clock{now: time.Minute}
 	s := NewState("d1", "", c.read)
 	put := func(r *backend.Registry, _ time.Duration) {
-		_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
+		_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
 	}
 	s.Servers(put)
 	s.Healed()
@@ -71,7 +71,7 @@
 	s := w.relay.State
 	put := func(born int64) {
 		s.Servers(func(r *backend.Registry, _ time.Duration) {
-			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "e0", Born: born}, Service: "lm", Address: "10.0.0.0:1", Slots: 8, Version: "v1"})
+			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: "e0", StartMillis: born}, Service: "lm", Address: "10.0.0.0:1", Slots: 8, Version: "v1"})
 		})
 	}
 	held := func() (n int) {
@@ -93,7 +93,7 @@
 	}
 	s.with("lm", func(*service) {}) // somebody has asked for the service
 	put(100)
-	before := backend.Incarnation{Name: "e0", Born: 100}.ID()
+	before := backend.Incarnation{Name: "e0", StartMillis: 100}.ID()
 	tell := func(id string) {
 		s.TakePlacements([]Placed{{Server: KeyOf(id), Blocks: []uint64{7}}})
 		s.AddPeerWork([]Work{{Server: KeyOf(id), Running: 3}})
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -117,7 +117,7 @@
 // run did show one.
 func TestWhatWaitsForARunMovesWhenTheServerStartsAgain(t *testing.T) {
 	w := newWorld(t, answering(200, ""))
-	old := backend.Server{ID: "e0", Run: backend.Incarnation{Name: "e0"}, Address: "10.0.0.0:1"}
+	old := backend.Server{ID: "e0", Incarnation: backend.Incarnation{Name: "e0"}, Address: "10.0.0.0:1"}
 	at := &target{server: old, service: "lm", expected: 100 * time.Millisecond}
 	moved := map[string]bool{}
 	enter := func(name string) *attempt {
