--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,7 +1,6 @@
-// Package quarantine decides which requests are kept from backend servers, because the
-// servers that run them end: a request that crashes its server would else be repeated onto
-// one after the other. It knows requests by fingerprints and servers by the keys of their
-// runs, and is told what ended when; it reads no clock.
+// Package quarantine detects requests that crash the backend servers that run them and holds
+// them, so that retries do not crash one server after another. Requests are identified by
+// fingerprint, server incarnations by key. The package does not read the clock.
 package quarantine
 
 import (
@@ -12,14 +11,14 @@
 	"strconv"
 )
 
-// Fingerprint names a request over its repeats: one that its caller sends again, under
-// another id and to another daemon, has the same fingerprint.
+// Fingerprint identifies a request independently of its request ID and of the daemon that
+// receives it, so that retries by the caller share a fingerprint.
 type Fingerprint uint64
 
-// String returns the fingerprint as operators see it.
+// String returns the fingerprint as 16 hexadecimal digits.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the output of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != fingerprintDigits {
@@ -28,12 +27,11 @@
 	return Fingerprint(n), nil
 }
 
-// fingerprintDigits is the length of a fingerprint as text.
+// fingerprintDigits is the length of a fingerprint in its text form.
 const fingerprintDigits = 16
 
-// FingerprintOf returns the fingerprint of a request: whose it is, what it asks for, and its body. It
-// is a part of a cryptographic hash, or somebody could make a request with the fingerprint
-// of another workspace's and have that one refused.
+// FingerprintOf computes the fingerprint of a request. It truncates a cryptographic hash, so
+// that a caller cannot craft a request that collides with one of another workspace.
 func FingerprintOf(workspace, host, method, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{workspace, host, method, target} {
@@ -43,10 +41,10 @@
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// writePart adds a part and its length, so that no two lists of parts are one text.
+// writePart writes a length-prefixed part, which keeps the encoding of a list unambiguous.
 func writePart(h hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-	_, _ = h.Write(length[:]) // a hash returns no error
+	_, _ = h.Write(length[:]) // hash.Hash never returns an error
 	_, _ = h.Write(part)
 }
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -8,55 +8,54 @@
 )
 
 const (
-	// crashThreshold is how many servers must have ended under a request for it to be held.
-	// Servers that end take everything that runs there with them, up to a hundred
-	// requests, and one that was there twice is not rare.
+	// crashThreshold is the number of crashes after which a request is held. A crash also
+	// affects all other requests on the server, so a harmless request can see two.
 	crashThreshold = 3
-	// ambiguityTimeout is how long it is waited for another end, or an answer, where others may be
-	// to blame as well.
+	// ambiguityTimeout is how long an ambiguous request may wait for another crash or a
+	// success before it is held.
 	ambiguityTimeout = 1500 * time.Millisecond
-	// crashRetention is how long the end of a server is remembered, and HoldFor how long a
-	// request is held from its last end on: it ends servers again when it comes later.
+	// crashRetention is how long a crash is remembered. HoldTTL is how long a request is held
+	// after its last crash.
 	crashRetention = time.Hour
 	HoldTTL        = time.Hour
-	// CrashDedupWindow is the time within which ends of a run are one, as daemons notice it: where
-	// servers keep their name over a start, a later one is another.
+	// CrashDedupWindow is the time within which crash reports for one incarnation key count
+	// as one crash. Servers that keep their name across restarts can crash again later.
 	CrashDedupWindow = 2 * time.Second
-	// maxCrashes, mostSuspects and mostHolds bound what is remembered: ends, requests for
-	// each, and requests held. Together they take some MB at most.
+	// maxCrashes, maxSuspects and maxHolds bound memory: crashes, suspects of each crash, and
+	// held requests.
 	maxCrashes  = 256
 	maxSuspects = 256
 	maxHolds    = 1024
-	// recentSuccessWindow is how recent the success of a request must be for it not to be
-	// suspected: many callers ask the same of a service at the same time, so that
-	// servers which end together have the same request.
+	// recentSuccessWindow is how long a request that succeeded is not suspected. Identical
+	// requests of many callers run on many servers at once.
 	recentSuccessWindow = time.Second
-	// broadcastTTL is how long what was learned is broadcast, and holdBroadcastTTL how long
-	// that a request is held. Word goes round some hundred daemons within a second.
+	// broadcastTTL is how long suspects and clearances are broadcast, and holdBroadcastTTL
+	// how long holds are.
 	broadcastTTL     = 1500 * time.Millisecond
 	holdBroadcastTTL = 10 * time.Second
-	// holdBroadcastDelay is the age from which a hold is broadcast: until then updates on the same
-	// ends may be on their way that blame another request.
+	// holdBroadcastDelay is the age at which a hold is first broadcast. Updates still in
+	// flight may attribute its crashes to another request.
 	holdBroadcastDelay = time.Second
 )
 
-// IncarnationKey names a run of a backend server among daemons.
+// IncarnationKey identifies an incarnation of a backend server in messages between daemons.
 type IncarnationKey uint32
 
-// Status is what is known of one request.
+// Status is the quarantine state of one request.
 type Status struct {
-	// Crashes is how many servers ended that ran it.
+	// Crashes is the number of recorded crashes of servers that ran the request.
 	Crashes int
-	// Held says that it is kept from servers, For since when, and Left for how long yet.
+	// Held reports whether the request is held, HeldFor for how long it has been, and
+	// Remaining the time until the hold expires.
 	Held               bool
 	HeldFor, Remaining time.Duration
 }
 
-// Change is what something learned has changed.
+// Change describes the effect of an operation on a Tracker.
 type Change struct {
-	// Broadcast says that other daemons are to be sent it.
+	// Broadcast reports whether other daemons need an update.
 	Broadcast bool
-	// Held and Released are the requests that are held, or no longer held, by it.
+	// Held and Released are the requests whose hold began or ended.
 	Held, Released []Fingerprint
 }
 
@@ -66,27 +65,27 @@
 	}
 }
 
-// Tracker keeps which servers ended, what ran there, and which requests are held for it.
-// Every daemon's ledger comes to the same verdict from the same ends. It is guarded by its
-// owner's lock; times are readings of a steady clock.
+// Tracker records crashes of servers, their suspects, and the requests that are held.
+// Trackers with the same crashes attribute them in the same way. Times are readings of a
+// monotonic clock. A Tracker is not safe for concurrent use.
 type Tracker struct {
 	crashes map[crashID]*crash
-	// latestCrash is the newest end of each run, and lastID the number given last.
+	// latestCrash is the latest crash of each incarnation, and lastID the last crash ID issued.
 	latestCrash map[IncarnationKey]crashID
 	lastID      crashID
-	// crashesBy lists the ends of each suspected request.
+	// crashesBy lists the crashes of which each request is a suspect.
 	crashesBy map[Fingerprint][]crashID
 	holds     map[Fingerprint]*hold
-	// clearedAt is when each request was cleared, and succeeded when one last succeeded
-	// that is not suspected.
+	// clearedAt is when each request was last cleared, and succeededAt when it last
+	// succeeded.
 	clearedAt   map[Fingerprint]time.Duration
 	succeededAt map[Fingerprint]time.Duration
-	// pending are the suspects and clearances that are still broadcast, the oldest first.
+	// pending are the suspects and clearances still to be broadcast, oldest first.
 	pending   []pendingBroadcast
 	lastSweep time.Duration
 }
 
-// crashID numbers ends in the order in which this daemon learned of them.
+// crashID numbers crashes in the order in which they were recorded.
 type crashID uint64
 
 type crash struct {
@@ -95,7 +94,7 @@
 	suspects    map[Fingerprint]bool
 }
 
-// pendingBroadcast is a suspect of an end, or a clearance.
+// pendingBroadcast is a suspect of a crash, or a clearance.
 type pendingBroadcast struct {
 	crash       crashID
 	fingerprint Fingerprint
@@ -105,13 +104,13 @@
 
 type hold struct {
 	since, until time.Duration
-	// learnedAt is when this daemon learned of it.
+	// learnedAt is when this daemon recorded the hold.
 	learnedAt time.Duration
-	// remote says that it was taken from another daemon or the store, not from ends.
+	// remote reports whether the hold came from another daemon or the store.
 	remote bool
 }
 
-// NewTracker returns an empty ledger.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
 		crashes: map[crashID]*crash{}, latestCrash: map[IncarnationKey]crashID{}, crashesBy: map[Fingerprint][]crashID{}, holds: map[Fingerprint]*hold{},
@@ -119,18 +118,18 @@
 	}
 }
 
-// Status returns what is known of a request.
-func (l *Tracker) Status(f Fingerprint, now time.Duration) Status {
-	out := Status{Crashes: len(l.crashesBy[f])}
-	if h := l.holds[f]; h != nil && now < h.until {
+// Status returns the status of a request.
+func (t *Tracker) Status(f Fingerprint, now time.Duration) Status {
+	out := Status{Crashes: len(t.crashesBy[f])}
+	if h := t.holds[f]; h != nil && now < h.until {
 		out.Held, out.HeldFor, out.Remaining = true, now-h.since, h.until-now
 	}
 	return out
 }
 
-// Holds lists the requests that are held, in order.
-func (l *Tracker) Holds(now time.Duration) (out []Hold) {
-	for f, h := range l.holds {
+// Holds lists the held requests, sorted by fingerprint.
+func (t *Tracker) Holds(now time.Duration) (out []Hold) {
+	for f, h := range t.holds {
 		if now < h.until {
 			out = append(out, h.snapshot(f, now))
 		}
@@ -143,180 +142,181 @@
 	return Hold{Fingerprint: f, AgeMs: (now - h.since).Milliseconds(), RemainingMs: (h.until - now).Milliseconds()}
 }
 
-// RecordCrash takes it that a run of a server ended at a time, and which requests were there.
-func (l *Tracker) RecordCrash(run IncarnationKey, at time.Duration, suspects []Fingerprint, now time.Duration) Change {
-	l.sweep(now)
-	id := l.crashOf(run, at)
-	e := l.crashes[id]
+// RecordCrash records a crash and the requests that ran on the server.
+func (t *Tracker) RecordCrash(key IncarnationKey, at time.Duration, suspects []Fingerprint, now time.Duration) Change {
+	t.sweep(now)
+	id := t.crashOf(key, at)
+	e := t.crashes[id]
 	var out Change
 	attribute := false
-	for _, f := range slices.SortedFunc(slices.Values(suspects), l.compareByCrashes) {
-		if !l.suspect(e, f) {
+	for _, f := range slices.SortedFunc(slices.Values(suspects), t.compareByCrashes) {
+		if !t.suspect(e, f) {
 			continue
 		}
 		e.suspects[f] = true
-		l.pending = append(l.pending, pendingBroadcast{crash: id, fingerprint: f, learnedAt: now})
-		l.crashesBy[f] = append(l.crashesBy[f], id)
+		t.pending = append(t.pending, pendingBroadcast{crash: id, fingerprint: f, learnedAt: now})
+		t.crashesBy[f] = append(t.crashesBy[f], id)
 		out.Broadcast = true
-		attribute = attribute || len(l.crashesBy[f]) >= crashThreshold
+		attribute = attribute || len(t.crashesBy[f]) >= crashThreshold
 	}
 	if attribute {
-		out.Held, out.Released = l.updateHolds(now)
+		out.Held, out.Released = t.updateHolds(now)
 	}
 	return out
 }
 
-// crashOf returns the end of a run at about a time.
-func (l *Tracker) crashOf(run IncarnationKey, at time.Duration) crashID {
-	if id, known := l.latestCrash[run]; known && (at-l.crashes[id].at).Abs() <= CrashDedupWindow {
+// crashOf returns the crash of an incarnation at about a time, and records a new one if there
+// is none.
+func (t *Tracker) crashOf(key IncarnationKey, at time.Duration) crashID {
+	if id, known := t.latestCrash[key]; known && (at-t.crashes[id].at).Abs() <= CrashDedupWindow {
 		return id
 	}
-	l.evictOldestCrash()
-	l.lastID++
-	l.crashes[l.lastID] = &crash{incarnation: run, at: at, suspects: map[Fingerprint]bool{}}
-	l.latestCrash[run] = l.lastID
-	return l.lastID
+	t.evictOldestCrash()
+	t.lastID++
+	t.crashes[t.lastID] = &crash{incarnation: key, at: at, suspects: map[Fingerprint]bool{}}
+	t.latestCrash[key] = t.lastID
+	return t.lastID
 }
 
-// suspect reports whether a request that was at a server is to be remembered for its end.
-func (l *Tracker) suspect(e *crash, f Fingerprint) bool {
+// suspect reports whether a request is to be recorded as a suspect of a crash.
+func (t *Tracker) suspect(e *crash, f Fingerprint) bool {
 	if e.suspects[f] || len(e.suspects) >= maxSuspects {
 		return false
 	}
-	if at, any := l.clearedAt[f]; any && at >= e.at {
+	if at, any := t.clearedAt[f]; any && at >= e.at {
 		return false
 	}
-	at, any := l.succeededAt[f]
+	at, any := t.succeededAt[f]
 	return !any || e.at-at > recentSuccessWindow
 }
 
-// evictOldestCrash forgets the oldest end if there are too many.
-func (l *Tracker) evictOldestCrash() {
-	if len(l.crashes) < maxCrashes {
+// evictOldestCrash removes the oldest crash if maxCrashes is reached.
+func (t *Tracker) evictOldestCrash() {
+	if len(t.crashes) < maxCrashes {
 		return
 	}
-	l.removeCrash(slices.MinFunc(slices.Collect(maps.Keys(l.crashes)), func(a, b crashID) int {
-		return cmp.Or(cmp.Compare(l.crashes[a].at, l.crashes[b].at), cmp.Compare(a, b))
+	t.removeCrash(slices.MinFunc(slices.Collect(maps.Keys(t.crashes)), func(a, b crashID) int {
+		return cmp.Or(cmp.Compare(t.crashes[a].at, t.crashes[b].at), cmp.Compare(a, b))
 	}))
 }
 
-func (l *Tracker) removeCrash(id crashID) {
-	e := l.crashes[id]
+func (t *Tracker) removeCrash(id crashID) {
+	e := t.crashes[id]
 	for f := range e.suspects {
-		l.unlink(f, id)
+		t.unlink(f, id)
 	}
-	if l.latestCrash[e.incarnation] == id {
-		delete(l.latestCrash, e.incarnation)
+	if t.latestCrash[e.incarnation] == id {
+		delete(t.latestCrash, e.incarnation)
 	}
-	delete(l.crashes, id)
+	delete(t.crashes, id)
 }
 
-func (l *Tracker) unlink(f Fingerprint, id crashID) {
-	list := slices.DeleteFunc(l.crashesBy[f], func(o crashID) bool { return o == id })
+func (t *Tracker) unlink(f Fingerprint, id crashID) {
+	list := slices.DeleteFunc(t.crashesBy[f], func(o crashID) bool { return o == id })
 	if len(list) == 0 {
-		delete(l.crashesBy, f)
+		delete(t.crashesBy, f)
 		return
 	}
-	l.crashesBy[f] = list
+	t.crashesBy[f] = list
 }
 
-// RecordSuccess takes it that a request was answered in full. A request that ends its servers
-// never is, so that no end before counts against it. It is broadcast if it was at more than
-// one end: of each server that ends there are dozens that were at one.
-func (l *Tracker) RecordSuccess(f Fingerprint, now time.Duration) Change {
-	l.sweep(now)
-	l.succeededAt[f] = now
-	if len(l.crashesBy[f]) == 0 && l.holds[f] == nil {
+// RecordSuccess records that a request was answered in full, which clears it of all earlier
+// crashes. The clearance is broadcast only for requests that are held or have more than one
+// crash, because each crash has many suspects.
+func (t *Tracker) RecordSuccess(f Fingerprint, now time.Duration) Change {
+	t.sweep(now)
+	t.succeededAt[f] = now
+	if len(t.crashesBy[f]) == 0 && t.holds[f] == nil {
 		return Change{}
 	}
-	return l.clear(f, now, now, len(l.crashesBy[f]) > 1 || l.holds[f] != nil)
+	return t.clear(f, now, now, len(t.crashesBy[f]) > 1 || t.holds[f] != nil)
 }
 
-// ApplyClearance takes it that a request is not to blame for servers that ended before a time.
-func (l *Tracker) ApplyClearance(f Fingerprint, at, now time.Duration) Change {
-	return l.clear(f, at, now, true)
+// ApplyClearance clears a request of all crashes up to a time.
+func (t *Tracker) ApplyClearance(f Fingerprint, at, now time.Duration) Change {
+	return t.clear(f, at, now, true)
 }
 
-// clear takes a clearance, and broadcasts it unless others know: one that is received again is
-// a little younger each time, by the time that it was on its way.
-func (l *Tracker) clear(f Fingerprint, at, now time.Duration, broadcast bool) (out Change) {
-	previous, any := l.clearedAt[f]
+// clear applies a clearance and queues it for broadcast if it is new. The time of a clearance
+// that comes back from a peer shifts by the network latency, so that small differences do
+// not count as new.
+func (t *Tracker) clear(f Fingerprint, at, now time.Duration, broadcast bool) (out Change) {
+	previous, any := t.clearedAt[f]
 	if any && previous >= at {
 		return out
 	}
-	l.clearedAt[f] = at
-	for _, id := range slices.Clone(l.crashesBy[f]) {
-		if l.crashes[id].at <= at {
-			delete(l.crashes[id].suspects, f)
-			l.unlink(f, id)
+	t.clearedAt[f] = at
+	for _, id := range slices.Clone(t.crashesBy[f]) {
+		if t.crashes[id].at <= at {
+			delete(t.crashes[id].suspects, f)
+			t.unlink(f, id)
 		}
 	}
-	if h := l.holds[f]; h != nil && h.since <= at {
-		delete(l.holds, f)
+	if h := t.holds[f]; h != nil && h.since <= at {
+		delete(t.holds, f)
 		out.Broadcast, out.Released = true, []Fingerprint{f}
 	}
 	if broadcast && (!any || at-previous > CrashDedupWindow || out.Broadcast) {
-		l.pending = append(l.pending, pendingBroadcast{fingerprint: f, cleared: true, learnedAt: now})
+		t.pending = append(t.pending, pendingBroadcast{fingerprint: f, cleared: true, learnedAt: now})
 	}
 	return out
 }
 
-// ApplyHold takes it from another daemon or the store that a request is held since a time and
-// until another. One that was cleared since is not.
-func (l *Tracker) ApplyHold(f Fingerprint, since, until, now time.Duration) (out Change) {
-	if at, any := l.clearedAt[f]; any && at >= since || until <= now {
+// ApplyHold applies a hold received from another daemon or the store. It is ignored if the
+// request was cleared after since.
+func (t *Tracker) ApplyHold(f Fingerprint, since, until, now time.Duration) (out Change) {
+	if at, any := t.clearedAt[f]; any && at >= since || until <= now {
 		return out
 	}
-	if l.holds[f] == nil && len(l.crashesBy[f]) >= crashThreshold && !slices.Contains(l.attributeCrashes(now), f) {
-		return out // the ends that are known here are laid to another request
+	if t.holds[f] == nil && len(t.crashesBy[f]) >= crashThreshold && !slices.Contains(t.attributeCrashes(now), f) {
+		return out // the crashes recorded here are attributed to another request
 	}
 	until = min(until, now+HoldTTL)
-	if h := l.holds[f]; h != nil {
+	if h := t.holds[f]; h != nil {
 		h.until = max(h.until, until)
 		return out
 	}
-	l.addHold(f, &hold{since: since, until: until, learnedAt: now, remote: true})
+	t.addHold(f, &hold{since: since, until: until, learnedAt: now, remote: true})
 	return Change{Broadcast: true, Held: []Fingerprint{f}}
 }
 
-// addHold holds a request, in place of the one that is held for the shortest time if there are
-// too many.
-func (l *Tracker) addHold(f Fingerprint, h *hold) {
-	if len(l.holds) >= maxHolds {
-		victim := slices.MinFunc(slices.Collect(maps.Keys(l.holds)), func(a, b Fingerprint) int {
-			return cmp.Or(cmp.Compare(l.holds[a].until, l.holds[b].until), cmp.Compare(a, b))
+// addHold adds a hold. At maxHolds it replaces the one that expires first.
+func (t *Tracker) addHold(f Fingerprint, h *hold) {
+	if len(t.holds) >= maxHolds {
+		victim := slices.MinFunc(slices.Collect(maps.Keys(t.holds)), func(a, b Fingerprint) int {
+			return cmp.Or(cmp.Compare(t.holds[a].until, t.holds[b].until), cmp.Compare(a, b))
 		})
-		delete(l.holds, victim)
+		delete(t.holds, victim)
 	}
-	l.holds[f] = h
+	t.holds[f] = h
 }
 
-// sweep forgets what is too old, once a second.
-func (l *Tracker) sweep(now time.Duration) {
-	if now-l.lastSweep < time.Second {
+// sweep removes expired records, at most once a second.
+func (t *Tracker) sweep(now time.Duration) {
+	if now-t.lastSweep < time.Second {
 		return
 	}
-	l.lastSweep = now
-	for id, e := range l.crashes {
+	t.lastSweep = now
+	for id, e := range t.crashes {
 		if now-e.at > crashRetention {
-			l.removeCrash(id)
+			t.removeCrash(id)
 		}
 	}
-	maps.DeleteFunc(l.holds, func(_ Fingerprint, h *hold) bool { return now >= h.until })
-	maps.DeleteFunc(l.clearedAt, func(_ Fingerprint, at time.Duration) bool { return now-at > crashRetention })
-	maps.DeleteFunc(l.succeededAt, func(_ Fingerprint, at time.Duration) bool { return now-at > 2*recentSuccessWindow })
+	maps.DeleteFunc(t.holds, func(_ Fingerprint, h *hold) bool { return now >= h.until })
+	maps.DeleteFunc(t.clearedAt, func(_ Fingerprint, at time.Duration) bool { return now-at > crashRetention })
+	maps.DeleteFunc(t.succeededAt, func(_ Fingerprint, at time.Duration) bool { return now-at > 2*recentSuccessWindow })
 }
 
-// Reevaluate judges a request that was at enough ends again: its rivals may have been at no
-// further one for long enough.
-func (l *Tracker) Reevaluate(f Fingerprint, now time.Duration) (out Change) {
-	if len(l.crashesBy[f]) >= crashThreshold && l.holds[f] == nil {
-		out.Held, out.Released = l.updateHolds(now)
+// Reevaluate attributes the crashes again if the request has enough of them and is not held:
+// ambiguityTimeout may have passed.
+func (t *Tracker) Reevaluate(f Fingerprint, now time.Duration) (out Change) {
+	if len(t.crashesBy[f]) >= crashThreshold && t.holds[f] == nil {
+		out.Held, out.Released = t.updateHolds(now)
 	}
 	return out
 }
 
-// compareByCrashes orders requests by how many servers ended with them.
-func (l *Tracker) compareByCrashes(a, b Fingerprint) int {
-	return cmp.Or(cmp.Compare(len(l.crashesBy[b]), len(l.crashesBy[a])), cmp.Compare(a, b))
+// compareByCrashes orders requests by descending number of crashes.
+func (t *Tracker) compareByCrashes(a, b Fingerprint) int {
+	return cmp.Or(cmp.Compare(len(t.crashesBy[b]), len(t.crashesBy[a])), cmp.Compare(a, b))
 }
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -6,108 +6,108 @@
 	"time"
 )
 
-// recordCrash tells a ledger of the end of a run with some requests, at a time in ms.
-func recordCrash(l *Tracker, incarnation IncarnationKey, atMs int, suspects ...Fingerprint) Change {
+// recordCrash records a crash at a time in milliseconds.
+func recordCrash(tr *Tracker, incarnation IncarnationKey, atMs int, suspects ...Fingerprint) Change {
 	at := time.Duration(atMs) * time.Millisecond
-	return l.RecordCrash(incarnation, at, suspects, at)
+	return tr.RecordCrash(incarnation, at, suspects, at)
 }
 
-func held(l *Tracker, f Fingerprint, atMs int) bool {
-	return l.Status(f, time.Duration(atMs)*time.Millisecond).Held
+func held(tr *Tracker, f Fingerprint, atMs int) bool {
+	return tr.Status(f, time.Duration(atMs)*time.Millisecond).Held
 }
 
 func TestRequestHeldAfterThreeCrashes(t *testing.T) {
-	l := NewTracker()
-	recordCrash(l, 1, 0, 7)
-	recordCrash(l, 2, 100, 7)
-	if c := recordCrash(l, 2, 110, 7); c.Broadcast || held(l, 7, 110) {
-		t.Fatal("an end that was told twice counts twice")
+	tr := NewTracker()
+	recordCrash(tr, 1, 0, 7)
+	recordCrash(tr, 2, 100, 7)
+	if c := recordCrash(tr, 2, 110, 7); c.Broadcast || held(tr, 7, 110) {
+		t.Fatal("a crash that was reported twice counts twice")
 	}
-	if c := recordCrash(l, 3, 200, 7); !slices.Equal(c.Held, []Fingerprint{7}) {
-		t.Fatalf("changed %+v", c)
+	if c := recordCrash(tr, 3, 200, 7); !slices.Equal(c.Held, []Fingerprint{7}) {
+		t.Fatalf("change: %+v", c)
 	}
-	if s := l.Status(7, 200*time.Millisecond); !s.Held || s.Remaining != HoldTTL || s.Crashes != 3 {
-		t.Fatalf("stands %+v", s)
+	if s := tr.Status(7, 200*time.Millisecond); !s.Held || s.Remaining != HoldTTL || s.Crashes != 3 {
+		t.Fatalf("status: %+v", s)
 	}
-	if held(l, 7, int((HoldTTL + time.Second).Milliseconds())) {
-		t.Error("held for good")
+	if held(tr, 7, int((HoldTTL + time.Second).Milliseconds())) {
+		t.Error("the hold does not expire")
 	}
 }
 
-// Guards against this failure: a harmless request was refused for an hour.
+// Guards against holding a harmless request that ran beside the crashing one.
 func TestCrashAttributedToOneRequest(t *testing.T) {
-	const deadly, beside = 7, 8
-	l := NewTracker()
-	recordCrash(l, 1, 0, deadly, beside)
-	recordCrash(l, 2, 100, deadly, beside)
-	recordCrash(l, 3, 200, deadly, beside)
-	if held(l, deadly, 200) || held(l, beside, 200) {
-		t.Fatal("one of two that were at the same ends is held")
-	}
-	recordCrash(l, 4, 300, deadly)
-	if !held(l, deadly, 300) || held(l, beside, 300) {
-		t.Fatal("the end that tells them apart does not count")
+	const crashing, bystander = 7, 8
+	tr := NewTracker()
+	recordCrash(tr, 1, 0, crashing, bystander)
+	recordCrash(tr, 2, 100, crashing, bystander)
+	recordCrash(tr, 3, 200, crashing, bystander)
+	if held(tr, crashing, 200) || held(tr, bystander, 200) {
+		t.Fatal("a request with an ambiguous crash history is held")
+	}
+	recordCrash(tr, 4, 300, crashing)
+	if !held(tr, crashing, 300) || held(tr, bystander, 300) {
+		t.Fatal("the crash that resolves the tie does not count")
 	}
 }
 
 func TestHoldReleasedWhenCrashesAttributedToAnother(t *testing.T) {
-	const deadly, beside = 7, 8
-	l := NewTracker()
-	for run := range IncarnationKey(3) {
-		recordCrash(l, run, int(run)*100, beside)
+	const crashing, bystander = 7, 8
+	tr := NewTracker()
+	for key := range IncarnationKey(3) {
+		recordCrash(tr, key, int(key)*100, bystander)
 	}
-	if !held(l, beside, 200) {
+	if !held(tr, bystander, 200) {
 		t.Fatal("not held")
 	}
 	var c Change
-	for run := range IncarnationKey(4) {
-		c = c.merge(recordCrash(l, run, 300, deadly))
+	for key := range IncarnationKey(4) {
+		c = c.merge(recordCrash(tr, key, 300, crashing))
 	}
-	if !held(l, deadly, 300) || held(l, beside, 300) || !slices.Contains(c.Released, beside) {
-		t.Fatalf("held %v %v, changed %+v", held(l, deadly, 300), held(l, beside, 300), c)
+	if !held(tr, crashing, 300) || held(tr, bystander, 300) || !slices.Contains(c.Released, bystander) {
+		t.Fatalf("held %v %v, change: %+v", held(tr, crashing, 300), held(tr, bystander, 300), c)
 	}
 }
 
 func TestAmbiguousRequestHeldAfterTimeout(t *testing.T) {
-	l := NewTracker()
-	for run := range IncarnationKey(3) {
-		recordCrash(l, run, 0, 7, 8)
+	tr := NewTracker()
+	for key := range IncarnationKey(3) {
+		recordCrash(tr, key, 0, 7, 8)
 	}
-	l.RecordSuccess(8, 100*time.Millisecond)
-	c := l.Reevaluate(7, ambiguityTimeout)
-	if !slices.Equal(c.Held, []Fingerprint{7}) || held(l, 8, 2000) {
-		t.Fatalf("changed %+v", c)
+	tr.RecordSuccess(8, 100*time.Millisecond)
+	c := tr.Reevaluate(7, ambiguityTimeout)
+	if !slices.Equal(c.Held, []Fingerprint{7}) || held(tr, 8, 2000) {
+		t.Fatalf("change: %+v", c)
 	}
 }
 
-// Guards against this failure: all callers of a poll were refused.
+// Guards against holding a request that many callers send at once and that succeeds.
 func TestSuccessfulRequestNotHeld(t *testing.T) {
-	l := NewTracker()
-	l.RecordSuccess(7, 900*time.Millisecond)
-	for run := range IncarnationKey(3) {
-		recordCrash(l, run, 1000, 7)
+	tr := NewTracker()
+	tr.RecordSuccess(7, 900*time.Millisecond)
+	for key := range IncarnationKey(3) {
+		recordCrash(tr, key, 1000, 7)
 	}
-	if held(l, 7, 1000) {
+	if held(tr, 7, 1000) {
 		t.Fatal("a request that had just succeeded is held")
 	}
-	for run := range IncarnationKey(2) {
-		recordCrash(l, 10+run, 5000, 7)
+	for key := range IncarnationKey(2) {
+		recordCrash(tr, 10+key, 5000, 7)
 	}
-	l.RecordSuccess(7, 6*time.Second)
-	recordCrash(l, 20, 9000, 7)
-	if s := l.Status(7, 9*time.Second); s.Held || s.Crashes != 1 {
-		t.Fatalf("stands %+v", s)
+	tr.RecordSuccess(7, 6*time.Second)
+	recordCrash(tr, 20, 9000, 7)
+	if s := tr.Status(7, 9*time.Second); s.Held || s.Crashes != 1 {
+		t.Fatalf("status: %+v", s)
 	}
 }
 
-// What daemons tell each other brings all to the same verdict, in whatever order it comes.
+// Trackers that exchange updates in any order hold the same requests.
 func TestTrackersConverge(t *testing.T) {
 	const now = time.Second
 	var all []*Tracker
 	for i := range 3 {
-		l := NewTracker()
-		l.RecordCrash(IncarnationKey(i), now, []Fingerprint{7, Fingerprint(100 + i)}, now)
-		all = append(all, l)
+		tr := NewTracker()
+		tr.RecordCrash(IncarnationKey(i), now, []Fingerprint{7, Fingerprint(100 + i)}, now)
+		all = append(all, tr)
 	}
 	for range 2 {
 		for _, from := range all {
@@ -116,68 +116,68 @@
 			}
 		}
 	}
-	for i, l := range all {
-		if !l.Status(7, now).Held || l.Status(100, now).Held {
-			t.Errorf("daemon %d: %+v", i, l.Status(7, now))
+	for i, tr := range all {
+		if !tr.Status(7, now).Held || tr.Status(100, now).Held {
+			t.Errorf("daemon %d: %+v", i, tr.Status(7, now))
 		}
 	}
 }
 
 func TestNewPeerReceivesAllHolds(t *testing.T) {
 	old, fresh := NewTracker(), NewTracker()
-	for run := range IncarnationKey(3) {
-		recordCrash(old, run, 0, 7)
+	for key := range IncarnationKey(3) {
+		recordCrash(old, key, 0, 7)
 	}
 	now := time.Minute
 	if w := old.Update(now, false); !w.Empty() {
-		t.Fatalf("old news is told: %+v", w)
+		t.Fatalf("an expired entry is broadcast: %+v", w)
 	}
 	fresh.Merge(old.Update(now, true), 5*time.Minute)
 	s := fresh.Status(7, 5*time.Minute)
 	if !s.Held || s.Remaining != HoldTTL-now {
-		t.Fatalf("stands %+v", s)
+		t.Fatalf("status: %+v", s)
 	}
 }
 
-// A hold that was released by hand does not come back by the word of one that has not heard.
+// A peer that has not received a release must not restore the hold.
 func TestReleaseOverridesOlderUpdate(t *testing.T) {
-	here, there := NewTracker(), NewTracker()
-	for run := range IncarnationKey(3) {
-		recordCrash(here, run, 0, 7)
-		recordCrash(there, run, 0, 7)
+	local, remote := NewTracker(), NewTracker()
+	for key := range IncarnationKey(3) {
+		recordCrash(local, key, 0, 7)
+		recordCrash(remote, key, 0, 7)
 	}
 	now := 5 * time.Second
-	here.ApplyClearance(7, now, now)
-	here.Merge(there.Update(now, true), now)
-	if here.Status(7, now).Held {
-		t.Fatal("held again by an older word")
+	local.ApplyClearance(7, now, now)
+	local.Merge(remote.Update(now, true), now)
+	if local.Status(7, now).Held {
+		t.Fatal("an older update restored the hold")
 	}
-	there.Merge(here.Update(now, false), now)
-	if there.Status(7, now).Held {
-		t.Fatal("the other daemon was not told")
+	remote.Merge(local.Update(now, false), now)
+	if remote.Status(7, now).Held {
+		t.Fatal("the clearance was not broadcast")
 	}
 }
 
-// What is remembered and told is bounded, whatever ends how often.
+// Memory and update size are bounded, whatever the number of crashes.
 func TestTrackerIsBounded(t *testing.T) {
-	l := NewTracker()
+	tr := NewTracker()
 	for i := range 4 * maxCrashes {
 		list := make([]Fingerprint, 2*maxSuspects)
 		for j := range list {
 			list[j] = Fingerprint(i*1000 + j)
 		}
-		recordCrash(l, IncarnationKey(i), i, append(list, Fingerprint(1<<40+i/3))...)
+		recordCrash(tr, IncarnationKey(i), i, append(list, Fingerprint(1<<40+i/3))...)
 	}
 	for i := range 2 * maxHolds {
-		l.ApplyHold(Fingerprint(1<<50+i), 0, time.Hour, time.Second)
+		tr.ApplyHold(Fingerprint(1<<50+i), 0, time.Hour, time.Second)
 	}
-	w := l.Update(4*maxCrashes*time.Millisecond, true)
-	told := 0
+	w := tr.Update(4*maxCrashes*time.Millisecond, true)
+	suspects := 0
 	for _, e := range w.Crashes {
-		told += len(e.Suspects)
+		suspects += len(e.Suspects)
 	}
-	if len(l.crashes) > maxCrashes || len(l.holds) > maxHolds || len(w.Crashes) > maxCrashesPerUpdate || told > maxCrashesPerUpdate*maxEntriesPerUpdate || len(w.Holds) > maxEntriesPerUpdate {
-		t.Errorf("%d ends, %d holds, %d ends told with %d requests, %d holds told", len(l.crashes), len(l.holds), len(w.Crashes), told, len(w.Holds))
+	if len(tr.crashes) > maxCrashes || len(tr.holds) > maxHolds || len(w.Crashes) > maxCrashesPerUpdate || suspects > maxCrashesPerUpdate*maxEntriesPerUpdate || len(w.Holds) > maxEntriesPerUpdate {
+		t.Errorf("%d crashes, %d holds; in the update: %d crashes with %d suspects, %d holds", len(tr.crashes), len(tr.holds), len(w.Crashes), suspects, len(w.Holds))
 	}
 }
 
@@ -185,56 +185,56 @@
 	f := FingerprintOf("w", "h", "POST", "/a", []byte("x"))
 	for name, other := range map[string]Fingerprint{
 		"workspace": FingerprintOf("v", "h", "POST", "/a", []byte("x")), "target": FingerprintOf("w", "h", "POST", "/b", []byte("x")),
-		"body": FingerprintOf("w", "h", "POST", "/a", []byte("y")), "a part that ends elsewhere": FingerprintOf("w", "hP", "OST", "/a", []byte("x")),
+		"body": FingerprintOf("w", "h", "POST", "/a", []byte("y")), "a boundary between parts": FingerprintOf("w", "hP", "OST", "/a", []byte("x")),
 	} {
 		if other == f {
-			t.Errorf("another %s has the same fingerprint", name)
+			t.Errorf("a different %s gives the same fingerprint", name)
 		}
 	}
 	back, err := ParseFingerprint(f.String())
 	if err != nil || back != f {
-		t.Errorf("%s reads as %s, %v", f, back, err)
+		t.Errorf("%s parses as %s, error %v", f, back, err)
 	}
 	if _, err := ParseFingerprint("12"); err == nil {
-		t.Error("a short text is a fingerprint")
+		t.Error("a text that is too short is accepted")
 	}
 }
 
-// Where servers keep their name over a start, each end counts.
+// Servers that keep their name across restarts can crash more than once.
 func TestRepeatedCrashesOfOneServerCount(t *testing.T) {
-	l := NewTracker()
+	tr := NewTracker()
 	for i := range 3 {
 		at := i * int((2 * CrashDedupWindow).Milliseconds())
-		recordCrash(l, 1, at, 7)
-		recordCrash(l, 1, at+int(CrashDedupWindow.Milliseconds())/2, 7, 8)
+		recordCrash(tr, 1, at, 7)
+		recordCrash(tr, 1, at+int(CrashDedupWindow.Milliseconds())/2, 7, 8)
 	}
-	if s := l.Status(7, time.Minute); s.Crashes != 3 || !s.Held {
-		t.Fatalf("stands %+v", s)
+	if s := tr.Status(7, time.Minute); s.Crashes != 3 || !s.Held {
+		t.Fatalf("status: %+v", s)
 	}
 }
 
-// Guards against this failure: daemons told each other of the same clearances without an end.
+// Guards against clearances that peers rebroadcast to each other forever.
 func TestClearanceBroadcastExpires(t *testing.T) {
-	const way = 3 * time.Millisecond
+	const latency = 3 * time.Millisecond
 	now := time.Second
 	all := []*Tracker{NewTracker(), NewTracker()}
-	for _, l := range all {
-		for run := range IncarnationKey(2) {
-			l.RecordCrash(run, now, []Fingerprint{7}, now)
+	for _, tr := range all {
+		for key := range IncarnationKey(2) {
+			tr.RecordCrash(key, now, []Fingerprint{7}, now)
 		}
 	}
 	all[0].RecordSuccess(7, now+100*time.Millisecond)
 	for now += 100 * time.Millisecond; now < 10*broadcastTTL; now += 50 * time.Millisecond {
-		for i, l := range all {
-			all[1-i].Merge(l.Update(now, false), now+way)
+		for i, tr := range all {
+			all[1-i].Merge(tr.Update(now, false), now+latency)
 		}
 	}
-	for i, l := range all {
-		if l.Status(7, now).Crashes != 0 {
+	for i, tr := range all {
+		if tr.Status(7, now).Crashes != 0 {
 			t.Errorf("daemon %d: not cleared", i)
 		}
-		if w := l.Update(now, false); !w.Empty() || len(l.pending) > 0 {
-			t.Errorf("daemon %d still tells %+v, %d items of news", i, w, len(l.pending))
+		if w := tr.Update(now, false); !w.Empty() || len(tr.pending) > 0 {
+			t.Errorf("daemon %d still broadcasts %+v, %d entries pending", i, w, len(tr.pending))
 		}
 	}
 }
