--- a/internal/containment/attempts.go
+++ b/internal/containment/attempts.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// cancelGrace is how long after a daemon let go of a request its server may still end
-	// by it: a run that is cancelled may have done its harm.
+	// cancelGrace is how long after a send is canceled the request may still crash the server,
+	// which may go on running it.
 	cancelGrace = time.Second
-	// restartDetectionWindow is how late it may be learned that a server has started again: until then
-	// connections that broke there may have been its end.
+	// restartDetectionWindow is the longest delay until a restart of a server is noticed.
+	// Connections lost within it may have been lost to the crash.
 	restartDetectionWindow = 4 * time.Second
-	// attemptRetention is how long what a server ran is remembered after it was last used.
+	// attemptRetention is how long the record of an idle server is kept.
 	attemptRetention = 10 * time.Second
 )
 
-// Outcome is what became of a send.
+// Outcome is the outcome of a send.
 type Outcome uint8
 
 const (
-	// running sends wait for their server, or read its answer.
+	// running sends wait for the server or read its response.
 	running Outcome = iota
-	// ConnectionLost is a send whose connection ended.
+	// ConnectionLost is a send whose connection broke.
 	ConnectionLost
-	// Canceled is a send that this daemon gave up, or whose caller left.
+	// Canceled is a send that the daemon or its caller gave up.
 	Canceled
-	// Completed is a send that was answered, or that did not run.
+	// Completed is a send that was answered, or that the server did not execute.
 	Completed
 )
 
-// Attempt is one request at one server.
+// Attempt is one request sent to one server.
 type Attempt struct {
 	server      string
 	fingerprint quarantine.Fingerprint
-	// cancel gives the send up.
+	// cancel aborts the send.
 	cancel context.CancelCauseFunc
-	// forwarded says that something of the answer was passed on.
+	// forwarded reports whether any part of the response was forwarded to the caller.
 	forwarded bool
 	outcome   Outcome
-	// endedAt is when the send ended; zero while it runs.
+	// endedAt is when the send ended; zero while it is running.
 	endedAt time.Time
 }
 
-// mayHaveCrashed reports whether the run may have ended its server by a moment. Broken is how long
-// before it a connection may have broken by that end.
+// mayHaveCrashed reports whether the attempt may have crashed its server at a time.
+// lossWindow is how long before that time the connection may have been lost to the crash.
 func (a *Attempt) mayHaveCrashed(now time.Time, lossWindow time.Duration) bool {
 	switch a.outcome {
 	case running:
@@ -61,44 +61,43 @@
 	return false
 }
 
-// attempts remembers which requests this daemon has at each server and had there a moment ago.
-// When a server ends, one of them may be why; without this a request that ends its server
-// cannot be told from the others that were there.
-type attempts struct {
+// attemptRegistry records the current and recent attempts of this daemon by server. When a
+// server crashes, they are the suspects.
+type attemptRegistry struct {
 	mu      sync.Mutex
 	servers map[string]*serverAttempts
-	// byKey names the servers by the keys that daemons use between them.
+	// byKey maps the keys used between daemons to server IDs.
 	byKey map[quarantine.IncarnationKey]string
-	// reportedAt is when others first reported the end of a server at which this daemon has
-	// nothing.
+	// reportedAt is when peers first reported the termination of a server at which this daemon
+	// has no attempts.
 	reportedAt map[quarantine.IncarnationKey]time.Time
 	lastSweep  time.Time
 }
 
-// serverAttempts are the requests at one server.
+// serverAttempts holds the attempts at one server.
 type serverAttempts struct {
 	list     []*Attempt
 	lastUsed time.Time
-	// probed is closed when it is known whether the server has ended; nil if nobody asks.
+	// probed is closed when it is known whether the server has terminated; nil if no probe runs.
 	probed chan struct{}
-	// terminated says that it has, and endedAt when that was learned.
+	// terminated reports whether the server has terminated, and terminatedAt when it was noticed.
 	terminated   bool
 	terminatedAt time.Time
 }
 
-func newAttempts() *attempts {
-	return &attempts{servers: map[string]*serverAttempts{}, byKey: map[quarantine.IncarnationKey]string{}, reportedAt: map[quarantine.IncarnationKey]time.Time{}}
+func newAttemptRegistry() *attemptRegistry {
+	return &attemptRegistry{servers: map[string]*serverAttempts{}, byKey: map[quarantine.IncarnationKey]string{}, reportedAt: map[quarantine.IncarnationKey]time.Time{}}
 }
 
-// begin records a send.
-func (r *attempts) begin(server string, f quarantine.Fingerprint, cancel context.CancelCauseFunc) *Attempt {
+// begin records the start of a send.
+func (r *attemptRegistry) begin(server string, f quarantine.Fingerprint, cancel context.CancelCauseFunc) *Attempt {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sweep(now)
 	s := r.serverAttempts(server, now)
 	if s.terminated && now.Sub(s.terminatedAt) > quarantine.CrashDedupWindow {
-		// Where servers keep their name over a start, this is a later run.
+		// The server has restarted under the same name.
 		s.terminated, s.probed = false, nil
 	}
 	s.list = pruneAttempts(s.list, now)
@@ -107,8 +106,8 @@
 	return out
 }
 
-// serverAttempts returns the requests at a server, which is used now. Callers hold mu.
-func (r *attempts) serverAttempts(server string, now time.Time) *serverAttempts {
+// serverAttempts returns the record of a server and marks it used. Callers hold mu.
+func (r *attemptRegistry) serverAttempts(server string, now time.Time) *serverAttempts {
 	s := r.servers[server]
 	if s == nil {
 		s = &serverAttempts{}
@@ -119,16 +118,16 @@
 	return s
 }
 
-// markForwarded records that something of a send's answer was passed on.
-func (r *attempts) markForwarded(a *Attempt) {
+// markForwarded records that part of the response was forwarded to the caller.
+func (r *attemptRegistry) markForwarded(a *Attempt) {
 	r.mu.Lock()
 	a.forwarded = true
 	r.mu.Unlock()
 }
 
-// cancel ends the sends of a request of which nothing was passed on, and returns how many:
-// one that waits at a server has not harmed it yet.
-func (r *attempts) cancel(f quarantine.Fingerprint) (n int) {
+// cancel cancels the running sends of a request that have forwarded nothing yet, and
+// returns their number.
+func (r *attemptRegistry) cancel(f quarantine.Fingerprint) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
@@ -142,9 +141,9 @@
 	return n
 }
 
-// peerReported takes it from another daemon that a server ended some time ago, and returns the
-// requests that this daemon had there, and whether the end is news.
-func (r *attempts) peerReported(key quarantine.IncarnationKey, age time.Duration) (list []*Attempt, isNew bool) {
+// peerReported records that a peer reported the termination of a server some time ago. It
+// returns the attempts at that server, and whether the termination was not known before.
+func (r *attemptRegistry) peerReported(key quarantine.IncarnationKey, age time.Duration) (list []*Attempt, isNew bool) {
 	now := time.Now()
 	r.mu.Lock()
 	id, known := r.byKey[key]
@@ -161,8 +160,8 @@
 	return r.suspects(id, age), isNew
 }
 
-// end records what became of a send.
-func (r *attempts) end(a *Attempt, o Outcome) {
+// end records the outcome of a send.
+func (r *attemptRegistry) end(a *Attempt, o Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a.outcome, a.endedAt = o, time.Now()
@@ -171,7 +170,7 @@
 	}
 }
 
-// pruneAttempts shortens a list in its place to the runs that may still have ended their server.
+// pruneAttempts filters a list in place to the attempts that may have crashed their server.
 func pruneAttempts(list []*Attempt, now time.Time) []*Attempt {
 	out := list[:0]
 	for _, a := range list {
@@ -183,8 +182,8 @@
 	return out
 }
 
-// sweep forgets servers that were not used for long. Callers hold mu.
-func (r *attempts) sweep(now time.Time) {
+// sweep removes idle servers, at most once a second. Callers hold mu.
+func (r *attemptRegistry) sweep(now time.Time) {
 	if now.Sub(r.lastSweep) < time.Second {
 		return
 	}
@@ -199,12 +198,12 @@
 	}
 }
 
-// suspects returns the requests that were at a server when it ended some time ago.
-func (r *attempts) suspects(server string, age time.Duration) (out []*Attempt) {
+// suspects returns the attempts that may have crashed a server that terminated some time ago.
+func (r *attemptRegistry) suspects(server string, age time.Duration) (out []*Attempt) {
 	return r.suspectsAt(server, time.Now().Add(-age), cancelGrace)
 }
 
-func (r *attempts) suspectsAt(server string, at time.Time, lossWindow time.Duration) (out []*Attempt) {
+func (r *attemptRegistry) suspectsAt(server string, at time.Time, lossWindow time.Duration) (out []*Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[server]
@@ -219,16 +218,16 @@
 	return out
 }
 
-// restarted takes it that a server has started again, and returns the requests whose
-// connections broke there since it may have ended, and whether the end is news.
-func (r *attempts) restarted(server string) (list []*Attempt, isNew bool) {
+// restarted records that a server has restarted. It returns the attempts that may have
+// crashed it, and whether its termination was not known before.
+func (r *attemptRegistry) restarted(server string) (list []*Attempt, isNew bool) {
 	isNew = r.setTerminated(server, true)
 	return r.suspectsAt(server, time.Now(), restartDetectionWindow), isNew
 }
 
-// startProbe returns a channel that is closed when it is known whether a server has ended, and
-// whether the caller is the one to find out.
-func (r *attempts) startProbe(server string) (done chan struct{}, first bool) {
+// startProbe returns a channel that is closed when it is known whether a server has
+// terminated, and whether the caller has to run the probe.
+func (r *attemptRegistry) startProbe(server string) (done chan struct{}, first bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.serverAttempts(server, time.Now())
@@ -239,8 +238,8 @@
 	return s.probed, true
 }
 
-// setTerminated records whether a server has ended, and reports whether that is news.
-func (r *attempts) setTerminated(server string, terminated bool) (isNew bool) {
+// setTerminated records whether a server has terminated, and reports whether this is new.
+func (r *attemptRegistry) setTerminated(server string, terminated bool) (isNew bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[server]
@@ -263,7 +262,7 @@
 	return isNew
 }
 
-// maxLoggedFingerprints bounds the fingerprints that a line names.
+// maxLoggedFingerprints bounds the fingerprints in a log line.
 const maxLoggedFingerprints = 16
 
 func fingerprints(list []*Attempt) (out []quarantine.Fingerprint) {
--- a/internal/containment/guard.go
+++ b/internal/containment/guard.go
@@ -1,6 +1,6 @@
-// Package containment keeps requests from backend servers that end when they run them: it
-// watches what a daemon has at which server, finds out whether one has ended, and joins the
-// decisions of package quarantine to the daemon's sends and to the updates of other daemons.
+// Package containment protects backend servers from requests that crash them. It tracks the
+// requests that a daemon has sent to each server, detects terminated servers, reports the
+// suspects to package quarantine, and exchanges crashes and holds with other daemons.
 package containment
 
 import (
@@ -17,64 +17,62 @@
 	"github.com/damaskrudder/damaskrudder/internal/quarantine"
 )
 
-// ErrHeld ends sends of a request that is kept from servers.
-var ErrHeld = errors.New("the request is kept from servers")
+// ErrHeld is the cancellation cause of sends of a held request.
+var ErrHeld = errors.New("request is held: servers crashed while running it")
 
 const (
-	// probeTimeout bounds the question whether a server's VM refuses connections, and
-	// endWait how long a lost request waits for the answer. Round trips are milliseconds.
+	// probeTimeout bounds the check whether a server refuses connections, and probeWait how
+	// long a send that lost its connection waits for the result.
 	probeTimeout = 400 * time.Millisecond
 	probeWait    = 50 * time.Millisecond
-	// provisionalPeriod is how long a hold may still turn out to be due to another request. A
-	// caller that comes back after it is answered if so.
+	// provisionalPeriod is how long a hold may still be released in favor of another request.
 	provisionalPeriod = 2 * time.Second
 )
 
-// Server is a run of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct{ ID, Address string }
 
-// Options are a guard's connections to its daemon.
+// Options are the dependencies of a Guard.
 type Options struct {
-	// BootTime reads a clock that counts while the VM is suspended.
+	// BootTime reads a clock that advances while the VM is suspended.
 	BootTime func() time.Duration
-	// RefusesConnections reports whether a server's VM refuses connections: the server has ended.
+	// RefusesConnections reports whether a server's VM refuses connections.
 	RefusesConnections func(ctx context.Context, s Server) bool
-	// Leaving reports whether a server has said that it leaves, or its entry has gone:
-	// it ends as it said, and nothing is to blame.
+	// Leaving reports whether a server has announced that it leaves, or its entry is gone. Its
+	// termination is then not a crash.
 	Leaving func(s Server) bool
-	// OnTerminated is called when a server has ended.
-	OnTerminated func(run quarantine.IncarnationKey)
+	// OnTerminated is called when a server has terminated.
+	OnTerminated func(key quarantine.IncarnationKey)
 	Logger       *log.Logger
-	// ServersTerminated counts servers that ended with requests of this daemon, and Held shows how
-	// many requests are held.
+	// ServersTerminated counts servers that terminated with requests of this daemon, and
+	// RequestsHeld is the number of held requests.
 	ServersTerminated tally.Counter
 	RequestsHeld      tally.Gauge
 }
 
-// Guard is one daemon's part.
+// Guard tracks sends and holds for one daemon. It is safe for concurrent use.
 type Guard struct {
 	opts     Options
-	attempts *attempts
-	// pending says that there is something to tell.
+	attempts *attemptRegistry
+	// pending signals that an update is to be broadcast.
 	pending chan struct{}
 
 	mu      sync.Mutex
 	tracker *quarantine.Tracker
 }
 
-// New returns a guard that knows of no end.
-func New(p Options) *Guard {
-	return &Guard{opts: p, attempts: newAttempts(), pending: make(chan struct{}, 1), tracker: quarantine.NewTracker()}
+// New returns a guard without recorded crashes or holds.
+func New(opts Options) *Guard {
+	return &Guard{opts: opts, attempts: newAttemptRegistry(), pending: make(chan struct{}, 1), tracker: quarantine.NewTracker()}
 }
 
-// IncarnationKey names a run of a server among daemons.
+// IncarnationKey returns the key of a server ID in messages between daemons.
 func IncarnationKey(id string) quarantine.IncarnationKey {
 	return quarantine.IncarnationKey(xxhash.Sum64String(id))
 }
 
-// Broadcast calls send whenever an update is pending, with a pause after each round, until the
-// context ends. Each daemon that receives something new broadcasts it in turn, so that all of
-// some hundred know within a few rounds.
+// Broadcast calls send whenever an update is pending, with a pause after each round, until
+// the context is done. Daemons rebroadcast what is new to them.
 func (g *Guard) Broadcast(ctx context.Context, pause time.Duration, send func(ctx context.Context)) {
 	for {
 		select {
@@ -87,26 +85,27 @@
 	}
 }
 
-// requestBroadcast starts the next round, and does not wait.
+// requestBroadcast schedules a round. It does not block.
 func (g *Guard) requestBroadcast() {
 	select {
 	case g.pending <- struct{}{}:
-	default: // a round is due already, and sends all there is
+	default: // a round is already scheduled
 	}
 }
 
-// apply runs f on the ledger, and carries out what it has changed.
-func (g *Guard) apply(f func(l *quarantine.Tracker, now time.Duration) quarantine.Change) {
+// apply runs f on the tracker and carries out the change: it cancels sends of newly held
+// requests, logs, updates metrics and schedules a broadcast.
+func (g *Guard) apply(f func(t *quarantine.Tracker, now time.Duration) quarantine.Change) {
 	now := g.opts.BootTime()
 	g.mu.Lock()
 	c := f(g.tracker, now)
 	g.mu.Unlock()
 	for _, f := range c.Held {
-		ended := g.attempts.cancel(f)
-		g.opts.Logger.Warn("request held", "fingerprint", f, "ends", g.status(f).Crashes, "sends_ended", ended)
+		canceled := g.attempts.cancel(f)
+		g.opts.Logger.Warn("request held", "fingerprint", f, "ends", g.status(f).Crashes, "sends_ended", canceled)
 	}
 	for _, f := range c.Released {
-		g.opts.Logger.Warn("request no longer held", "fingerprint", f)
+		g.opts.Logger.Warn("request hold released", "fingerprint", f)
 	}
 	if len(c.Held)+len(c.Released) > 0 {
 		g.opts.RequestsHeld.Update(float64(len(g.Holds())))
@@ -116,7 +115,7 @@
 	}
 }
 
-// status returns what is known of a request.
+// status returns the status of a request.
 func (g *Guard) status(f quarantine.Fingerprint) quarantine.Status {
 	now := g.opts.BootTime()
 	g.mu.Lock()
@@ -124,17 +123,17 @@
 	return g.tracker.Status(f, now)
 }
 
-// Check returns what is known of a request that is about to be sent.
+// Check returns the status of a request before it is sent.
 func (g *Guard) Check(f quarantine.Fingerprint) quarantine.Status {
 	s := g.status(f)
 	if s.Crashes == 0 || s.Held {
 		return s
 	}
-	g.apply(func(l *quarantine.Tracker, now time.Duration) quarantine.Change { return l.Reevaluate(f, now) })
+	g.apply(func(t *quarantine.Tracker, now time.Duration) quarantine.Change { return t.Reevaluate(f, now) })
 	return g.status(f)
 }
 
-// RetryAfter is when the caller of a held request should come back.
+// RetryAfter returns when the caller of a held request should retry.
 func RetryAfter(s quarantine.Status) time.Duration {
 	if s.HeldFor < provisionalPeriod {
 		return provisionalPeriod
@@ -142,16 +141,16 @@
 	return s.Remaining
 }
 
-// Begin records that a request is sent to a server. Cancel gives the send up.
+// Begin records the start of a send. cancel must abort it.
 func (g *Guard) Begin(s Server, f quarantine.Fingerprint, cancel context.CancelCauseFunc) *Attempt {
 	return g.attempts.begin(s.ID, f, cancel)
 }
 
-// MarkForwarded records that something of a send's answer was passed on.
+// MarkForwarded records that part of the response was forwarded to the caller.
 func (g *Guard) MarkForwarded(a *Attempt) { g.attempts.markForwarded(a) }
 
-// End records what became of a send. For one whose connection broke it finds out whether
-// the server has ended, and waits a little for that, so that the next send knows.
+// End records the outcome of a send. If its connection was lost, End waits up to probeWait
+// for a check whether the server has terminated.
 func (g *Guard) End(ctx context.Context, a *Attempt, s Server, o Outcome) {
 	g.attempts.end(a, o)
 	if o == ConnectionLost {
@@ -159,14 +158,13 @@
 	}
 }
 
-// RecordSuccess takes it that a request was answered in full.
+// RecordSuccess records that a request was answered in full.
 func (g *Guard) RecordSuccess(f quarantine.Fingerprint) {
-	g.apply(func(l *quarantine.Tracker, now time.Duration) quarantine.Change { return l.RecordSuccess(f, now) })
+	g.apply(func(t *quarantine.Tracker, now time.Duration) quarantine.Change { return t.RecordSuccess(f, now) })
 }
 
-// awaitProbe asks, for a request whose connection broke, whether its server has ended: its VM
-// then refuses connections. A connection that broke alone, an answer that was lost and a way
-// that is cut look the same until then.
+// awaitProbe checks whether a server has terminated, which a lost connection alone does not
+// show: its VM then refuses connections. Concurrent callers share one probe.
 func (g *Guard) awaitProbe(ctx context.Context, s Server) {
 	done, first := g.attempts.startProbe(s.ID)
 	if first {
@@ -190,12 +188,12 @@
 	}
 }
 
-// serverTerminated takes it that a server has ended, with what this daemon had there.
+// serverTerminated handles the termination of a server.
 func (g *Guard) serverTerminated(s Server) {
 	list, leaving := g.attempts.suspects(s.ID, 0), g.opts.Leaving(s)
 	how := "refuses connections"
 	if leaving {
-		how = "had said that it leaves"
+		how = "left as announced"
 	}
 	g.reportTermination(s, how, list)
 	g.opts.OnTerminated(IncarnationKey(s.ID))
@@ -204,22 +202,22 @@
 	}
 }
 
-// reportTermination counts and logs the end of a server with requests of this daemon.
+// reportTermination counts and logs the termination of a server.
 func (g *Guard) reportTermination(s Server, how string, list []*Attempt) {
 	g.opts.ServersTerminated.Inc(1)
 	g.opts.Logger.Warn("server ended", "server", s.ID, "address", s.Address, "how", how, "requests", len(list), "fingerprints", fingerprints(list))
 }
 
-// ServerRestarted takes it that a server has started again, so that its earlier run has ended. One
-// that is back at once refuses no connection.
+// ServerRestarted records that a server has restarted, so its previous incarnation has
+// terminated. A fast restart is not noticed by probes.
 func (g *Guard) ServerRestarted(s Server) {
 	if list, isNew := g.attempts.restarted(s.ID); isNew {
-		g.reportTermination(s, "started again", list)
+		g.reportTermination(s, "restarted", list)
 		g.recordCrash(IncarnationKey(s.ID), 0, list)
 	}
 }
 
-// recordCrash takes it that a run of a server ended some time ago with requests of this daemon.
+// recordCrash records a crash some time ago with the attempts that may have caused it.
 func (g *Guard) recordCrash(key quarantine.IncarnationKey, age time.Duration, list []*Attempt) {
 	if len(list) == 0 {
 		return
@@ -228,12 +226,12 @@
 	for _, a := range list {
 		suspects = append(suspects, a.fingerprint)
 	}
-	g.apply(func(l *quarantine.Tracker, now time.Duration) quarantine.Change {
-		return l.RecordCrash(key, now-age, suspects, now)
+	g.apply(func(t *quarantine.Tracker, now time.Duration) quarantine.Change {
+		return t.RecordCrash(key, now-age, suspects, now)
 	})
 }
 
-// Update returns what is pending for another daemon, with all holds for one just met.
+// Update returns what is to be broadcast, and all holds for a new peer.
 func (g *Guard) Update(newPeer bool) quarantine.Update {
 	now := g.opts.BootTime()
 	g.mu.Lock()
@@ -241,13 +239,13 @@
 	return g.tracker.Update(now, newPeer)
 }
 
-// Merge applies another daemon's update. To the ends in it, this daemon adds what it
-// had there itself.
+// Merge applies an update of another daemon, and adds this daemon's own attempts to the
+// suspects of the crashes in it.
 func (g *Guard) Merge(u quarantine.Update) {
 	if u.Empty() {
 		return
 	}
-	g.apply(func(l *quarantine.Tracker, now time.Duration) quarantine.Change { return l.Merge(u, now) })
+	g.apply(func(t *quarantine.Tracker, now time.Duration) quarantine.Change { return t.Merge(u, now) })
 	for _, e := range u.Crashes {
 		age := time.Duration(e.AgeMs) * time.Millisecond
 		if list, isNew := g.attempts.peerReported(e.Incarnation, age); isNew {
@@ -257,7 +255,7 @@
 	}
 }
 
-// Holds lists the requests that are held.
+// Holds lists the held requests.
 func (g *Guard) Holds() []quarantine.Hold {
 	now := g.opts.BootTime()
 	g.mu.Lock()
@@ -265,14 +263,14 @@
 	return g.tracker.Holds(now)
 }
 
-// ApplyHold takes it that a request is held for some time yet.
+// ApplyHold holds a request for the given time, as recorded in the store.
 func (g *Guard) ApplyHold(f quarantine.Fingerprint, left time.Duration) {
-	g.apply(func(l *quarantine.Tracker, now time.Duration) quarantine.Change {
-		return l.ApplyHold(f, now, now+left, now)
+	g.apply(func(t *quarantine.Tracker, now time.Duration) quarantine.Change {
+		return t.ApplyHold(f, now, now+left, now)
 	})
 }
 
-// Release ends the hold of a request by hand.
+// Release removes the hold of a request for an operator.
 func (g *Guard) Release(f quarantine.Fingerprint) {
-	g.apply(func(l *quarantine.Tracker, now time.Duration) quarantine.Change { return l.ApplyClearance(f, now, now) })
+	g.apply(func(t *quarantine.Tracker, now time.Duration) quarantine.Change { return t.ApplyClearance(f, now, now) })
 }
