--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate decides whether a request may be sent to a backend server now. Every send of
-// both routers passes it: the first, repeats, larger models, streams that go on elsewhere. It
-// does no I/O and reads no clock; its owner guards it with a lock.
+// Package gate decides whether a request may be sent to a backend server. All sends of both
+// routers are checked, including retries, escalations to larger models and resumed streams.
+// The package does no I/O and does not read the clock. A Gate is not safe for concurrent use.
 package gate
 
 import (
@@ -10,73 +10,73 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// Reason says why a send is refused.
+// Reason is the reason for refusing a send.
 type Reason string
 
-// The reasons. The list is closed: they are the values of a counter.
+// The reasons are label values of a metric, so the set is fixed.
 const (
-	// Allowed is no reason to refuse.
+	// Allowed means that the send is not refused.
 	Allowed Reason = ""
-	// Held requests are kept from all servers because servers ended that ran them.
+	// Held requests are refused by all servers because they crashed servers.
 	Held Reason = "held"
-	// Leaving servers finish what they run.
+	// Leaving servers finish their running requests and accept no new ones.
 	Leaving Reason = "leaving"
-	// Evacuated servers stand in a failure domain that an operator has evacuated.
+	// Evacuated servers are in a failure domain that an operator has evacuated.
 	Evacuated Reason = "evacuated"
-	// Warming servers have started a moment ago and have had what they bear.
+	// Warming servers have started recently and have reached their warmup limit.
 	Warming Reason = "warming"
-	// RegionExcluded servers stand in a region that the request may not be sent to.
+	// RegionExcluded servers are in a region that the request must not be sent to.
 	RegionExcluded Reason = "region_excluded"
 )
 
-// Reasons returns all reasons to refuse, the one that tells a caller most first.
+// Reasons returns all reasons for refusal, the most informative for callers first.
 func Reasons() []Reason { return []Reason{Held, RegionExcluded, Evacuated, Warming, Leaving} }
 
-// Server is what the gate goes by of one run of a backend server.
+// Server is the state of one incarnation of a backend server.
 type Server struct {
 	ID string
-	// Hash is the hash of ID, the same at all daemons.
+	// Hash is the hash of ID. It is the same on all daemons.
 	Hash          uint64
 	FailureDomain string
 	Region        string
 	Leaving       bool
-	// WarmAt is when the server has warmed up by its entry; zero if it is warm.
+	// WarmAt is when the server is warm according to its entry; zero if it is warm.
 	WarmAt time.Duration
-	// Limit is what it bears until then.
+	// Limit is the request limit during warmup.
 	Limit slowstart.Limit
 }
 
-// Request is what the gate goes by of a request.
+// Request is what the gate needs to know about a request.
 type Request struct {
 	Held bool
-	// Regions are those that the request may be sent to; none allows all.
+	// Regions are the allowed regions; empty allows all.
 	Regions []string
 }
 
-// Gate is one daemon's state. Times are readings of a clock that counts while the VM is
-// suspended.
+// Gate is the state of one daemon. Times are readings of a clock that advances while the VM
+// is suspended.
 type Gate struct {
 	evacuated map[string]time.Duration
-	// readmitted is when the evacuation of a domain was taken back.
+	// readmitted is when the evacuation of a domain ended.
 	readmitted map[string]time.Duration
 	view       slowstart.View
 	pacers     map[string]*pacer
-	// restarts are servers that have ended and may start again under their name.
+	// restarts are servers that have terminated and may restart under the same name.
 	restarts map[string]*restart
 }
 
-// restart is what is known of a server's next start under the same name.
+// restart describes a terminated server and its next incarnation.
 type restart struct {
 	terminatedAt time.Duration
-	// responded says that the server has answered since, and warmAt when it is then warm.
+	// responded reports whether the server has responded since, and warmAt when it is then warm.
 	responded bool
 	warmAt    time.Duration
 }
 
-// restartRetention is how long the end of a server is remembered that does not come back.
+// restartRetention is how long a terminated server that does not restart is remembered.
 const restartRetention = time.Minute
 
-// pacer is the count of sends to a warming server, with the choice of its senders.
+// pacer paces the sends of this daemon to a warming server.
 type pacer struct {
 	slowstart.Pacer
 	share  slowstart.Share
@@ -84,7 +84,7 @@
 	warmAt time.Duration
 }
 
-// New returns a gate that knows of no evacuation and no other daemon.
+// New returns a gate without evacuations and with an empty view.
 func New() *Gate {
 	return &Gate{evacuated: map[string]time.Duration{}, readmitted: map[string]time.Duration{}, pacers: map[string]*pacer{}, restarts: map[string]*restart{}}
 }
@@ -98,8 +98,8 @@
 	return true
 }
 
-// Readmit opens a failure domain again and reports whether it was closed. Its servers count
-// as just started: they have served nothing, and their entries tell of it some time later.
+// Readmit reopens a failure domain and reports whether it was closed. Its servers are
+// treated as just started, because they are idle and their entries may be outdated.
 func (g *Gate) Readmit(domain string, now time.Duration) bool {
 	if _, evacuated := g.evacuated[domain]; !evacuated {
 		return false
@@ -109,13 +109,13 @@
 	return true
 }
 
-// Evacuation is a failure domain that is closed, and since when this daemon knows.
+// Evacuation is an evacuated failure domain. Since is when this daemon learned of it.
 type Evacuation struct {
 	FailureDomain string
 	Since         time.Duration
 }
 
-// Evacuations lists the domains that are closed, by name.
+// Evacuations lists the evacuated domains, sorted by name.
 func (g *Gate) Evacuations() []Evacuation {
 	out := make([]Evacuation, 0, len(g.evacuated))
 	for d, since := range g.evacuated {
@@ -130,29 +130,29 @@
 	return out
 }
 
-// ServerTerminated takes it that a server has ended. If it comes back under its name it counts as just
-// started from its first answer on, whatever its entry said before.
+// ServerTerminated records that a server has terminated. If it returns under the same name, it
+// warms up from its first response, whatever its entry says.
 func (g *Gate) ServerTerminated(id string, now time.Duration) {
 	g.restarts[id] = &restart{terminatedAt: now}
 }
 
-// ServerResponded takes it that a server has answered.
+// ServerResponded records that a server has responded.
 func (g *Gate) ServerResponded(id string, limit slowstart.Limit, now time.Duration) {
 	if r := g.restarts[id]; r != nil && !r.responded {
 		r.responded, r.warmAt = true, now+limit.WarmupPeriod
 	}
 }
 
-// SetView takes who shares the limits of warming servers.
+// SetView sets the daemons that share the limits of warming servers.
 func (g *Gate) SetView(v slowstart.View, now time.Duration) {
 	g.view = v
-	for id, m := range g.pacers {
-		if now >= m.warmAt {
+	for id, p := range g.pacers {
+		if now >= p.warmAt {
 			delete(g.pacers, id)
 		}
 	}
-	for _, m := range g.pacers {
-		m.share = slowstart.Share{}
+	for _, p := range g.pacers {
+		p.share = slowstart.Share{}
 	}
 	for id, r := range g.restarts {
 		if r.responded && now >= r.warmAt || now-r.terminatedAt > restartRetention {
@@ -161,7 +161,7 @@
 	}
 }
 
-// WarmAt returns when a server has warmed up, as seen now; a past time for one that is warm.
+// WarmAt returns when a server is warm; a time in the past for a warm server.
 func (g *Gate) WarmAt(s Server, now time.Duration) time.Duration {
 	if !s.Limit.Limited() {
 		return 0
@@ -178,7 +178,7 @@
 	return at
 }
 
-// Check returns why a request may not be sent to a server, or Open.
+// Check returns why a request must not be sent to a server, or Allowed.
 func (g *Gate) Check(r Request, s Server, now time.Duration) Reason {
 	switch {
 	case r.Held:
@@ -196,7 +196,7 @@
 	return Allowed
 }
 
-// Admit reports whether a request may be sent to a server, and counts why not.
+// Admit reports whether a request may be sent to a server, and counts a refusal.
 func (g *Gate) Admit(r Request, s Server, now time.Duration, refusals *Refusals) bool {
 	reason := g.Check(r, s, now)
 	if reason != Allowed {
@@ -210,59 +210,59 @@
 	return evacuated
 }
 
-// warmupReady reports whether this daemon may send to a warming server.
+// warmupReady reports whether this daemon may send to a warming server now.
 func (g *Gate) warmupReady(s Server, warmAt, now time.Duration) bool {
-	m := g.pacers[s.ID]
-	if m == nil {
-		m = &pacer{}
-		g.pacers[s.ID] = m
+	p := g.pacers[s.ID]
+	if p == nil {
+		p = &pacer{}
+		g.pacers[s.ID] = p
 	}
-	m.warmAt = warmAt
-	if m.share.Senders == 0 {
-		m.share = s.Limit.Share()
-		m.sender = g.view.IsSender(s.Hash, m.share.Senders)
+	p.warmAt = warmAt
+	if p.share.Senders == 0 {
+		p.share = s.Limit.Share()
+		p.sender = g.view.IsSender(s.Hash, p.share.Senders)
 	}
-	return m.sender && m.Ready(m.share, now)
+	return p.sender && p.Ready(p.share, now)
 }
 
-// RecordSend records a send to a server that Check has let through.
+// RecordSend records a send to a server for which Check returned Allowed.
 func (g *Gate) RecordSend(s Server, now time.Duration) {
 	if now >= g.WarmAt(s, now) {
 		return
 	}
-	if m := g.pacers[s.ID]; m != nil {
-		m.RecordSend(now)
+	if p := g.pacers[s.ID]; p != nil {
+		p.RecordSend(now)
 	}
 }
 
-// Refusals counts why the servers of a service were refused, for the answer to a request that no
-// server is left for.
+// Refusals counts why the servers of a service were refused, to explain a request without a
+// usable server.
 type Refusals struct {
 	counts map[Reason]int
-	// warmIn is the time until the first of the warming servers has warmed up.
+	// warmIn is the time until the first warming server is warm.
 	warmIn time.Duration
 }
 
-// Add counts a refused server. Warm is the time until it has warmed up, if it is warming.
-func (t *Refusals) Add(r Reason, warmIn time.Duration) {
-	if t.counts == nil {
-		t.counts = map[Reason]int{}
+// Add counts a refused server. warmIn is the time until it is warm, for warming servers.
+func (rs *Refusals) Add(r Reason, warmIn time.Duration) {
+	if rs.counts == nil {
+		rs.counts = map[Reason]int{}
 	}
-	t.counts[r]++
-	if r == Warming && (t.warmIn == 0 || warmIn < t.warmIn) {
-		t.warmIn = warmIn
+	rs.counts[r]++
+	if r == Warming && (rs.warmIn == 0 || warmIn < rs.warmIn) {
+		rs.warmIn = warmIn
 	}
 }
 
-// Primary returns the reason that tells the caller most, or Open if none was counted, and the
-// time until it ends, if that is known.
-func (t *Refusals) Primary() (Reason, time.Duration) {
+// Primary returns the most informative reason counted, or Allowed if there is none, and the
+// time until the reason ends; zero if unknown.
+func (rs *Refusals) Primary() (Reason, time.Duration) {
 	for _, r := range Reasons() {
-		if t.counts[r] == 0 {
+		if rs.counts[r] == 0 {
 			continue
 		}
 		if r == Warming {
-			return r, t.warmIn
+			return r, rs.warmIn
 		}
 		return r, 0
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -9,35 +9,35 @@
 
 var limit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
 
-// soleDaemonGate returns the gate of the only daemon.
+// soleDaemonGate returns the gate of a fleet of one daemon.
 func soleDaemonGate() *Gate {
 	g := New()
 	g.SetView(slowstart.View{Self: 1, Trusted: true}, 0)
 	return g
 }
 
-// Guards against a send to a domain that is evacuated, and against one that stays closed.
+// Guards against sends to an evacuated domain, and against a domain that stays closed.
 func TestEvacuatedDomainRefusedUntilReadmitted(t *testing.T) {
 	g := soleDaemonGate()
 	s := Server{ID: "a", FailureDomain: "east", Limit: limit}
 	if !g.Evacuate("east", time.Minute) || g.Evacuate("east", time.Minute) {
-		t.Error("a domain is closed once")
+		t.Error("Evacuate does not report the change of state")
 	}
 	if got := g.Check(Request{}, s, time.Minute); got != Evacuated {
-		t.Errorf("closed: %q", got)
+		t.Errorf("evacuated: %q", got)
 	}
 	if got := g.Check(Request{}, Server{ID: "b", FailureDomain: "west"}, time.Minute); got != Allowed {
 		t.Errorf("another domain: %q", got)
 	}
 	if !g.Readmit("east", time.Hour) || g.Readmit("east", time.Hour) || len(g.Evacuations()) != 0 {
-		t.Error("a domain is opened once")
+		t.Error("Readmit does not report the change of state")
 	}
 	if got := g.Check(Request{}, s, time.Hour); got != Allowed {
-		t.Errorf("opened: %q", got)
+		t.Errorf("readmitted: %q", got)
 	}
 }
 
-// Guards against a rush at the servers of a domain that is readmitted.
+// Guards against overloading the servers of a readmitted domain.
 func TestReadmittedDomainWarmsUp(t *testing.T) {
 	g := soleDaemonGate()
 	s := Server{ID: "a", FailureDomain: "east", Limit: limit}
@@ -58,7 +58,7 @@
 	}
 }
 
-// Guards against a daemon that sends to a warming server without knowing the others.
+// Guards against sends to a warming server by a daemon that does not know its peers.
 func TestUntrustedViewRefusesWarmingServer(t *testing.T) {
 	g := New()
 	s := Server{ID: "a", WarmAt: time.Minute, Limit: limit}
@@ -73,57 +73,57 @@
 	}
 }
 
-// Guards against a server that warms up again and is taken as warm.
+// Guards against treating a server as warm during its second warmup.
 func TestSecondWarmupIsLimited(t *testing.T) {
 	g := New()
 	for _, from := range []time.Duration{0, time.Hour} {
 		s := Server{ID: "a", WarmAt: from + time.Second, Limit: limit}
 		if g.Check(Request{}, s, from) != Warming || g.Check(Request{}, s, from+time.Second) != Allowed {
-			t.Errorf("from %s on", from)
+			t.Errorf("warmup from %s", from)
 		}
 		g.SetView(slowstart.View{}, from+2*time.Second)
 	}
 	if len(g.pacers) != 0 {
-		t.Errorf("%d servers that are warm are kept", len(g.pacers))
+		t.Errorf("%d pacers of warm servers are kept", len(g.pacers))
 	}
 }
 
-// Guards against a request that is sent although one of its reasons forbids it, in any order.
+// Check returns the reason that applies.
 func TestEachReasonRefuses(t *testing.T) {
 	g := soleDaemonGate()
 	g.Evacuate("east", 0)
-	here := Request{Regions: []string{"north"}}
+	regional := Request{Regions: []string{"north"}}
 	for want, c := range map[Reason]struct {
 		r Request
 		s Server
 	}{
 		Held:           {Request{Held: true}, Server{}},
-		RegionExcluded: {here, Server{Region: "south"}},
-		Evacuated:      {here, Server{Region: "north", FailureDomain: "east"}},
+		RegionExcluded: {regional, Server{Region: "south"}},
+		Evacuated:      {regional, Server{Region: "north", FailureDomain: "east"}},
 		Leaving:        {Request{}, Server{Leaving: true}},
-		Allowed:        {here, Server{Region: "north", FailureDomain: "west"}},
+		Allowed:        {regional, Server{Region: "north", FailureDomain: "west"}},
 	} {
 		if got := g.Check(c.r, c.s, time.Minute); got != want {
-			t.Errorf("%q in place of %q", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
 
-// Guards against an answer that hides when servers are warm.
+// Guards against a retry time later than the first warm server.
 func TestRefusalsReportEarliestWarmup(t *testing.T) {
 	var refusals Refusals
 	if r, _ := refusals.Primary(); r != Allowed {
-		t.Errorf("nothing counted: %q", r)
+		t.Errorf("without refusals: %q", r)
 	}
 	refusals.Add(Leaving, 0)
 	refusals.Add(Warming, 2*time.Second)
 	refusals.Add(Warming, time.Second)
 	if r, left := refusals.Primary(); r != Warming || left != time.Second {
-		t.Errorf("%q for %s", r, left)
+		t.Errorf("got %q, %s left", r, left)
 	}
 }
 
-// Guards against a rush at a server that came back under its name before its entry tells.
+// Guards against overloading a server that restarted under its name, before its entry changes.
 func TestRestartedServerWarmsUp(t *testing.T) {
 	g := soleDaemonGate()
 	s := Server{ID: "a", Limit: limit}
@@ -138,18 +138,18 @@
 	}
 	g.ServerTerminated("a", time.Minute)
 	if n := sends(time.Minute); n > limit.Bound()/2 {
-		t.Errorf("%d sends in a second before its first answer", n)
+		t.Errorf("%d sends in a second before the first response", n)
 	}
 	g.ServerResponded("a", limit, 2*time.Minute)
 	g.ServerResponded("a", limit, 3*time.Minute)
 	if n := sends(2 * time.Minute); n > limit.Bound()/2 {
-		t.Errorf("%d sends in a second after it", n)
+		t.Errorf("%d sends in a second after the first response", n)
 	}
 	if n := sends(2*time.Minute + limit.WarmupPeriod); n != 1000 {
-		t.Errorf("%d of 1000 sends when it is warm", n)
+		t.Errorf("%d of 1000 sends to a warm server", n)
 	}
 	g.SetView(slowstart.View{}, 2*time.Minute+limit.WarmupPeriod)
 	if len(g.restarts) != 0 {
-		t.Errorf("%d ends are kept", len(g.restarts))
+		t.Errorf("%d restarts are kept", len(g.restarts))
 	}
 }
