--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,11 +1,10 @@
-// Package slowstart shares out what a backend server bears while it warms up.
+// Package slowstart divides the request limit of a warming backend server among daemons.
 //
-// A server that has just started serves a limited number of requests a second, counted over
-// all daemons, and ends well above it. No daemon knows what the others send at the same
-// moment. So a few daemons are chosen for each server by rendezvous hashing, each with a
-// fixed part of the limit; the others send nothing there until the server is warm. The parts
-// add up to half of the limit, so that it holds while daemons disagree on who is chosen, as
-// on the two sides of a partition.
+// A server that has just started serves a limited rate of requests, summed over all daemons,
+// and crashes well above it. Daemons do not coordinate each send. Instead, rendezvous hashing
+// selects a few senders for each server, each with a fixed share of the limit; other daemons
+// do not send until the server is warm. The shares add up to half of the limit, so that it
+// holds while daemons disagree on the senders, as on both sides of a partition.
 package slowstart
 
 import (
@@ -14,39 +13,39 @@
 )
 
 const (
-	// maxSenders is how many daemons send to one warming server.
+	// maxSenders is the number of daemons that send to one warming server.
 	maxSenders = 4
-	// maxViews is how many different choices of senders may be in force at a time.
+	// maxViews is how many different sets of senders may be in use at the same time.
 	maxViews = 2
-	// jitterFactor widens the interval between two sends, whose delays to the server differ.
+	// jitterFactor widens the send interval to allow for varying network delay.
 	jitterFactor = 1.05
 )
 
-// Limit is what a warming server bears. The zero value is a server without a limit.
+// Limit is the request limit of a warming server. The zero value means no limit.
 type Limit struct {
 	// WarmupPeriod is how long a server is warming after its start.
 	WarmupPeriod time.Duration
-	// PerSecond is the rate of requests that it serves.
+	// PerSecond is the sustained rate of requests.
 	PerSecond float64
-	// BurstFactor and Slack bound the requests of any one second: PerSecond*Excess + Slack.
+	// BurstFactor and BurstSlack bound the requests in any second: PerSecond*BurstFactor + BurstSlack.
 	BurstFactor, BurstSlack float64
 }
 
-// Limited reports whether there is a limit at all.
+// Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
-// Bound returns the most requests of any one second.
+// Bound returns the maximum number of requests in any second.
 func (l Limit) Bound() int { return int(l.PerSecond*l.BurstFactor + l.BurstSlack) }
 
-// Share is one sender's part of a limit.
+// Share is the share of a limit of each sender.
 type Share struct {
-	// Senders is how many daemons have a part.
+	// Senders is the number of daemons that have a share.
 	Senders int
-	// Interval is the least time between two sends of one of them.
+	// Interval is the minimum time between two sends of one sender.
 	Interval time.Duration
 }
 
-// Share divides the limit. A limit too small for all senders is divided among fewer.
+// Share divides the limit. Small limits are divided among fewer senders.
 func (l Limit) Share() Share {
 	n := min(maxSenders, max(1, l.Bound()/maxViews))
 	perSender := max(1, l.Bound()/(n*maxViews))
@@ -54,25 +53,24 @@
 	return Share{Senders: n, Interval: time.Duration(interval * float64(time.Second))}
 }
 
-// View is what a daemon knows of the daemons that share the limits.
+// View is a daemon's view of the daemons that share the limits.
 type View struct {
-	// Self and Others are hashes of the daemons' names. Others live and do not leave.
+	// Self and Peers are hashes of daemon names. Peers are alive and not leaving.
 	Self  uint64
 	Peers []uint64
-	// Trusted says that the daemon reaches at least half of those that it knows of, and has
-	// done so for long enough to know who they are. One that is cut off would else take
-	// itself for one of the few that are left.
+	// Trusted reports whether the daemon has reached at least half of its known peers for long
+	// enough. An isolated daemon would otherwise select itself as a sender of every server.
 	Trusted bool
 }
 
-// IsSender reports whether the daemon is one of some senders to a server.
+// IsSender reports whether this daemon is one of the given number of senders to a server.
 func (v View) IsSender(server uint64, senders int) bool {
 	if !v.Trusted {
 		return false
 	}
 	self, ahead := rendezvousWeight(v.Self, server), 0
-	for _, o := range v.Peers {
-		if rendezvousWeight(o, server) <= self {
+	for _, peer := range v.Peers {
+		if rendezvousWeight(peer, server) <= self {
 			continue
 		}
 		if ahead++; ahead == senders {
@@ -82,7 +80,7 @@
 	return true
 }
 
-// rendezvousWeight is a daemon's rendezvous weight for a server.
+// rendezvousWeight returns the rendezvous hash of a daemon and a server.
 func rendezvousWeight(daemon, server uint64) uint64 {
 	const multiplier = 0x9E3779B97F4A7C15
 	h := (daemon ^ server) * multiplier
@@ -90,16 +88,16 @@
 	return h ^ h>>29
 }
 
-// Pacer counts one daemon's sends to one warming server.
+// Pacer spaces one daemon's sends to one warming server.
 type Pacer struct {
 	lastSend time.Duration
 	sent     bool
 }
 
-// Ready reports whether another send is due.
-func (m *Pacer) Ready(s Share, now time.Duration) bool {
-	return !m.sent || now-m.lastSend >= s.Interval
+// Ready reports whether the interval since the last send has passed.
+func (p *Pacer) Ready(s Share, now time.Duration) bool {
+	return !p.sent || now-p.lastSend >= s.Interval
 }
 
 // RecordSend records a send.
-func (m *Pacer) RecordSend(now time.Duration) { m.lastSend, m.sent = now, true }
+func (p *Pacer) RecordSend(now time.Duration) { p.lastSend, p.sent = now, true }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -13,26 +13,27 @@
 
 func hash(i int) uint64 { return uint64(i+1) * 0x9E3779B97F4A7C15 }
 
-// viewOf is the view of daemon i that knows those from one number to another.
+// viewOf returns the view of daemon i, which knows daemons from to to-1.
 func viewOf(i, from, to int, trusted bool) View {
 	v := View{Self: hash(i), Trusted: trusted}
-	for o := from; o < to; o++ {
-		if o != i {
-			v.Peers = append(v.Peers, hash(o))
+	for peer := from; peer < to; peer++ {
+		if peer != i {
+			v.Peers = append(v.Peers, hash(peer))
 		}
 	}
 	return v
 }
 
-// maxSendsPerSecond has every daemon send whenever it may and returns the most sends in a second.
+// maxSendsPerSecond simulates daemons that send whenever allowed, and returns the most sends in
+// any second.
 func maxSendsPerSecond(l Limit, server uint64, views []View) (most int) {
 	const step = 5 * time.Millisecond
-	share, meters := l.Share(), make([]Pacer, len(views))
+	share, pacers := l.Share(), make([]Pacer, len(views))
 	var sent []time.Duration
 	for now := time.Duration(0); now < 4*time.Second; now += step {
 		for i, v := range views {
-			if v.IsSender(server, share.Senders) && meters[i].Ready(share, now) {
-				meters[i].RecordSend(now)
+			if v.IsSender(server, share.Senders) && pacers[i].Ready(share, now) {
+				pacers[i].RecordSend(now)
 				sent = append(sent, now)
 			}
 		}
@@ -44,18 +45,18 @@
 	return most
 }
 
-// Guards against a fleet that together sends a warming server more than it bears.
+// Guards against the fleet exceeding the limit of a warming server, also when partitioned.
 func TestFleetStaysWithinWarmupLimit(t *testing.T) {
 	for _, n := range []int{1, 6, 59, 195, 520} {
 		views := map[string]func(i int) View{
 			"all agree": func(i int) View { return viewOf(i, 0, n, true) },
-			"two halves apart": func(i int) View {
+			"partition into halves": func(i int) View {
 				if i < n/2 {
 					return viewOf(i, 0, n/2, true)
 				}
 				return viewOf(i, n/2, n, true)
 			},
-			"a third cut off": func(i int) View {
+			"a third isolated": func(i int) View {
 				if i < n/3 {
 					return viewOf(i, i, i+1, false)
 				}
@@ -70,7 +71,7 @@
 				}
 				for server := range uint64(20) {
 					if most := maxSendsPerSecond(limit, hash(int(server)), all); most > limit.Bound() {
-						t.Errorf("%d sends in a second, %d are borne", most, limit.Bound())
+						t.Errorf("%d sends in a second, limit %d", most, limit.Bound())
 					}
 				}
 			})
@@ -78,7 +79,7 @@
 	}
 }
 
-// Guards against parts that add up to more than a limit of any size.
+// Guards against shares that add up to more than the limit.
 func TestSharesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{
@@ -91,15 +92,15 @@
 			inASecond = 1
 		}
 		if got := s.Senders * inASecond; got > max(1, l.Bound()) {
-			t.Fatalf("%d senders with %s: %d of %d in a second", s.Senders, s.Interval, got, l.Bound())
+			t.Fatalf("%d senders at interval %s: %d sends in a second, limit %d", s.Senders, s.Interval, got, l.Bound())
 		}
 		if rate := float64(s.Senders) * time.Second.Seconds() / s.Interval.Seconds(); rate > l.PerSecond*1.001 {
-			t.Fatalf("%.2f a second of %.2f", rate, l.PerSecond)
+			t.Fatalf("%.2f sends per second, limit %.2f", rate, l.PerSecond)
 		}
 	})
 }
 
-// Guards against a server that nobody may send to, and one that more than a few may.
+// Guards against servers without senders, and with too many.
 func TestEachServerHasFourSenders(t *testing.T) {
 	const n = 59
 	for server := range 50 {
