--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -6,34 +6,34 @@
 )
 
 func TestOlderConfirmationIgnored(t *testing.T) {
-	var l Tracker
-	if _, known := l.Age(Servers, time.Second); known {
-		t.Error("confirmed before any reading")
+	var tr Tracker
+	if _, known := tr.Age(Servers, time.Second); known {
+		t.Error("an age without a confirmation")
 	}
-	if gap := l.Confirm(Servers, Confirmation{At: 4 * time.Second, Source: "d2"}); gap != 0 {
-		t.Errorf("a gap of %s before the first", gap)
+	if gap := tr.Confirm(Servers, Confirmation{At: 4 * time.Second, Source: "d2"}); gap != 0 {
+		t.Errorf("gap of the first confirmation: %s", gap)
 	}
-	if gap := l.Confirm(Servers, Confirmation{At: 5 * time.Second, Source: FromStore}); gap != time.Second {
-		t.Errorf("a gap of %s", gap)
+	if gap := tr.Confirm(Servers, Confirmation{At: 5 * time.Second, Source: FromStore}); gap != time.Second {
+		t.Errorf("gap: %s", gap)
 	}
-	if gap := l.Confirm(Servers, Confirmation{At: 3 * time.Second, Source: "d2"}); gap != 0 {
-		t.Errorf("a gap of %s before an older one", gap)
+	if gap := tr.Confirm(Servers, Confirmation{At: 3 * time.Second, Source: "d2"}); gap != 0 {
+		t.Errorf("gap of an older confirmation: %s", gap)
 	}
-	if c, _ := l.Newest(Servers); c.At != 5*time.Second || c.Source != FromStore {
-		t.Errorf("the newest is %+v", c)
+	if c, _ := tr.Newest(Servers); c.At != 5*time.Second || c.Source != FromStore {
+		t.Errorf("newest: %+v", c)
 	}
-	if age, known := l.Age(Servers, 7*time.Second); !known || age != 2*time.Second {
-		t.Errorf("age %s, known %t", age, known)
+	if age, known := tr.Age(Servers, 7*time.Second); !known || age != 2*time.Second {
+		t.Errorf("age: %s, known: %t", age, known)
 	}
-	if _, known := l.Age(Configuration, 7*time.Second); known {
-		t.Error("a confirmation of servers counts for the configuration")
+	if _, known := tr.Age(Configuration, 7*time.Second); known {
+		t.Error("a confirmation of one subject counts for another")
 	}
 }
 
 func TestWithinLimit(t *testing.T) {
-	var l Tracker
-	l.Confirm(Configuration, Confirmation{At: time.Second, Source: FromStore})
-	if !l.Within(Configuration, 2*time.Second, 1001*time.Millisecond) || l.Within(Configuration, 2*time.Second, time.Second) {
-		t.Error("the limit is not kept")
+	var tr Tracker
+	tr.Confirm(Configuration, Confirmation{At: time.Second, Source: FromStore})
+	if !tr.Within(Configuration, 2*time.Second, 1001*time.Millisecond) || tr.Within(Configuration, 2*time.Second, time.Second) {
+		t.Error("the limit is not exclusive")
 	}
 }
--- a/internal/freshness/refresh_test.go
+++ b/internal/freshness/refresh_test.go
@@ -14,21 +14,21 @@
 	u := plan[Servers]
 	for rank, want := range map[int]time.Duration{0: 500, 1: 750, 2: 1000, 3: 1200, 300: 1200} {
 		if got := u.RefreshAge(rank); got != want*time.Millisecond {
-			t.Errorf("rank %d looks at an age of %s", rank, got)
+			t.Errorf("rank %d polls at an age of %s", rank, got)
 		}
 	}
 }
 
 func TestNextReturnsEarliestDueSubject(t *testing.T) {
-	var l Tracker
+	var tr Tracker
 	const long = time.Hour
-	if _, _, any := plan.Next(&l, 0, 0, long); any {
-		t.Error("a look before anything is known")
+	if _, _, any := plan.Next(&tr, 0, 0, long); any {
+		t.Error("a poll is due without a confirmation")
 	}
-	l.Confirm(Configuration, Confirmation{At: 0})
-	l.Confirm(Servers, Confirmation{At: 400 * time.Millisecond})
+	tr.Confirm(Configuration, Confirmation{At: 0})
+	tr.Confirm(Servers, Confirmation{At: 400 * time.Millisecond})
 	for _, c := range []struct {
-		now, own time.Duration
+		now, storeDue time.Duration
 		want     Subject
 		due      time.Duration
 	}{
@@ -36,24 +36,24 @@
 		{900 * time.Millisecond, long, Configuration, -100 * time.Millisecond},
 		{500 * time.Millisecond, 50 * time.Millisecond, Configuration, 50 * time.Millisecond},
 	} {
-		about, due, any := plan.Next(&l, c.now, 0, c.own)
-		if !any || about != c.want || due != c.due {
-			t.Errorf("at %s: %s in %s, any %t", c.now, about, due, any)
+		subject, due, any := plan.Next(&tr, c.now, 0, c.storeDue)
+		if !any || subject != c.want || due != c.due {
+			t.Errorf("at %s: %s in %s, any %t", c.now, subject, due, any)
 		}
 	}
-	l.Confirm(Configuration, Confirmation{At: 300 * time.Millisecond})
-	if about, due, _ := plan.Next(&l, 850*time.Millisecond, 0, long); about != Servers || due != 50*time.Millisecond {
-		t.Errorf("%s in %s", about, due)
+	tr.Confirm(Configuration, Confirmation{At: 300 * time.Millisecond})
+	if subject, due, _ := plan.Next(&tr, 850*time.Millisecond, 0, long); subject != Servers || due != 50*time.Millisecond {
+		t.Errorf("%s in %s", subject, due)
 	}
-	// The daemon of rank 5 looks at both at 1.2 s: the older one comes first.
-	if about, due, _ := plan.Next(&l, time.Second, 5, long); about != Configuration || due != 500*time.Millisecond {
-		t.Errorf("further down the list: %s in %s", about, due)
+	// At rank 5 both are due at an age of 1.2 s, so the older one comes first.
+	if subject, due, _ := plan.Next(&tr, time.Second, 5, long); subject != Configuration || due != 500*time.Millisecond {
+		t.Errorf("rank 5: %s in %s", subject, due)
 	}
 }
 
 func TestIsOutage(t *testing.T) {
 	u := plan[Servers]
 	if u.IsOutage(u.RefreshAge(300)+200*time.Millisecond) || !u.IsOutage(1500*time.Millisecond) {
-		t.Error("an outage is told wrongly")
+		t.Error("IsOutage does not separate polls from outages")
 	}
 }
