--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,17 +1,17 @@
-// Package lease decides who may order a pool's backend servers about. Leases are
-// records of the log; the offset of the record is the fencing number. Clocks are
-// compared with nobody else's. The package does no I/O.
+// Package lease elects the daemon that may send orders to the backend servers of a pool.
+// Leases are records of a log, and fencing tokens derive from record offsets. Each daemon
+// uses only its own clock. The package does no I/O.
 package lease
 
 import "time"
 
 const (
-	// Duration is how long a holder may act after it asked for its lease.
+	// Duration is how long a holder may act after it requested its lease.
 	Duration = 10 * time.Second
-	// TakeoverDelay is what a claimant waits beyond Term before it takes over: the
-	// holder may have been paused between its last check and its order.
+	// TakeoverDelay is how long a claimant waits beyond Duration before it takes over, in
+	// case the holder was paused between its last check and its order.
 	TakeoverDelay = 5 * time.Second
-	// RenewAfter is when a holder renews.
+	// RenewAfter is the age at which a holder renews its lease.
 	RenewAfter = 4 * time.Second
 )
 
@@ -19,54 +19,54 @@
 type Record struct {
 	Name  string `cbor:"1,keyasint"`
 	Owner string `cbor:"2,keyasint"`
-	// Supersedes is the fencing number of the lease the author saw in force, or
-	// 0. A claim against an older lease is void, so of two racing claimants the
-	// one with the lower offset wins.
+	// Supersedes is the fencing token of the lease that the author saw in force, or 0.
+	// Claims that supersede an older lease are void, so the racing claim with the lowest
+	// offset wins.
 	Supersedes uint64 `cbor:"3,keyasint"`
 }
 
 // Lease is the lease in force.
 type Lease struct {
 	Owner string
-	// FencingToken rises with every accepted record; 0 means nobody held it yet.
+	// FencingToken increases with every accepted record; 0 means that there was no lease yet.
 	FencingToken uint64
-	// ObservedAt is when the own daemon folded the record, by its own clock.
+	// ObservedAt is when this daemon applied the record, by its own clock.
 	ObservedAt time.Time
 }
 
-// State folds the lease stream.
+// State is the state of all leases after the records applied so far.
 type State struct {
 	nextOffset uint64
 	leases     map[string]Lease
 }
 
-// NewState returns an empty fold.
+// NewState returns a state without leases.
 func NewState() *State { return &State{leases: map[string]Lease{}} }
 
-// NextOffset returns the offset of the next record to fold.
-func (f *State) NextOffset() uint64 { return f.nextOffset }
+// NextOffset returns the offset of the next record to apply.
+func (s *State) NextOffset() uint64 { return s.nextOffset }
 
-// Apply folds a record that was read at a time. A record whose predecessor aged
-// out of the log is accepted when nothing is known of the lease.
-func (f *State) Apply(offset uint64, r Record, now time.Time) {
-	if offset < f.nextOffset {
+// Apply applies a record that was read at a time. If the lease is unknown, the record is
+// accepted whatever it supersedes, since its predecessor may have expired from the log.
+func (s *State) Apply(offset uint64, r Record, now time.Time) {
+	if offset < s.nextOffset {
 		return
 	}
-	f.nextOffset = offset + 1
-	cur, known := f.leases[r.Name]
+	s.nextOffset = offset + 1
+	cur, known := s.leases[r.Name]
 	if known && r.Supersedes != cur.FencingToken {
 		return
 	}
-	f.leases[r.Name] = Lease{Owner: r.Owner, FencingToken: offset + 1, ObservedAt: now}
+	s.leases[r.Name] = Lease{Owner: r.Owner, FencingToken: offset + 1, ObservedAt: now}
 }
 
-// Current returns the lease of a name.
-func (f *State) Current(name string) Lease { return f.leases[name] }
+// Current returns the lease with a name.
+func (s *State) Current(name string) Lease { return s.leases[name] }
 
-// Claim returns the record to append now, if there is one: a renewal by the
-// holder, or a takeover of a lease that was not renewed for Term and Margin.
-func (f *State) Claim(name, owner string, now time.Time) (Record, bool) {
-	cur := f.leases[name]
+// Claim returns the record to append now, if any: a renewal by the holder, or a takeover of
+// a lease that was not renewed for Duration + TakeoverDelay.
+func (s *State) Claim(name, owner string, now time.Time) (Record, bool) {
+	cur := s.leases[name]
 	age := now.Sub(cur.ObservedAt)
 	r := Record{Name: name, Owner: owner, Supersedes: cur.FencingToken}
 	switch {
@@ -78,39 +78,38 @@
 	return r, age >= Duration+TakeoverDelay
 }
 
-// MayAct is the check right before each order: the lease is the owner's, and
-// less than Term has passed since the record was asked for. A holder that was
-// paused finds its time over here, instead of acting on a lease that others
-// already hold.
-func (f *State) MayAct(name, owner string, askedAt, now time.Time) (token uint64, ok bool) {
-	cur := f.leases[name]
-	return cur.FencingToken, cur.Owner == owner && now.Sub(askedAt) < Duration
+// MayAct reports whether the owner holds the lease, requested less than Duration ago, and
+// returns its fencing token. It is checked before each order, so that a holder that was paused
+// does not act on an expired lease.
+func (s *State) MayAct(name, owner string, requestedAt, now time.Time) (token uint64, ok bool) {
+	cur := s.leases[name]
+	return cur.FencingToken, cur.Owner == owner && now.Sub(requestedAt) < Duration
 }
 
-// Order is what one server must do to hold what the configuration wants.
+// Order is a change to the loaded versions of one server.
 type Order struct {
 	Action  string `json:"action"`
 	Version string `json:"version"`
 }
 
-// Reconcile returns the orders that turn what a server holds into what it should
-// hold. They are declarative: repeated or late ones do no harm, and a holder
-// that acted after its time is corrected by the next round of the rightful one.
-func Reconcile(wanted, held []string) []Order {
+// Reconcile returns the orders that bring a server from its loaded versions to the wanted
+// ones. They are idempotent. Orders of an expired holder are corrected by the next round of
+// the current one.
+func Reconcile(wanted, loaded []string) []Order {
 	var out []Order
-	loaded := map[string]bool{}
-	for _, h := range held {
-		loaded[h] = true
+	isLoaded := map[string]bool{}
+	for _, h := range loaded {
+		isLoaded[h] = true
 	}
-	want := map[string]bool{}
+	isWanted := map[string]bool{}
 	for _, w := range wanted {
-		want[w] = true
-		if !loaded[w] {
+		isWanted[w] = true
+		if !isLoaded[w] {
 			out = append(out, Order{"load", w})
 		}
 	}
-	for _, h := range held {
-		if !want[h] {
+	for _, h := range loaded {
+		if !isWanted[h] {
 			out = append(out, Order{"unload", h})
 		}
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,61 +8,55 @@
 
 var start = time.Unix(1000, 0)
 
-// Symptom: two daemons order a server about, and the older order comes last.
-// Sequence: a holds the lease and is paused; its lease runs out; b takes over
-// after the margin and orders; a wakes and finds a lease it once had.
-// Cause: a must check its own clock right before each order; where it still acts,
-// its fencing number is lower, and a server that ignores it is corrected by b's
-// next round.
+// Guards against conflicting orders of two holders: a holder that was paused past the end of
+// its lease must not act after another daemon has taken over.
 func TestPausedHolder(t *testing.T) {
-	f := NewState()
-	claim, ok := f.Claim("p", "a", start)
+	s := NewState()
+	claim, ok := s.Claim("p", "a", start)
 	if !ok {
 		t.Fatal("a free lease cannot be claimed")
 	}
-	f.Apply(0, claim, start)
-	fence, ok := f.MayAct("p", "a", start, start.Add(time.Second))
-	if !ok || fence != 1 {
-		t.Fatalf("holder: fence %d, %v", fence, ok)
+	s.Apply(0, claim, start)
+	token, ok := s.MayAct("p", "a", start, start.Add(time.Second))
+	if !ok || token != 1 {
+		t.Fatalf("holder: token %d, %v", token, ok)
 	}
-	if _, ok := f.Claim("p", "b", start.Add(Duration+TakeoverDelay-time.Second)); ok {
-		t.Fatal("taken over before the margin")
+	if _, ok := s.Claim("p", "b", start.Add(Duration+TakeoverDelay-time.Second)); ok {
+		t.Fatal("taken over before TakeoverDelay has passed")
 	}
 	later := start.Add(Duration + TakeoverDelay)
-	claim, ok = f.Claim("p", "b", later)
+	claim, ok = s.Claim("p", "b", later)
 	if !ok {
-		t.Fatal("a lapsed lease cannot be taken over")
+		t.Fatal("an expired lease cannot be taken over")
 	}
-	f.Apply(1, claim, later)
-	if _, ok := f.MayAct("p", "a", start, later); ok {
-		t.Fatal("the woken holder may act")
+	s.Apply(1, claim, later)
+	if _, ok := s.MayAct("p", "a", start, later); ok {
+		t.Fatal("the paused holder may act")
 	}
-	newer, ok := f.MayAct("p", "b", later, later)
-	if !ok || newer <= fence {
-		t.Fatalf("new holder: fence %d after %d, %v", newer, fence, ok)
+	newer, ok := s.MayAct("p", "b", later, later)
+	if !ok || newer <= token {
+		t.Fatalf("new holder: token %d after %d, %v", newer, token, ok)
 	}
-	// A server that ignores fencing took a's late order to load the old version.
+	// The server ignored fencing and executed the late order of the old holder.
 	if got := Reconcile([]string{"m@v2"}, []string{"m@v1", "m@v2"}); !reflect.DeepEqual(got, []Order{{"unload", "m@v1"}}) {
-		t.Fatalf("correction %v", got)
+		t.Fatalf("orders: %v", got)
 	}
 }
 
-// Symptom: two daemons both believe that they took a lapsed lease over.
-// Sequence: both claim against the same predecessor.
-// Cause: the log's order decides; the second claim supersedes nothing in force.
+// Of two claims that supersede the same lease, the one with the lower offset wins.
 func TestRacingClaims(t *testing.T) {
-	f := NewState()
-	f.Apply(0, Record{Name: "p", Owner: "a"}, start)
-	f.Apply(1, Record{Name: "p", Owner: "b", Supersedes: 1}, start)
-	f.Apply(2, Record{Name: "p", Owner: "c", Supersedes: 1}, start)
-	f.Apply(1, Record{Name: "p", Owner: "x", Supersedes: 2}, start)
-	if cur := f.Current("p"); cur.Owner != "b" || cur.FencingToken != 2 {
+	s := NewState()
+	s.Apply(0, Record{Name: "p", Owner: "a"}, start)
+	s.Apply(1, Record{Name: "p", Owner: "b", Supersedes: 1}, start)
+	s.Apply(2, Record{Name: "p", Owner: "c", Supersedes: 1}, start)
+	s.Apply(1, Record{Name: "p", Owner: "x", Supersedes: 2}, start)
+	if cur := s.Current("p"); cur.Owner != "b" || cur.FencingToken != 2 {
 		t.Fatalf("%+v", cur)
 	}
-	if _, ok := f.Claim("p", "b", start.Add(RenewAfter)); !ok {
+	if _, ok := s.Claim("p", "b", start.Add(RenewAfter)); !ok {
 		t.Fatal("the holder cannot renew")
 	}
-	if _, ok := f.Claim("p", "b", start.Add(RenewAfter-time.Second)); ok {
+	if _, ok := s.Claim("p", "b", start.Add(RenewAfter-time.Second)); ok {
 		t.Fatal("the holder renews too early")
 	}
 }
