--- a/internal/freshness/refresh_test.go
+++ b/internal/freshness/refresh_test.go
@@ -29,8 +29,8 @@
 	tr.Confirm(Servers, Confirmation{At: 400 * time.Millisecond})
 	for _, c := range []struct {
 		now, storeDue time.Duration
-		want     Subject
-		due      time.Duration
+		want          Subject
+		due           time.Duration
 	}{
 		{500 * time.Millisecond, long, Configuration, 300 * time.Millisecond},
 		{900 * time.Millisecond, long, Configuration, -100 * time.Millisecond},
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -98,8 +98,8 @@
 func Reconcile(wanted, loaded []string) []Order {
 	var out []Order
 	isLoaded := map[string]bool{}
-	for _, h := range loaded {
-		isLoaded[h] = true
+	for _, v := range loaded {
+		isLoaded[v] = true
 	}
 	isWanted := map[string]bool{}
 	for _, w := range wanted {
@@ -108,9 +108,9 @@
 			out = append(out, Order{"load", w})
 		}
 	}
-	for _, h := range loaded {
-		if !isWanted[h] {
-			out = append(out, Order{"unload", h})
+	for _, v := range loaded {
+		if !isWanted[v] {
+			out = append(out, Order{"unload", v})
 		}
 	}
 	return out
