--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -1,5 +1,4 @@
-// Package backend keeps which backend servers exist, as the platform's list tells
-// it: who is there, who leaves, and who is to be taken as gone.
+// Package backend maintains the set of backend servers from the entries in the platform's store.
 package backend
 
 import (
@@ -8,44 +7,43 @@
 	"time"
 )
 
-// recoveryGrace is how long after the store's return an entry that lapsed during
-// the outage may still come back: servers that live write theirs within about
-// two seconds. A server without an entry after that is gone.
+// recoveryGrace is how long after the store recovers a server whose entry lapsed during the
+// outage may still renew it. Live servers do so within about two seconds.
 const recoveryGrace = 2300 * time.Millisecond
 
-// maxLapse is the longest that a server without an entry stays. One that left
-// without a word must get nothing new two seconds after its entry is gone.
+// maxLapse bounds how long a server without an entry stays in use. A server that terminated
+// unannounced must get no new requests two seconds after its entry is gone.
 const maxLapse = 1700 * time.Millisecond
 
-// entry is the newest run of a server and, if its record lapsed around an outage, until
-// when it still counts.
+// entry is the latest incarnation of a server. expiresAt is set if its record lapsed around an
+// outage.
 type entry struct {
 	server    Server
 	expiresAt time.Duration
 	lapsed    bool
-	// unusable says that the newest record names no server to use.
+	// unusable reports whether the newest record is invalid.
 	unusable bool
 }
 
-// Registry is the set of servers. Times are readings of a clock that counts
-// while the VM is suspended. Its owner guards it with a lock.
+// Registry is the set of known servers. Times are readings of a clock that advances while the
+// VM is suspended. A Registry is not safe for concurrent use.
 type Registry struct {
 	entries map[string]*entry
-	// storeRecovered is when the store last came back after an outage.
+	// storeRecovered is when the store last recovered from an outage.
 	storeRecovered time.Duration
 	hadOutage      bool
-	// removed are runs whose record was removed lately, by name.
+	// removed are the incarnations whose record was removed recently, by server name.
 	removed map[string]removedServer
 }
 
-// removedServer is a run whose record was removed.
+// removedServer is an incarnation whose record was removed.
 type removedServer struct {
 	incarnation Incarnation
 	removedAt   time.Duration
 }
 
-// removedRetention is how long a removed run is remembered: a store that comes back from a copy has it
-// again, as old as the copy.
+// removedRetention is how long removed incarnations are remembered. A store that is restored
+// from a backup may contain their records again.
 const removedRetention = 60 * time.Second
 
 // NewRegistry returns an empty registry.
@@ -53,12 +51,12 @@
 	return &Registry{entries: map[string]*entry{}, removed: map[string]removedServer{}}
 }
 
-// Put takes what a server says of itself, and names its run. Ended is the run that it
-// replaces, if the server has started again.
+// Put adds or updates the entry of a server and sets its ID. It returns the previous
+// incarnation if the server has restarted.
 //
-// A run that is older than the one known changes nothing: the store may carry out a write
-// of the earlier run seconds after one of the later run. An entry without a start, of a
-// server that has stated one, is another writer's and names no server to use.
+// An entry of an older incarnation is rejected with Superseded, since the store may apply
+// writes out of order. An entry without a start is rejected with FieldMissing if the known
+// incarnation has one, and makes the server unusable: another process must have written it.
 func (r *Registry) Put(s Server) (replaced *Server, err error) {
 	s.ID = s.Incarnation.ID()
 	old := r.entries[s.Incarnation.Name]
@@ -66,9 +64,9 @@
 	case old == nil:
 	case s.Incarnation.StartMillis == 0 && old.server.Incarnation.StartMillis != 0:
 		old.unusable = true
-		return nil, Invalid(FieldMissing, "no start, of a server that has stated one")
+		return nil, Invalid(FieldMissing, "no start in the entry of a server that had one")
 	case s.Incarnation.Before(old.server.Incarnation):
-		return nil, Invalid(Superseded, "a run of %d after one of %d", s.Incarnation.StartMillis, old.server.Incarnation.StartMillis)
+		return nil, Invalid(Superseded, "start %d is before the known start %d", s.Incarnation.StartMillis, old.server.Incarnation.StartMillis)
 	case s.ID != old.server.ID:
 		replaced = &old.server
 	}
@@ -76,19 +74,17 @@
 	return replaced, nil
 }
 
-// MarkUnusable takes a server out of use whose record cannot be read. What it runs is not cut: the
-// record may be another writer's.
+// MarkUnusable excludes a server whose record is invalid from use. Its running requests
+// continue, because another process may have written the record.
 func (r *Registry) MarkUnusable(name string) {
 	if e := r.entries[name]; e != nil {
 		e.unusable = true
 	}
 }
 
-// Remove takes a server whose record is gone. While the store was away servers
-// could not renew their records, and the store drops those that lapsed when it
-// returns. Taking all of them as gone would leave a service without servers for
-// up to two seconds though most are well, so such a server stays until the end
-// of the return window.
+// Remove removes a server whose record is gone. Entries that lapsed during an outage of the
+// store disappear all at once when it recovers although most servers are alive, so these
+// servers stay in use during recoveryGrace, for at most maxLapse.
 func (r *Registry) Remove(name string, now time.Duration) {
 	e := r.entries[name]
 	if e == nil {
@@ -101,7 +97,7 @@
 	r.evict(name, now)
 }
 
-// evict takes a server as gone, and remembers its run for a while.
+// evict removes a server and remembers its incarnation for removedRetention.
 func (r *Registry) evict(name string, now time.Duration) {
 	for other, g := range r.removed {
 		if now-g.removedAt > removedRetention {
@@ -112,9 +108,9 @@
 	delete(r.entries, name)
 }
 
-// Stale reports whether an entry that a copy of the store holds says less than is known: it
-// is of a run that has gone since, or that has said that it leaves. The server writes again if
-// it lives.
+// Stale reports whether an entry from a restored backup of the store is older than what is
+// known: its incarnation has been removed since, or has announced that it leaves. A live
+// server writes its entry again.
 func (r *Registry) Stale(s Server, now time.Duration) bool {
 	if e := r.entries[s.Incarnation.Name]; e != nil && !r.expired(e, now) {
 		return e.server.Incarnation == s.Incarnation && e.server.Leaving && !s.Leaving
@@ -123,10 +119,10 @@
 	return known && now-g.removedAt <= removedRetention && !g.incarnation.Before(s.Incarnation)
 }
 
-// StoreRecovered records that the store answers again after an outage.
+// StoreRecovered records that the store has recovered from an outage.
 func (r *Registry) StoreRecovered(now time.Duration) { r.storeRecovered, r.hadOutage = now, true }
 
-// Retain takes all servers as gone that are not listed, as after a gap in the log.
+// Retain removes all servers that are not listed, as after a gap in the log.
 func (r *Registry) Retain(listed map[string]bool, now time.Duration) {
 	for name := range r.entries {
 		if !listed[name] {
@@ -135,7 +131,7 @@
 	}
 }
 
-// Get returns a server by its name if it is not gone, and whether it may be used at all.
+// Get returns a server by name, whether it is known, and whether it may be used.
 func (r *Registry) Get(name string, now time.Duration) (s Server, known, usable bool) {
 	e := r.entries[name]
 	if e == nil || r.expired(e, now) {
@@ -146,8 +142,7 @@
 
 func (r *Registry) expired(e *entry, now time.Duration) bool { return e.lapsed && now >= e.expiresAt }
 
-// ForService returns the servers of a service that may be used, in the order of their ids, and
-// forgets those whose return window has ended.
+// ForService returns the usable servers of a service, sorted by ID, and removes expired ones.
 func (r *Registry) ForService(service string, now time.Duration) []Server {
 	starts := r.latestStarts(now)
 	var out []Server
@@ -160,7 +155,7 @@
 	return out
 }
 
-// latestStarts returns the latest start of a server at each address.
+// latestStarts returns the latest server start at each address.
 func (r *Registry) latestStarts(now time.Duration) map[string]int64 {
 	out := make(map[string]int64, len(r.entries))
 	for name, e := range r.entries {
@@ -173,16 +168,15 @@
 	return out
 }
 
-// addressReused reports whether another server has started later at the address: that of a
-// server which has ended may be given to another one while its entry is still there. An
-// entry without a start proves nothing either way. Both are then used, since a wrong one
-// costs a send that is refused unrun, and leaving out the right one costs all of them.
+// addressReused reports whether a server that started later has the same address, which
+// may be reassigned while the old entry still exists. Servers without a start are never
+// displaced: a send to the wrong server is refused without being executed, while excluding
+// the right one would fail all sends.
 func (e *entry) addressReused(starts map[string]int64) bool {
 	return e.server.Incarnation.StartMillis != 0 && e.server.Incarnation.StartMillis < starts[e.server.Address]
 }
 
-// NextExpiry returns when the next lapsed server is to be taken as gone, and
-// whether there is one.
+// NextExpiry returns when the next lapsed server expires, and whether there is one.
 func (r *Registry) NextExpiry() (time.Duration, bool) {
 	next, any := time.Duration(0), false
 	for _, e := range r.entries {
--- a/internal/backend/registry_test.go
+++ b/internal/backend/registry_test.go
@@ -12,7 +12,7 @@
 	return out
 }
 
-// newTestRegistry returns a registry of servers a and b of one service and c of another.
+// newTestRegistry returns a registry with servers a and b of one service and c of another.
 func newTestRegistry(t *testing.T) *Registry {
 	t.Helper()
 	r := NewRegistry()
@@ -25,52 +25,49 @@
 func TestForServiceOrder(t *testing.T) {
 	r := newTestRegistry(t)
 	if got := ids(r.ForService("s", 0)); got != "ab" {
-		t.Errorf("got %s", got)
+		t.Errorf("got servers %s", got)
 	}
 	r.Remove("a", 0)
 	r.Remove("unknown", 0)
 	if got := ids(r.ForService("s", 0)); got != "b" {
-		t.Errorf("after the end of a: %s", got)
+		t.Errorf("after removing a: %s", got)
 	}
 }
 
-// Symptom: a service had no servers for two seconds after the store came back.
-// Sequence: the store is away, entries lapse, and the store drops them as it returns;
-// the servers live and write them again.
-// Cause: every entry that went was taken for a server that had gone.
+// Guards against a service without servers after an outage of the store, when lapsed entries
+// disappear before live servers renew them.
 func TestLapsedEntriesKeptAfterOutage(t *testing.T) {
-	const back = time.Minute
+	const recovered = time.Minute
 	r := newTestRegistry(t)
-	r.StoreRecovered(back)
-	r.Remove("a", back+100*time.Millisecond)
-	if got := ids(r.ForService("s", back+time.Second)); got != "ab" {
-		t.Errorf("a second after the return: %s", got)
+	r.StoreRecovered(recovered)
+	r.Remove("a", recovered+100*time.Millisecond)
+	if got := ids(r.ForService("s", recovered+time.Second)); got != "ab" {
+		t.Errorf("a second after the recovery: %s", got)
 	}
-	if at, any := r.NextExpiry(); !any || at > back+recoveryGrace {
-		t.Errorf("a counts until %s", at)
+	if at, any := r.NextExpiry(); !any || at > recovered+recoveryGrace {
+		t.Errorf("a expires at %s", at)
 	}
-	if got := ids(r.ForService("s", back+recoveryGrace)); got != "b" {
-		t.Errorf("after the window: %s", got)
+	if got := ids(r.ForService("s", recovered+recoveryGrace)); got != "b" {
+		t.Errorf("after recoveryGrace: %s", got)
 	}
-	if _, known, _ := r.Get("a", back+recoveryGrace); known {
+	if _, known, _ := r.Get("a", recovered+recoveryGrace); known {
 		t.Error("a is still known")
 	}
 }
 
 func TestRenewedEntryStays(t *testing.T) {
-	const back = time.Minute
+	const recovered = time.Minute
 	r := newTestRegistry(t)
-	r.StoreRecovered(back)
-	r.Remove("a", back)
+	r.StoreRecovered(recovered)
+	r.Remove("a", recovered)
 	r.Put(Server{Incarnation: Incarnation{Name: "a"}, Address: "a", Service: "s"})
-	if got := ids(r.ForService("s", back+time.Hour)); got != "ab" {
-		t.Errorf("got %s", got)
+	if got := ids(r.ForService("s", recovered+time.Hour)); got != "ab" {
+		t.Errorf("got servers %s", got)
 	}
 }
 
-// Symptom: a server got requests two seconds after it had said that it leaves and ended.
-// Sequence: it says so, the store goes away and returns, its entry is gone.
-// Cause: the entry was taken for one that had lapsed.
+// Guards against sends to a server that announced that it leaves, when its entry disappears
+// after an outage.
 func TestLeavingServerRemovedAtOnceAfterOutage(t *testing.T) {
 	r := newTestRegistry(t)
 	r.Put(Server{Incarnation: Incarnation{Name: "a"}, Address: "a", Service: "s", Leaving: true})
@@ -86,45 +83,43 @@
 	mustPut(t, r, Server{Incarnation: Incarnation{Name: "d"}, Address: "d", Service: "s"})
 	r.Retain(map[string]bool{"b": true, "d": true}, 0)
 	if got := ids(r.ForService("s", 0)); got != "bd" {
-		t.Errorf("got %s", got)
+		t.Errorf("got servers %s", got)
 	}
 }
 
-// mustPut takes an entry that is right.
+// mustPut puts a valid entry.
 func mustPut(t *testing.T, r *Registry, s Server) *Server {
 	t.Helper()
-	ended, err := r.Put(s)
+	replaced, err := r.Put(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ended
+	return replaced
 }
 
 func testServer(name string, born int64) Server {
 	return Server{Incarnation: Incarnation{Name: name, StartMillis: born}, Address: name, Service: "s", Slots: 4}
 }
 
-// Symptom: a server that had started again got nothing until its next start.
-// Sequence: it says that it leaves, ends, and starts again under its id.
-// Cause: a server's start was not told from a change of its entry.
+// Guards against treating a restarted server as still leaving.
 func TestRestartReplacesIncarnation(t *testing.T) {
 	r := NewRegistry()
 	leaving := testServer("a", 100)
 	leaving.Leaving = true
 	mustPut(t, r, leaving)
-	ended := mustPut(t, r, testServer("a", 200))
-	if ended == nil || ended.Incarnation.StartMillis != 100 {
-		t.Fatalf("ended is %+v", ended)
+	replaced := mustPut(t, r, testServer("a", 200))
+	if replaced == nil || replaced.Incarnation.StartMillis != 100 {
+		t.Fatalf("replaced: %+v", replaced)
 	}
 	all := r.ForService("s", 0)
-	if len(all) != 1 || all[0].Leaving || all[0].ID == ended.ID || all[0].Incarnation.Name != "a" {
+	if len(all) != 1 || all[0].Leaving || all[0].ID == replaced.ID || all[0].Incarnation.Name != "a" {
 		t.Errorf("got %+v", all)
 	}
 	again := testServer("a", 300)
 	again.Leaving = true
 	mustPut(t, r, again)
 	if all := r.ForService("s", 0); !all[0].Leaving {
-		t.Error("a run that is new and leaves is used")
+		t.Error("a new incarnation that leaves is not marked as leaving")
 	}
 }
 
@@ -133,19 +128,18 @@
 	mustPut(t, r, testServer("a", 100))
 	leaving := testServer("a", 100)
 	leaving.Leaving = true
-	if ended := mustPut(t, r, leaving); ended != nil {
-		t.Errorf("ended is %+v", ended)
+	if replaced := mustPut(t, r, leaving); replaced != nil {
+		t.Errorf("replaced: %+v", replaced)
 	}
 }
 
-// Symptom: requests went to an engine as if it still held what its earlier run had read.
-// Sequence: the store carries out a write of the earlier run after one of the later run.
-// Cause: the newest record was taken for the newest run.
+// Guards against using the state of an earlier incarnation after the store applies writes out
+// of order.
 func TestOlderIncarnationRejected(t *testing.T) {
 	r := NewRegistry()
 	mustPut(t, r, testServer("a", 200))
 	if _, err := r.Put(testServer("a", 100)); InvalidReasonOf(err) != Superseded {
-		t.Errorf("err %v", err)
+		t.Errorf("error: %v", err)
 	}
 	if all := r.ForService("s", 0); len(all) != 1 || all[0].Incarnation.StartMillis != 200 {
 		t.Errorf("got %+v", all)
@@ -157,14 +151,14 @@
 	mustPut(t, r, testServer("a", 0))
 	mustPut(t, r, testServer("a", 200))
 	if _, err := r.Put(testServer("a", 0)); InvalidReasonOf(err) != FieldMissing {
-		t.Errorf("err %v", err)
+		t.Errorf("error: %v", err)
 	}
 	if all := r.ForService("s", 0); len(all) != 0 {
 		t.Errorf("got %+v", all)
 	}
 	mustPut(t, r, testServer("a", 200))
 	if all := r.ForService("s", 0); len(all) != 1 {
-		t.Error("a good entry does not bring the server back")
+		t.Error("a valid entry does not make the server usable again")
 	}
 }
 
@@ -173,21 +167,19 @@
 	r.MarkUnusable("a")
 	r.MarkUnusable("unknown")
 	if got := ids(r.ForService("s", 0)); got != "b" {
-		t.Errorf("got %s", got)
+		t.Errorf("got servers %s", got)
 	}
 	if _, known, usable := r.Get("a", 0); !known || usable {
 		t.Errorf("known %t, usable %t", known, usable)
 	}
 	mustPut(t, r, Server{Incarnation: Incarnation{Name: "a"}, Address: "a", Service: "s"})
 	if got := ids(r.ForService("s", 0)); got != "ab" {
-		t.Errorf("after a good entry: %s", got)
+		t.Errorf("after a valid entry: %s", got)
 	}
 }
 
-// Symptom: half of the sends to an address were refused unrun by the server there.
-// Sequence: a server ends without a word; its address is given to another one while its
-// own entry has not yet lapsed.
-// Cause: both entries counted as servers.
+// Guards against sends to a terminated server whose address was reassigned before its entry
+// lapsed.
 func TestLatestStartOwnsAddress(t *testing.T) {
 	first, later := testServer("z", 100), testServer("a", 200)
 	first.Address, later.Address = "same", "same"
@@ -201,10 +193,7 @@
 	}
 }
 
-// Symptom: every send to an address was refused unrun by the server there, for four seconds.
-// Sequence: a server starts again under another id behind a cut; the store carries out a
-// write of its earlier run after one of the later run, and neither states a start.
-// Cause: one of the two was left out by a guess.
+// Guards against excluding the live server of an address when neither entry has a start.
 func TestSharedAddressWithoutStartKeepsBoth(t *testing.T) {
 	first, later := testServer("z", 0), testServer("a", 0)
 	first.Address, later.Address = "same", "same"
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -7,19 +7,18 @@
 	"time"
 )
 
-// Incarnation is one run of a backend server. A server may start again under the name
-// that it had, and then holds and knows nothing of before.
+// Incarnation identifies one run of a backend server. A server that restarts under the same
+// name loses its state.
 type Incarnation struct {
-	// Name is the id under which the server registers.
+	// Name is the ID under which the server registers.
 	Name string
-	// StartMillis is the server's start in milliseconds of its own clock; zero if it states none.
+	// StartMillis is the server's start time in milliseconds by its own clock; zero if unknown.
 	StartMillis int64
 }
 
-// ID names the run. All that is known of a run, of what it holds to whether it is lost,
-// is kept by this name in every package and told by it between daemons. A new run
-// therefore begins with nothing, in all places at once, and word of an earlier run finds
-// nobody whom it could be about, whatever order it comes in.
+// ID returns the key of the incarnation, by which all packages and daemons store what they
+// know of it. A restarted server therefore starts without state, and late messages about an
+// earlier incarnation do not affect it.
 func (i Incarnation) ID() string {
 	if i.StartMillis == 0 {
 		return i.Name
@@ -27,70 +26,70 @@
 	return i.Name + "@" + strconv.FormatInt(i.StartMillis, 36)
 }
 
-// Before reports whether a run of the same server is older than another. A run without a
-// stated start is older than one with.
+// Before reports whether an incarnation of the same server is older than another. One without a
+// start time is older than one with a start time.
 func (i Incarnation) Before(other Incarnation) bool { return i.StartMillis < other.StartMillis }
 
-// Server is one run of a backend server, as its entry tells.
+// Server is one incarnation of a backend server, as described by its entry.
 type Server struct {
-	// ID is Run.ID(); the registry sets it.
+	// ID is Incarnation.ID(). It is set by the registry.
 	ID            string
 	Incarnation   Incarnation
 	Service       string
 	Address       string
 	FailureDomain string
-	// Version is the version of the server's software.
+	// Version is the version of the server software.
 	Version string
 	Slots   int
-	// Leaving servers finish what they run and get nothing new.
+	// Leaving servers finish their running requests and get no new ones.
 	Leaving bool
-	// Models are the models an engine has loaded.
+	// Models are the models that the engine has loaded.
 	Models []string
-	// WarmupRemaining is how much longer the server is warming up by its entry.
+	// WarmupRemaining is the remaining warmup time stated in the entry.
 	WarmupRemaining time.Duration
-	// WarmAt is the boot clock's reading at the end of that; zero for a warm server. It is
-	// set by who takes the entry.
+	// WarmAt is the reading of the boot clock at the end of the warmup; zero for a warm server.
+	// It is set by the reader of the entry.
 	WarmAt time.Duration
 }
 
-// InvalidReason says why an entry names no server to use.
+// InvalidReason is the reason why an entry is invalid.
 type InvalidReason string
 
-// The faults of an entry. The list is closed: they are the values of a counter.
+// The reasons are label values of a metric, so the set is fixed.
 const (
-	// Unreadable: not an object, not UTF-8, too deep, or the key is no name.
+	// Unreadable: not a JSON object, not UTF-8, nested too deeply, or the key is not a valid name.
 	Unreadable InvalidReason = "unreadable"
-	// TooLong: longer than any entry.
+	// TooLong: longer than the maximum size of an entry.
 	TooLong InvalidReason = "too_long"
-	// FieldMissing: a field is missing, null or empty.
+	// FieldMissing: a required field is missing, null or empty.
 	FieldMissing InvalidReason = "field_missing"
-	// FieldType: a field holds another type, or a number that it cannot hold.
+	// FieldType: a field has the wrong type or a number out of range.
 	FieldType InvalidReason = "field_type"
-	// UnknownState: a state that is neither ready nor leaving.
+	// UnknownState: the state is neither ready nor leaving.
 	UnknownState InvalidReason = "unknown_state"
-	// BadAddress: an address that nothing can be sent to.
+	// BadAddress: the address is not valid.
 	BadAddress InvalidReason = "bad_address"
-	// Superseded: a run that is older than one already known.
+	// Superseded: the incarnation is older than the one known.
 	Superseded InvalidReason = "superseded"
 )
 
-// InvalidEntryError is an entry that names no server to use. Its writer may be another than the
-// server: what other entries say holds.
+// InvalidEntryError reports an invalid entry. Another process than the server may have
+// written it, so entries read before stay valid.
 type InvalidEntryError struct {
 	Reason InvalidReason
-	// Detail names the field, for the log.
+	// Detail names the field. It is for the log.
 	Detail string
 }
 
 // Error implements error.
 func (e *InvalidEntryError) Error() string { return fmt.Sprintf("%s: %s", e.Reason, e.Detail) }
 
-// Invalid returns an error for an entry.
-func Invalid(f InvalidReason, format string, args ...any) *InvalidEntryError {
-	return &InvalidEntryError{Reason: f, Detail: fmt.Sprintf(format, args...)}
+// Invalid returns an error for an invalid entry.
+func Invalid(reason InvalidReason, format string, args ...any) *InvalidEntryError {
+	return &InvalidEntryError{Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
 
-// InvalidReasonOf returns the fault that an error tells of.
+// InvalidReasonOf returns the reason of an InvalidEntryError, or Unreadable for other errors.
 func InvalidReasonOf(err error) InvalidReason {
 	var e *InvalidEntryError
 	if errors.As(err, &e) {
