--- a/internal/slo/burn.go
+++ b/internal/slo/burn.go
@@ -1,5 +1,4 @@
-// Package slo measures how fast workspaces use up the failures their
-// service-level objectives allow. It does no I/O.
+// Package slo computes the burn rates of the error budgets of workspaces. It does no I/O.
 package slo
 
 import (
@@ -10,7 +9,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// Key is the finest grain of the counters.
+// Key identifies a counter.
 type Key struct {
 	Workspace     string `cbor:"1,keyasint" json:"workspace"`
 	Model         string `cbor:"2,keyasint" json:"model"`
@@ -18,27 +17,27 @@
 	FailureDomain string `cbor:"4,keyasint" json:"failure_domain"`
 }
 
-// Counts are the requests of one key in one minute.
+// Counts are the requests of one key in an interval.
 type Counts struct {
 	Requests int64 `cbor:"1,keyasint" json:"requests"`
 	// Failed requests were not answered in full.
 	Failed int64 `cbor:"2,keyasint" json:"failed"`
-	// Late answers missed the first-token objective of their workspace.
+	// Late requests missed the first-token objective of their workspace.
 	Late int64 `cbor:"3,keyasint" json:"late"`
 }
 
-// Add sums two counts.
+// Add returns the sum of two counts.
 func (c Counts) Add(o Counts) Counts {
 	return Counts{c.Requests + o.Requests, c.Failed + o.Failed, c.Late + o.Late}
 }
 
-// Windows are the spans of the report: a fast one that pages, a slow one that
-// tells a lasting leak, and the one in which the budget is given.
+// Windows are the windows of the report: a short one for paging, a longer one for slow burns, and
+// the budget window.
 var Windows = [...]time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
 
 const retentionMinutes = int(6 * time.Hour / time.Minute)
 
-// Counters are one daemon's counters by minute, bounded to the longest window.
+// Counters are the request counters of one daemon by minute, kept for the longest window.
 type Counters struct {
 	minutes map[int64]map[Key]Counts
 }
@@ -46,7 +45,7 @@
 // NewCounters returns empty counters.
 func NewCounters() *Counters { return &Counters{minutes: map[int64]map[Key]Counts{}} }
 
-// Observe counts one request that ended at a time.
+// Observe adds the counts of requests that ended at a time.
 func (c *Counters) Observe(now time.Time, k Key, n Counts) {
 	m := now.Unix() / 60
 	row := c.minutes[m]
@@ -66,14 +65,14 @@
 	}
 }
 
-// WindowCounts is a key's counts in one window.
+// WindowCounts are the counts of one key in one window.
 type WindowCounts struct {
 	Window time.Duration `cbor:"1,keyasint" json:"window_ns"`
 	Key    Key           `cbor:"2,keyasint" json:"key"`
 	Counts Counts        `cbor:"3,keyasint" json:"counts"`
 }
 
-// Snapshot sums the windows that end at a time, in a fixed order.
+// Snapshot returns the counts of all windows that end at a time, sorted by window and key.
 func (c *Counters) Snapshot(now time.Time) []WindowCounts {
 	var out []WindowCounts
 	newest := now.Unix() / 60
@@ -100,7 +99,7 @@
 	return c.Window.String() + "\x00" + c.Key.Workspace + "\x00" + c.Key.Model + "\x00" + c.Key.Version + "\x00" + c.Key.FailureDomain
 }
 
-// ObjectiveBurn is one workspace's burn of one objective in one window.
+// ObjectiveBurn is the error budget burn of one objective of a workspace in one window.
 type ObjectiveBurn struct {
 	Workspace string        `json:"workspace"`
 	Objective string        `json:"objective"`
@@ -108,19 +107,18 @@
 	Requests  int64         `json:"requests"`
 	Bad       int64         `json:"bad"`
 	Target    float64       `json:"target"`
-	// Burn is the rate of use: 1 uses the allowance exactly, 2 in half the time.
+	// Burn is the burn rate: 1 uses up the budget in exactly one window, 2 in half of it.
 	Burn float64 `json:"burn"`
-	// Remaining is the fraction of the window's allowance that is unused; it is
-	// negative when overspent.
+	// Remaining is the unused fraction of the window's budget; negative if it is exceeded.
 	Remaining float64 `json:"left"`
-	// ExhaustedIn is when the rest is used up at this rate; zero without burn.
+	// ExhaustedIn is the time until the budget is used up at this rate; zero without burn.
 	ExhaustedIn time.Duration `json:"exhausted_in_ns"`
-	// Worst is the version and failure domain with the most bad requests.
+	// Worst is the model, version and failure domain with the most bad requests.
 	Worst string `json:"worst"`
 }
 
-// Report computes the burn of every objective from cells of all daemons.
-func Report(c *fleet.Config, cells []WindowCounts) []ObjectiveBurn {
+// Report computes the burn of every objective from the counts of all daemons.
+func Report(c *fleet.Config, counts []WindowCounts) []ObjectiveBurn {
 	var out []ObjectiveBurn
 	names := make([]string, 0, len(c.Workspaces))
 	for n := range c.Workspaces {
@@ -131,44 +129,44 @@
 		o := c.Workspaces[name].Objectives
 		for _, w := range Windows {
 			if o.Availability > 0 {
-				out = append(out, computeBurn(name, "availability", w, o.Availability, cells, func(n Counts) int64 { return n.Failed }))
+				out = append(out, computeBurn(name, "availability", w, o.Availability, counts, func(n Counts) int64 { return n.Failed }))
 			}
 			if o.FirstTokenFraction > 0 {
-				out = append(out, computeBurn(name, "first_token", w, o.FirstTokenFraction, cells, func(n Counts) int64 { return n.Late }))
+				out = append(out, computeBurn(name, "first_token", w, o.FirstTokenFraction, counts, func(n Counts) int64 { return n.Late }))
 			}
 		}
 	}
 	return out
 }
 
-func computeBurn(workspace, objective string, w time.Duration, target float64, cells []WindowCounts, bad func(Counts) int64) ObjectiveBurn {
-	l := ObjectiveBurn{Workspace: workspace, Objective: objective, Window: w, Target: target, Remaining: 1}
+func computeBurn(workspace, objective string, w time.Duration, target float64, counts []WindowCounts, bad func(Counts) int64) ObjectiveBurn {
+	b := ObjectiveBurn{Workspace: workspace, Objective: objective, Window: w, Target: target, Remaining: 1}
 	byCause := map[string]int64{}
-	for _, c := range cells {
+	for _, c := range counts {
 		if c.Window != w || c.Key.Workspace != workspace {
 			continue
 		}
-		l.Requests += c.Counts.Requests
-		l.Bad += bad(c.Counts)
+		b.Requests += c.Counts.Requests
+		b.Bad += bad(c.Counts)
 		byCause[c.Key.Model+"@"+c.Key.Version+" in "+c.Key.FailureDomain] += bad(c.Counts)
 	}
-	if l.Requests == 0 {
-		return l
+	if b.Requests == 0 {
+		return b
 	}
-	l.Burn = float64(l.Bad) / float64(l.Requests) / (1 - target)
-	l.Remaining = 1 - l.Burn
-	if l.Burn > 0 && l.Remaining > 0 {
-		l.ExhaustedIn = time.Duration(float64(w) * l.Remaining / l.Burn)
+	b.Burn = float64(b.Bad) / float64(b.Requests) / (1 - target)
+	b.Remaining = 1 - b.Burn
+	if b.Burn > 0 && b.Remaining > 0 {
+		b.ExhaustedIn = time.Duration(float64(w) * b.Remaining / b.Burn)
 	}
-	l.Worst = worstCause(byCause)
-	return l
+	b.Worst = worstCause(byCause)
+	return b
 }
 
 func worstCause(byCause map[string]int64) string {
-	name, most := "", int64(0)
+	name, worst := "", int64(0)
 	for cause, n := range byCause {
-		if n > most || n == most && n > 0 && cause < name {
-			name, most = cause, n
+		if n > worst || n == worst && n > 0 && cause < name {
+			name, worst = cause, n
 		}
 	}
 	return name
--- a/internal/slo/burn_test.go
+++ b/internal/slo/burn_test.go
@@ -8,9 +8,9 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// The figures are worked by hand: a target of 0.99 allows 1 bad request in 100.
-// In the last five minutes 4 of 200 failed: a burn of 2. In the hour 6 of 1,000
-// failed: a burn of 0.6, 40% left, which lasts 40 minutes at that rate.
+// A target of 0.99 allows 1 bad request in 100. In the last five minutes 4 of 200 failed: a
+// burn rate of 2. In the last hour 6 of 1,000 failed: a burn rate of 0.6, with 40% of the
+// budget left, which lasts 40 minutes at that rate.
 func TestReport(t *testing.T) {
 	c := fleet.Empty()
 	c.Workspaces["w"] = fleet.Workspace{Objectives: fleet.Objectives{Availability: 0.99, FirstTokenMillis: 1500, FirstTokenFraction: 0.9}}
@@ -22,14 +22,14 @@
 	a.Observe(now.Add(-time.Minute), key, Counts{Requests: 150, Failed: 1})
 	b.Observe(now, bad, Counts{Requests: 50, Failed: 3, Late: 50})
 	a.Observe(now.Add(-7*time.Hour), key, Counts{Requests: 1e6, Failed: 1e6})
-	cells := append(a.Snapshot(now), b.Snapshot(now)...)
+	counts := append(a.Snapshot(now), b.Snapshot(now)...)
 	find := func(objective string, w time.Duration) ObjectiveBurn {
-		for _, l := range Report(c, cells) {
-			if l.Objective == objective && l.Window == w {
-				return l
+		for _, b := range Report(c, counts) {
+			if b.Objective == objective && b.Window == w {
+				return b
 			}
 		}
-		t.Fatalf("no line %s %s", objective, w)
+		t.Fatalf("no result for %s in %s", objective, w)
 		return ObjectiveBurn{}
 	}
 	near := func(name string, got, want float64) {
