--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -146,14 +146,14 @@
 func (t *Tracker) RecordCrash(key IncarnationKey, at time.Duration, suspects []Fingerprint, now time.Duration) Change {
 	t.sweep(now)
 	id := t.crashOf(key, at)
-	e := t.crashes[id]
+	c := t.crashes[id]
 	var out Change
 	attribute := false
 	for _, f := range slices.SortedFunc(slices.Values(suspects), t.compareByCrashes) {
-		if !t.suspect(e, f) {
+		if !t.suspect(c, f) {
 			continue
 		}
-		e.suspects[f] = true
+		c.suspects[f] = true
 		t.pending = append(t.pending, pendingBroadcast{crash: id, fingerprint: f, learnedAt: now})
 		t.crashesBy[f] = append(t.crashesBy[f], id)
 		out.Broadcast = true
@@ -179,15 +179,15 @@
 }
 
 // suspect reports whether a request is to be recorded as a suspect of a crash.
-func (t *Tracker) suspect(e *crash, f Fingerprint) bool {
-	if e.suspects[f] || len(e.suspects) >= maxSuspects {
+func (t *Tracker) suspect(c *crash, f Fingerprint) bool {
+	if c.suspects[f] || len(c.suspects) >= maxSuspects {
 		return false
 	}
-	if at, any := t.clearedAt[f]; any && at >= e.at {
+	if at, any := t.clearedAt[f]; any && at >= c.at {
 		return false
 	}
 	at, any := t.succeededAt[f]
-	return !any || e.at-at > recentSuccessWindow
+	return !any || c.at-at > recentSuccessWindow
 }
 
 // evictOldestCrash removes the oldest crash if maxCrashes is reached.
@@ -201,12 +201,12 @@
 }
 
 func (t *Tracker) removeCrash(id crashID) {
-	e := t.crashes[id]
-	for f := range e.suspects {
+	c := t.crashes[id]
+	for f := range c.suspects {
 		t.unlink(f, id)
 	}
-	if t.latestCrash[e.incarnation] == id {
-		delete(t.latestCrash, e.incarnation)
+	if t.latestCrash[c.incarnation] == id {
+		delete(t.latestCrash, c.incarnation)
 	}
 	delete(t.crashes, id)
 }
@@ -297,8 +297,8 @@
 		return
 	}
 	t.lastSweep = now
-	for id, e := range t.crashes {
-		if now-e.at > crashRetention {
+	for id, c := range t.crashes {
+		if now-c.at > crashRetention {
 			t.removeCrash(id)
 		}
 	}
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -129,8 +129,8 @@
 		recordCrash(old, key, 0, 7)
 	}
 	now := time.Minute
-	if w := old.Update(now, false); !w.Empty() {
-		t.Fatalf("an expired entry is broadcast: %+v", w)
+	if u := old.Update(now, false); !u.Empty() {
+		t.Fatalf("an expired entry is broadcast: %+v", u)
 	}
 	fresh.Merge(old.Update(now, true), 5*time.Minute)
 	s := fresh.Status(7, 5*time.Minute)
@@ -171,13 +171,13 @@
 	for i := range 2 * maxHolds {
 		tr.ApplyHold(Fingerprint(1<<50+i), 0, time.Hour, time.Second)
 	}
-	w := tr.Update(4*maxCrashes*time.Millisecond, true)
+	u := tr.Update(4*maxCrashes*time.Millisecond, true)
 	suspects := 0
-	for _, e := range w.Crashes {
+	for _, e := range u.Crashes {
 		suspects += len(e.Suspects)
 	}
-	if len(tr.crashes) > maxCrashes || len(tr.holds) > maxHolds || len(w.Crashes) > maxCrashesPerUpdate || suspects > maxCrashesPerUpdate*maxEntriesPerUpdate || len(w.Holds) > maxEntriesPerUpdate {
-		t.Errorf("%d crashes, %d holds; in the update: %d crashes with %d suspects, %d holds", len(tr.crashes), len(tr.holds), len(w.Crashes), suspects, len(w.Holds))
+	if len(tr.crashes) > maxCrashes || len(tr.holds) > maxHolds || len(u.Crashes) > maxCrashesPerUpdate || suspects > maxCrashesPerUpdate*maxEntriesPerUpdate || len(u.Holds) > maxEntriesPerUpdate {
+		t.Errorf("%d crashes, %d holds; in the update: %d crashes with %d suspects, %d holds", len(tr.crashes), len(tr.holds), len(u.Crashes), suspects, len(u.Holds))
 	}
 }
 
@@ -233,8 +233,8 @@
 		if tr.Status(7, now).Crashes != 0 {
 			t.Errorf("daemon %d: not cleared", i)
 		}
-		if w := tr.Update(now, false); !w.Empty() || len(tr.pending) > 0 {
-			t.Errorf("daemon %d still broadcasts %+v, %d entries pending", i, w, len(tr.pending))
+		if u := tr.Update(now, false); !u.Empty() || len(tr.pending) > 0 {
+			t.Errorf("daemon %d still broadcasts %+v, %d entries pending", i, u, len(tr.pending))
 		}
 	}
 }
--- a/internal/quarantine/update.go
+++ b/internal/quarantine/update.go
@@ -60,14 +60,14 @@
 func (t *Tracker) pendingCrashes(now time.Duration) (out []Crash) {
 	suspects := map[crashID][]Fingerprint{}
 	for _, p := range t.pending {
-		if e := t.crashes[p.crash]; !p.cleared && e != nil && e.suspects[p.fingerprint] {
+		if c := t.crashes[p.crash]; !p.cleared && c != nil && c.suspects[p.fingerprint] {
 			suspects[p.crash] = append(suspects[p.crash], p.fingerprint)
 		}
 	}
 	for id, list := range suspects {
 		slices.SortFunc(list, t.compareByCrashes)
-		e := t.crashes[id]
-		out = append(out, Crash{Incarnation: e.incarnation, AgeMs: (now - e.at).Milliseconds(), Suspects: list[:min(maxEntriesPerUpdate, len(list))]})
+		c := t.crashes[id]
+		out = append(out, Crash{Incarnation: c.incarnation, AgeMs: (now - c.at).Milliseconds(), Suspects: list[:min(maxEntriesPerUpdate, len(list))]})
 	}
 	slices.SortFunc(out, func(a, b Crash) int {
 		return cmp.Or(cmp.Compare(a.AgeMs, b.AgeMs), cmp.Compare(a.Incarnation, b.Incarnation))
@@ -93,8 +93,8 @@
 
 // Merge applies an update of another daemon.
 func (t *Tracker) Merge(u Update, now time.Duration) (out Change) {
-	for _, e := range u.Crashes {
-		out = out.merge(t.RecordCrash(e.Incarnation, now-ms(e.AgeMs), e.Suspects, now))
+	for _, c := range u.Crashes {
+		out = out.merge(t.RecordCrash(c.Incarnation, now-ms(c.AgeMs), c.Suspects, now))
 	}
 	for _, c := range u.Clearances {
 		out = out.merge(t.ApplyClearance(c.Fingerprint, now-ms(c.AgeMs), now))
