--- a/internal/containment/guard.go
+++ b/internal/containment/guard.go
@@ -246,11 +246,11 @@
 		return
 	}
 	g.apply(func(t *quarantine.Tracker, now time.Duration) quarantine.Change { return t.Merge(u, now) })
-	for _, e := range u.Crashes {
-		age := time.Duration(e.AgeMs) * time.Millisecond
-		if list, isNew := g.attempts.peerReported(e.Incarnation, age); isNew {
-			g.opts.OnTerminated(e.Incarnation)
-			g.recordCrash(e.Incarnation, age, list)
+	for _, c := range u.Crashes {
+		age := time.Duration(c.AgeMs) * time.Millisecond
+		if list, isNew := g.attempts.peerReported(c.Incarnation, age); isNew {
+			g.opts.OnTerminated(c.Incarnation)
+			g.recordCrash(c.Incarnation, age, list)
 		}
 	}
 }
@@ -264,9 +264,9 @@
 }
 
 // ApplyHold holds a request for the given time, as recorded in the store.
-func (g *Guard) ApplyHold(f quarantine.Fingerprint, left time.Duration) {
+func (g *Guard) ApplyHold(f quarantine.Fingerprint, remaining time.Duration) {
 	g.apply(func(t *quarantine.Tracker, now time.Duration) quarantine.Change {
-		return t.ApplyHold(f, now, now+left, now)
+		return t.ApplyHold(f, now, now+remaining, now)
 	})
 }
 
