--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -17,13 +17,13 @@
 const (
 	// Allowed means that the send is not refused.
 	Allowed Reason = ""
-	// Held requests are refused by all servers because they crashed servers.
+	// Held requests are refused for all servers because they crashed servers.
 	Held Reason = "held"
 	// Leaving servers finish their running requests and accept no new ones.
 	Leaving Reason = "leaving"
 	// Evacuated servers are in a failure domain that an operator has evacuated.
 	Evacuated Reason = "evacuated"
-	// Warming servers have started recently and have reached their warmup limit.
+	// Warming servers have started recently, and this daemon has no share of their limit left.
 	Warming Reason = "warming"
 	// RegionExcluded servers are in a region that the request must not be sent to.
 	RegionExcluded Reason = "region_excluded"
