--- a/internal/backend/registry_test.go
+++ b/internal/backend/registry_test.go
@@ -97,8 +97,8 @@
 	return replaced
 }
 
-func testServer(name string, born int64) Server {
-	return Server{Incarnation: Incarnation{Name: name, StartMillis: born}, Address: name, Service: "s", Slots: 4}
+func testServer(name string, startMillis int64) Server {
+	return Server{Incarnation: Incarnation{Name: name, StartMillis: startMillis}, Address: name, Service: "s", Slots: 4}
 }
 
 // Guards against treating a restarted server as still leaving.
