--- /dev/null
+++ b/internal/freshness/refresh.go
@@ -0,0 +1,72 @@
+package freshness
+
+import "time"
+
+// RefreshPolicy determines when a daemon polls the store for a subject in addition to its
+// watch. A silent watch does not confirm anything, since its connection may be dead.
+//
+// Daemons poll in the order of their ranks and share the result with its age, so that usually
+// one poll serves all of them.
+type RefreshPolicy struct {
+	// MaxAge is the greatest age of the subject that its users accept.
+	MaxAge time.Duration
+	// FirstFraction is the fraction of MaxAge at which the daemon of rank 0 polls. Each further
+	// rank waits RankDelay longer, to receive the results of the ranks before it.
+	FirstFraction float64
+	RankDelay     time.Duration
+	// LastFraction is the fraction of MaxAge at which every daemon polls. The rest is left for
+	// reading changes.
+	LastFraction float64
+}
+
+// RefreshAge returns the age at which the daemon of a rank polls.
+func (p RefreshPolicy) RefreshAge(rank int) time.Duration {
+	first, last := scale(p.FirstFraction, p.MaxAge), scale(p.LastFraction, p.MaxAge)
+	return min(first+time.Duration(rank)*p.RankDelay, last)
+}
+
+// outageFraction is the fraction of MaxAge from which a gap between confirmations counts as
+// an outage of the store. It exceeds the age at which every daemon polls by the response
+// time, and is shorter than the three heartbeats after which entries lapse.
+const outageFraction = 0.75
+
+// IsOutage reports whether a gap between confirmations means that the store was down.
+func (p RefreshPolicy) IsOutage(gap time.Duration) bool {
+	return gap >= scale(outageFraction, p.MaxAge)
+}
+
+func scale(fraction float64, d time.Duration) time.Duration {
+	return time.Duration(fraction * float64(d))
+}
+
+// Plan holds the refresh policies of the subjects that are polled.
+type Plan map[Subject]RefreshPolicy
+
+// Next returns the subject to poll next and the time until the poll is due; zero or negative
+// means now. storeDue is the time until this daemon needs any response from the store
+// itself. If that is earlier, it polls the subject that is due next at rank 0, which saves
+// that daemon its poll. any is false while no subject has been confirmed.
+func (p Plan) Next(t *Tracker, now time.Duration, rank int, storeDue time.Duration) (subject Subject, due time.Duration, any bool) {
+	subject, due, any = p.earliest(t, now, rank)
+	if any && storeDue < due {
+		subject, _, _ = p.earliest(t, now, 0)
+		due = storeDue
+	}
+	return subject, due, any
+}
+
+// earliest returns the subject that the daemon of a rank has to poll first, and the time until
+// then.
+func (p Plan) earliest(t *Tracker, now time.Duration, rank int) (subject Subject, due time.Duration, any bool) {
+	for s := range Subjects {
+		policy, planned := p[s]
+		age, known := t.Age(s, now)
+		if !planned || !known {
+			continue
+		}
+		if left := policy.RefreshAge(rank) - age; !any || left < due {
+			subject, due, any = s, left, true
+		}
+	}
+	return subject, due, any
+}
--- /dev/null
+++ b/internal/quarantine/attribution.go
@@ -0,0 +1,122 @@
+package quarantine
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// updateHolds re-attributes the recorded crashes, adds and removes holds accordingly, and
+// returns what changed.
+func (t *Tracker) updateHolds(now time.Duration) (held, released []Fingerprint) {
+	culprits := t.attributeCrashes(now)
+	for _, f := range culprits {
+		if h := t.holds[f]; h != nil {
+			h.until = max(h.until, t.lastCrash(f)+HoldTTL)
+			continue
+		}
+		t.addHold(f, &hold{since: t.lastCrash(f), until: t.lastCrash(f) + HoldTTL, learnedAt: now})
+		held = append(held, f)
+	}
+	for f := range t.holds {
+		// Its crashes are now attributed to another request. A hold whose crash records
+		// have expired stays.
+		if len(t.crashesBy[f]) >= crashThreshold && !slices.Contains(culprits, f) {
+			delete(t.holds, f)
+			released = append(released, f)
+		}
+	}
+	slices.Sort(released)
+	return held, released
+}
+
+func (t *Tracker) lastCrash(f Fingerprint) (at time.Duration) {
+	for _, id := range t.crashesBy[f] {
+		at = max(at, t.crashes[id].at)
+	}
+	return at
+}
+
+// attributeCrashes returns the requests to which crashes are attributed. Each crash is
+// attributed to one request, the one with the most crashes first, so that a harmless request
+// that ran beside the crashing one is not held. A tie at exactly crashThreshold is ambiguous
+// unless one of the requests is already held: a further crash, a success or
+// ambiguityTimeout resolves it.
+func (t *Tracker) attributeCrashes(now time.Duration) (out []Fingerprint) {
+	explained := map[crashID]bool{}
+	ambiguous := map[Fingerprint]bool{}
+	candidates := map[Fingerprint]bool{}
+	for f, crashes := range t.crashesBy {
+		if len(crashes) >= crashThreshold {
+			candidates[f] = true
+		}
+	}
+	for len(candidates) > 0 {
+		most, top := t.mostUnexplained(candidates, explained)
+		if most < crashThreshold {
+			break
+		}
+		for _, f := range top {
+			delete(candidates, f)
+			if most == crashThreshold && t.holds[f] == nil && t.tied(f, top, explained) {
+				ambiguous[f] = true
+				continue
+			}
+			out = append(out, f)
+		}
+		for _, f := range out {
+			for _, id := range t.crashesBy[f] {
+				explained[id] = true
+			}
+		}
+	}
+	maps.Copy(ambiguous, candidates)
+	return append(out, t.expiredAmbiguous(ambiguous, explained, now)...)
+}
+
+// expiredAmbiguous returns the ambiguous requests that have not succeeded within
+// ambiguityTimeout of their last crash and that have unexplained crashes. It covers two
+// crashing requests that ran on the same servers.
+func (t *Tracker) expiredAmbiguous(ambiguous map[Fingerprint]bool, explained map[crashID]bool, now time.Duration) (out []Fingerprint) {
+	for _, f := range slices.Sorted(maps.Keys(ambiguous)) {
+		if now-t.lastCrash(f) >= ambiguityTimeout && len(t.unexplained(f, explained)) > 0 {
+			out = append(out, f)
+		}
+	}
+	return out
+}
+
+// mostUnexplained returns the largest number of unexplained crashes of one candidate, and
+// the candidates that have it, sorted.
+func (t *Tracker) mostUnexplained(candidates map[Fingerprint]bool, explained map[crashID]bool) (most int, top []Fingerprint) {
+	for _, f := range slices.Sorted(maps.Keys(candidates)) {
+		n := len(t.unexplained(f, explained))
+		switch {
+		case n > most:
+			most, top = n, []Fingerprint{f}
+		case n == most:
+			top = append(top, f)
+		}
+	}
+	return most, top
+}
+
+func (t *Tracker) unexplained(f Fingerprint, explained map[crashID]bool) (out []crashID) {
+	for _, id := range t.crashesBy[f] {
+		if !explained[id] {
+			out = append(out, id)
+		}
+	}
+	return out
+}
+
+// tied reports whether another request has the same unexplained crashes.
+func (t *Tracker) tied(f Fingerprint, others []Fingerprint, explained map[crashID]bool) bool {
+	own := t.unexplained(f, explained)
+	slices.Sort(own)
+	return slices.ContainsFunc(others, func(o Fingerprint) bool {
+		theirs := t.unexplained(o, explained)
+		slices.Sort(theirs)
+		return o != f && slices.Equal(own, theirs)
+	})
+}
--- /dev/null
+++ b/internal/quarantine/tracker_test.go
@@ -0,0 +1,240 @@
+package quarantine
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// recordCrash records a crash at a time in milliseconds.
+func recordCrash(tr *Tracker, incarnation IncarnationKey, atMs int, suspects ...Fingerprint) Change {
+	at := time.Duration(atMs) * time.Millisecond
+	return tr.RecordCrash(incarnation, at, suspects, at)
+}
+
+func held(tr *Tracker, f Fingerprint, atMs int) bool {
+	return tr.Status(f, time.Duration(atMs)*time.Millisecond).Held
+}
+
+func TestRequestHeldAfterThreeCrashes(t *testing.T) {
+	tr := NewTracker()
+	recordCrash(tr, 1, 0, 7)
+	recordCrash(tr, 2, 100, 7)
+	if c := recordCrash(tr, 2, 110, 7); c.Broadcast || held(tr, 7, 110) {
+		t.Fatal("a crash that was reported twice counts twice")
+	}
+	if c := recordCrash(tr, 3, 200, 7); !slices.Equal(c.Held, []Fingerprint{7}) {
+		t.Fatalf("change: %+v", c)
+	}
+	if s := tr.Status(7, 200*time.Millisecond); !s.Held || s.Remaining != HoldTTL || s.Crashes != 3 {
+		t.Fatalf("status: %+v", s)
+	}
+	if held(tr, 7, int((HoldTTL + time.Second).Milliseconds())) {
+		t.Error("the hold does not expire")
+	}
+}
+
+// Guards against holding a harmless request that ran beside the crashing one.
+func TestCrashAttributedToOneRequest(t *testing.T) {
+	const crashing, bystander = 7, 8
+	tr := NewTracker()
+	recordCrash(tr, 1, 0, crashing, bystander)
+	recordCrash(tr, 2, 100, crashing, bystander)
+	recordCrash(tr, 3, 200, crashing, bystander)
+	if held(tr, crashing, 200) || held(tr, bystander, 200) {
+		t.Fatal("a request with an ambiguous crash history is held")
+	}
+	recordCrash(tr, 4, 300, crashing)
+	if !held(tr, crashing, 300) || held(tr, bystander, 300) {
+		t.Fatal("the crash that resolves the tie does not count")
+	}
+}
+
+func TestHoldReleasedWhenCrashesAttributedToAnother(t *testing.T) {
+	const crashing, bystander = 7, 8
+	tr := NewTracker()
+	for key := range IncarnationKey(3) {
+		recordCrash(tr, key, int(key)*100, bystander)
+	}
+	if !held(tr, bystander, 200) {
+		t.Fatal("not held")
+	}
+	var c Change
+	for key := range IncarnationKey(4) {
+		c = c.merge(recordCrash(tr, key, 300, crashing))
+	}
+	if !held(tr, crashing, 300) || held(tr, bystander, 300) || !slices.Contains(c.Released, bystander) {
+		t.Fatalf("held %v %v, change: %+v", held(tr, crashing, 300), held(tr, bystander, 300), c)
+	}
+}
+
+func TestAmbiguousRequestHeldAfterTimeout(t *testing.T) {
+	tr := NewTracker()
+	for key := range IncarnationKey(3) {
+		recordCrash(tr, key, 0, 7, 8)
+	}
+	tr.RecordSuccess(8, 100*time.Millisecond)
+	c := tr.Reevaluate(7, ambiguityTimeout)
+	if !slices.Equal(c.Held, []Fingerprint{7}) || held(tr, 8, 2000) {
+		t.Fatalf("change: %+v", c)
+	}
+}
+
+// Guards against holding a request that many callers send at once and that succeeds.
+func TestSuccessfulRequestNotHeld(t *testing.T) {
+	tr := NewTracker()
+	tr.RecordSuccess(7, 900*time.Millisecond)
+	for key := range IncarnationKey(3) {
+		recordCrash(tr, key, 1000, 7)
+	}
+	if held(tr, 7, 1000) {
+		t.Fatal("a request that had just succeeded is held")
+	}
+	for key := range IncarnationKey(2) {
+		recordCrash(tr, 10+key, 5000, 7)
+	}
+	tr.RecordSuccess(7, 6*time.Second)
+	recordCrash(tr, 20, 9000, 7)
+	if s := tr.Status(7, 9*time.Second); s.Held || s.Crashes != 1 {
+		t.Fatalf("status: %+v", s)
+	}
+}
+
+// Trackers that exchange updates in any order hold the same requests.
+func TestTrackersConverge(t *testing.T) {
+	const now = time.Second
+	var all []*Tracker
+	for i := range 3 {
+		tr := NewTracker()
+		tr.RecordCrash(IncarnationKey(i), now, []Fingerprint{7, Fingerprint(100 + i)}, now)
+		all = append(all, tr)
+	}
+	for range 2 {
+		for _, from := range all {
+			for _, to := range all {
+				to.Merge(from.Update(now, false), now)
+			}
+		}
+	}
+	for i, tr := range all {
+		if !tr.Status(7, now).Held || tr.Status(100, now).Held {
+			t.Errorf("daemon %d: %+v", i, tr.Status(7, now))
+		}
+	}
+}
+
+func TestNewPeerReceivesAllHolds(t *testing.T) {
+	old, fresh := NewTracker(), NewTracker()
+	for key := range IncarnationKey(3) {
+		recordCrash(old, key, 0, 7)
+	}
+	now := time.Minute
+	if u := old.Update(now, false); !u.Empty() {
+		t.Fatalf("an expired entry is broadcast: %+v", u)
+	}
+	fresh.Merge(old.Update(now, true), 5*time.Minute)
+	s := fresh.Status(7, 5*time.Minute)
+	if !s.Held || s.Remaining != HoldTTL-now {
+		t.Fatalf("status: %+v", s)
+	}
+}
+
+// A peer that has not received a release must not restore the hold.
+func TestReleaseOverridesOlderUpdate(t *testing.T) {
+	local, remote := NewTracker(), NewTracker()
+	for key := range IncarnationKey(3) {
+		recordCrash(local, key, 0, 7)
+		recordCrash(remote, key, 0, 7)
+	}
+	now := 5 * time.Second
+	local.ApplyClearance(7, now, now)
+	local.Merge(remote.Update(now, true), now)
+	if local.Status(7, now).Held {
+		t.Fatal("an older update restored the hold")
+	}
+	remote.Merge(local.Update(now, false), now)
+	if remote.Status(7, now).Held {
+		t.Fatal("the clearance was not broadcast")
+	}
+}
+
+// Memory and update size are bounded, whatever the number of crashes.
+func TestTrackerIsBounded(t *testing.T) {
+	tr := NewTracker()
+	for i := range 4 * maxCrashes {
+		list := make([]Fingerprint, 2*maxSuspects)
+		for j := range list {
+			list[j] = Fingerprint(i*1000 + j)
+		}
+		recordCrash(tr, IncarnationKey(i), i, append(list, Fingerprint(1<<40+i/3))...)
+	}
+	for i := range 2 * maxHolds {
+		tr.ApplyHold(Fingerprint(1<<50+i), 0, time.Hour, time.Second)
+	}
+	u := tr.Update(4*maxCrashes*time.Millisecond, true)
+	suspects := 0
+	for _, e := range u.Crashes {
+		suspects += len(e.Suspects)
+	}
+	if len(tr.crashes) > maxCrashes || len(tr.holds) > maxHolds || len(u.Crashes) > maxCrashesPerUpdate || suspects > maxCrashesPerUpdate*maxEntriesPerUpdate || len(u.Holds) > maxEntriesPerUpdate {
+		t.Errorf("%d crashes, %d holds; in the update: %d crashes with %d suspects, %d holds", len(tr.crashes), len(tr.holds), len(u.Crashes), suspects, len(u.Holds))
+	}
+}
+
+func TestFingerprint(t *testing.T) {
+	f := FingerprintOf("w", "h", "POST", "/a", []byte("x"))
+	for name, other := range map[string]Fingerprint{
+		"workspace": FingerprintOf("v", "h", "POST", "/a", []byte("x")), "target": FingerprintOf("w", "h", "POST", "/b", []byte("x")),
+		"body": FingerprintOf("w", "h", "POST", "/a", []byte("y")), "a boundary between parts": FingerprintOf("w", "hP", "OST", "/a", []byte("x")),
+	} {
+		if other == f {
+			t.Errorf("a different %s gives the same fingerprint", name)
+		}
+	}
+	back, err := ParseFingerprint(f.String())
+	if err != nil || back != f {
+		t.Errorf("%s parses as %s, error %v", f, back, err)
+	}
+	if _, err := ParseFingerprint("12"); err == nil {
+		t.Error("a text that is too short is accepted")
+	}
+}
+
+// Servers that keep their name across restarts can crash more than once.
+func TestRepeatedCrashesOfOneServerCount(t *testing.T) {
+	tr := NewTracker()
+	for i := range 3 {
+		at := i * int((2 * CrashDedupWindow).Milliseconds())
+		recordCrash(tr, 1, at, 7)
+		recordCrash(tr, 1, at+int(CrashDedupWindow.Milliseconds())/2, 7, 8)
+	}
+	if s := tr.Status(7, time.Minute); s.Crashes != 3 || !s.Held {
+		t.Fatalf("status: %+v", s)
+	}
+}
+
+// Guards against clearances that peers rebroadcast to each other forever.
+func TestClearanceBroadcastExpires(t *testing.T) {
+	const latency = 3 * time.Millisecond
+	now := time.Second
+	all := []*Tracker{NewTracker(), NewTracker()}
+	for _, tr := range all {
+		for key := range IncarnationKey(2) {
+			tr.RecordCrash(key, now, []Fingerprint{7}, now)
+		}
+	}
+	all[0].RecordSuccess(7, now+100*time.Millisecond)
+	for now += 100 * time.Millisecond; now < 10*broadcastTTL; now += 50 * time.Millisecond {
+		for i, tr := range all {
+			all[1-i].Merge(tr.Update(now, false), now+latency)
+		}
+	}
+	for i, tr := range all {
+		if tr.Status(7, now).Crashes != 0 {
+			t.Errorf("daemon %d: not cleared", i)
+		}
+		if u := tr.Update(now, false); !u.Empty() || len(tr.pending) > 0 {
+			t.Errorf("daemon %d still broadcasts %+v, %d entries pending", i, u, len(tr.pending))
+		}
+	}
+}
