--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -28,10 +28,10 @@
 	var rows []string
 	for _, m := range s.Members {
 		age := "never"
-		if m.LogAgeMillis != membership.NeverHeard {
+		if m.LogAgeMillis != membership.LogAgeUnknown {
 			age = (time.Duration(m.LogAgeMillis) * time.Millisecond).String()
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%v\t%d\t%d\t%v\t%s", m.ID, m.Address, m.FailureDomain, m.State, m.Serving, m.Number, m.InFlight, m.Leaving, age))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%v\t%d\t%d\t%v\t%s", m.ID, m.Address, m.FailureDomain, m.State, m.Serving, m.ConfigNumber, m.InFlight, m.Leaving, age))
 	}
 	return t.table("DAEMON\tADDRESS\tFAILURE DOMAIN\tSTATE\tSERVING\tNUMBER\tIN FLIGHT\tLEAVING\tLOG AGE", rows)
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -67,7 +67,7 @@
 }
 
 func (c *configuration) register(s *peer.Server) {
-	peer.Handle(s, "config", func(_ context.Context, _ string, q peer.FetchConfig) (peer.ConfigTail, error) {
+	peer.Handle(s, "config", func(_ context.Context, _ string, q peer.ConfigRequest) (peer.ConfigResponse, error) {
 		return c.serveTail(q.From)
 	})
 }
@@ -81,14 +81,14 @@
 }
 
 // sight gathers what decides whether the daemon may serve.
-func (c *configuration) sight(m *members) membership.Sight {
+func (c *configuration) sight(m *members) membership.Readiness {
 	most, servers := m.hearsMost(), c.d.pools.serversHeard()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if most {
 		c.peerHeard = time.Now()
 	}
-	return membership.Sight{LogHeard: c.logHeard, PeersHeard: c.peerHeard, Loaded: c.loaded, ServersHeard: servers, NeedsLog: c.d.settings.WithoutLog == "refuse"}
+	return membership.Readiness{LogReadAt: c.logHeard, MajorityAt: c.peerHeard, ConfigLoaded: c.loaded, ServersUpdatedAt: servers, RequireLog: c.d.settings.WithoutLog == "refuse"}
 }
 
 func (c *configuration) loop(ctx context.Context) {
@@ -181,17 +181,17 @@
 	}
 }
 
-func (c *configuration) serveTail(from uint64) (peer.ConfigTail, error) {
+func (c *configuration) serveTail(from uint64) (peer.ConfigResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.fold.Anchored() || from >= c.fold.Next() {
-		return peer.ConfigTail{}, nil
+		return peer.ConfigResponse{}, nil
 	}
 	if len(c.tail) > 0 && c.tail[0].Offset <= from {
-		return peer.ConfigTail{Records: append([]platform.Record(nil), c.tail[from-c.tail[0].Offset:]...)}, nil
+		return peer.ConfigResponse{Records: append([]platform.Record(nil), c.tail[from-c.tail[0].Offset:]...)}, nil
 	}
 	data, err := json.Marshal(c.fold.Checkpoint())
-	return peer.ConfigTail{Checkpoint: data}, oops.In("config").Wrap(err)
+	return peer.ConfigResponse{Checkpoint: data}, oops.In("config").Wrap(err)
 }
 
 func (c *configuration) next() uint64 {
@@ -201,7 +201,7 @@
 }
 
 // peerAhead is called when a heartbeat shows a peer's position.
-func (c *configuration) peerAhead(ctx context.Context, from membership.Beat, theirs uint64) {
+func (c *configuration) peerAhead(ctx context.Context, from membership.DaemonInfo, theirs uint64) {
 	c.mu.Lock()
 	ours, anchored := c.fold.Next(), c.fold.Anchored()
 	c.mu.Unlock()
@@ -220,7 +220,7 @@
 func (c *configuration) fetch(ctx context.Context, address string, from uint64) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	t, err := peer.Call[peer.FetchConfig, peer.ConfigTail](ctx, c.d.links, address, "config", peer.FetchConfig{From: from})
+	t, err := peer.Call[peer.ConfigRequest, peer.ConfigResponse](ctx, c.d.links, address, "config", peer.ConfigRequest{From: from})
 	if err != nil {
 		return
 	}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -62,14 +62,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	return peer.Call[peer.AskLease, quota.Lease](ctx, l.d.links, home.PeerAddress, "lease", peer.AskLease{Ask: a})
+	return peer.Call[peer.LeaseRequest, quota.Lease](ctx, l.d.links, home.PeerAddress, "lease", peer.LeaseRequest{Request: a})
 }
 
 func (l *limits) register(s *peer.Server) {
-	peer.Handle(s, "lease", func(_ context.Context, _ string, q peer.AskLease) (quota.Lease, error) {
+	peer.Handle(s, "lease", func(_ context.Context, _ string, q peer.LeaseRequest) (quota.Lease, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.home.Grant(time.Now(), q.Ask), nil
+		return l.home.Grant(time.Now(), q.Request), nil
 	})
 }
 
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -55,9 +55,9 @@
 }
 
 func (r *rollouts) register(s *peer.Server) {
-	peer.Handle(s, "evidence", func(_ context.Context, _ string, q peer.ReportEvidence) (peer.Done, error) {
+	peer.Handle(s, "evidence", func(_ context.Context, _ string, q peer.EvidenceReport) (peer.Empty, error) {
 		r.take(q)
-		return peer.Done{}, nil
+		return peer.Empty{}, nil
 	})
 }
 
@@ -141,7 +141,7 @@
 		if homes[0].ID != r.d.settings.ID {
 			if due && len(report.Cells) > 0 {
 				callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
-				_, _ = peer.Call[peer.ReportEvidence, peer.Done](callCtx, r.d.links, homes[0].PeerAddress, "evidence", report)
+				_, _ = peer.Call[peer.EvidenceReport, peer.Empty](callCtx, r.d.links, homes[0].PeerAddress, "evidence", report)
 				cancel()
 			}
 			continue
@@ -166,10 +166,10 @@
 	}
 }
 
-func (r *rollouts) report(model string, ro fleet.Rollout) peer.ReportEvidence {
+func (r *rollouts) report(model string, ro fleet.Rollout) peer.EvidenceReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := peer.ReportEvidence{Daemon: r.d.settings.ID, Model: model, Stage: stageOf(ro)}
+	out := peer.EvidenceReport{Daemon: r.d.settings.ID, Model: model, Stage: stageOf(ro)}
 	if st := r.own[model]; st != nil && st.stage == out.Stage {
 		out.Cells = slices.Clone(st.cells)
 	}
@@ -178,7 +178,7 @@
 
 // take replaces a daemon's cumulative evidence; a late or repeated report does
 // no harm.
-func (r *rollouts) take(q peer.ReportEvidence) {
+func (r *rollouts) take(q peer.EvidenceReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.fleet[q.Model]
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -65,12 +65,12 @@
 }
 
 func (u *usage) register(s *peer.Server) {
-	peer.Handle(s, "store_usage", func(_ context.Context, _ string, q peer.StoreUsage) (peer.Done, error) {
-		return peer.Done{}, u.keep(q)
+	peer.Handle(s, "store_usage", func(_ context.Context, _ string, q peer.StoreUsageRequest) (peer.Empty, error) {
+		return peer.Empty{}, u.keep(q)
 	})
-	peer.Handle(s, "confirm_usage", func(_ context.Context, _ string, q peer.ConfirmUsage) (peer.Done, error) {
+	peer.Handle(s, "confirm_usage", func(_ context.Context, _ string, q peer.ConfirmUsageRequest) (peer.Empty, error) {
 		u.release(q)
-		return peer.Done{}, nil
+		return peer.Empty{}, nil
 	})
 }
 
@@ -150,8 +150,8 @@
 	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
 	for _, k := range u.d.members.keepers(2) {
-		_, err := peer.Call[peer.StoreUsage, peer.Done](ctx, u.d.links, k.PeerAddress, "store_usage",
-			peer.StoreUsage{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, Place: place, Records: []billing.Usage{rec}})
+		_, err := peer.Call[peer.StoreUsageRequest, peer.Empty](ctx, u.d.links, k.PeerAddress, "store_usage",
+			peer.StoreUsageRequest{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, FirstSequence: place, Records: []billing.Usage{rec}})
 		if err != nil {
 			continue
 		}
@@ -163,23 +163,23 @@
 	return false
 }
 
-func (u *usage) keep(q peer.StoreUsage) error {
+func (u *usage) keep(q peer.StoreUsageRequest) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.kept)+len(q.Records) > u.d.settings.BillingBuffer {
 		return fault.New(fault.BillingBacklog, "%d copies are kept already", len(u.kept))
 	}
 	for i, r := range q.Records {
-		u.kept[r.RequestID] = keptRecord{q.Owner, q.Incarnation, q.Place + uint64(i), r, time.Now()}
+		u.kept[r.RequestID] = keptRecord{q.Owner, q.Incarnation, q.FirstSequence + uint64(i), r, time.Now()}
 	}
 	return nil
 }
 
-func (u *usage) release(q peer.ConfirmUsage) {
+func (u *usage) release(q peer.ConfirmUsageRequest) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, k := range u.kept {
-		if k.owner == q.Owner && k.incarnation == q.Incarnation && k.place <= q.Through {
+		if k.owner == q.Owner && k.incarnation == q.Incarnation && k.place <= q.ThroughSequence {
 			delete(u.kept, id)
 		}
 	}
@@ -247,10 +247,10 @@
 // confirm tells the keepers up to which place the log has the records. One that
 // misses it appends its copies again, and they fold away.
 func (u *usage) confirm(ctx context.Context, keepers map[string]bool, through uint64) {
-	msg := peer.ConfirmUsage{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, Through: through}
+	msg := peer.ConfirmUsageRequest{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, ThroughSequence: through}
 	for address := range keepers {
 		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
-		_, _ = peer.Call[peer.ConfirmUsage, peer.Done](callCtx, u.d.links, address, "confirm_usage", msg)
+		_, _ = peer.Call[peer.ConfirmUsageRequest, peer.Empty](callCtx, u.d.links, address, "confirm_usage", msg)
 		cancel()
 	}
 }
--- a/internal/feed/reading_test.go
+++ b/internal/feed/reading_test.go
@@ -11,48 +11,48 @@
 	"github.com/charmbracelet/log"
 )
 
-// pieceLog answers a read in pieces that come at a period, and then goes on or is silent.
-type pieceLog struct {
+// chunkedLog answers a read in pieces that come at a period, and then goes on or is silent.
+type chunkedLog struct {
 	Log
-	pieces int
-	period time.Duration
-	whole  bool
+	chunks   int
+	interval time.Duration
+	complete bool
 }
 
-func (l *pieceLog) Read(ctx context.Context, _ string, from Position, _ time.Duration, heard func()) ([]Record, Position, error) {
-	for range l.pieces {
+func (l *chunkedLog) Read(ctx context.Context, _ string, from Position, _ time.Duration, heard func()) ([]Record, Position, error) {
+	for range l.chunks {
 		select {
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
-		case <-time.After(l.period):
+		case <-time.After(l.interval):
 			heard()
 		}
 	}
-	if l.whole {
+	if l.complete {
 		return []Record{{Key: "a", Value: []byte("x"), At: from}}, from + 1, nil
 	}
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-// goneLog has deleted the records from any offset on, and answers with the newest in pieces.
-type goneLog struct{ pieceLog }
+// compactedLog has deleted the records from any offset on, and answers with the newest in pieces.
+type compactedLog struct{ chunkedLog }
 
-func (*goneLog) Read(context.Context, string, Position, time.Duration, func()) ([]Record, Position, error) {
-	return nil, 0, ErrGone
+func (*compactedLog) Read(context.Context, string, Position, time.Duration, func()) ([]Record, Position, error) {
+	return nil, 0, ErrCompacted
 }
 
-func (l *goneLog) Newest(ctx context.Context, topic string, heard func()) ([]Record, Position, error) {
-	return l.pieceLog.Read(ctx, topic, 0, 0, heard)
+func (l *compactedLog) Newest(ctx context.Context, topic string, heard func()) ([]Record, Position, error) {
+	return l.chunkedLog.Read(ctx, topic, 0, 0, heard)
 }
 
-func loadedFollower(l Log, applied *int) *Follower {
+func newLoadedFollower(l Log, applied *int) *Follower {
 	f := New(&Follower{
-		Log: l, Topic: "t", Logger: log.New(io.Discard), Boot: func() time.Duration { return 0 },
-		Apply: func(r []Record, _ bool) { *applied += len(r) }, Confirmed: func(time.Duration) {},
+		Log: l, Topic: "t", Logger: log.New(io.Discard), BootTime: func() time.Duration { return 0 },
+		Apply: func(r []Record, _ bool) { *applied += len(r) }, OnConfirmed: func(time.Duration) {},
 	})
 	f.loaded.Store(true)
-	f.away.Store(true) // it asks the log not to wait
+	f.unavailable.Store(true) // it asks the log not to wait
 	return f
 }
 
@@ -62,8 +62,8 @@
 func TestReadGoesOnWhileItsAnswerComes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		applied := 0
-		f := loadedFollower(&pieceLog{pieces: 9, period: answerLimit * 2 / 3, whole: true}, &applied)
-		if err := f.step(t.Context()); err != nil || applied != 1 {
+		f := newLoadedFollower(&chunkedLog{chunks: 9, interval: responseTimeout * 2 / 3, complete: true}, &applied)
+		if err := f.readOnce(t.Context()); err != nil || applied != 1 {
 			t.Fatalf("applied %d, err %v", applied, err)
 		}
 	})
@@ -76,13 +76,13 @@
 	for pieces := range 3 {
 		synctest.Test(t, func(t *testing.T) {
 			applied, began := 0, time.Now()
-			const period = answerLimit / 2
-			f := loadedFollower(&pieceLog{pieces: pieces, period: period}, &applied)
-			err := f.step(t.Context())
-			if !errors.Is(err, errSilent) {
+			const period = responseTimeout / 2
+			f := newLoadedFollower(&chunkedLog{chunks: pieces, interval: period}, &applied)
+			err := f.readOnce(t.Context())
+			if !errors.Is(err, errNoResponse) {
 				t.Fatalf("err %v", err)
 			}
-			if took, want := time.Since(began), time.Duration(pieces)*period+answerLimit; took != want {
+			if took, want := time.Since(began), time.Duration(pieces)*period+responseTimeout; took != want {
 				t.Errorf("given up after %s, want %s", took, want)
 			}
 		})
@@ -97,8 +97,8 @@
 func TestNewestRecordsHaveALimitOfTheirOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		applied := 0
-		f := loadedFollower(&goneLog{pieceLog{pieces: 9, period: answerLimit * 2 / 3, whole: true}}, &applied)
-		if err := f.step(t.Context()); err != nil || applied != 1 {
+		f := newLoadedFollower(&compactedLog{chunkedLog{chunks: 9, interval: responseTimeout * 2 / 3, complete: true}}, &applied)
+		if err := f.readOnce(t.Context()); err != nil || applied != 1 {
 			t.Fatalf("applied %d, err %v", applied, err)
 		}
 	})
--- a/internal/feedtest/store.go
+++ b/internal/feedtest/store.go
@@ -14,8 +14,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/loop"
 )
 
-// roundTrip is the time of one call: the users' store answers within some milliseconds.
-const roundTrip = 4 * time.Millisecond
+// roundTripTime is the time of one call: the users' store answers within some milliseconds.
+const roundTripTime = 4 * time.Millisecond
 
 // Mode is how the store treats a call.
 type Mode int
@@ -24,18 +24,18 @@
 const (
 	// Serving answers.
 	Serving Mode = iota
-	// Silent never answers a call that comes meanwhile; one that waits is kept.
-	Silent
-	// Busy refuses at once; a call that waits is kept.
-	Busy
-	// Reset breaks every connection, also of calls that wait.
-	Reset
+	// Unresponsive never answers a call that comes meanwhile; one that waits is kept.
+	Unresponsive
+	// Refusing refuses at once; a call that waits is kept.
+	Refusing
+	// Resetting breaks every connection, also of calls that wait.
+	Resetting
 )
 
 // ErrBusy and ErrReset are what callers get in the modes of these names.
 var (
-	ErrBusy  = errors.New("the store refuses")
-	ErrReset = errors.New("the store reset the connection")
+	ErrRefused = errors.New("the store refuses")
+	ErrReset   = errors.New("the store reset the connection")
 )
 
 // Store implements feed.Log for one or more callers. Create callers with Caller.
@@ -45,11 +45,11 @@
 	// era is how often the store has come back from a copy.
 	era uint64
 	// changed is closed and replaced at each change.
-	changed chan struct{}
-	mode    Mode
-	calls   int
-	// by counts the calls by what was asked for and the topic.
-	by map[Call]int
+	changed    chan struct{}
+	mode       Mode
+	totalCalls int
+	// callCounts counts the calls by what was asked for and the topic.
+	callCounts map[Call]int
 }
 
 // Call is a kind of call.
@@ -57,22 +57,22 @@
 
 // The kinds of calls.
 const (
-	Newest, Read, End, Append = "newest", "read", "end", "append"
+	CallNewest, CallRead, CallEnd, CallAppend = "newest", "read", "end", "append"
 )
 
 type topic struct{ records []feed.Record }
 
 // New returns an empty store that serves.
 func New() *Store {
-	return &Store{topics: map[string]*topic{}, changed: make(chan struct{}), by: map[Call]int{}}
+	return &Store{topics: map[string]*topic{}, changed: make(chan struct{}), callCounts: map[Call]int{}}
 }
 
-// Set changes how all callers are treated.
-func (s *Store) Set(m Mode) {
+// SetMode changes how all callers are treated.
+func (s *Store) SetMode(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
-	s.wake()
+	s.notifyChanged()
 }
 
 // Put writes a record; a nil value removes the key.
@@ -85,41 +85,41 @@
 // put writes a record. Callers hold mu.
 func (s *Store) put(name, key string, value []byte) {
 	t := s.topic(name)
-	t.records = append(t.records, feed.Record{Key: key, Value: value, At: feed.At(s.era, uint64(len(t.records)))})
-	s.wake()
+	t.records = append(t.records, feed.Record{Key: key, Value: value, At: feed.NewPosition(s.era, uint64(len(t.records)))})
+	s.notifyChanged()
 }
 
-// Copy is the store's content at a moment.
-type Copy struct{ topics map[string][]feed.Record }
+// Snapshot is the store's content at a moment.
+type Snapshot struct{ topics map[string][]feed.Record }
 
-// Copy copies the store's content.
-func (s *Store) Copy() *Copy {
+// TakeSnapshot copies the store's content.
+func (s *Store) TakeSnapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &Copy{topics: map[string][]feed.Record{}}
+	c := &Snapshot{topics: map[string][]feed.Record{}}
 	for name, t := range s.topics {
 		c.topics[name] = slices.Clone(t.records)
 	}
 	return c
 }
 
-// Return has the store come back from a copy: what was written since is gone, and its offsets
+// Restore has the store come back from a copy: what was written since is gone, and its offsets
 // are given out again.
-func (s *Store) Return(c *Copy) {
+func (s *Store) Restore(c *Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
 	for name, t := range s.topics {
 		t.records = slices.Clone(c.topics[name])
 		for i := range t.records {
-			t.records[i].At = feed.At(s.era, uint64(i))
+			t.records[i].At = feed.NewPosition(s.era, uint64(i))
 		}
 	}
-	s.wake()
+	s.notifyChanged()
 }
 
-// Keys returns how many keys of a topic have a value.
-func (s *Store) Keys(name string) int {
+// KeyCount returns how many keys of a topic have a value.
+func (s *Store) KeyCount(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest := map[string]bool{}
@@ -137,24 +137,24 @@
 
 // end returns where a topic ends. Callers hold mu.
 func (s *Store) end(name string) feed.Position {
-	return feed.At(s.era, uint64(len(s.topic(name).records)))
+	return feed.NewPosition(s.era, uint64(len(s.topic(name).records)))
 }
 
-// CallsBy returns how many calls were made, by kind.
-func (s *Store) CallsBy() map[Call]int {
+// CallCounts returns how many calls were made, by kind.
+func (s *Store) CallCounts() map[Call]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.by)
+	return maps.Clone(s.callCounts)
 }
 
-// Calls returns how many calls were made.
-func (s *Store) Calls() int {
+// TotalCalls returns how many calls were made.
+func (s *Store) TotalCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.totalCalls
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -168,53 +168,53 @@
 	return t
 }
 
-// Caller is one daemon's way to the store. Its own mode comes before the store's.
-type Caller struct {
+// Client is one daemon's way to the store. Its own mode comes before the store's.
+type Client struct {
 	store *Store
 	mode  Mode
-	// mute says that calls which wait now are never answered.
-	mute chan struct{}
-	// held is open while answers stand still on their way.
-	held chan struct{}
+	// hung says that calls which wait now are never answered.
+	hung chan struct{}
+	// delayed is open while answers stand still on their way.
+	delayed chan struct{}
 }
 
-// Caller returns a new way to the store.
-func (s *Store) Caller() *Caller { return &Caller{store: s, mute: make(chan struct{})} }
+// NewClient returns a new way to the store.
+func (s *Store) NewClient() *Client { return &Client{store: s, hung: make(chan struct{})} }
 
-// Set changes how this caller alone is treated.
-func (c *Caller) Set(m Mode) {
+// SetMode changes how this caller alone is treated.
+func (c *Client) SetMode(m Mode) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	c.mode = m
-	c.store.wake()
+	c.store.notifyChanged()
 }
 
-// Mute makes the connections of the calls that wait now go silent for good: they are
+// HangPending makes the connections of the calls that wait now go silent for good: they are
 // neither answered nor reset, while new ones work.
-func (c *Caller) Mute() {
+func (c *Client) HangPending() {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	close(c.mute)
-	c.mute = make(chan struct{})
+	close(c.hung)
+	c.hung = make(chan struct{})
 }
 
-// Hold has answers to this caller stand still on their way, as on a link that is full, and
+// DelayResponses has answers to this caller stand still on their way, as on a link that is full, and
 // go on.
-func (c *Caller) Hold(on bool) {
+func (c *Client) DelayResponses(on bool) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	if on {
-		c.held = make(chan struct{})
-	} else if c.held != nil {
-		close(c.held)
-		c.held = nil
+		c.delayed = make(chan struct{})
+	} else if c.delayed != nil {
+		close(c.delayed)
+		c.delayed = nil
 	}
 }
 
-// back takes an answer to the caller.
-func (c *Caller) back(ctx context.Context) error {
+// respond takes an answer to the caller.
+func (c *Client) respond(ctx context.Context) error {
 	c.store.mu.Lock()
-	held := c.held
+	held := c.delayed
 	c.store.mu.Unlock()
 	if held != nil {
 		select {
@@ -223,47 +223,47 @@
 			return ctx.Err()
 		}
 	}
-	return half(ctx)
+	return halfRoundTrip(ctx)
 }
 
-// half takes half of a round trip.
-func half(ctx context.Context) error {
-	loop.Pause(ctx, roundTrip/2)
+// halfRoundTrip takes half of a round trip.
+func halfRoundTrip(ctx context.Context) error {
+	loop.Pause(ctx, roundTripTime/2)
 	return ctx.Err()
 }
 
-func (c *Caller) effective() Mode {
+func (c *Client) effectiveMode() Mode {
 	if c.mode != Serving {
 		return c.mode
 	}
 	return c.store.mode
 }
 
-// enter takes one call to the store.
-func (c *Caller) enter(ctx context.Context, kind, topic string) error {
-	if err := half(ctx); err != nil {
+// startCall takes one call to the store.
+func (c *Client) startCall(ctx context.Context, kind, topic string) error {
+	if err := halfRoundTrip(ctx); err != nil {
 		return err
 	}
 	c.store.mu.Lock()
-	c.store.calls++
-	c.store.by[Call{kind, topic}]++
-	mode := c.effective()
+	c.store.totalCalls++
+	c.store.callCounts[Call{kind, topic}]++
+	mode := c.effectiveMode()
 	c.store.mu.Unlock()
 	switch mode {
-	case Silent:
+	case Unresponsive:
 		<-ctx.Done()
 		return ctx.Err()
-	case Busy:
-		return ErrBusy
-	case Reset:
+	case Refusing:
+		return ErrRefused
+	case Resetting:
 		return ErrReset
 	}
 	return nil
 }
 
 // Newest implements feed.Log.
-func (c *Caller) Newest(ctx context.Context, name string, heard func()) ([]feed.Record, feed.Position, error) {
-	if err := c.enter(ctx, Newest, name); err != nil {
+func (c *Client) Newest(ctx context.Context, name string, heard func()) ([]feed.Record, feed.Position, error) {
+	if err := c.startCall(ctx, CallNewest, name); err != nil {
 		return nil, 0, err
 	}
 	c.store.mu.Lock()
@@ -280,12 +280,12 @@
 		}
 	}
 	heard()
-	return out, end, c.back(ctx)
+	return out, end, c.respond(ctx)
 }
 
 // Read implements feed.Log.
-func (c *Caller) Read(ctx context.Context, name string, from feed.Position, wait time.Duration, heard func()) ([]feed.Record, feed.Position, error) {
-	if err := c.enter(ctx, Read, name); err != nil {
+func (c *Client) Read(ctx context.Context, name string, from feed.Position, wait time.Duration, heard func()) ([]feed.Record, feed.Position, error) {
+	if err := c.startCall(ctx, CallRead, name); err != nil {
 		return nil, 0, err
 	}
 	var over <-chan time.Time // a timer that is due at once crashes: see loop.Pause
@@ -293,26 +293,26 @@
 		over = time.After(wait)
 	}
 	c.store.mu.Lock()
-	mute := c.mute
+	mute := c.hung
 	c.store.mu.Unlock()
 	for ended := wait == 0; ; {
 		c.store.mu.Lock()
-		mode, changed, all, end := c.effective(), c.store.changed, c.store.topic(name).records, c.store.end(name)
+		mode, changed, all, end := c.effectiveMode(), c.store.changed, c.store.topic(name).records, c.store.end(name)
 		c.store.mu.Unlock()
 		switch {
-		case mode == Reset:
+		case mode == Resetting:
 			return nil, 0, ErrReset
-		case mode == Silent:
+		case mode == Unresponsive:
 			ended = false // what waits is answered when the store is back
 		case from.Era() != end.Era():
 			heard()
-			return nil, end, errors.Join(feed.ErrReturned, c.back(ctx))
+			return nil, end, errors.Join(feed.ErrEraChanged, c.respond(ctx))
 		case from < end:
 			heard()
-			return all[from.Offset():len(all):len(all)], end, c.back(ctx)
+			return all[from.Offset():len(all):len(all)], end, c.respond(ctx)
 		case ended:
 			heard()
-			return nil, end, c.back(ctx)
+			return nil, end, c.respond(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -328,32 +328,32 @@
 }
 
 // End implements feed.Log.
-func (c *Caller) End(ctx context.Context, name string) (feed.Position, error) {
-	if err := c.enter(ctx, End, name); err != nil {
+func (c *Client) End(ctx context.Context, name string) (feed.Position, error) {
+	if err := c.startCall(ctx, CallEnd, name); err != nil {
 		return 0, err
 	}
 	c.store.mu.Lock()
 	end := c.store.end(name)
 	c.store.mu.Unlock()
-	return end, c.back(ctx)
+	return end, c.respond(ctx)
 }
 
 // Append implements feed.Log.
-func (c *Caller) Append(ctx context.Context, name, key string, value []byte, at *feed.Position) error {
-	if err := c.enter(ctx, Append, name); err != nil {
+func (c *Client) Append(ctx context.Context, name, key string, value []byte, at *feed.Position) error {
+	if err := c.startCall(ctx, CallAppend, name); err != nil {
 		return err
 	}
 	if err := c.append(name, key, value, at); err != nil {
 		return err
 	}
-	return half(ctx)
+	return halfRoundTrip(ctx)
 }
 
-func (c *Caller) append(name, key string, value []byte, at *feed.Position) error {
+func (c *Client) append(name, key string, value []byte, at *feed.Position) error {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	if end := c.store.end(name); at != nil && *at != end {
-		return &feed.Conflict{End: end}
+		return &feed.ConflictError{End: end}
 	}
 	c.store.put(name, key, value)
 	return nil
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -20,299 +20,299 @@
 )
 
 const (
-	// Every is the pause between two rounds. The work of others is known that
+	// Interval is the pause between two rounds. The work of others is known that
 	// late; requests take a second, so it tells of most of them.
-	Every = 250 * time.Millisecond
-	// recentContact is the age of a pulse up to which its daemon is not called: of two
+	Interval = 250 * time.Millisecond
+	// recentContactWindow is the age of a pulse up to which its daemon is not called: of two
 	// daemons one calls.
-	recentContact = 200 * time.Millisecond
-	// knownEvery is how often the addresses of other daemons are told.
-	knownEvery = 2 * time.Second
-	// introduceFor is how long a daemon that was not known before is told some others
+	recentContactWindow = 200 * time.Millisecond
+	// addressesInterval is how often the addresses of other daemons are told.
+	addressesInterval = 2 * time.Second
+	// introductionPeriod is how long a daemon that was not known before is told some others
 	// with each pulse, introduced how many: a daemon that starts reaches three at first,
 	// and knows its place only when it has heard many. 32 addresses are 0.6 KB.
-	introduceFor = 2 * time.Second
-	introduced   = 32
-	// callLimit bounds one call. Round trips are some milliseconds.
-	callLimit = 700 * time.Millisecond
-	// silentAfter is the silence after which a daemon of a small deployment is
+	introductionPeriod = 2 * time.Second
+	introductionSize   = 32
+	// callTimeout bounds one call. Round trips are some milliseconds.
+	callTimeout = 700 * time.Millisecond
+	// minLivenessTimeout is the silence after which a daemon of a small deployment is
 	// taken as gone: some rounds, so that one lost packet does not take it out of
 	// the directory. silentTurns is the same in turns of calling all others, where
 	// one round does not reach them.
-	silentAfter = 950 * time.Millisecond
-	silentTurns = 3
-	// forgetAfter drops addresses at which nobody answered for so long.
-	forgetAfter = 60 * time.Second
-	// retryEvery is the pause between calls to an address that does not answer. One that
+	minLivenessTimeout    = 950 * time.Millisecond
+	livenessTimeoutCycles = 3
+	// addressRetention drops addresses at which nobody answered for so long.
+	addressRetention = 60 * time.Second
+	// retryInterval is the pause between calls to an address that does not answer. One that
 	// was learned within startSpan may be starting, and is called in every round: daemons
 	// start within a second of each other, and a second's pause is a long time for one
 	// that knows nobody yet.
-	retryEvery = time.Second
-	startSpan  = 3 * time.Second
-	// fanOut bounds the daemons called in one round.
-	fanOut = 8
-	// suspectFor is how long an unanswered call to a member is reported, and maxSuspects
+	retryInterval = time.Second
+	startupWindow = 3 * time.Second
+	// fanout bounds the daemons called in one round.
+	fanout = 8
+	// suspectReportPeriod is how long an unanswered call to a member is reported, and maxSuspects
 	// how many at a time: within it the word has gone round.
-	suspectFor  = 2 * time.Second
-	maxSuspects = 8
-	// leavingFor is how long the word that a run leaves is kept.
-	leavingFor = 30 * time.Second
+	suspectReportPeriod = 2 * time.Second
+	maxSuspects         = 8
+	// leavingRetention is how long the word that a run leaves is kept.
+	leavingRetention = 30 * time.Second
 )
 
 // member is one address at which a daemon is or was.
 type member struct {
 	address     string
-	pulse       Pulse
+	latest      Message
 	lastContact time.Time
 	added       time.Time
-	// met is when the daemon's present run was first heard.
-	met   time.Time
-	tried time.Time
-	// order is the place among those that this daemon calls first. It is another for
+	// incarnationSince is when the daemon's present run was first heard.
+	incarnationSince time.Time
+	lastAttempt      time.Time
+	// tiebreak is the place among those that this daemon calls first. It is another for
 	// each daemon: in an order that all share, all call the same few at the same time.
-	order   uint64
-	calling bool
-	// failed says that the last call got no answer, and nothing was heard since it began.
-	failed bool
+	tiebreak    uint64
+	callPending bool
+	// lastCallFailed says that the last call got no answer, and nothing was heard since it began.
+	lastCallFailed bool
 	// suspected says that another daemon got no answer from it. It is called next.
 	suspected bool
 }
 
 // Members are the other daemons, as far as known.
 type Members struct {
-	self  func(evidence bool) Pulse
-	peers Caller
-	log   *log.Logger
-	// OnPulse is called with every pulse. After is a reading of Boot after which the pulse
+	localMessage func(evidence bool) Message
+	transport    Transport
+	log          *log.Logger
+	// OnMessage is called with every pulse. After is a reading of Boot after which the pulse
 	// was made, or zero if none is known.
-	OnPulse func(p Pulse, after time.Duration)
-	// Boot reads a clock that counts while the VM is suspended.
-	Boot func() time.Duration
+	OnMessage func(p Message, after time.Duration)
+	// BootTime reads a clock that counts while the VM is suspended.
+	BootTime func() time.Duration
 	// OnWorkChanged is called when the work of other daemons has changed at backend servers.
 	OnWorkChanged func(changes []relay.Work)
 
-	// Quarantined returns the update on requests that end servers, with all that are
+	// QuarantineUpdate returns the update on requests that end servers, with all that are
 	// held for a daemon that was just met.
-	Quarantined func(justMet bool) quarantine.Update
+	QuarantineUpdate func(justMet bool) quarantine.Update
 
-	mu    sync.Mutex
-	all   map[string]*member
-	left  map[string]time.Time
-	where string
-	// roster holds those of all that were heard lately.
-	roster *membership.Roster
-	// failures are the members whose last call failed, the newest at the end.
-	failures []*member
+	mu           sync.Mutex
+	members      map[string]*member
+	leavingSince map[string]time.Time
+	address      string
+	// live holds those of all that were heard lately.
+	live *membership.LivePeers
+	// failedMembers are the members whose last call failed, the newest at the end.
+	failedMembers []*member
 	// firstContact is when the first other daemon was in contact, if one was.
 	firstContact time.Time
-	// lapsed is work of daemons that fell silent, not yet passed to OnWorkChanged.
-	lapsed []relay.Work
+	// expiredWork is work of daemons that fell silent, not yet passed to OnWorkChanged.
+	expiredWork []relay.Work
 	// incarnation names this run, so that word of ourselves is told apart.
-	incarnation string
-	knownSentAt time.Time
+	incarnation     string
+	addressesSentAt time.Time
 }
 
 // New returns members that know the daemon's own address only. Self makes the daemon's
 // pulse, with its evidence on new versions or without.
-func New(name, address, incarnation string, self func(evidence bool) Pulse, peers Caller, boot func() time.Duration, l *log.Logger) *Members {
+func New(name, address, incarnation string, self func(evidence bool) Message, peers Transport, boot func() time.Duration, l *log.Logger) *Members {
 	return &Members{
-		self: self, peers: peers, log: l, where: address, incarnation: incarnation, OnPulse: func(Pulse, time.Duration) {}, Boot: boot,
-		OnWorkChanged: func([]relay.Work) {}, Quarantined: func(bool) quarantine.Update { return quarantine.Update{} }, all: map[string]*member{}, left: map[string]time.Time{}, roster: membership.NewRoster(name),
+		localMessage: self, transport: peers, log: l, address: address, incarnation: incarnation, OnMessage: func(Message, time.Duration) {}, BootTime: boot,
+		OnWorkChanged: func([]relay.Work) {}, QuarantineUpdate: func(bool) quarantine.Update { return quarantine.Update{} }, members: map[string]*member{}, leavingSince: map[string]time.Time{}, live: membership.NewLivePeers(name),
 	}
 }
 
-// Register makes a peer server answer pulses, and calls for records with since.
-func (m *Members) Register(s *peer.Server, since func(topic string, from feed.Position) feed.Tail) {
-	peer.Handle(s, recordsKind, func(_ context.Context, _ string, q AskRecords) (Records, error) {
-		return AnswerRecords(q, since), nil
+// RegisterHandlers makes a peer server answer pulses, and calls for records with since.
+func (m *Members) RegisterHandlers(s *peer.Server, since func(topic string, from feed.Position) feed.Tail) {
+	peer.Handle(s, recordsKind, func(_ context.Context, _ string, q RecordsRequest) (RecordsResponse, error) {
+		return HandleRecords(q, since), nil
 	})
-	peer.Handle(s, kind, func(_ context.Context, _ string, p Pulse) (Pulse, error) {
-		return m.Answer(p), nil
+	peer.Handle(s, exchangeKind, func(_ context.Context, _ string, p Message) (Message, error) {
+		return m.HandleExchange(p), nil
 	})
 }
 
-// Answer takes a pulse of a daemon that calls, and returns this daemon's.
-func (m *Members) Answer(p Pulse) Pulse {
-	m.Take(p.Address, p)
-	return m.stampedPulseFor(p.Address, p.Incarnation, p.Stamp, p.Judge)
+// HandleExchange takes a pulse of a daemon that calls, and returns this daemon's.
+func (m *Members) HandleExchange(p Message) Message {
+	m.Receive(p.Address, p)
+	return m.newStampedMessage(p.Address, p.Incarnation, p.Timestamp, p.WantsEvidence)
 }
 
-// Learn adds addresses at which daemons may be.
-func (m *Members) Learn(addresses ...string) {
+// AddAddresses adds addresses at which daemons may be.
+func (m *Members) AddAddresses(addresses ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, a := range addresses {
-		if a == "" || a == m.where || m.all[a] != nil {
+		if a == "" || a == m.address || m.members[a] != nil {
 			continue
 		}
-		m.all[a] = &member{address: a, added: time.Now(), order: xxhash.Sum64String(m.where + "\x00" + a)}
+		m.members[a] = &member{address: a, added: time.Now(), tiebreak: xxhash.Sum64String(m.address + "\x00" + a)}
 	}
 }
 
-// pulseFor makes a pulse for the daemon at an address.
-func (m *Members) pulseFor(to string, evidence bool) Pulse {
-	p := m.self(evidence)
+// newMessage makes a pulse for the daemon at an address.
+func (m *Members) newMessage(to string, evidence bool) Message {
+	p := m.localMessage(evidence)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	m.expire(now)
-	p.Suspects = m.failedLately(now)
-	p.Quarantine = m.Quarantined(m.justMet(to, now))
-	switch o := m.all[to]; {
-	case now.Sub(m.knownSentAt) >= knownEvery:
-		m.knownSentAt = now
-		p.Known = m.sample(len(m.all))
-	case o != nil && now.Sub(o.added) < introduceFor:
-		p.Known = m.sample(introduced)
+	m.expireSilent(now)
+	p.Suspects = m.recentFailures(now)
+	p.Quarantine = m.QuarantineUpdate(m.recentlyJoined(to, now))
+	switch o := m.members[to]; {
+	case now.Sub(m.addressesSentAt) >= addressesInterval:
+		m.addressesSentAt = now
+		p.KnownAddresses = m.sampleLiveAddresses(len(m.members))
+	case o != nil && now.Sub(o.added) < introductionPeriod:
+		p.KnownAddresses = m.sampleLiveAddresses(introductionSize)
 	}
 	return p
 }
 
-// justMet reports whether the run of the daemon at an address was first heard a moment ago,
+// recentlyJoined reports whether the run of the daemon at an address was first heard a moment ago,
 // or never. Callers hold mu.
-func (m *Members) justMet(address string, now time.Time) bool {
-	o := m.all[address]
-	return o == nil || o.met.IsZero() || now.Sub(o.met) < introduceFor
+func (m *Members) recentlyJoined(address string, now time.Time) bool {
+	o := m.members[address]
+	return o == nil || o.incarnationSince.IsZero() || now.Sub(o.incarnationSince) < introductionPeriod
 }
 
-// sample returns the addresses of up to n of the daemons heard lately. Callers hold mu.
-func (m *Members) sample(n int) []string {
-	out := make([]string, 0, min(n, len(m.all)))
-	for a := range m.all {
+// sampleLiveAddresses returns the addresses of up to n of the daemons heard lately. Callers hold mu.
+func (m *Members) sampleLiveAddresses(n int) []string {
+	out := make([]string, 0, min(n, len(m.members)))
+	for a := range m.members {
 		if len(out) == n {
 			break
 		}
-		if m.roster.Has(a) {
+		if m.live.Contains(a) {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// stampedPulseFor makes a pulse for the daemon at an address, whose run's newest stamp is known.
-func (m *Members) stampedPulseFor(address, incarnation string, stamp int64, evidence bool) Pulse {
-	p := m.pulseFor(address, evidence)
-	p.Stamp = m.Boot().Milliseconds()
+// newStampedMessage makes a pulse for the daemon at an address, whose run's newest stamp is known.
+func (m *Members) newStampedMessage(address, incarnation string, stamp int64, evidence bool) Message {
+	p := m.newMessage(address, evidence)
+	p.Timestamp = m.BootTime().Milliseconds()
 	if incarnation != "" {
-		p.Echo, p.EchoTo = stamp, xxhash.Sum64String(incarnation)
+		p.EchoTimestamp, p.EchoIncarnation = stamp, xxhash.Sum64String(incarnation)
 	}
 	return p
 }
 
-// after returns a reading of this daemon's clock after which a pulse was made.
-func (m *Members) after(p Pulse) time.Duration {
-	if p.Echo <= 0 || p.EchoTo != xxhash.Sum64String(m.incarnation) {
+// sentAfter returns a reading of this daemon's clock after which a pulse was made.
+func (m *Members) sentAfter(p Message) time.Duration {
+	if p.EchoTimestamp <= 0 || p.EchoIncarnation != xxhash.Sum64String(m.incarnation) {
 		return 0
 	}
-	return time.Duration(p.Echo) * time.Millisecond
+	return time.Duration(p.EchoTimestamp) * time.Millisecond
 }
 
-// silence is how long a daemon may be silent before it counts as gone. Callers hold
+// livenessTimeout is how long a daemon may be silent before it counts as gone. Callers hold
 // mu.
-func (m *Members) silence() time.Duration {
-	turn := time.Duration(len(m.all)) * Every / (2 * fanOut)
-	return max(silentAfter, silentTurns*turn)
+func (m *Members) livenessTimeout() time.Duration {
+	turn := time.Duration(len(m.members)) * Interval / (2 * fanout)
+	return max(minLivenessTimeout, livenessTimeoutCycles*turn)
 }
 
-// Take takes a pulse that came from an address. Its cost does not grow with the number of
+// Receive takes a pulse that came from an address. Its cost does not grow with the number of
 // daemons: one of 195 is called, and called back, 64 times a second.
-func (m *Members) Take(address string, p Pulse) {
-	m.Learn(address)
-	m.Learn(p.Known...)
+func (m *Members) Receive(address string, p Message) {
+	m.AddAddresses(address)
+	m.AddAddresses(p.KnownAddresses...)
 	now := time.Now()
 	m.mu.Lock()
-	o := m.all[address]
+	o := m.members[address]
 	if o == nil || p.Incarnation == m.incarnation {
 		m.mu.Unlock()
 		return
 	}
-	m.expire(now)
-	if !m.roster.Has(address) || o.pulse.Incarnation != p.Incarnation {
-		m.log.Info("daemon heard", "daemon", p.Name, "address", address, "incarnation", p.Incarnation, "config", p.Version, "ready", p.Ready)
+	m.expireSilent(now)
+	if !m.live.Contains(address) || o.latest.Incarnation != p.Incarnation {
+		m.log.Info("daemon heard", "daemon", p.Name, "address", address, "incarnation", p.Incarnation, "config", p.ConfigVersion, "ready", p.Ready)
 	}
-	if p.Leaving && !o.pulse.Leaving {
+	if p.Leaving && !o.latest.Leaving {
 		m.log.Info("daemon leaves", "daemon", p.Name, "address", address)
 	}
 	if p.Leaving {
-		m.left[p.Incarnation] = now
+		m.leavingSince[p.Incarnation] = now
 	}
-	if _, gone := m.left[p.Incarnation]; gone {
+	if _, gone := m.leavingSince[p.Incarnation]; gone {
 		// Pulses may overtake each other; a run that leaves does not come back.
 		p.Leaving, p.Ready = true, false
 	}
 	if m.firstContact.IsZero() {
 		m.firstContact = now
 	}
-	if o.met.IsZero() || o.pulse.Incarnation != p.Incarnation {
-		o.met = now
+	if o.incarnationSince.IsZero() || o.latest.Incarnation != p.Incarnation {
+		o.incarnationSince = now
 	}
-	changes := difference(o.pulse.Work, p.Work)
-	m.roster.Contacted(address, membership.Standing{Name: p.Name, Incarnation: p.Incarnation, Able: p.Able, Leaving: p.Leaving}, now)
-	o.pulse, o.lastContact, o.failed, o.suspected = p, now, false, false
-	m.suspect(p.Suspects, now)
+	changes := workDelta(o.latest.Work, p.Work)
+	m.live.Update(address, membership.PeerStatus{Name: p.Name, Incarnation: p.Incarnation, Eligible: p.Eligible, Leaving: p.Leaving}, now)
+	o.latest, o.lastContact, o.lastCallFailed, o.suspected = p, now, false, false
+	m.markSuspected(p.Suspects, now)
 	// What is handed on at once is not kept: one daemon of 195 keeps as many pulses.
-	o.pulse.Known, o.pulse.Placed, o.pulse.Orders, o.pulse.Suspects = nil, nil, nil, nil
-	o.pulse.Quarantine = quarantine.Update{}
+	o.latest.KnownAddresses, o.latest.Placed, o.latest.Orders, o.latest.Suspects = nil, nil, nil, nil
+	o.latest.Quarantine = quarantine.Update{}
 	m.mu.Unlock()
 	m.OnWorkChanged(changes)
-	m.OnPulse(p, m.after(p))
+	m.OnMessage(p, m.sentAfter(p))
 }
 
-// expire takes those off the roster that have fallen silent, and their work with them.
+// expireSilent takes those off the roster that have fallen silent, and their work with them.
 // Callers hold mu.
-func (m *Members) expire(now time.Time) {
-	m.roster.Silent(now, m.silence(), func(address string) {
-		o := m.all[address]
-		m.lapsed = append(m.lapsed, difference(o.pulse.Work, nil)...)
-		o.pulse.Work = nil
+func (m *Members) expireSilent(now time.Time) {
+	m.live.ExpireSilent(now, m.livenessTimeout(), func(address string) {
+		o := m.members[address]
+		m.expiredWork = append(m.expiredWork, workDelta(o.latest.Work, nil)...)
+		o.latest.Work = nil
 	})
 }
 
-// with runs f on the roster of those that were heard lately.
-func (m *Members) with(f func(r *membership.Roster)) {
+// withLive runs f on the roster of those that were heard lately.
+func (m *Members) withLive(f func(r *membership.LivePeers)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire(time.Now())
-	f(m.roster)
+	m.expireSilent(time.Now())
+	f(m.live)
 }
 
-// InTouch returns for how long others have been heard; false if none ever was.
-func (m *Members) InTouch() (time.Duration, bool) {
+// SinceFirstContact returns for how long others have been heard; false if none ever was.
+func (m *Members) SinceFirstContact() (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Since(m.firstContact), !m.firstContact.IsZero()
 }
 
-// Len returns how many other daemons were heard lately.
-func (m *Members) Len() (n int) {
-	m.with(func(r *membership.Roster) { n = r.Len() })
+// LiveCount returns how many other daemons were heard lately.
+func (m *Members) LiveCount() (n int) {
+	m.withLive(func(r *membership.LivePeers) { n = r.Len() })
 	return n
 }
 
 // Rank is this daemon's place among those that do not leave, the able ones first.
 func (m *Members) Rank(able bool) (rank int) {
-	m.with(func(r *membership.Roster) { rank = r.Rank(able) })
+	m.withLive(func(r *membership.LivePeers) { rank = r.Rank(able) })
 	return rank
 }
 
-// Lives reports whether a run of a daemon was heard lately.
-func (m *Members) Lives(incarnation string) (lives bool) {
-	m.with(func(r *membership.Roster) { lives = r.Lives(incarnation) })
+// IncarnationLive reports whether a run of a daemon was heard lately.
+func (m *Members) IncarnationLive(incarnation string) (lives bool) {
+	m.withLive(func(r *membership.LivePeers) { lives = r.HasIncarnation(incarnation) })
 	return lives
 }
 
-// Alive returns the newest pulses of the daemons heard lately, by name. It copies all of
+// LiveMessages returns the newest pulses of the daemons heard lately, by name. It copies all of
 // them: no message and no request may ask for it.
-func (m *Members) Alive() []Pulse {
+func (m *Members) LiveMessages() []Message {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire(time.Now())
-	out := make([]Pulse, 0, m.roster.Len())
-	for _, o := range m.all {
-		if m.roster.Has(o.address) {
-			out = append(out, o.pulse)
+	m.expireSilent(time.Now())
+	out := make([]Message, 0, m.live.Len())
+	for _, o := range m.members {
+		if m.live.Contains(o.address) {
+			out = append(out, o.latest)
 		}
 	}
-	slices.SortFunc(out, func(a, b Pulse) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b Message) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
--- a/internal/gossip/placements.go
+++ b/internal/gossip/placements.go
@@ -10,35 +10,35 @@
 // Placements gathers what this daemon placed into numbered rounds, so that every
 // other daemon hears of each round once, however many pulses carry it.
 type Placements struct {
-	mu    sync.Mutex
-	round uint64
-	since time.Time
-	now   []relay.Placed
-	heard map[string]uint64
+	mu         sync.Mutex
+	round      uint64
+	roundStart time.Time
+	current    []relay.Placed
+	seenRounds map[string]uint64
 }
 
-// Current returns the round that pulses carry now. A round is carried for as
+// CurrentRound returns the round that pulses carry now. A round is carried for as
 // long as one turn of pulses takes.
-func (p *Placements) Current(take func() []relay.Placed, now time.Time) ([]relay.Placed, uint64) {
+func (p *Placements) CurrentRound(take func() []relay.Placed, now time.Time) ([]relay.Placed, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.since) >= Every {
+	if now.Sub(p.roundStart) >= Interval {
 		p.round++
-		p.since, p.now = now, take()
+		p.roundStart, p.current = now, take()
 	}
-	return p.now, p.round
+	return p.current, p.round
 }
 
-// Fresh reports whether a round of another incarnation was not heard before.
-func (p *Placements) Fresh(incarnation string, round uint64) bool {
+// MarkSeen reports whether a round of another incarnation was not heard before.
+func (p *Placements) MarkSeen(incarnation string, round uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.heard == nil {
-		p.heard = map[string]uint64{}
+	if p.seenRounds == nil {
+		p.seenRounds = map[string]uint64{}
 	}
-	if round <= p.heard[incarnation] {
+	if round <= p.seenRounds[incarnation] {
 		return false
 	}
-	p.heard[incarnation] = round
+	p.seenRounds[incarnation] = round
 	return true
 }
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspect.go
@@ -9,32 +9,32 @@
 // its end is known everywhere after 2 s instead of 9 with 195 daemons. Nobody believes
 // another's word: its own way to the daemon may be cut.
 
-// suspect takes addresses that did not answer another daemon. Callers hold mu.
-func (m *Members) suspect(addresses []string, now time.Time) {
+// markSuspected takes addresses that did not answer another daemon. Callers hold mu.
+func (m *Members) markSuspected(addresses []string, now time.Time) {
 	for _, a := range addresses {
-		if o := m.all[a]; o != nil && m.roster.Has(a) && !o.failed && now.Sub(o.lastContact) >= Every {
+		if o := m.members[a]; o != nil && m.live.Contains(a) && !o.lastCallFailed && now.Sub(o.lastContact) >= Interval {
 			o.suspected = true
 		}
 	}
 }
 
-// failedLately returns the addresses of some members that did not answer the last call, as
+// recentFailures returns the addresses of some members that did not answer the last call, as
 // long as this is news. Callers hold mu.
-func (m *Members) failedLately(now time.Time) (out []string) {
-	for _, o := range m.failures {
-		if o.failed && now.Sub(o.tried) < suspectFor && len(out) < maxSuspects {
+func (m *Members) recentFailures(now time.Time) (out []string) {
+	for _, o := range m.failedMembers {
+		if o.lastCallFailed && now.Sub(o.lastAttempt) < suspectReportPeriod && len(out) < maxSuspects {
 			out = append(out, o.address)
 		}
 	}
 	return out
 }
 
-// noteFailure keeps the members of which others are told that they do not answer. Callers
+// updateFailedMembers keeps the members of which others are told that they do not answer. Callers
 // hold mu.
-func (m *Members) noteFailure(o *member) {
-	m.failures = slices.DeleteFunc(m.failures, func(f *member) bool { return f == o || !f.failed })
-	if o.failed {
-		m.failures = append(m.failures, o)
+func (m *Members) updateFailedMembers(o *member) {
+	m.failedMembers = slices.DeleteFunc(m.failedMembers, func(f *member) bool { return f == o || !f.lastCallFailed })
+	if o.lastCallFailed {
+		m.failedMembers = append(m.failedMembers, o)
 	}
-	m.failures = m.failures[max(0, len(m.failures)-maxSuspects):]
+	m.failedMembers = m.failedMembers[max(0, len(m.failedMembers)-maxSuspects):]
 }
--- a/internal/membership/offer_test.go
+++ b/internal/membership/offer_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// told is how many addresses one caller takes.
-const told = 64
+// clientEndpoints is how many addresses one caller takes.
+const clientEndpoints = 64
 
-// fronts are ready daemons, evenly in failure domains.
-func fronts(n, domains int) []Front {
-	out := make([]Front, n)
+// readyEndpoints are ready daemons, evenly in failure domains.
+func readyEndpoints(n, domains int) []Endpoint {
+	out := make([]Endpoint, n)
 	for i := range out {
-		out[i] = Front{Address: fmt.Sprintf("10.%d.0.%d:80", i%domains, i), FailureDomain: fmt.Sprint("d", i%domains), Ready: true}
+		out[i] = Endpoint{Address: fmt.Sprintf("10.%d.0.%d:80", i%domains, i), FailureDomain: fmt.Sprint("d", i%domains), Ready: true}
 	}
 	return out
 }
@@ -25,19 +25,19 @@
 func TestEveryDaemonIsOfferedToItsPartOfTheCallers(t *testing.T) {
 	const domains, callers = 6, 1200
 	for _, n := range []int{6, 60, 195, 520} {
-		all := fronts(n, domains)
+		all := readyEndpoints(n, domains)
 		got := map[string]int{}
 		for i := range callers {
-			c := Caller{Address: fmt.Sprintf("10.200.%d.%d", i/200, i%200), FailureDomain: fmt.Sprint("d", i%domains)}
-			offer := Offer(all, c, told)
-			if len(offer) != min(n, told) {
+			c := Client{Address: fmt.Sprintf("10.200.%d.%d", i/200, i%200), FailureDomain: fmt.Sprint("d", i%domains)}
+			offer := SelectEndpoints(all, c, clientEndpoints)
+			if len(offer) != min(n, clientEndpoints) {
 				t.Fatalf("%d daemons: %d are offered", n, len(offer))
 			}
 			for _, a := range offer {
 				got[a]++
 			}
 		}
-		fair := callers * min(n, told) / n
+		fair := callers * min(n, clientEndpoints) / n
 		for _, f := range all {
 			if got[f.Address] < fair/2 || got[f.Address] > 2*fair {
 				t.Errorf("%d daemons: %s is offered to %d of %d callers, its part is %d", n, f.Address, got[f.Address], callers, fair)
@@ -49,49 +49,49 @@
 // A caller closes its connections to addresses that an answer lacks, so that all daemons
 // have to give it the same, and a daemon that comes or goes must not change the others.
 func TestOfferIsTheSameFromEveryDaemon(t *testing.T) {
-	all := fronts(195, 6)
-	c := Caller{Address: "10.200.0.1", FailureDomain: "d3"}
-	first := Offer(all, c, told)
+	all := readyEndpoints(195, 6)
+	c := Client{Address: "10.200.0.1", FailureDomain: "d3"}
+	first := SelectEndpoints(all, c, clientEndpoints)
 	slices.Reverse(all)
-	second := Offer(all, c, told)
+	second := SelectEndpoints(all, c, clientEndpoints)
 	if !slices.Equal(first, second) {
 		t.Errorf("%v and %v", first, second)
 	}
-	lost := slices.DeleteFunc(all, func(f Front) bool { return f.Address == first[5] })
+	lost := slices.DeleteFunc(all, func(f Endpoint) bool { return f.Address == first[5] })
 	kept := 0
-	for _, a := range Offer(lost, c, told) {
+	for _, a := range SelectEndpoints(lost, c, clientEndpoints) {
 		if slices.Contains(first, a) {
 			kept++
 		}
 	}
-	if kept != told-1 {
-		t.Errorf("%d of %d stay when one daemon goes", kept, told-1)
+	if kept != clientEndpoints-1 {
+		t.Errorf("%d of %d stay when one daemon goes", kept, clientEndpoints-1)
 	}
 }
 
 func TestOwnFailureDomainIsOfferedFirst(t *testing.T) {
-	all := fronts(195, 6)
-	offer := Offer(all, Caller{Address: "10.200.0.1", FailureDomain: "d2"}, told)
+	all := readyEndpoints(195, 6)
+	offer := SelectEndpoints(all, Client{Address: "10.200.0.1", FailureDomain: "d2"}, clientEndpoints)
 	for _, f := range all {
 		if f.FailureDomain == "d2" && !slices.Contains(offer, f.Address) {
 			t.Errorf("%s is not offered", f.Address)
 		}
 	}
-	if got := Offer(all, Caller{FailureDomain: "elsewhere"}, told); len(got) != told {
+	if got := SelectEndpoints(all, Client{FailureDomain: "elsewhere"}, clientEndpoints); len(got) != clientEndpoints {
 		t.Errorf("%d are offered to a caller from elsewhere", len(got))
 	}
 }
 
 func TestOfferIsNeverEmpty(t *testing.T) {
-	a, b, c := Front{Address: "a", Leaving: true}, Front{Address: "b"}, Front{Address: "c"}
-	if got := Offer([]Front{a, b, c}, Caller{}, told); !slices.Equal(got, []string{"b", "c"}) {
+	a, b, c := Endpoint{Address: "a", Leaving: true}, Endpoint{Address: "b"}, Endpoint{Address: "c"}
+	if got := SelectEndpoints([]Endpoint{a, b, c}, Client{}, clientEndpoints); !slices.Equal(got, []string{"b", "c"}) {
 		t.Errorf("none ready: %v", got)
 	}
-	if got := Offer([]Front{a}, Caller{}, told); !slices.Equal(got, []string{"a"}) {
+	if got := SelectEndpoints([]Endpoint{a}, Client{}, clientEndpoints); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("all leaving: %v", got)
 	}
 	c.Ready = true
-	if got := Offer([]Front{a, b, c}, Caller{}, told); !slices.Equal(got, []string{"c"}) {
+	if got := SelectEndpoints([]Endpoint{a, b, c}, Client{}, clientEndpoints); !slices.Equal(got, []string{"c"}) {
 		t.Errorf("one ready: %v", got)
 	}
 }
@@ -99,10 +99,10 @@
 // 0.4 us at 6 daemons, 60 us at 195, 190 us at 520.
 func BenchmarkOffer(b *testing.B) {
 	for _, n := range []int{6, 195, 520} {
-		all := fronts(n, 5)
+		all := readyEndpoints(n, 5)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				Offer(all, Caller{Address: "10.200.0.1", FailureDomain: "d2"}, told)
+				SelectEndpoints(all, Client{Address: "10.200.0.1", FailureDomain: "d2"}, clientEndpoints)
 			}
 		})
 	}
--- a/internal/membership/roles.go
+++ b/internal/membership/roles.go
@@ -8,39 +8,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// usable rows may hold roles and get callers.
-func usable(m Member) bool { return m.State == Alive && m.Serving && !m.Leaving }
+// canServe rows may hold roles and get callers.
+func canServe(m Member) bool { return m.State == Alive && m.Serving && !m.Leaving }
 
-// Homes returns the n best usable daemons for a key by rendezvous hashing, best
+// Owners returns the n best usable daemons for a key by rendezvous hashing, best
 // first, own daemon included.
-func (t *Table) Homes(key string, n int) []Member {
-	return t.ranked(key, n, usable)
+func (t *Table) Owners(key string, n int) []Member {
+	return t.rendezvous(key, n, canServe)
 }
 
-// HomesIn returns the n best usable daemons of one failure domain for a key.
-func (t *Table) HomesIn(domain, key string, n int) []Member {
-	return t.ranked(key, n, func(m Member) bool { return usable(m) && m.FailureDomain == domain })
+// OwnersIn returns the n best usable daemons of one failure domain for a key.
+func (t *Table) OwnersIn(domain, key string, n int) []Member {
+	return t.rendezvous(key, n, func(m Member) bool { return canServe(m) && m.FailureDomain == domain })
 }
 
-// Keepers returns up to n daemons outside the own failure domain that keep copies
+// Replicas returns up to n daemons outside the own failure domain that keep copies
 // for the own one; where there is none, others of the own domain. A keeper need
 // not serve requests.
-func (t *Table) Keepers(n int) []Member {
+func (t *Table) Replicas(n int) []Member {
 	domain := t.Self().FailureDomain
 	stays := func(m Member) bool { return m.State == Alive && !m.Leaving && m.ID != t.self }
-	away := t.ranked(t.self, n, func(m Member) bool { return stays(m) && m.FailureDomain != domain })
+	away := t.rendezvous(t.self, n, func(m Member) bool { return stays(m) && m.FailureDomain != domain })
 	if len(away) > 0 {
 		return away
 	}
-	return t.ranked(t.self, n, stays)
+	return t.rendezvous(t.self, n, stays)
 }
 
-// ranked keeps the n best in one pass: a fleet of 520 is ranked for every bill,
+// rendezvous keeps the n best in one pass: a fleet of 520 is ranked for every bill,
 // and sorting it each time would cost more than the bill.
-func (t *Table) ranked(key string, n int, keep func(Member) bool) []Member {
+func (t *Table) rendezvous(key string, n int, keep func(Member) bool) []Member {
 	var best []Member
 	var weights []uint64
-	for _, m := range t.rows {
+	for _, m := range t.members {
 		if !keep(*m) {
 			continue
 		}
@@ -64,7 +64,7 @@
 func (t *Table) Endpoints(n int) []string {
 	byDomain := map[string][]Member{}
 	for _, m := range t.Members() {
-		if usable(m) {
+		if canServe(m) {
 			byDomain[m.FailureDomain] = append(byDomain[m.FailureDomain], m)
 		}
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -27,7 +27,7 @@
 func (n *Node) Drain(ctx context.Context) {
 	began := time.Now()
 	n.leaving.Store(true)
-	n.members.Tell(ctx)
+	n.members.Broadcast(ctx)
 	last := n.config.Grace - endMargin
 	for {
 		time.Sleep(drainStep)
--- a/internal/node/fresh.go
+++ b/internal/node/fresh.go
@@ -37,7 +37,7 @@
 func upkeep(inForce, leave time.Duration) freshness.Plan {
 	return freshness.Plan{
 		freshness.Configuration: {Bears: inForce, First: 0.4, Step: 150 * time.Millisecond, Most: 0.6},
-		freshness.Servers:       {Bears: leave, First: 0.25, Step: gossip.Every, Most: 0.6},
+		freshness.Servers:       {Bears: leave, First: 0.25, Step: gossip.Interval, Most: 0.6},
 	}
 }
 
@@ -82,7 +82,7 @@
 	for ctx.Err() == nil {
 		now := time.Now()
 		for _, f := range n.followers {
-			f.Check(now)
+			f.CheckLag(now)
 		}
 		idle := n.look(ctx, now)
 		n.showAges()
@@ -107,14 +107,14 @@
 	about, due, any := n.state.NextLook(n.plan, n.rank(), n.ownDue())
 	f := n.followers[about]
 	switch {
-	case !any || f.Away():
+	case !any || f.Unavailable():
 		return longestIdle
 	case now.Before(n.lookFrom):
 		return n.lookFrom.Sub(now)
 	case due > 0:
 		return due
 	}
-	current, err := f.Look(ctx)
+	current, err := f.ProbeEnd(ctx)
 	switch {
 	case err != nil:
 		n.noteUnanswered()
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, f := range n.followers {
-		f.Renew()
+		f.RestartRead()
 	}
 }
 
@@ -208,10 +208,10 @@
 // confirmedBy takes another daemon's confirmations with their ages, counted from a
 // moment after which the pulse was made: it may have been on its way for any time.
 // One holds only if this daemon knows what the other did.
-func (n *Node) confirmedBy(p gossip.Pulse, after time.Duration) {
+func (n *Node) confirmedBy(p gossip.Message, after time.Duration) {
 	for about := range freshness.Subjects {
 		age, known := p.Age(about)
-		if known && n.followers[about].Next() >= p.Next(int(about)) {
+		if known && n.followers[about].Next() >= p.NextPosition(int(about)) {
 			n.take(about, freshness.Confirmation{At: after - age, By: p.Name})
 		}
 	}
--- a/internal/node/holds.go
+++ b/internal/node/holds.go
@@ -125,7 +125,7 @@
 func (n *Node) writeHeld(ctx context.Context, h Held) {
 	key, value, err := n.ports.Translator.EncodeHeld(h)
 	if err == nil {
-		err = feed.Put(ctx, n.ports.Log, n.topics.Daemons, key, value, nil)
+		err = feed.AppendWithTimeout(ctx, n.ports.Log, n.topics.Daemons, key, value, nil)
 	}
 	if err != nil {
 		n.log.Warn("held request not written", "fingerprint", h.Fingerprint, "released", h.Released, "err", err)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -130,7 +130,7 @@
 	n, now := testNode(t)
 	n.know()
 	*now += ownLeast + ownGrace
-	n.confirmedBy(gossip.Pulse{Ages: []int64{100}}, *now)
+	n.confirmedBy(gossip.Message{Ages: []int64{100}}, *now)
 	if !n.state.Fresh(freshness.Configuration, time.Second) {
 		t.Error("the word of another daemon is not taken")
 	}
@@ -143,7 +143,7 @@
 	n, now := testNode(t)
 	n.know()
 	*now += time.Second
-	n.confirmedBy(gossip.Pulse{Ages: []int64{0}, Nexts: []feed.Position{9}}, *now)
+	n.confirmedBy(gossip.Message{Ages: []int64{0}, NextPositions: []feed.Position{9}}, *now)
 	if n.state.Fresh(freshness.Configuration, time.Second/2) {
 		t.Error("confirmed although the other daemon has read a configuration that this one has not")
 	}
@@ -208,8 +208,8 @@
 	hear := func(ready, able bool) {
 		for i := range 40 {
 			name := fmt.Sprint("d", i+1)
-			n.members.Learn("c" + name)
-			n.members.Take("c"+name, gossip.Pulse{Incarnation: name, Name: name, Ready: ready, Able: able})
+			n.members.AddAddresses("c" + name)
+			n.members.Receive("c"+name, gossip.Message{Incarnation: name, Name: name, Ready: ready, Eligible: able})
 		}
 	}
 	hear(true, true)
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -33,9 +33,9 @@
 func (n *Node) prepare(ctx context.Context) {
 	add := func(about freshness.Subject, topic string, wait, gather time.Duration, apply func([]feed.Record, bool)) *feed.Follower {
 		f := feed.New(&feed.Follower{
-			Log: n.ports.Log, Topic: topic, Wait: wait, Gather: gather, Boot: n.ports.Boot,
-			Apply: apply, Returned: func() { n.returned.note(about) }, Confirmed: func(sent time.Duration) { n.confirm(about, sent) }, Unanswered: n.noteUnanswered, Logger: n.log,
-			Peer: n.recordsOf, ReadsLog: n.readsStore, Reader: n.reader, IdlePause: n.idlePause,
+			Log: n.ports.Log, Topic: topic, MaxWait: wait, BatchDelay: gather, BootTime: n.ports.Boot,
+			Apply: apply, OnEraChange: func() { n.returned.note(about) }, OnConfirmed: func(sent time.Duration) { n.confirm(about, sent) }, OnReadFailed: n.noteUnanswered, Logger: n.log,
+			FetchTail: n.recordsOf, ReadsLog: n.readsStore, IsDesignatedReader: n.reader, MaxStandbyBackoff: n.idlePause,
 		})
 		n.followers = append(n.followers, f)
 		return f
@@ -45,18 +45,18 @@
 	n.statuses = add(freshness.Rollouts, n.topics.Status, quietWait, 0, n.status)
 	n.others = add(freshness.Daemons, n.topics.Daemons, quietWait, serversGather, n.entries)
 	for _, f := range n.followers[1:] {
-		f.After, f.ReadsLog = n.operators, n.readsBeside
+		f.DependsOn, f.ReadsLog = n.operators, n.readsBeside
 	}
 	for _, f := range []*feed.Follower{n.operators, servers} {
-		f.Grown = func() { n.members.Tell(ctx) }
+		f.OnApplied = func() { n.members.Broadcast(ctx) }
 	}
-	n.statuses.Grown = n.operators.Grown
-	n.others.Wanted = func() bool { return n.contact() || n.reader() }
+	n.statuses.OnApplied = n.operators.OnApplied
+	n.others.Enabled = func() bool { return n.contact() || n.reader() }
 }
 
 // recordsOf fetches records from a daemon that has read further.
 func (n *Node) recordsOf(ctx context.Context, topic string, from feed.Position) (feed.Tail, error) {
-	return n.members.Records(ctx, topic, from, func(p gossip.Pulse) bool { return p.Next(n.topicIndex(topic)) > from })
+	return n.members.FetchRecords(ctx, topic, from, func(p gossip.Message) bool { return p.NextPosition(n.topicIndex(topic)) > from })
 }
 
 // topicIndex is a topic's place in pulses.
@@ -68,7 +68,7 @@
 func (n *Node) recordsSince(topic string, from feed.Position) feed.Tail {
 	for _, f := range n.followers {
 		if f.Topic == topic {
-			return f.Since(from)
+			return f.TailFrom(from)
 		}
 	}
 	return feed.Tail{Next: from}
@@ -232,7 +232,7 @@
 		if r.Key == n.config.Name && control == n.config.Control {
 			n.enrolled.Store(true)
 		}
-		n.members.Learn(control)
+		n.members.AddAddresses(control)
 	}
 }
 
@@ -263,7 +263,7 @@
 			loop.Pause(ctx, enrollLook)
 			continue
 		}
-		err := feed.Put(ctx, n.ports.Log, n.topics.Daemons, n.config.Name, value, nil)
+		err := feed.AppendWithTimeout(ctx, n.ports.Log, n.topics.Daemons, n.config.Name, value, nil)
 		if err == nil {
 			n.log.Info("own entry written")
 			n.enrolled.Store(true)
@@ -283,12 +283,12 @@
 		return err
 	}
 	at := n.statuses.Next()
-	err = feed.Put(ctx, n.ports.Log, n.topics.Status, key, value, &at)
-	var conflict *feed.Conflict
+	err = feed.AppendWithTimeout(ctx, n.ports.Log, n.topics.Status, key, value, &at)
+	var conflict *feed.ConflictError
 	if errors.As(err, &conflict) {
 		// The reading hangs if it does not tell by itself what another daemon wrote;
 		// every further try would be refused like this one.
-		n.statuses.Expect(conflict.End)
+		n.statuses.ObservePeerPosition(conflict.End)
 	}
 	return err
 }
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -23,7 +23,7 @@
 
 func (n *Node) judge(ctx context.Context) {
 	n.writeUnsaid(ctx)
-	for _, step := range n.Relay.Rollouts.Due(n.members.Lives) {
+	for _, step := range n.Relay.Rollouts.Due(n.members.IncarnationLive) {
 		if step.Phase == rollout.RolledBack {
 			n.Relay.Rollouts.Brake(step.Order.Service, step.Order.Offset, step.Why)
 		}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// maxMessage bounds one message in bytes.
-	maxMessage = 8 << 20
-	// authSkew bounds the age of a peer's signature.
-	authSkew = 60 * time.Second
-	// path is where daemons accept each other.
-	path = "/peer"
-	// idleLimit closes a link that was not used for so long. Probes go through
+	// maxMessageBytes bounds one message in bytes.
+	maxMessageBytes = 8 << 20
+	// maxClockSkew bounds the age of a peer's signature.
+	maxClockSkew = 60 * time.Second
+	// endpointPath is where daemons accept each other.
+	endpointPath = "/peer"
+	// idleTimeout closes a link that was not used for so long. Probes go through
 	// the whole fleet; keeping a link to everybody would cost hundreds of
 	// sockets on both sides for one message in minutes.
-	idleLimit = 30 * time.Second
+	idleTimeout = 30 * time.Second
 )
 
 type envelope struct {
@@ -39,8 +39,8 @@
 	Body  cbor.RawMessage `cbor:"4,keyasint,omitempty"`
 }
 
-// decoder bounds what a peer may make us allocate.
-var decoder = func() cbor.DecMode {
+// decMode bounds what a peer may make us allocate.
+var decMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16}.DecMode()
 	if err != nil {
 		panic(err)
@@ -67,66 +67,66 @@
 		return parts[0], true
 	}
 	stamp, err := strconv.ParseInt(parts[1], 10, 64)
-	if err != nil || now.Sub(time.Unix(stamp, 0)).Abs() > authSkew {
+	if err != nil || now.Sub(time.Unix(stamp, 0)).Abs() > maxClockSkew {
 		return "", false
 	}
 	want := sign(key, parts[0], time.Unix(stamp, 0))
 	return parts[0], hmac.Equal([]byte(want), []byte(header))
 }
 
-// Links holds the outgoing connections of one daemon, one for each peer address.
-type Links struct {
+// Client holds the outgoing connections of one daemon, one for each peer address.
+type Client struct {
 	self, key string
 	tls       *tls.Config
 	mu        sync.Mutex
-	links     map[string]*link
-	// Bytes counts what was sent and received, for the control budget.
-	Bytes func(n int)
+	conns     map[string]*clientConn
+	// OnBytes counts what was sent and received, for the control budget.
+	OnBytes func(n int)
 }
 
-// NewLinks returns links for a daemon that knows the peer key. A nil tls config
+// NewClient returns links for a daemon that knows the peer key. A nil tls config
 // uses plain connections.
-func NewLinks(self, key string, t *tls.Config) *Links {
-	return &Links{self: self, key: key, tls: t, links: map[string]*link{}, Bytes: func(int) {}}
+func NewClient(self, key string, t *tls.Config) *Client {
+	return &Client{self: self, key: key, tls: t, conns: map[string]*clientConn{}, OnBytes: func(int) {}}
 }
 
-type link struct {
-	conn    *websocket.Conn
-	writing sync.Mutex
-	mu      sync.Mutex
-	seq     uint64
-	waiting map[uint64]chan envelope
-	broken  bool
-	idle    *time.Timer
+type clientConn struct {
+	ws        *websocket.Conn
+	writeMu   sync.Mutex
+	mu        sync.Mutex
+	seq       uint64
+	pending   map[uint64]chan envelope
+	closed    bool
+	idleTimer *time.Timer
 }
 
 // Call sends a message to a peer and decodes its answer. A call that times out
 // closes the connection: open connections can go silent for good while new ones
 // work, and the next call would hang on the same one.
-func Call[Q, A any](ctx context.Context, l *Links, address, kind string, q Q) (A, error) {
+func Call[Q, A any](ctx context.Context, l *Client, address, kind string, q Q) (A, error) {
 	var answer A
 	body, err := cbor.Marshal(q)
 	if err != nil {
 		return answer, oops.In("peer").Wrapf(err, "encode %s", kind)
 	}
-	c, err := l.open(ctx, address)
+	c, err := l.connect(ctx, address)
 	if err != nil {
 		return answer, err
 	}
-	reply, err := c.call(ctx, l, kind, body)
+	reply, err := c.roundTrip(ctx, l, kind, body)
 	if err != nil {
-		l.drop(address, c)
+		l.closeConn(address, c)
 		return answer, oops.In("peer").With("kind", kind, "peer", address).Wrap(err)
 	}
 	if reply.Error != "" {
 		return answer, oops.In("peer").With("kind", kind).Errorf("peer %s refused: %s", address, reply.Error)
 	}
-	return answer, oops.In("peer").Wrapf(decoder.Unmarshal(reply.Body, &answer), "decode %s", kind)
+	return answer, oops.In("peer").Wrapf(decMode.Unmarshal(reply.Body, &answer), "decode %s", kind)
 }
 
-func (l *Links) open(ctx context.Context, address string) (*link, error) {
+func (l *Client) connect(ctx context.Context, address string) (*clientConn, error) {
 	l.mu.Lock()
-	c := l.links[address]
+	c := l.conns[address]
 	l.mu.Unlock()
 	if c != nil {
 		return c, nil
@@ -136,46 +136,46 @@
 		scheme = "wss://"
 		client.Transport = &http.Transport{TLSClientConfig: l.tls}
 	}
-	conn, _, err := websocket.Dial(ctx, scheme+address+path, &websocket.DialOptions{
+	conn, _, err := websocket.Dial(ctx, scheme+address+endpointPath, &websocket.DialOptions{
 		HTTPClient: client,
 		HTTPHeader: http.Header{"Authorization": {sign(l.key, l.self, time.Now())}},
 	})
 	if err != nil {
 		return nil, oops.In("peer").Wrapf(err, "dial %s", address)
 	}
-	conn.SetReadLimit(maxMessage)
-	fresh := &link{conn: conn, waiting: map[uint64]chan envelope{}}
-	fresh.idle = time.AfterFunc(idleLimit, func() { l.drop(address, fresh) })
+	conn.SetReadLimit(maxMessageBytes)
+	fresh := &clientConn{ws: conn, pending: map[uint64]chan envelope{}}
+	fresh.idleTimer = time.AfterFunc(idleTimeout, func() { l.closeConn(address, fresh) })
 	l.mu.Lock()
-	if c = l.links[address]; c == nil {
-		l.links[address] = fresh
+	if c = l.conns[address]; c == nil {
+		l.conns[address] = fresh
 	}
 	l.mu.Unlock()
 	if c != nil {
-		fresh.idle.Stop()
+		fresh.idleTimer.Stop()
 		_ = conn.CloseNow()
 		return c, nil
 	}
-	go l.receive(address, fresh)
+	go l.readLoop(address, fresh)
 	return fresh, nil
 }
 
-func (l *Links) receive(address string, c *link) {
+func (l *Client) readLoop(address string, c *clientConn) {
 	for {
-		_, data, err := c.conn.Read(context.Background())
+		_, data, err := c.ws.Read(context.Background())
 		if err != nil {
-			l.drop(address, c)
+			l.closeConn(address, c)
 			return
 		}
-		l.Bytes(len(data))
+		l.OnBytes(len(data))
 		var e envelope
-		if decoder.Unmarshal(data, &e) != nil {
-			l.drop(address, c)
+		if decMode.Unmarshal(data, &e) != nil {
+			l.closeConn(address, c)
 			return
 		}
 		c.mu.Lock()
-		ch := c.waiting[e.Seq]
-		delete(c.waiting, e.Seq)
+		ch := c.pending[e.Seq]
+		delete(c.pending, e.Seq)
 		c.mu.Unlock()
 		if ch != nil {
 			ch <- e
@@ -183,60 +183,60 @@
 	}
 }
 
-func (l *Links) drop(address string, c *link) {
+func (l *Client) closeConn(address string, c *clientConn) {
 	l.mu.Lock()
-	if l.links[address] == c {
-		delete(l.links, address)
+	if l.conns[address] == c {
+		delete(l.conns, address)
 	}
 	l.mu.Unlock()
-	c.idle.Stop()
-	_ = c.conn.CloseNow()
+	c.idleTimer.Stop()
+	_ = c.ws.CloseNow()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.broken {
+	if c.closed {
 		return
 	}
-	c.broken = true
-	for _, ch := range c.waiting {
+	c.closed = true
+	for _, ch := range c.pending {
 		close(ch)
 	}
-	c.waiting = map[uint64]chan envelope{}
+	c.pending = map[uint64]chan envelope{}
 }
 
 // Close ends all connections.
-func (l *Links) Close() {
+func (l *Client) Close() {
 	l.mu.Lock()
-	all := l.links
-	l.links = map[string]*link{}
+	all := l.conns
+	l.conns = map[string]*clientConn{}
 	l.mu.Unlock()
 	for address, c := range all {
-		l.drop(address, c)
+		l.closeConn(address, c)
 	}
 }
 
-func (c *link) call(ctx context.Context, l *Links, kind string, body []byte) (envelope, error) {
+func (c *clientConn) roundTrip(ctx context.Context, l *Client, kind string, body []byte) (envelope, error) {
 	ch := make(chan envelope, 1)
-	c.idle.Reset(idleLimit)
+	c.idleTimer.Reset(idleTimeout)
 	c.mu.Lock()
-	if c.broken {
+	if c.closed {
 		c.mu.Unlock()
 		return envelope{}, fault.New(fault.Internal, "the connection closed")
 	}
 	c.seq++
 	seq := c.seq
-	c.waiting[seq] = ch
+	c.pending[seq] = ch
 	c.mu.Unlock()
 	data, err := cbor.Marshal(envelope{Seq: seq, Kind: kind, Body: body})
 	if err != nil {
 		return envelope{}, err
 	}
-	c.writing.Lock()
-	err = c.conn.Write(ctx, websocket.MessageBinary, data)
-	c.writing.Unlock()
+	c.writeMu.Lock()
+	err = c.ws.Write(ctx, websocket.MessageBinary, data)
+	c.writeMu.Unlock()
 	if err != nil {
 		return envelope{}, err
 	}
-	l.Bytes(len(data))
+	l.OnBytes(len(data))
 	select {
 	case e, ok := <-ch:
 		if !ok {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -13,18 +13,18 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-type echo struct {
+type echoMessage struct {
 	Text string `cbor:"1,keyasint"`
 }
 
-func serve(t *testing.T) (*Server, string) {
+func startServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	s := NewServer("right-key")
-	Handle(s, "echo", func(_ context.Context, from string, q echo) (echo, error) {
+	Handle(s, "echo", func(_ context.Context, from string, q echoMessage) (echoMessage, error) {
 		if q.Text == "fail" {
 			return q, fault.New(fault.BadRequest, "refused")
 		}
-		return echo{from + ":" + q.Text}, nil
+		return echoMessage{from + ":" + q.Text}, nil
 	})
 	h := httptest.NewServer(s)
 	t.Cleanup(h.Close)
@@ -32,27 +32,27 @@
 }
 
 func TestCallAndRefusal(t *testing.T) {
-	s, address := serve(t)
-	l := NewLinks("d1", "right-key", nil)
+	s, address := startServer(t)
+	l := NewClient("d1", "right-key", nil)
 	defer l.Close()
 	for range 3 {
-		if a, err := Call[echo, echo](t.Context(), l, address, "echo", echo{"x"}); err != nil || a.Text != "d1:x" {
+		if a, err := Call[echoMessage, echoMessage](t.Context(), l, address, "echo", echoMessage{"x"}); err != nil || a.Text != "d1:x" {
 			t.Fatal(a, err)
 		}
 	}
-	if _, err := Call[echo, echo](t.Context(), l, address, "echo", echo{"fail"}); err == nil || !strings.Contains(err.Error(), "refused") {
+	if _, err := Call[echoMessage, echoMessage](t.Context(), l, address, "echo", echoMessage{"fail"}); err == nil || !strings.Contains(err.Error(), "refused") {
 		t.Fatal(err)
 	}
-	if _, err := Call[echo, echo](t.Context(), l, address, "none", echo{}); err == nil {
+	if _, err := Call[echoMessage, echoMessage](t.Context(), l, address, "none", echoMessage{}); err == nil {
 		t.Fatal("an unknown call was answered")
 	}
 	refused := 0
-	s.Refused = func() { refused++ }
-	stranger := NewLinks("d1", "wrong-key", nil)
-	if _, err := Call[echo, echo](t.Context(), stranger, address, "echo", echo{"x"}); err == nil || refused != 1 {
+	s.OnRefused = func() { refused++ }
+	stranger := NewClient("d1", "wrong-key", nil)
+	if _, err := Call[echoMessage, echoMessage](t.Context(), stranger, address, "echo", echoMessage{"x"}); err == nil || refused != 1 {
 		t.Fatalf("a wrong key got in: %v, %d refused", err, refused)
 	}
-	if _, ok := verify("right-key", sign("right-key", "d1", time.Now().Add(-2*authSkew)), time.Now()); ok {
+	if _, ok := verify("right-key", sign("right-key", "d1", time.Now().Add(-2*maxClockSkew)), time.Now()); ok {
 		t.Fatal("an old signature counts")
 	}
 }
@@ -63,7 +63,7 @@
 // Cause: a call that times out must close its connection, so that the next one
 // opens a new one.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	_, address := serve(t)
+	_, address := startServer(t)
 	gate, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -100,12 +100,12 @@
 			}()
 		}
 	}()
-	l := NewLinks("d1", "right-key", nil)
+	l := NewClient("d1", "right-key", nil)
 	defer l.Close()
 	call := func(limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
-		_, err := Call[echo, echo](ctx, l, gate.Addr().String(), "echo", echo{"x"})
+		_, err := Call[echoMessage, echoMessage](ctx, l, gate.Addr().String(), "echo", echoMessage{"x"})
 		return err
 	}
 	if err := call(time.Minute); err != nil {
@@ -126,14 +126,14 @@
 	f.Add([]byte{0xa0}, "heartbeat")
 	f.Add([]byte{0x9f, 0xff}, "none")
 	f.Fuzz(func(t *testing.T, body []byte, kind string) {
-		if len(s.answer(context.Background(), "d", envelope{Seq: 1, Kind: kind, Body: body})) == 0 {
+		if len(s.dispatch(context.Background(), "d", envelope{Seq: 1, Kind: kind, Body: body})) == 0 {
 			t.Fatal("no answer")
 		}
 	})
 }
 
 func TestPlainHTTPIsRefused(t *testing.T) {
-	_, address := serve(t)
+	_, address := startServer(t)
 	resp, err := http.Get("http://" + address + "/peer")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,10 +16,10 @@
 type Server struct {
 	key      string
 	handlers map[string]func(ctx context.Context, from string, body []byte) ([]byte, error)
-	// Refused counts connections without the right key.
-	Refused func()
-	// Bytes counts what was sent and received.
-	Bytes func(n int)
+	// OnRefused counts connections without the right key.
+	OnRefused func()
+	// OnBytes counts what was sent and received.
+	OnBytes func(n int)
 
 	mu     sync.Mutex
 	conns  map[*websocket.Conn]bool
@@ -28,7 +28,7 @@
 
 // NewServer returns a server that admits holders of the peer key.
 func NewServer(key string) *Server {
-	return &Server{key: key, handlers: map[string]func(context.Context, string, []byte) ([]byte, error){}, Refused: func() {}, Bytes: func(int) {}, conns: map[*websocket.Conn]bool{}}
+	return &Server{key: key, handlers: map[string]func(context.Context, string, []byte) ([]byte, error){}, OnRefused: func() {}, OnBytes: func(int) {}, conns: map[*websocket.Conn]bool{}}
 }
 
 // Close ends every connection. The HTTP server does not: it no longer knows those
@@ -57,7 +57,7 @@
 func Handle[Q, A any](s *Server, kind string, h func(ctx context.Context, from string, q Q) (A, error)) {
 	s.handlers[kind] = func(ctx context.Context, from string, body []byte) ([]byte, error) {
 		var q Q
-		if err := decoder.Unmarshal(body, &q); err != nil {
+		if err := decMode.Unmarshal(body, &q); err != nil {
 			return nil, fault.New(fault.BadRequest, "undecodable %s", kind)
 		}
 		a, err := h(ctx, from, q)
@@ -71,8 +71,8 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, ok := verify(s.key, r.Header.Get("Authorization"), time.Now())
-	if !ok || r.URL.Path != path {
-		s.Refused()
+	if !ok || r.URL.Path != endpointPath {
+		s.OnRefused()
 		http.Error(w, "unauthorized", http.StatusUnauthorized)
 		return
 	}
@@ -85,34 +85,34 @@
 	if !s.track(conn, true) {
 		return
 	}
-	conn.SetReadLimit(maxMessage)
-	s.serve(r.Context(), from, conn)
+	conn.SetReadLimit(maxMessageBytes)
+	s.serveConn(r.Context(), from, conn)
 }
 
-func (s *Server) serve(ctx context.Context, from string, conn *websocket.Conn) {
+func (s *Server) serveConn(ctx context.Context, from string, conn *websocket.Conn) {
 	var writing sync.Mutex
 	for {
 		_, data, err := conn.Read(ctx)
 		if err != nil {
 			return
 		}
-		s.Bytes(len(data))
+		s.OnBytes(len(data))
 		var e envelope
-		if decoder.Unmarshal(data, &e) != nil {
+		if decMode.Unmarshal(data, &e) != nil {
 			return
 		}
 		go func() {
-			reply := s.answer(ctx, from, e)
+			reply := s.dispatch(ctx, from, e)
 			writing.Lock()
 			defer writing.Unlock()
 			if conn.Write(ctx, websocket.MessageBinary, reply) == nil {
-				s.Bytes(len(reply))
+				s.OnBytes(len(reply))
 			}
 		}()
 	}
 }
 
-func (s *Server) answer(ctx context.Context, from string, e envelope) []byte {
+func (s *Server) dispatch(ctx context.Context, from string, e envelope) []byte {
 	out := envelope{Seq: e.Seq}
 	h := s.handlers[e.Kind]
 	if h == nil {
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -132,7 +132,7 @@
 // at a later position; the copy holds an earlier phase of it, or none.
 // Cause: an order was known by its offset, and its phase by the store's last word.
 func TestOrderThatIsOverStaysOverWhenTheStoreReturns(t *testing.T) {
-	later := uint64(feed.At(1, 9))
+	later := uint64(feed.NewPosition(1, 9))
 	for name, said := range map[string]*Settlement{
 		"nothing said":          nil,
 		"an earlier phase said": {Service: "s", Target: "v2", Order: 7, Phase: rollout.Whole},
@@ -168,11 +168,11 @@
 func TestPhaseOfAnEarlierEraIsOfTheSameOrder(t *testing.T) {
 	r := NewRollouts(0, time.Now, log.New(io.Discard))
 	r.Settled(Settlement{Service: "s", Target: "v2", Order: 7, Phase: rollout.Completed})
-	r.Ordered(rollout.Order{Service: "s", Target: "v2", Offset: uint64(feed.At(1, 9))})
+	r.Ordered(rollout.Order{Service: "s", Target: "v2", Offset: uint64(feed.NewPosition(1, 9))})
 	if due := r.Due(func(string) bool { return true }); len(due) != 0 {
 		t.Errorf("goes on: %+v", due)
 	}
-	r.Ordered(rollout.Order{Service: "s", Target: "v3", Offset: uint64(feed.At(1, 12))})
+	r.Ordered(rollout.Order{Service: "s", Target: "v3", Offset: uint64(feed.NewPosition(1, 12))})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o := r.orders["s"]; o.Target != "v3" || o.phase.Over() {
--- a/lab/history/serve.go
+++ b/lab/history/serve.go
@@ -47,7 +47,7 @@
 	c.tried = map[int]bool{}
 	d.budget.Earn()
 	switch {
-	case !d.sight.Serve(d.now()):
+	case !d.sight.CanServe(d.now()):
 		c.finish(false, fault.New(fault.ConfigurationStale, ""))
 	case d.buffer.Reserve() != nil:
 		c.finish(false, fault.New(fault.UsageUnprotected, ""))
@@ -130,7 +130,7 @@
 		return
 	}
 	// The last check before the request leaves.
-	if !d.fold.Config().MayDispatch(workspace, "m", version) || !d.sight.Serve(d.now()) {
+	if !d.fold.Config().MayDispatch(workspace, "m", version) || !d.sight.CanServe(d.now()) {
 		d.buffer.Release()
 		c.finish(false, fault.New(fault.VersionWithdrawn, "").With(c.life.State()))
 		return
--- a/lab/history/world.go
+++ b/lab/history/world.go
@@ -202,7 +202,7 @@
 
 	fold   *fleet.Fold
 	claims *request.Claims
-	sight  membership.Sight
+	sight  membership.Readiness
 	buffer *billing.Buffer
 	kept   map[string]copyOf
 	// waiting are answers that await the log's word on their bill.
@@ -237,7 +237,7 @@
 	d.incarnation++
 	d.alive = true
 	d.fold, d.claims = fleet.NewFold(), request.NewClaims()
-	d.sight = membership.Sight{}
+	d.sight = membership.Readiness{}
 	d.buffer, d.kept, d.waiting = billing.NewBuffer(bufferLimit), map[string]copyOf{}, nil
 	d.leaving, d.budget = map[int]bool{}, request.NewRetryBudget()
 }
@@ -289,7 +289,7 @@
 
 func (d *node) readConfig() {
 	d.w.log.read(d, "config", int(d.fold.Next()), func(first int, records [][]byte) {
-		d.sight.LogHeard, d.sight.Loaded = d.now(), true
+		d.sight.LogReadAt, d.sight.ConfigLoaded = d.now(), true
 		before := d.fold.Config().Number
 		for i, r := range records {
 			d.fold.Apply(uint64(first+i), r)
@@ -317,12 +317,12 @@
 		}
 	}
 	if 2*heard >= daemonCount-1 {
-		d.sight.PeersHeard = d.now()
+		d.sight.MajorityAt = d.now()
 	}
 }
 
 func (d *node) readList() {
-	d.sight.ServersHeard = d.now()
+	d.sight.ServersUpdatedAt = d.now()
 	for s, at := range d.w.leaving {
 		if at <= d.w.clock.Elapsed() {
 			d.leaving[s] = true
