--- a/internal/membership/offer_test.go
+++ b/internal/membership/endpoints_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// clientEndpoints is how many addresses one caller takes.
+// clientEndpoints is the number of addresses that a client asks for.
 const clientEndpoints = 64
 
-// readyEndpoints are ready daemons, evenly in failure domains.
+// readyEndpoints returns ready endpoints, spread evenly over failure domains.
 func readyEndpoints(n, domains int) []Endpoint {
 	out := make([]Endpoint, n)
 	for i := range out {
@@ -18,37 +18,34 @@
 	return out
 }
 
-// Symptom: with 195 daemons a third of them carried all callers and were overloaded, the
-// others stood idle, and most requests crossed failure domains.
-// Sequence: callers ask the directory and take 64 addresses.
-// Cause: every answer held the first 64 daemons by name.
-func TestEveryDaemonIsOfferedToItsPartOfTheCallers(t *testing.T) {
-	const domains, callers = 6, 1200
+// Guards against answers in a fixed order, which sent all clients to the same daemons.
+func TestSelectEndpointsSpreadsClientsEvenly(t *testing.T) {
+	const domains, clients = 6, 1200
 	for _, n := range []int{6, 60, 195, 520} {
 		all := readyEndpoints(n, domains)
 		got := map[string]int{}
-		for i := range callers {
+		for i := range clients {
 			c := Client{Address: fmt.Sprintf("10.200.%d.%d", i/200, i%200), FailureDomain: fmt.Sprint("d", i%domains)}
-			offer := SelectEndpoints(all, c, clientEndpoints)
-			if len(offer) != min(n, clientEndpoints) {
-				t.Fatalf("%d daemons: %d are offered", n, len(offer))
+			selected := SelectEndpoints(all, c, clientEndpoints)
+			if len(selected) != min(n, clientEndpoints) {
+				t.Fatalf("%d daemons: %d are selected", n, len(selected))
 			}
-			for _, a := range offer {
+			for _, a := range selected {
 				got[a]++
 			}
 		}
-		fair := callers * min(n, clientEndpoints) / n
+		fairShare := clients * min(n, clientEndpoints) / n
 		for _, f := range all {
-			if got[f.Address] < fair/2 || got[f.Address] > 2*fair {
-				t.Errorf("%d daemons: %s is offered to %d of %d callers, its part is %d", n, f.Address, got[f.Address], callers, fair)
+			if got[f.Address] < fairShare/2 || got[f.Address] > 2*fairShare {
+				t.Errorf("%d daemons: %s is selected for %d of %d clients, its fair share is %d", n, f.Address, got[f.Address], clients, fairShare)
 			}
 		}
 	}
 }
 
-// A caller closes its connections to addresses that an answer lacks, so that all daemons
-// have to give it the same, and a daemon that comes or goes must not change the others.
-func TestOfferIsTheSameFromEveryDaemon(t *testing.T) {
+// Clients close connections to addresses missing from an answer, so all daemons have to
+// return the same list, and the loss of a daemon must not change the rest of it.
+func TestSelectEndpointsIsConsistentAcrossDaemons(t *testing.T) {
 	all := readyEndpoints(195, 6)
 	c := Client{Address: "10.200.0.1", FailureDomain: "d3"}
 	first := SelectEndpoints(all, c, clientEndpoints)
@@ -57,32 +54,32 @@
 	if !slices.Equal(first, second) {
 		t.Errorf("%v and %v", first, second)
 	}
-	lost := slices.DeleteFunc(all, func(f Endpoint) bool { return f.Address == first[5] })
+	remaining := slices.DeleteFunc(all, func(f Endpoint) bool { return f.Address == first[5] })
 	kept := 0
-	for _, a := range SelectEndpoints(lost, c, clientEndpoints) {
+	for _, a := range SelectEndpoints(remaining, c, clientEndpoints) {
 		if slices.Contains(first, a) {
 			kept++
 		}
 	}
 	if kept != clientEndpoints-1 {
-		t.Errorf("%d of %d stay when one daemon goes", kept, clientEndpoints-1)
+		t.Errorf("%d of %d are kept after the loss of one daemon", kept, clientEndpoints-1)
 	}
 }
 
-func TestOwnFailureDomainIsOfferedFirst(t *testing.T) {
+func TestSelectEndpointsPrefersOwnFailureDomain(t *testing.T) {
 	all := readyEndpoints(195, 6)
-	offer := SelectEndpoints(all, Client{Address: "10.200.0.1", FailureDomain: "d2"}, clientEndpoints)
+	selected := SelectEndpoints(all, Client{Address: "10.200.0.1", FailureDomain: "d2"}, clientEndpoints)
 	for _, f := range all {
-		if f.FailureDomain == "d2" && !slices.Contains(offer, f.Address) {
-			t.Errorf("%s is not offered", f.Address)
+		if f.FailureDomain == "d2" && !slices.Contains(selected, f.Address) {
+			t.Errorf("%s is not selected", f.Address)
 		}
 	}
 	if got := SelectEndpoints(all, Client{FailureDomain: "elsewhere"}, clientEndpoints); len(got) != clientEndpoints {
-		t.Errorf("%d are offered to a caller from elsewhere", len(got))
+		t.Errorf("%d are selected for a client of another failure domain", len(got))
 	}
 }
 
-func TestOfferIsNeverEmpty(t *testing.T) {
+func TestSelectEndpointsIsNeverEmpty(t *testing.T) {
 	a, b, c := Endpoint{Address: "a", Leaving: true}, Endpoint{Address: "b"}, Endpoint{Address: "c"}
 	if got := SelectEndpoints([]Endpoint{a, b, c}, Client{}, clientEndpoints); !slices.Equal(got, []string{"b", "c"}) {
 		t.Errorf("none ready: %v", got)
@@ -96,8 +93,7 @@
 	}
 }
 
-// 0.4 us at 6 daemons, 60 us at 195, 190 us at 520.
-func BenchmarkOffer(b *testing.B) {
+func BenchmarkSelectEndpoints(b *testing.B) {
 	for _, n := range []int{6, 195, 520} {
 		all := readyEndpoints(n, 5)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- /dev/null
+++ b/internal/membership/livepeers.go
@@ -0,0 +1,137 @@
+package membership
+
+import (
+	"container/list"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// PeerStatus is the part of a daemon's published state that decides its rank.
+type PeerStatus struct {
+	// Name is the name of the daemon, and Incarnation identifies one run of it.
+	Name, Incarnation string
+	// Eligible reports whether the daemon may work on behalf of the whole fleet: it has
+	// started, and it reaches the store or no daemon does.
+	Eligible bool
+	Leaving  bool
+}
+
+// LivePeers holds the daemons that were recently in contact with the own one. Counts and
+// ranks are maintained incrementally, because every received message needs them: an
+// update takes constant time, and expiry only costs time for peers that expire. It is not
+// safe for concurrent use.
+type LivePeers struct {
+	ownHash   uint64
+	byAddress map[string]*list.Element
+	// byLastSeen holds *livePeer, the least recently seen first.
+	byLastSeen   *list.List
+	incarnations map[string]int
+	// eligible and ineligible count the daemons that are not leaving.
+	eligible, ineligible rankCounts
+}
+
+// livePeer is one daemon that was recently in contact.
+type livePeer struct {
+	address  string
+	lastSeen time.Time
+	PeerStatus
+	hash         uint64
+	precedesSelf bool
+}
+
+// rankCounts counts daemons, and how many of them rank before the own one.
+type rankCounts struct{ total, preceding int }
+
+// NewLivePeers returns an empty set for the daemon of a name.
+func NewLivePeers(ownName string) *LivePeers {
+	return &LivePeers{ownHash: xxhash.Sum64String(ownName), byAddress: map[string]*list.Element{}, byLastSeen: list.New(), incarnations: map[string]int{}}
+}
+
+// Update records the status of the daemon at an address. Times must not decrease.
+func (l *LivePeers) Update(address string, status PeerStatus, now time.Time) {
+	if e := l.byAddress[address]; e != nil {
+		old := e.Value.(*livePeer)
+		l.adjustCounts(old, -1)
+		old.lastSeen = now
+		if old.Name != status.Name {
+			l.setName(old, status.Name)
+		}
+		old.PeerStatus = status
+		l.adjustCounts(old, 1)
+		l.byLastSeen.MoveToBack(e)
+		return
+	}
+	fresh := &livePeer{address: address, lastSeen: now, PeerStatus: status}
+	l.setName(fresh, status.Name)
+	l.adjustCounts(fresh, 1)
+	l.byAddress[address] = l.byLastSeen.PushBack(fresh)
+}
+
+// setName updates the hash of a peer's name and its order relative to the own daemon.
+// Hashing makes the order independent of failure domains, which may fail as a whole.
+func (l *LivePeers) setName(p *livePeer, name string) {
+	p.hash = xxhash.Sum64String(name)
+	p.precedesSelf = p.hash < l.ownHash
+}
+
+// adjustCounts adds delta for a peer to the counts.
+func (l *LivePeers) adjustCounts(p *livePeer, delta int) {
+	if l.incarnations[p.Incarnation] += delta; l.incarnations[p.Incarnation] == 0 {
+		delete(l.incarnations, p.Incarnation)
+	}
+	if p.Leaving {
+		return
+	}
+	c := &l.ineligible
+	if p.Eligible {
+		c = &l.eligible
+	}
+	c.total += delta
+	if p.precedesSelf {
+		c.preceding += delta
+	}
+}
+
+// ExpireSilent removes the daemons that were not seen for longer than timeout, and calls
+// expired with the address of each.
+func (l *LivePeers) ExpireSilent(now time.Time, timeout time.Duration, expired func(address string)) {
+	for e := l.byLastSeen.Front(); e != nil && now.Sub(e.Value.(*livePeer).lastSeen) > timeout; e = l.byLastSeen.Front() {
+		p := e.Value.(*livePeer)
+		l.byLastSeen.Remove(e)
+		l.adjustCounts(p, -1)
+		delete(l.byAddress, p.address)
+		expired(p.address)
+	}
+}
+
+// Len returns the number of live peers.
+func (l *LivePeers) Len() int { return l.byLastSeen.Len() }
+
+// Hashes returns the hash of the own daemon's name, and those of the live peers that are not
+// leaving.
+func (l *LivePeers) Hashes() (own uint64, others []uint64) {
+	others = make([]uint64, 0, len(l.byAddress))
+	for _, e := range l.byAddress {
+		if p := e.Value.(*livePeer); !p.Leaving {
+			others = append(others, p.hash)
+		}
+	}
+	return l.ownHash, others
+}
+
+// Contains reports whether the daemon at an address is live.
+func (l *LivePeers) Contains(address string) bool { return l.byAddress[address] != nil }
+
+// HasIncarnation reports whether a run of a daemon is live.
+func (l *LivePeers) HasIncarnation(incarnation string) bool { return l.incarnations[incarnation] > 0 }
+
+// Rank returns the position of the own daemon among those that are not leaving, eligible
+// ones first. Readiness is not used for the order: in an outage of the store it reaches
+// the others late, and several daemons would rank themselves first meanwhile.
+func (l *LivePeers) Rank(eligible bool) int {
+	if eligible {
+		return l.eligible.preceding
+	}
+	return l.eligible.total + l.ineligible.preceding
+}
--- a/internal/membership/roster_test.go
+++ b/internal/membership/livepeers_test.go
@@ -11,13 +11,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// statusMap counts as the definitions say, over a plain list.
+// statusMap computes ranks and liveness from a plain map, as a reference.
 type statusMap map[string]PeerStatus
 
-func (s statusMap) rank(own string, able bool) (rank int) {
+func (s statusMap) rank(ownName string, eligible bool) (rank int) {
 	for _, o := range s {
-		before := xxhash.Sum64String(o.Name) < xxhash.Sum64String(own)
-		if o.Eligible != able {
+		before := xxhash.Sum64String(o.Name) < xxhash.Sum64String(ownName)
+		if o.Eligible != eligible {
 			before = o.Eligible
 		}
 		if before && !o.Leaving {
@@ -27,7 +27,7 @@
 	return rank
 }
 
-func (s statusMap) lives(incarnation string) bool {
+func (s statusMap) hasIncarnation(incarnation string) bool {
 	return slices.ContainsFunc(s.list(), func(o PeerStatus) bool { return o.Incarnation == incarnation })
 }
 
@@ -38,52 +38,50 @@
 	return out
 }
 
-// What is kept up to date is what counting anew gives, after every step of random comings,
-// changes, restarts and silences.
-func TestRosterCountsAsCountingAnewDoes(t *testing.T) {
-	const own, limit = "d050", time.Second
+// The incremental counts match a recount after random updates, restarts and expiries.
+func TestLivePeersMatchesRecount(t *testing.T) {
+	const own, timeout = "d050", time.Second
 	rng := rand.New(rand.NewPCG(1, 2))
-	r, want, heard := NewLivePeers(own), statusMap{}, map[string]time.Time{}
+	live, want, lastSeen := NewLivePeers(own), statusMap{}, map[string]time.Time{}
 	now := time.Unix(100, 0)
 	for step := range 4_000 {
 		now = now.Add(time.Duration(rng.IntN(20)) * time.Millisecond)
 		address := fmt.Sprintf("c%03d", rng.IntN(100))
 		name := "d" + address[1:]
 		if rng.IntN(50) == 0 {
-			name = fmt.Sprintf("d%03d", rng.IntN(100)) // another daemon has taken the address
+			name = fmt.Sprintf("d%03d", rng.IntN(100)) // another daemon took over the address
 		}
 		s := PeerStatus{Name: name, Incarnation: fmt.Sprint(name, "/", rng.IntN(2)), Eligible: rng.IntN(3) > 0, Leaving: rng.IntN(5) == 0}
-		r.Update(address, s, now)
-		want[address], heard[address] = s, now
+		live.Update(address, s, now)
+		want[address], lastSeen[address] = s, now
 		now = now.Add(time.Duration(rng.IntN(3)) * 100 * time.Millisecond)
-		var gone, silent []string
-		r.ExpireSilent(now, limit, func(a string) { gone = append(gone, a) })
-		for a, at := range heard {
-			if now.Sub(at) > limit {
+		var expired, silent []string
+		live.ExpireSilent(now, timeout, func(a string) { expired = append(expired, a) })
+		for a, at := range lastSeen {
+			if now.Sub(at) > timeout {
 				silent = append(silent, a)
-				delete(heard, a)
+				delete(lastSeen, a)
 				delete(want, a)
 			}
 		}
-		slices.SortFunc(gone, cmp.Compare[string])
+		slices.SortFunc(expired, cmp.Compare[string])
 		slices.SortFunc(silent, cmp.Compare[string])
-		if !slices.Equal(gone, silent) || r.Len() != len(want) {
-			t.Fatalf("step %d: gone %v of %v, %d left of %d", step, gone, silent, r.Len(), len(want))
+		if !slices.Equal(expired, silent) || live.Len() != len(want) {
+			t.Fatalf("step %d: expired %v, want %v; %d left, want %d", step, expired, silent, live.Len(), len(want))
 		}
-		for _, able := range []bool{true, false} {
-			if r.Rank(able) != want.rank(own, able) {
-				t.Fatalf("step %d: rank %d, not %d", step, r.Rank(able), want.rank(own, able))
+		for _, eligible := range []bool{true, false} {
+			if live.Rank(eligible) != want.rank(own, eligible) {
+				t.Fatalf("step %d: rank %d, want %d", step, live.Rank(eligible), want.rank(own, eligible))
 			}
 		}
-		if r.HasIncarnation(s.Incarnation) != want.lives(s.Incarnation) || r.Contains(address) != (want[address] != PeerStatus{}) {
-			t.Fatalf("step %d: lives %t", step, r.HasIncarnation(s.Incarnation))
+		if live.HasIncarnation(s.Incarnation) != want.hasIncarnation(s.Incarnation) || live.Contains(address) != (want[address] != PeerStatus{}) {
+			t.Fatalf("step %d: incarnation live: %t", step, live.HasIncarnation(s.Incarnation))
 		}
 	}
 }
 
-// Of the daemons that do not leave exactly one is first, an able one if there is any, and no
-// two have the same place.
-func TestOneDaemonComesFirst(t *testing.T) {
+// Daemons that are not leaving have distinct ranks, and the first one is eligible if any is.
+func TestRanksAreUnique(t *testing.T) {
 	for _, n := range []int{1, 6, 195} {
 		all := make([]PeerStatus, n)
 		for i := range all {
@@ -91,16 +89,16 @@
 		}
 		first, ranks := 0, map[int]bool{}
 		for _, own := range all {
-			r := NewLivePeers(own.Name)
+			live := NewLivePeers(own.Name)
 			for _, o := range all {
 				if o != own {
-					r.Update(o.Name, o, time.Unix(1, 0))
+					live.Update(o.Name, o, time.Unix(1, 0))
 				}
 			}
 			if own.Leaving {
 				continue
 			}
-			rank := r.Rank(own.Eligible)
+			rank := live.Rank(own.Eligible)
 			if ranks[rank] {
 				t.Errorf("%d daemons: two have rank %d", n, rank)
 			}
@@ -109,20 +107,19 @@
 				first++
 			}
 			if rank == 0 && !own.Eligible && n > 1 {
-				t.Errorf("%d daemons: one that is not able is first", n)
+				t.Errorf("%d daemons: the first one is not eligible", n)
 			}
 		}
 		if first != 1 {
-			t.Errorf("%d of %d daemons come first", first, n)
+			t.Errorf("%d of %d daemons rank first", first, n)
 		}
 	}
 }
 
-// A daemon heard, and what is asked after that: 0.2 us at every size.
-func BenchmarkRoster(b *testing.B) {
+func BenchmarkLivePeersUpdate(b *testing.B) {
 	for _, n := range []int{6, 60, 195, 520, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r, now := NewLivePeers("d050"), time.Unix(100, 0)
+			live, now := NewLivePeers("d050"), time.Unix(100, 0)
 			all := make([]PeerStatus, n)
 			for i := range all {
 				name := fmt.Sprintf("d%03d", i)
@@ -132,9 +129,9 @@
 			for i := 0; b.Loop(); i++ {
 				s := all[i%n]
 				now = now.Add(time.Millisecond)
-				r.Update(s.Name, s, now)
-				r.ExpireSilent(now, time.Hour, func(string) {})
-				_, _ = r.Len(), r.Rank(true)
+				live.Update(s.Name, s, now)
+				live.ExpireSilent(now, time.Hour, func(string) {})
+				_, _ = live.Len(), live.Rank(true)
 			}
 		})
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Member is a row of the table.
+// Member is an entry of the table.
 type Member struct {
 	DaemonInfo
 	State State `json:"state"`
-	// Since is when the state was taken.
+	// Since is when the member entered its state.
 	Since time.Time `json:"since"`
 }
 
-// Table is one daemon's view. It is owned by one goroutine or its owner's lock.
+// Table is one daemon's view of the fleet. It is not safe for concurrent use.
 type Table struct {
 	self         string
 	members      map[string]*Member
@@ -37,8 +37,8 @@
 	ok bool
 }
 
-// NewTable returns a table that knows only its own daemon. The source orders the
-// probes, so that daemons do not all probe the same ones.
+// NewTable returns a table that holds only its own daemon. The rng shuffles the probe
+// order, so that daemons do not probe the same targets at the same time.
 func NewTable(self DaemonInfo, rng *rand.Rand) *Table {
 	t := &Table{self: self.ID, members: map[string]*Member{}, rumors: map[string]*pendingRumor{}, rng: rng}
 	t.members[self.ID] = &Member{DaemonInfo: self}
@@ -46,95 +46,93 @@
 	return t
 }
 
-// Self returns the own row.
+// Self returns the info of the own daemon.
 func (t *Table) Self() DaemonInfo { return t.members[t.self].DaemonInfo }
 
-// SetSelf refreshes what the own row says. Starting to leave, to serve or to
-// refuse is news.
-func (t *Table) SetSelf(b DaemonInfo) {
+// SetSelf replaces the info of the own daemon. A change of Leaving or Serving is
+// announced as a rumor.
+func (t *Table) SetSelf(info DaemonInfo) {
 	own := t.members[t.self]
-	b.Sequence = own.Sequence
-	if b.Leaving != own.Leaving || b.Serving != own.Serving {
-		b.Sequence++
+	info.Sequence = own.Sequence
+	if info.Leaving != own.Leaving || info.Serving != own.Serving {
+		info.Sequence++
 		t.enqueueRumor(t.self, Alive)
 	}
-	own.DaemonInfo = b
+	own.DaemonInfo = info
 }
 
-// enqueueRumor makes the state of a daemon a rumor to pass on.
+// enqueueRumor schedules the state of a daemon for dissemination.
 func (t *Table) enqueueRumor(id string, s State) { t.rumors[id] = &pendingRumor{state: s} }
 
-// MarkAlive takes what a daemon said of itself, in a probe or its answer. A
-// daemon that speaks is alive here, whatever others say; whether it is for them
-// is for it to refute.
-func (t *Table) MarkAlive(b DaemonInfo, now time.Time) {
-	old, known := t.admit(b)
-	if !known {
+// MarkAlive applies the info that a daemon sent itself, in a probe or its answer. Direct
+// contact marks it alive here; for others it has to refute a suspicion itself.
+func (t *Table) MarkAlive(info DaemonInfo, now time.Time) {
+	old, admitted := t.admit(info)
+	if !admitted {
 		return
 	}
-	if old == nil || b.supersedes(old.DaemonInfo) {
-		t.setMember(b, Alive, now)
-		t.enqueueRumor(b.ID, Alive)
+	if old == nil || info.supersedes(old.DaemonInfo) {
+		t.setMember(info, Alive, now)
+		t.enqueueRumor(info.ID, Alive)
 		return
 	}
-	if old.supersedes(b) {
+	if old.supersedes(info) {
 		return
 	}
-	old.DaemonInfo = b
+	old.DaemonInfo = info
 	if old.State != Alive {
 		old.State, old.Since = Alive, now
 	}
 }
 
-// admit finds the row of a foreign daemon. It refuses beats without identity,
-// of the own id, and of daemons that were replaced at their address.
-func (t *Table) admit(b DaemonInfo) (*Member, bool) {
-	if b.ID == t.self || b.ID == "" || !t.claimAddress(b) {
+// admit returns the entry of another daemon, if there is one. It rejects info without an
+// ID, of the own daemon, and of a daemon that was replaced at its address.
+func (t *Table) admit(info DaemonInfo) (*Member, bool) {
+	if info.ID == t.self || info.ID == "" || !t.claimAddress(info) {
 		return nil, false
 	}
-	return t.members[b.ID], true
+	return t.members[info.ID], true
 }
 
-func (t *Table) setMember(b DaemonInfo, s State, now time.Time) {
-	t.members[b.ID] = &Member{DaemonInfo: b, State: s, Since: now}
+func (t *Table) setMember(info DaemonInfo, s State, now time.Time) {
+	t.members[info.ID] = &Member{DaemonInfo: info, State: s, Since: now}
 }
 
-// ApplyRumor applies a rumor and passes it on if it was news. A rumor of lower
-// incarnation or sequence is dropped: one that wandered long through others
-// must not bring a replaced daemon back to life.
+// ApplyRumor applies a rumor and forwards it if it changed the table. Rumors of a lower
+// incarnation or sequence are dropped: a delayed one must not revive a replaced daemon.
 func (t *Table) ApplyRumor(r Rumor, now time.Time) {
-	if r.Beat.ID == t.self {
+	if r.Info.ID == t.self {
 		t.refute(r)
 		return
 	}
-	old, known := t.admit(r.Beat)
-	if !known {
+	old, admitted := t.admit(r.Info)
+	if !admitted {
 		return
 	}
 	switch {
 	case old == nil && r.State == Gone:
 		return
-	case old == nil || r.Beat.supersedes(old.DaemonInfo):
-	case old.supersedes(r.Beat) || r.State <= old.State:
+	case old == nil || r.Info.supersedes(old.DaemonInfo):
+	case old.supersedes(r.Info) || r.State <= old.State:
 		return
 	}
-	t.setMember(r.Beat, r.State, now)
-	t.enqueueRumor(r.Beat.ID, r.State)
+	t.setMember(r.Info, r.State, now)
+	t.enqueueRumor(r.Info.ID, r.State)
 }
 
-// Merge takes another daemon's whole table. Its rows are no rumors: whoever has
-// this daemon's news has them too.
-func (t *Table) Merge(rows []Rumor, now time.Time) {
-	for _, r := range rows {
-		old, known := t.admit(r.Beat)
-		if !known || r.State == Gone || old != nil && !r.Beat.supersedes(old.DaemonInfo) {
+// Merge applies the whole table of another daemon. Its entries are not forwarded as
+// rumors.
+func (t *Table) Merge(entries []Rumor, now time.Time) {
+	for _, r := range entries {
+		old, admitted := t.admit(r.Info)
+		if !admitted || r.State == Gone || old != nil && !r.Info.supersedes(old.DaemonInfo) {
 			continue
 		}
-		t.setMember(r.Beat, r.State, now)
+		t.setMember(r.Info, r.State, now)
 	}
 }
 
-// Snapshot returns the whole table for another daemon to adopt.
+// Snapshot returns the whole table for another daemon to merge.
 func (t *Table) Snapshot() []Rumor {
 	var out []Rumor
 	for _, m := range t.Members() {
@@ -143,28 +141,28 @@
 	return out
 }
 
-// refute answers a rumor that this daemon is not alive with a higher sequence.
+// refute overrides a rumor that this daemon is not alive by raising its sequence.
 func (t *Table) refute(r Rumor) {
 	own := t.members[t.self]
-	if r.State == Alive || r.Beat.Incarnation != own.Incarnation || r.Beat.Sequence < own.Sequence {
+	if r.State == Alive || r.Info.Incarnation != own.Incarnation || r.Info.Sequence < own.Sequence {
 		return
 	}
-	own.Sequence = r.Beat.Sequence + 1
+	own.Sequence = r.Info.Sequence + 1
 	t.enqueueRumor(t.self, Alive)
 }
 
-// claimAddress settles which daemon owns a peer address. A VM replaced at the
-// same address shows up under a new id; keeping both rows would send the old
-// one's share of work to a daemon that knows nothing of it.
-func (t *Table) claimAddress(b DaemonInfo) bool {
-	if old := t.members[b.ID]; old != nil && old.PeerAddress == b.PeerAddress {
+// claimAddress reports whether info owns its peer address, and removes the entry that it
+// replaces. A VM replaced at the same address has a new ID; keeping both entries would
+// assign work to a daemon that no longer exists.
+func (t *Table) claimAddress(info DaemonInfo) bool {
+	if old := t.members[info.ID]; old != nil && old.PeerAddress == info.PeerAddress {
 		return true
 	}
 	for id, m := range t.members {
-		if id == b.ID || id == t.self || m.PeerAddress != b.PeerAddress {
+		if id == info.ID || id == t.self || m.PeerAddress != info.PeerAddress {
 			continue
 		}
-		if m.Incarnation > b.Incarnation {
+		if m.Incarnation > info.Incarnation {
 			return false
 		}
 		t.remove(id)
@@ -177,12 +175,12 @@
 	delete(t.rumors, id)
 }
 
-// RecordProbe records the outcome of a probe. A daemon that did not answer becomes
-// suspect, which is news.
+// RecordProbe records the outcome of a probe. An alive daemon that did not answer becomes
+// suspect, and the suspicion is announced.
 func (t *Table) RecordProbe(id string, ok bool, now time.Time) {
 	t.probeResults = append(t.probeResults, probeResult{now, ok})
-	if over := len(t.probeResults) - probeHistorySize; over > 0 {
-		t.probeResults = t.probeResults[over:]
+	if excess := len(t.probeResults) - probeHistorySize; excess > 0 {
+		t.probeResults = t.probeResults[excess:]
 	}
 	m := t.members[id]
 	if ok || m == nil || id == t.self || m.State != Alive {
@@ -192,7 +190,7 @@
 	t.enqueueRumor(id, Suspect)
 }
 
-// Tick ages the rows and returns those that went.
+// Tick expires suspicions and retained entries, and returns the daemons that became gone.
 func (t *Table) Tick(now time.Time) []Member {
 	var gone []Member
 	for id, m := range t.members {
@@ -210,7 +208,7 @@
 	return gone
 }
 
-// Members returns all rows by id.
+// Members returns all entries, sorted by ID.
 func (t *Table) Members() []Member {
 	out := make([]Member, 0, len(t.members))
 	for _, m := range t.members {
@@ -220,7 +218,7 @@
 	return out
 }
 
-// AliveCount returns the number of daemons believed alive, the own one included.
+// AliveCount returns the number of alive daemons, including the own one.
 func (t *Table) AliveCount() int {
 	n := 0
 	for _, m := range t.members {
@@ -231,7 +229,7 @@
 	return n
 }
 
-// Find returns the row of a daemon.
+// Find returns the entry of a daemon.
 func (t *Table) Find(id string) (Member, bool) {
 	m := t.members[id]
 	if m == nil {
@@ -240,9 +238,9 @@
 	return *m, true
 }
 
-// ProbeTargets returns the daemons to probe in the next round. Each cycle goes
-// through all rows in a new random order, gone ones included, so that every
-// daemon is probed in bounded time and a healed partition is noticed.
+// ProbeTargets returns the daemons to probe in the next round. Each cycle covers all
+// entries in a new random order, including gone ones, so that every daemon is probed in
+// bounded time and a healed partition is detected.
 func (t *Table) ProbeTargets() []Member {
 	var out []Member
 	for len(out) < Fanout {
@@ -270,8 +268,8 @@
 	t.rng.Shuffle(len(t.probeQueue), func(i, j int) { t.probeQueue[i], t.probeQueue[j] = t.probeQueue[j], t.probeQueue[i] })
 }
 
-// NextRumors returns the rumors for the next message, the least told first. A rumor
-// is told often enough to reach everybody with near certainty, then dropped.
+// NextRumors returns the rumors for the next message, least transmitted first. A rumor is
+// dropped once it reached its retransmit limit.
 func (t *Table) NextRumors() []Rumor {
 	ids := make([]string, 0, len(t.rumors))
 	for id := range t.rumors {
@@ -292,20 +290,20 @@
 	return out
 }
 
-// InMajority reports whether the daemon is in the larger part of the fleet: at
-// least half of its newest probes were answered, and at least half of the
-// daemons it knows are alive. A lone daemon hears nobody and relies on the log.
+// InMajority reports whether the daemon is in the majority of the fleet: at least half of
+// its recent probes were answered, and at least half of the other daemons are alive. A
+// daemon without others is never in the majority and depends on the log.
 func (t *Table) InMajority(now time.Time) bool {
-	answered, asked := 0, 0
-	for _, c := range t.probeResults {
-		if now.Sub(c.at) > probeHistoryMaxAge {
+	answered, probed := 0, 0
+	for _, result := range t.probeResults {
+		if now.Sub(result.at) > probeHistoryMaxAge {
 			continue
 		}
-		asked++
-		if c.ok {
+		probed++
+		if result.ok {
 			answered++
 		}
 	}
 	others := len(t.members) - 1
-	return answered > 0 && 2*answered >= asked && 2*(t.AliveCount()-1) >= others
+	return answered > 0 && 2*answered >= probed && 2*(t.AliveCount()-1) >= others
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,8 +9,8 @@
 
 var startTime = time.Unix(1000, 0)
 
-// testFleet is daemons that exchange probes in virtual time. Cut returns whether two
-// of them do not reach each other.
+// testFleet simulates daemons that exchange probes in virtual time. Partitioned reports
+// whether two of them cannot reach each other.
 type testFleet struct {
 	tables      []*Table
 	partitioned func(a, b int) bool
@@ -27,7 +27,7 @@
 	f := &testFleet{partitioned: func(int, int) bool { return false }, down: map[int]bool{}, now: startTime}
 	for i := range n {
 		f.tables = append(f.tables, NewTable(testInfo(i, 1), rand.New(rand.NewPCG(uint64(i), 1))))
-		f.tables[i].Merge([]Rumor{{Beat: testInfo(0, 1)}}, f.now)
+		f.tables[i].Merge([]Rumor{{Info: testInfo(0, 1)}}, f.now)
 		if i > 0 {
 			f.tables[i].Merge(f.tables[0].Snapshot(), f.now)
 			f.tables[0].MarkAlive(testInfo(i, 1), f.now)
@@ -39,7 +39,7 @@
 	return f
 }
 
-// round lets every daemon probe once, as the daemon's loop does.
+// round runs one probe round of every daemon.
 func (f *testFleet) round() {
 	f.now = f.now.Add(ProbeInterval)
 	for i, t := range f.tables {
@@ -70,7 +70,7 @@
 	}
 }
 
-// countSeeing counts the daemons that believe a state of daemon i.
+// countSeeing counts the daemons that see daemon i in a state.
 func (f *testFleet) countSeeing(i int, s State) int {
 	n := 0
 	for j, t := range f.tables {
@@ -81,7 +81,7 @@
 	return n
 }
 
-func TestLostDaemonIsFoundEverywhere(t *testing.T) {
+func TestFailedDaemonIsDetectedEverywhere(t *testing.T) {
 	for _, n := range []int{6, 100, 520} {
 		f := newTestFleet(n)
 		for range 3 {
@@ -93,40 +93,37 @@
 			f.round()
 		}
 		if rounds > 14 {
-			t.Errorf("%d daemons: some still take the lost one for alive after %d rounds", n, rounds)
+			t.Errorf("%d daemons: some still see the failed one as alive after %d rounds", n, rounds)
 		}
 		for range 15 {
 			f.round()
 		}
 		if got := f.countSeeing(n-1, Gone); got != n-1 {
-			t.Errorf("%d daemons: %d of %d know that it is gone", n, got, n-1)
+			t.Errorf("%d daemons: %d of %d see the failed one as gone", n, got, n-1)
 		}
 		for i := range n - 1 {
 			if f.countSeeing(i, Gone) > 0 {
-				t.Fatalf("%d daemons: healthy daemon %d is taken for gone", n, i)
+				t.Fatalf("%d daemons: healthy daemon %d is seen as gone", n, i)
 			}
 		}
 	}
 }
 
-// Symptom: a healthy daemon loses its roles for good after one lost probe.
-// Sequence: a probe of it fails; the suspicion spreads.
-// Cause: it must hear of the suspicion and refute it in time, everywhere.
-func TestSuspectRefutes(t *testing.T) {
+// A healthy daemon must not be declared gone after one lost probe: it has to learn of the
+// suspicion and refute it in time.
+func TestSuspectRefutesInTime(t *testing.T) {
 	f := newTestFleet(100)
 	f.tables[0].RecordProbe("d050", false, f.now)
 	for range int(SuspicionTimeout/ProbeInterval) + 6 {
 		f.round()
 	}
 	if n := f.countSeeing(50, Alive); n != 99 {
-		t.Fatalf("%d of 99 take it for alive; gone for %d", n, f.countSeeing(50, Gone))
+		t.Fatalf("%d of 99 see it as alive, %d as gone", n, f.countSeeing(50, Gone))
 	}
 }
 
-// Symptom: after a partition both halves go on for themselves for ever, or the
-// smaller one goes on by an old configuration.
-// Sequence: 6 daemons part into 4 and 2, and meet again.
-// Cause: gone daemons must count as unheard, and be probed on.
+// Only the larger side of a partition is in the majority, and after healing all daemons
+// are alive again: gone ones count as unreachable and are still probed.
 func TestPartitionAndHealing(t *testing.T) {
 	f := newTestFleet(6)
 	for range 5 {
@@ -138,7 +135,7 @@
 	}
 	for i, table := range f.tables {
 		if got := table.InMajority(f.now); got != (i < 4) {
-			t.Errorf("daemon %d hears most: %v", i, got)
+			t.Errorf("daemon %d in majority: %v", i, got)
 		}
 	}
 	f.partitioned = func(int, int) bool { return false }
@@ -147,40 +144,38 @@
 	}
 	for i := range 6 {
 		if f.countSeeing(i, Alive) != 5 || !f.tables[i].InMajority(f.now) {
-			t.Errorf("daemon %d after healing: alive for %d", i, f.countSeeing(i, Alive))
+			t.Errorf("daemon %d after healing: alive for %d others", i, f.countSeeing(i, Alive))
 		}
 	}
 }
 
-// Symptom: work and copies of bills go to a daemon that no longer exists.
-// Sequence: a VM is replaced at the same address under a new id; then a beat of
-// the old one, long under way, arrives.
-// Cause: the newer incarnation owns the address.
-func TestReplacementAtTheSameAddress(t *testing.T) {
+// A VM replaced at the same address must not be displaced by a delayed rumor of its
+// predecessor: the higher incarnation owns the address.
+func TestReplacementAtSameAddress(t *testing.T) {
 	table := NewTable(testInfo(0, 1), rand.New(rand.NewPCG(1, 1)))
-	old, fresh := testInfo(1, 1), testInfo(2, 9)
-	fresh.PeerAddress = old.PeerAddress
+	old, replacement := testInfo(1, 1), testInfo(2, 9)
+	replacement.PeerAddress = old.PeerAddress
 	table.MarkAlive(old, startTime)
-	table.MarkAlive(fresh, startTime)
-	table.ApplyRumor(Rumor{Beat: old}, startTime)
+	table.MarkAlive(replacement, startTime)
+	table.ApplyRumor(Rumor{Info: old}, startTime)
 	if _, ok := table.Find(old.ID); ok {
 		t.Error("the replaced daemon is back")
 	}
-	if m, ok := table.Find(fresh.ID); !ok || m.State != Alive {
+	if m, ok := table.Find(replacement.ID); !ok || m.State != Alive {
 		t.Error("the new daemon is missing")
 	}
-	again := old
-	again.ID, again.PeerAddress, again.Incarnation = "d003", "10.0.0.3:81", 5
-	table.MarkAlive(again, startTime)
-	stale := again
+	restarted := old
+	restarted.ID, restarted.PeerAddress, restarted.Incarnation = "d003", "10.0.0.3:81", 5
+	table.MarkAlive(restarted, startTime)
+	stale := restarted
 	stale.Incarnation, stale.Leaving = 4, true
-	table.ApplyRumor(Rumor{Beat: stale, State: Gone}, startTime)
+	table.ApplyRumor(Rumor{Info: stale, State: Gone}, startTime)
 	if m, _ := table.Find("d003"); m.State != Alive || m.Leaving {
-		t.Error("a rumor of an earlier incarnation counts")
+		t.Error("a rumor of an earlier incarnation was applied")
 	}
 }
 
-func TestEndpointsSpreadAndSkipLeaving(t *testing.T) {
+func TestEndpointsSpreadAndSkipNotServing(t *testing.T) {
 	f := newTestFleet(10)
 	table := f.tables[0]
 	self := table.Self()
@@ -196,7 +191,7 @@
 	domains := map[byte]bool{}
 	for _, a := range got {
 		if a == self.Address || a == leaving.Address || a == starting.Address {
-			t.Errorf("a leaving or starting daemon is named: %v", got)
+			t.Errorf("a leaving or starting daemon is offered: %v", got)
 		}
 		domains[(a[len(a)-4]-'0')%5] = true
 	}
@@ -205,26 +200,26 @@
 	}
 }
 
-func TestServe(t *testing.T) {
-	at := startTime.Add(time.Hour)
-	ago := func(s int) time.Time { return at.Add(-time.Duration(s) * time.Second) }
+func TestCanServe(t *testing.T) {
+	now := startTime.Add(time.Hour)
+	ago := func(s int) time.Time { return now.Add(-time.Duration(s) * time.Second) }
 	cases := []struct {
-		name  string
-		sight Readiness
-		want  bool
+		name      string
+		readiness Readiness
+		want      bool
 	}{
-		{"fresh from log and peers", Readiness{LogReadAt: ago(1), MajorityAt: ago(1), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
-		{"nothing loaded", Readiness{LogReadAt: ago(1), MajorityAt: ago(1), ServersUpdatedAt: ago(1)}, false},
-		{"log down, most peers heard", Readiness{LogReadAt: ago(3600), MajorityAt: ago(1), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
-		{"the same, log needed", Readiness{LogReadAt: ago(3600), MajorityAt: ago(1), ServersUpdatedAt: ago(1), ConfigLoaded: true, RequireLog: true}, false},
-		{"peers cut, log heard", Readiness{LogReadAt: ago(1), MajorityAt: ago(3600), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
-		{"alone for 14 s", Readiness{LogReadAt: ago(14), MajorityAt: ago(14), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
-		{"alone for 16 s", Readiness{LogReadAt: ago(16), MajorityAt: ago(16), ServersUpdatedAt: ago(1), ConfigLoaded: true}, false},
-		{"woken after a pause", Readiness{LogReadAt: ago(5), MajorityAt: ago(5), ServersUpdatedAt: ago(5), ConfigLoaded: true}, false},
+		{"log and majority fresh", Readiness{LogReadAt: ago(1), MajorityAt: ago(1), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
+		{"no configuration loaded", Readiness{LogReadAt: ago(1), MajorityAt: ago(1), ServersUpdatedAt: ago(1)}, false},
+		{"log down, in majority", Readiness{LogReadAt: ago(3600), MajorityAt: ago(1), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
+		{"log down, in majority, log required", Readiness{LogReadAt: ago(3600), MajorityAt: ago(1), ServersUpdatedAt: ago(1), ConfigLoaded: true, RequireLog: true}, false},
+		{"minority, log fresh", Readiness{LogReadAt: ago(1), MajorityAt: ago(3600), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
+		{"isolated for 14 s", Readiness{LogReadAt: ago(14), MajorityAt: ago(14), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
+		{"isolated for 16 s", Readiness{LogReadAt: ago(16), MajorityAt: ago(16), ServersUpdatedAt: ago(1), ConfigLoaded: true}, false},
+		{"resumed after a pause", Readiness{LogReadAt: ago(5), MajorityAt: ago(5), ServersUpdatedAt: ago(5), ConfigLoaded: true}, false},
 		{"leaving servers unknown", Readiness{LogReadAt: ago(1), MajorityAt: ago(1), ConfigLoaded: true}, false},
 	}
 	for _, c := range cases {
-		if got := c.sight.CanServe(at); got != c.want {
+		if got := c.readiness.CanServe(now); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- /dev/null
+++ b/internal/membership/readiness.go
@@ -0,0 +1,49 @@
+package membership
+
+import "time"
+
+const (
+	// LogMaxAge is how long a daemon may serve after its last read of the log.
+	LogMaxAge = 10 * time.Second
+	// IsolationTimeout is how long a daemon that reaches neither the log nor a majority
+	// keeps serving. It must stay below the time by which a configuration change has to
+	// be in force everywhere.
+	IsolationTimeout = 15 * time.Second
+	// ServersMaxAge is the maximum age of the information on leaving servers. It allows
+	// for a missed read of the platform's list, which is polled every second.
+	ServersMaxAge = 2500 * time.Millisecond
+)
+
+// Readiness is the information that decides whether a daemon may serve.
+type Readiness struct {
+	// LogReadAt is the time of the last answered read of the log.
+	LogReadAt time.Time
+	// MajorityAt is the last time that the daemon was in the majority of the fleet.
+	MajorityAt time.Time
+	// RequireLog makes the daemon stop serving without the log, even in the majority.
+	RequireLog bool
+	// ServersUpdatedAt is when the list of VMs was last read, received from a peer, or
+	// found unavailable. Zero if none of these has happened yet.
+	ServersUpdatedAt time.Time
+	// ConfigLoaded reports whether any configuration has been loaded.
+	ConfigLoaded bool
+}
+
+// CanServe reports whether the daemon may dispatch requests at a time.
+//
+// A log that is down for everyone cannot have changed, so a daemon in the majority goes
+// on without it. A daemon that reaches neither may have missed a withdrawal, and stops
+// after IsolationTimeout. If a partition leaves the log with the minority, the majority
+// serves an outdated configuration until it heals; RequireLog rules that out at the
+// cost of availability.
+//
+// After a start or a pause, a daemon does not serve before it knows which servers leave.
+func (r Readiness) CanServe(now time.Time) bool {
+	if !r.ConfigLoaded || now.Sub(r.ServersUpdatedAt) > ServersMaxAge {
+		return false
+	}
+	if r.RequireLog {
+		return now.Sub(r.LogReadAt) <= IsolationTimeout
+	}
+	return now.Sub(r.LogReadAt) <= LogMaxAge || now.Sub(r.MajorityAt) <= IsolationTimeout
+}
--- a/internal/membership/roles.go
+++ b/internal/membership/roles.go
@@ -8,49 +8,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// canServe rows may hold roles and get callers.
+// canServe reports whether a member may own keys and be offered to clients.
 func canServe(m Member) bool { return m.State == Alive && m.Serving && !m.Leaving }
 
-// Owners returns the n best usable daemons for a key by rendezvous hashing, best
-// first, own daemon included.
+// Owners returns the n highest-ranked serving daemons for a key by rendezvous hashing,
+// best first. The own daemon may be among them.
 func (t *Table) Owners(key string, n int) []Member {
 	return t.rendezvous(key, n, canServe)
 }
 
-// OwnersIn returns the n best usable daemons of one failure domain for a key.
+// OwnersIn is Owners restricted to one failure domain.
 func (t *Table) OwnersIn(domain, key string, n int) []Member {
 	return t.rendezvous(key, n, func(m Member) bool { return canServe(m) && m.FailureDomain == domain })
 }
 
-// Replicas returns up to n daemons outside the own failure domain that keep copies
-// for the own one; where there is none, others of the own domain. A keeper need
-// not serve requests.
+// Replicas returns up to n daemons that hold copies for the own one. They are outside its
+// failure domain unless no daemon there is available, and need not serve requests.
 func (t *Table) Replicas(n int) []Member {
 	domain := t.Self().FailureDomain
-	stays := func(m Member) bool { return m.State == Alive && !m.Leaving && m.ID != t.self }
-	away := t.rendezvous(t.self, n, func(m Member) bool { return stays(m) && m.FailureDomain != domain })
-	if len(away) > 0 {
-		return away
+	available := func(m Member) bool { return m.State == Alive && !m.Leaving && m.ID != t.self }
+	remote := t.rendezvous(t.self, n, func(m Member) bool { return available(m) && m.FailureDomain != domain })
+	if len(remote) > 0 {
+		return remote
 	}
-	return t.rendezvous(t.self, n, stays)
+	return t.rendezvous(t.self, n, available)
 }
 
-// rendezvous keeps the n best in one pass: a fleet of 520 is ranked for every bill,
-// and sorting it each time would cost more than the bill.
-func (t *Table) rendezvous(key string, n int, keep func(Member) bool) []Member {
+// rendezvous returns the n members with the highest hashes for a key, in one pass: it runs
+// for every billing record, where sorting the whole fleet would be too slow.
+func (t *Table) rendezvous(key string, n int, eligible func(Member) bool) []Member {
 	var best []Member
 	var weights []uint64
 	for _, m := range t.members {
-		if !keep(*m) {
+		if !eligible(*m) {
 			continue
 		}
 		w := xxhash.Sum64String(key + "\x00" + m.ID)
-		at, _ := slices.BinarySearchFunc(weights, w, func(a, b uint64) int { return cmp.Compare(b, a) })
-		if at >= n {
+		index, _ := slices.BinarySearchFunc(weights, w, func(a, b uint64) int { return cmp.Compare(b, a) })
+		if index >= n {
 			continue
 		}
-		best = slices.Insert(best, at, *m)
-		weights = slices.Insert(weights, at, w)
+		best = slices.Insert(best, index, *m)
+		weights = slices.Insert(weights, index, w)
 		if len(best) > n {
 			best, weights = best[:n], weights[:n]
 		}
@@ -58,9 +57,8 @@
 	return best
 }
 
-// Endpoints returns up to n addresses for a caller: usable daemons, one failure
-// domain after the other, the least loaded of each first. The own daemon's
-// leaving mark counts too, so a leaving daemon never names itself.
+// Endpoints returns up to n addresses for a client, alternating between failure domains
+// and preferring the least loaded daemons. A leaving daemon does not return itself.
 func (t *Table) Endpoints(n int) []string {
 	byDomain := map[string][]Member{}
 	for _, m := range t.Members() {
@@ -69,8 +67,8 @@
 		}
 	}
 	domains := make([]string, 0, len(byDomain))
-	for d, rows := range byDomain {
-		slices.SortStableFunc(rows, func(a, b Member) int { return cmp.Compare(a.InFlight, b.InFlight) })
+	for d, members := range byDomain {
+		slices.SortStableFunc(members, func(a, b Member) int { return cmp.Compare(a.InFlight, b.InFlight) })
 		domains = append(domains, d)
 	}
 	slices.SortFunc(domains, func(a, b string) int {
--- a/lab/slopes/spread.go
+++ b/lab/slopes/spread.go
@@ -16,8 +16,8 @@
 	for i := range daemons {
 		id := fmt.Sprintf("d%03d", i)
 		index[id] = i
-		rows[i].Beat = membership.DaemonInfo{ID: id, PeerAddress: id, Incarnation: 1, Serving: true}
-		tables[i] = membership.NewTable(rows[i].Beat, rand.New(rand.NewPCG(seed, uint64(i))))
+		rows[i].Info = membership.DaemonInfo{ID: id, PeerAddress: id, Incarnation: 1, Serving: true}
+		tables[i] = membership.NewTable(rows[i].Info, rand.New(rand.NewPCG(seed, uint64(i))))
 	}
 	knows := make([]bool, daemons)
 	for i := range daemons {
