--- a/internal/gossip/calls.go
+++ b/internal/gossip/calls.go
@@ -10,49 +10,50 @@
 	"github.com/damaskrudder/damaskrudder/internal/peer"
 )
 
-// HandleRecords returns the records that a daemon asks for, or as many of the first of them as
-// one message takes. A first record that is too long, and all keys there are, are not divided.
-func HandleRecords(q RecordsRequest, since func(topic string, from feed.Position) feed.Tail) RecordsResponse {
-	t := since(q.Topic, q.From)
-	page := firstPage(t.Records)
+// HandleRecords answers a request for records with as many of the first ones as fit into
+// one message. A snapshot is not divided: if it, or the first record, does not fit, the
+// response is marked TooLong.
+func HandleRecords(req RecordsRequest, tailFrom func(topic string, from feed.Position) feed.Tail) RecordsResponse {
+	tail := tailFrom(req.Topic, req.From)
+	page := firstPage(tail.Records)
 	switch {
-	case len(page) == len(t.Records):
-		return RecordsResponse{Records: t.Records, Next: t.Next, Snapshot: t.Snapshot}
-	case len(page) == 0 || t.Snapshot:
-		return RecordsResponse{Next: t.Next, TooLong: true}
+	case len(page) == len(tail.Records):
+		return RecordsResponse{Records: tail.Records, Next: tail.Next, Snapshot: tail.Snapshot}
+	case len(page) == 0 || tail.Snapshot:
+		return RecordsResponse{Next: tail.Next, TooLong: true}
 	}
 	return RecordsResponse{Records: page, Next: page[len(page)-1].At.Next()}
 }
 
-// Transport calls other daemons at their addresses.
+// Transport calls other daemons by their peer addresses.
 type Transport interface {
-	// Exchange tells a daemon this one's pulse and returns its own.
+	// Exchange sends a message to a daemon and returns its message.
 	Exchange(ctx context.Context, address string, p Message) (Message, error)
-	// FetchRecords asks a daemon for records.
+	// FetchRecords fetches records from a daemon.
 	FetchRecords(ctx context.Context, address string, q RecordsRequest) (RecordsResponse, error)
 }
 
-// PeerTransport calls daemons over peer links. It implements Caller.
+// PeerTransport implements Transport over peer connections.
 type PeerTransport struct{ *peer.Client }
 
-// Exchange implements Caller.
-func (l PeerTransport) Exchange(ctx context.Context, address string, p Message) (Message, error) {
-	return peer.Call[Message, Message](ctx, l.Client, address, exchangeKind, p)
+// Exchange implements Transport.
+func (t PeerTransport) Exchange(ctx context.Context, address string, msg Message) (Message, error) {
+	return peer.Call[Message, Message](ctx, t.Client, address, exchangeKind, msg)
 }
 
-// FetchRecords implements Caller.
-func (l PeerTransport) FetchRecords(ctx context.Context, address string, q RecordsRequest) (RecordsResponse, error) {
-	return peer.Call[RecordsRequest, RecordsResponse](ctx, l.Client, address, recordsKind, q)
+// FetchRecords implements Transport.
+func (t PeerTransport) FetchRecords(ctx context.Context, address string, req RecordsRequest) (RecordsResponse, error) {
+	return peer.Call[RecordsRequest, RecordsResponse](ctx, t.Client, address, recordsKind, req)
 }
 
 const exchangeKind = "pulse"
 
-// maxRecordsBytes bounds, in bytes, the records that a daemon passes on. A configuration of
-// some hundred routes is 250 KB: fifty daemons that fetch it at once from one whose
-// link has 10 Mbit/s wait ten seconds. The log serves all in a fraction of one.
+// maxRecordsBytes bounds the size of the records in one response, in bytes. Longer ones
+// are read from the log, since many daemons that fetch them from one peer at the same time
+// would saturate its link.
 const maxRecordsBytes = 16 << 10
 
-// firstPage returns the first records that one message takes.
+// firstPage returns the longest prefix of records within maxRecordsBytes.
 func firstPage(records []feed.Record) []feed.Record {
 	size := 0
 	for i, r := range records {
@@ -63,40 +64,40 @@
 	return records
 }
 
-// FetchRecords asks one of the daemons that live and have read further for records. Which
-// one is drawn, so that those that are behind do not all ask the same. The error is
-// feed.ErrTooLong if the records are longer than daemons pass on.
-func (m *Members) FetchRecords(ctx context.Context, topic string, from feed.Position, ahead func(p Message) bool) (feed.Tail, error) {
-	list := slices.DeleteFunc(m.LiveMessages(), func(p Message) bool { return !ahead(p) })
-	if len(list) == 0 {
+// FetchRecords fetches records from one of the live daemons for which ahead reports that
+// they have read further. It is picked at random to spread the load. The error is
+// feed.ErrTooLong if the records do not fit into one message.
+func (m *Members) FetchRecords(ctx context.Context, topic string, from feed.Position, ahead func(target Message) bool) (feed.Tail, error) {
+	candidates := slices.DeleteFunc(m.LiveMessages(), func(target Message) bool { return !ahead(target) })
+	if len(candidates) == 0 {
 		return feed.Tail{}, errNoPeerAhead
 	}
-	p := list[rand.IntN(len(list))]
-	a, err := m.transport.FetchRecords(ctx, p.Address, RecordsRequest{topic, from})
+	target := candidates[rand.IntN(len(candidates))]
+	resp, err := m.transport.FetchRecords(ctx, target.Address, RecordsRequest{topic, from})
 	if err != nil {
 		return feed.Tail{}, err
 	}
-	if a.TooLong {
+	if resp.TooLong {
 		return feed.Tail{}, feed.ErrTooLong
 	}
-	return feed.Tail{Records: a.Records, Next: a.Next, Snapshot: a.Snapshot}, nil
+	return feed.Tail{Records: resp.Records, Next: resp.Next, Snapshot: resp.Snapshot}, nil
 }
 
-var errNoPeerAhead = errors.New("no daemon that lives has read further")
+var errNoPeerAhead = errors.New("no live daemon has read further")
 
-// RecordsRequest asks for the records of a topic from a position on.
+// RecordsRequest requests the records of a topic from a position on.
 type RecordsRequest struct {
 	Topic string        `cbor:"1,keyasint"`
 	From  feed.Position `cbor:"2,keyasint"`
 }
 
-// RecordsResponse is the answer: the newest of each key, and how far the daemon has read.
+// RecordsResponse holds the newest record of each key, and the next position to read.
 type RecordsResponse struct {
 	Records []feed.Record `cbor:"1,keyasint"`
 	Next    feed.Position `cbor:"2,keyasint"`
-	// TooLong says that the records are left out: the log has to be read.
+	// TooLong reports that the records do not fit and have to be read from the log.
 	TooLong bool `cbor:"3,keyasint,omitempty"`
-	// Snapshot says that these are all keys there are.
+	// Snapshot reports that Records holds all keys of the topic.
 	Snapshot bool `cbor:"4,keyasint,omitempty"`
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -14,63 +14,63 @@
 	"github.com/damaskrudder/damaskrudder/internal/relay"
 )
 
-func testMembers() *Members {
+func newTestMembers() *Members {
 	return New("self", "self:1", "self/1", func(bool) Message { return Message{} }, PeerTransport{peer.NewClient("self", "", nil)}, func() time.Duration { return 0 }, log.New(io.Discard))
 }
 
-func TestDaemonsAreFoundThroughEachOther(t *testing.T) {
-	m := testMembers()
+func TestDaemonsAreDiscoveredThroughPeers(t *testing.T) {
+	m := newTestMembers()
 	m.Receive("a:1", Message{Incarnation: "a/1", Name: "a", KnownAddresses: []string{"b:1", "self:1"}})
-	if alive := m.LiveMessages(); len(alive) != 1 || alive[0].Name != "a" {
-		t.Fatalf("alive %v", alive)
+	if live := m.LiveMessages(); len(live) != 1 || live[0].Name != "a" {
+		t.Fatalf("live daemons %v", live)
 	}
-	var asked []string
+	var calls []string
 	for _, o := range m.nextCalls(time.Now().Add(time.Second)) {
-		asked = append(asked, o.address)
+		calls = append(calls, o.address)
 	}
-	if !slices.Contains(asked, "b:1") || slices.Contains(asked, "self:1") {
-		t.Fatalf("asks %v", asked)
+	if !slices.Contains(calls, "b:1") || slices.Contains(calls, "self:1") {
+		t.Fatalf("calls %v", calls)
 	}
 }
 
-// Guards against this failure: callers were sent to a daemon that was leaving.
-func TestLeavingIsNotTakenBack(t *testing.T) {
-	m := testMembers()
+// A reordered message must not make a leaving daemon available to clients again.
+func TestLeavingIsFinalForIncarnation(t *testing.T) {
+	m := newTestMembers()
 	m.Receive("a:1", Message{Incarnation: "a/1", Name: "a", ClientAddress: "f:1", Leaving: true})
 	m.Receive("a:1", Message{Incarnation: "a/1", Name: "a", ClientAddress: "f:1", Ready: true})
 	offered := func() []string {
 		return membership.SelectEndpoints(append(m.Endpoints(), membership.Endpoint{Address: "self", Ready: true}), membership.Client{}, 10)
 	}
 	if got := offered(); slices.Contains(got, "f:1") {
-		t.Fatalf("names %v", got)
+		t.Fatalf("leaving daemon is offered: %v", got)
 	}
 	m.Receive("a:1", Message{Incarnation: "a/2", Name: "a", ClientAddress: "f:1", Ready: true})
 	if got := offered(); !slices.Contains(got, "f:1") {
-		t.Fatalf("a new run of the daemon is not named: %v", got)
+		t.Fatalf("a new run of the daemon is not offered: %v", got)
 	}
 }
 
-func TestPlacementsAreHeardOnce(t *testing.T) {
+func TestPlacementRoundsAreNewOnce(t *testing.T) {
 	var p Placements
 	now := time.Unix(50, 0)
-	take := func() []relay.Placed { return []relay.Placed{{Server: 7}} }
-	_, first := p.CurrentRound(take, now)
-	_, same := p.CurrentRound(take, now.Add(Interval/2))
-	_, next := p.CurrentRound(take, now.Add(Interval))
+	collect := func() []relay.Placed { return []relay.Placed{{Server: 7}} }
+	_, first := p.CurrentRound(collect, now)
+	_, same := p.CurrentRound(collect, now.Add(Interval/2))
+	_, next := p.CurrentRound(collect, now.Add(Interval))
 	if first != same || next == first {
 		t.Errorf("rounds %d, %d, %d", first, same, next)
 	}
 	var other Placements
 	if !other.MarkSeen("a/1", first) || other.MarkSeen("a/1", same) || !other.MarkSeen("a/1", next) || !other.MarkSeen("b/1", first) {
-		t.Error("a round is heard once from each daemon")
+		t.Error("a round must be new exactly once for each daemon")
 	}
 }
 
-// What is told of the work of others sums up to their newest pulses, and a daemon that has
-// fallen silent has none.
-func TestWorkIsSummedByServer(t *testing.T) {
+// The reported changes add up to the work in the latest messages, and expired daemons
+// have none.
+func TestWorkChangesSumToLatestMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := testMembers()
+		m := newTestMembers()
 		sum := map[relay.ServerKey]relay.Work{}
 		m.OnWorkChanged = func(changes []relay.Work) {
 			for _, c := range changes {
@@ -88,23 +88,24 @@
 		time.Sleep(minLivenessTimeout/2 + time.Millisecond)
 		m.reportExpiredWork()
 		if sum[1].Running != 1 || sum[1].Pending != 7 || sum[2].Running != 4 {
-			t.Errorf("after a daemon fell silent: %v", sum)
+			t.Errorf("after a daemon expired: %v", sum)
 		}
 	})
 }
 
-// Guards against this failure: a key that had been taken away opened a second too long.
-func TestAgeCountsFromTheEchoedStamp(t *testing.T) {
-	m := testMembers()
+// Guards against counting the age of confirmations from their receipt, which kept revoked
+// keys valid for too long.
+func TestSentAfterUsesEchoedTimestamp(t *testing.T) {
+	m := newTestMembers()
 	if got := m.sentAfter(Message{}); got != 0 {
-		t.Errorf("a pulse without an echo is as old as %s", got)
+		t.Errorf("a message without an echo was sent after %s", got)
 	}
 	other := New("a", "a:1", "a/1", func(bool) Message { return Message{} }, PeerTransport{peer.NewClient("a", "", nil)}, func() time.Duration { return time.Hour }, log.New(io.Discard))
-	p := other.newStampedMessage("self:1", "self/1", 5000, false)
-	if got := m.sentAfter(p); got != 5*time.Second {
-		t.Errorf("made after %s, want 5s", got)
+	msg := other.newStampedMessage("self:1", "self/1", 5000, false)
+	if got := m.sentAfter(msg); got != 5*time.Second {
+		t.Errorf("sent after %s, want 5s", got)
 	}
 	if got := m.sentAfter(other.newStampedMessage("self:1", "self/0", 5000, false)); got != 0 {
-		t.Error("the clock of an earlier run, perhaps on another VM, was trusted")
+		t.Error("the clock of an earlier run was trusted")
 	}
 }
--- /dev/null
+++ b/internal/gossip/message.go
@@ -0,0 +1,76 @@
+package gossip
+
+import (
+	"time"
+
+	"github.com/damaskrudder/damaskrudder/internal/feed"
+	"github.com/damaskrudder/damaskrudder/internal/freshness"
+	"github.com/damaskrudder/damaskrudder/internal/quarantine"
+	"github.com/damaskrudder/damaskrudder/internal/relay"
+)
+
+// Message is the state that daemons exchange.
+type Message struct {
+	// Incarnation identifies one run of a daemon.
+	Incarnation string `cbor:"1,keyasint"`
+	// Name is the name of the daemon, which is stable over restarts.
+	Name string `cbor:"2,keyasint"`
+	// Address is the address for daemons, ClientAddress the one for clients.
+	Address       string `cbor:"3,keyasint"`
+	ClientAddress string `cbor:"4,keyasint"`
+	FailureDomain string `cbor:"5,keyasint"`
+	// Ready reports whether clients should be sent to the daemon.
+	Ready   bool `cbor:"6,keyasint,omitempty"`
+	Leaving bool `cbor:"7,keyasint,omitempty"`
+	// Eligible is described at membership.PeerStatus.
+	Eligible bool `cbor:"21,keyasint,omitempty"`
+	// ConfigVersion is the version of the configuration in force.
+	ConfigVersion int64 `cbor:"8,keyasint,omitempty"`
+	// Ages holds, by subject, the time in ms since the daemon's knowledge was last
+	// confirmed to be complete, or AgeUnknown.
+	Ages   []int64             `cbor:"9,keyasint"`
+	Work   []relay.Work        `cbor:"10,keyasint,omitempty"`
+	Orders []relay.OrderReport `cbor:"11,keyasint,omitempty"`
+	// KnownAddresses lists addresses of other daemons, for discovery.
+	KnownAddresses []string `cbor:"12,keyasint,omitempty"`
+	// Placed holds the prompts placed in the round PlacedRound. Several messages may
+	// carry the same round.
+	Placed      []relay.Placed `cbor:"13,keyasint,omitempty"`
+	PlacedRound uint64         `cbor:"14,keyasint,omitempty"`
+	// Timestamp is the sender's clock in ms at the time of sending. EchoTimestamp is the
+	// newest timestamp that the sender received from the run EchoIncarnation: the
+	// message was sent after that moment of the receiver's own clock.
+	Timestamp       int64  `cbor:"16,keyasint,omitempty"`
+	EchoTimestamp   int64  `cbor:"17,keyasint,omitempty"`
+	EchoIncarnation uint64 `cbor:"18,keyasint,omitempty"`
+	// WantsEvidence reports that the daemon evaluates roll-outs and needs the evidence of
+	// the others.
+	WantsEvidence bool `cbor:"19,keyasint,omitempty"`
+	// Suspects lists addresses that did not answer the sender recently. The receiver calls
+	// them next, and relies on its own result.
+	Suspects []string `cbor:"20,keyasint,omitempty"`
+	// Quarantine holds recent changes of the quarantine.
+	Quarantine quarantine.Update `cbor:"22,keyasint,omitempty"`
+	// NextPositions holds the next position to read, by topic.
+	NextPositions []feed.Position `cbor:"15,keyasint,omitempty"`
+}
+
+// AgeUnknown is the age of knowledge that was never confirmed.
+const AgeUnknown = -1
+
+// Age returns the time since the daemon's knowledge of a subject was last confirmed to be
+// complete, and whether it ever was.
+func (m Message) Age(subject freshness.Subject) (time.Duration, bool) {
+	if int(subject) >= len(m.Ages) || m.Ages[subject] < 0 {
+		return 0, false
+	}
+	return time.Duration(m.Ages[subject]) * time.Millisecond, true
+}
+
+// NextPosition returns the next position that the daemon reads in a topic.
+func (m Message) NextPosition(topic int) feed.Position {
+	if topic < 0 || topic >= len(m.NextPositions) {
+		return 0
+	}
+	return m.NextPositions[topic]
+}
--- a/internal/gossip/placements.go
+++ b/internal/gossip/placements.go
@@ -7,8 +7,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/relay"
 )
 
-// Placements gathers what this daemon placed into numbered rounds, so that every
-// other daemon hears of each round once, however many pulses carry it.
+// Placements collects the local placements into numbered rounds, so that other daemons
+// apply each round once, even if several messages carry it.
 type Placements struct {
 	mu         sync.Mutex
 	round      uint64
@@ -17,19 +17,19 @@
 	seenRounds map[string]uint64
 }
 
-// CurrentRound returns the round that pulses carry now. A round is carried for as
-// long as one turn of pulses takes.
-func (p *Placements) CurrentRound(take func() []relay.Placed, now time.Time) ([]relay.Placed, uint64) {
+// CurrentRound returns the placements and the number of the current round. A new round
+// begins after Interval.
+func (p *Placements) CurrentRound(collect func() []relay.Placed, now time.Time) ([]relay.Placed, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.roundStart) >= Interval {
 		p.round++
-		p.roundStart, p.current = now, take()
+		p.roundStart, p.current = now, collect()
 	}
 	return p.current, p.round
 }
 
-// MarkSeen reports whether a round of another incarnation was not heard before.
+// MarkSeen marks a round of another incarnation as seen, and reports whether it was new.
 func (p *Placements) MarkSeen(incarnation string, round uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gossip/rounds.go
+++ b/internal/gossip/rounds.go
@@ -9,26 +9,26 @@
 	"github.com/damaskrudder/damaskrudder/internal/loop"
 )
 
-// Run calls the others until the context ends.
+// Run calls other daemons periodically until the context ends.
 func (m *Members) Run(ctx context.Context) {
 	m.round(ctx)
 	loop.Every(ctx, Interval, func(ctx context.Context, _ time.Time) { m.round(ctx) })
 }
 
-// Broadcast calls some of the others at once, as when this daemon begins to leave or has
-// read something new. They tell on in turn, so that all hear within some calls.
+// Broadcast calls some live daemons at once, for changes that should spread before the
+// next round.
 func (m *Members) Broadcast(ctx context.Context) {
 	m.mu.Lock()
 	m.expireSilent(time.Now())
-	var list []*member
+	var targets []*member
 	for a, o := range m.members {
-		if len(list) < fanout && !o.callPending && m.live.Contains(a) {
+		if len(targets) < fanout && !o.callPending && m.live.Contains(a) {
 			o.callPending = true
-			list = append(list, o)
+			targets = append(targets, o)
 		}
 	}
 	m.mu.Unlock()
-	for _, o := range list {
+	for _, o := range targets {
 		go m.call(ctx, o)
 	}
 }
@@ -40,52 +40,52 @@
 	}
 }
 
-// reportExpiredWork tells that the work of daemons that fell silent is no more.
+// reportExpiredWork passes the work of expired daemons to OnWorkChanged.
 func (m *Members) reportExpiredWork() {
 	m.mu.Lock()
 	m.expireSilent(time.Now())
-	lapsed := m.expiredWork
+	expired := m.expiredWork
 	m.expiredWork = nil
 	m.mu.Unlock()
-	m.OnWorkChanged(lapsed)
+	m.OnWorkChanged(expired)
 }
 
-// nextCalls chooses whom to call: some of those that answer, and now and then those that do not.
+// nextCalls drops unreachable addresses and returns the members to call in this round.
 func (m *Members) nextCalls(now time.Time) []*member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expireSilent(now)
-	var list []*member
+	var due []*member
 	for a, o := range m.members {
-		lastSign := o.lastContact
-		if o.added.After(lastSign) {
-			lastSign = o.added
+		lastEvidence := o.lastContact
+		if o.added.After(lastEvidence) {
+			lastEvidence = o.added
 		}
-		if now.Sub(lastSign) > addressRetention {
+		if now.Sub(lastEvidence) > addressRetention {
 			delete(m.members, a)
 			continue
 		}
-		quiet := !m.live.Contains(a)
+		silent := !m.live.Contains(a)
 		if now.Sub(o.lastContact) < recentContactWindow {
-			continue // a call carries word both ways
+			continue // a call exchanges messages in both directions
 		}
-		waits := quiet && now.Sub(o.added) > startupWindow && now.Sub(o.lastAttempt) < retryInterval
-		if o.callPending || waits {
+		backingOff := silent && now.Sub(o.added) > startupWindow && now.Sub(o.lastAttempt) < retryInterval
+		if o.callPending || backingOff {
 			continue
 		}
-		list = append(list, o)
+		due = append(due, o)
 	}
-	for who, at := range m.leavingSince {
+	for incarnation, at := range m.leavingSince {
 		if now.Sub(at) > leavingRetention {
-			delete(m.leavingSince, who)
+			delete(m.leavingSince, incarnation)
 		}
 	}
-	slices.SortFunc(list, compareCallPriority)
-	list = list[:min(fanout, len(list))]
-	for _, o := range list {
+	slices.SortFunc(due, compareCallPriority)
+	due = due[:min(fanout, len(due))]
+	for _, o := range due {
 		o.callPending, o.lastAttempt = true, now
 	}
-	return list
+	return due
 }
 
 func (m *Members) call(ctx context.Context, o *member) {
@@ -95,7 +95,7 @@
 	m.mu.Lock()
 	last := o.latest
 	m.mu.Unlock()
-	p, err := m.transport.Exchange(ctx, o.address, m.newStampedMessage(o.address, last.Incarnation, last.Timestamp, last.WantsEvidence))
+	msg, err := m.transport.Exchange(ctx, o.address, m.newStampedMessage(o.address, last.Incarnation, last.Timestamp, last.WantsEvidence))
 	m.mu.Lock()
 	o.callPending = false
 	o.lastCallFailed, o.suspected = err != nil && o.lastContact.Before(sentAt), false
@@ -107,14 +107,13 @@
 		m.log.Warn("daemon lost", "daemon", o.latest.Name, "address", o.address, "err", err)
 	}
 	if err == nil {
-		m.Receive(o.address, p)
+		m.Receive(o.address, msg)
 	}
 }
 
-// compareCallPriority orders members for the next calls: those that did not answer another daemon, then
-// those that were the longest without contact. In turns over a list that others come and go
-// from, some were passed over until they were taken as gone: of 195 daemons that all lived,
-// 50 missed one or two others at any time.
+// compareCallPriority orders members by call priority: suspected ones first, then those
+// without activity for longest. A plain rotation would skip members as others come and go,
+// until their liveness timeout.
 func compareCallPriority(a, b *member) int {
 	switch {
 	case a.suspected && !b.suspected:
@@ -125,7 +124,7 @@
 	return cmp.Or(a.lastActivity().Compare(b.lastActivity()), cmp.Compare(a.tiebreak, b.tiebreak))
 }
 
-// lastActivity is when the member was last heard or called.
+// lastActivity returns when the member was last in contact or called.
 func (o *member) lastActivity() time.Time {
 	if o.lastAttempt.After(o.lastContact) {
 		return o.lastAttempt
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspects.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A daemon that does not answer one daemon is called next by all that hear of it, so that
-// its end is known everywhere after 2 s instead of 9 with 195 daemons. Nobody believes
-// another's word: its own way to the daemon may be cut.
+// An unanswered call is reported to the other daemons, which call the suspect next. This
+// detects failures long before the liveness timeout of large deployments. A daemon only
+// relies on its own calls, since the reporter may itself be partitioned from the suspect.
 
-// markSuspected takes addresses that did not answer another daemon. Callers hold mu.
+// markSuspected marks the members that another daemon reported. Callers hold mu.
 func (m *Members) markSuspected(addresses []string, now time.Time) {
 	for _, a := range addresses {
 		if o := m.members[a]; o != nil && m.live.Contains(a) && !o.lastCallFailed && now.Sub(o.lastContact) >= Interval {
@@ -18,8 +18,8 @@
 	}
 }
 
-// recentFailures returns the addresses of some members that did not answer the last call, as
-// long as this is news. Callers hold mu.
+// recentFailures returns up to maxSuspects addresses that recently failed to answer.
+// Callers hold mu.
 func (m *Members) recentFailures(now time.Time) (out []string) {
 	for _, o := range m.failedMembers {
 		if o.lastCallFailed && now.Sub(o.lastAttempt) < suspectReportPeriod && len(out) < maxSuspects {
@@ -29,8 +29,7 @@
 	return out
 }
 
-// updateFailedMembers keeps the members of which others are told that they do not answer. Callers
-// hold mu.
+// updateFailedMembers updates failedMembers after a call. Callers hold mu.
 func (m *Members) updateFailedMembers(o *member) {
 	m.failedMembers = slices.DeleteFunc(m.failedMembers, func(f *member) bool { return f == o || !f.lastCallFailed })
 	if o.lastCallFailed {
--- a/internal/gossip/views.go
+++ b/internal/gossip/views.go
@@ -8,7 +8,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// workDelta returns how a daemon's work at backend servers has changed.
+// workDelta returns the changes between two lists of work at backend servers.
 func workDelta(before, after []relay.Work) []relay.Work {
 	out := make([]relay.Work, 0, len(before)+len(after))
 	for _, w := range before {
@@ -17,8 +17,8 @@
 	return append(out, after...)
 }
 
-// SlowStartView returns the daemons that share the limits of warming servers with this one. It is
-// trusted while at least half of the daemons that are known of are in contact.
+// SlowStartView returns the daemons that share the limits of warming servers with this
+// one. It is trusted while at least half of the known daemons are live.
 func (m *Members) SlowStartView() slowstart.View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -27,9 +27,9 @@
 	return slowstart.View{Own: own, Others: others, Trusted: 2*m.live.Len() >= len(m.members)}
 }
 
-// Endpoints returns the daemons heard lately as callers are told of them, in no order. One
-// that did not answer the last call is left out until it is heard again: with 195 daemons
-// each is called every 3 s, and its silence alone would show 9 s after its end.
+// Endpoints returns the live daemons as endpoints for clients, in no order. Daemons whose
+// last call failed are omitted until the next contact, since the liveness timeout is long
+// in large deployments.
 func (m *Members) Endpoints() []membership.Endpoint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,8 +37,8 @@
 	out := make([]membership.Endpoint, 0, m.live.Len()+1)
 	for a, o := range m.members {
 		if m.live.Contains(a) && !o.lastCallFailed {
-			p := o.latest
-			out = append(out, membership.Endpoint{Address: p.ClientAddress, FailureDomain: p.FailureDomain, Ready: p.Ready, Leaving: p.Leaving})
+			msg := o.latest
+			out = append(out, membership.Endpoint{Address: msg.ClientAddress, FailureDomain: msg.FailureDomain, Ready: msg.Ready, Leaving: msg.Leaving})
 		}
 	}
 	return out
