--- a/internal/feedtest/store.go
+++ b/internal/feedtest/store.go
@@ -1,5 +1,5 @@
-// Package feedtest has a store for tests in virtual time: keyed topics in memory, read by
-// calls that can be left without an answer.
+// Package feedtest provides an in-memory feed.Log for tests in virtual time, with injectable
+// failures.
 package feedtest
 
 import (
@@ -14,45 +14,45 @@
 	"github.com/damaskrudder/damaskrudder/internal/loop"
 )
 
-// roundTripTime is the time of one call: the users' store answers within some milliseconds.
+// roundTripTime is the duration of one call.
 const roundTripTime = 4 * time.Millisecond
 
-// Mode is how the store treats a call.
+// Mode is the way in which the store treats calls.
 type Mode int
 
 // The modes of a store.
 const (
-	// Serving answers.
+	// Serving answers calls.
 	Serving Mode = iota
-	// Unresponsive never answers a call that comes meanwhile; one that waits is kept.
+	// Unresponsive never answers calls made in this mode; waiting reads are kept.
 	Unresponsive
-	// Refusing refuses at once; a call that waits is kept.
+	// Refusing fails new calls at once; waiting reads are kept.
 	Refusing
-	// Resetting breaks every connection, also of calls that wait.
+	// Resetting fails new calls and waiting reads.
 	Resetting
 )
 
-// ErrBusy and ErrReset are what callers get in the modes of these names.
+// ErrRefused and ErrReset are the errors in the modes Refusing and Resetting.
 var (
-	ErrRefused = errors.New("the store refuses")
-	ErrReset   = errors.New("the store reset the connection")
+	ErrRefused = errors.New("store refused the call")
+	ErrReset   = errors.New("store reset the connection")
 )
 
-// Store implements feed.Log for one or more callers. Create callers with Caller.
+// Store is a store for one or more clients, which NewClient creates.
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
-	// era is how often the store has come back from a copy.
+	// era is incremented by each Restore.
 	era uint64
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced on each change of content or mode.
 	changed    chan struct{}
 	mode       Mode
 	totalCalls int
-	// callCounts counts the calls by what was asked for and the topic.
+	// callCounts counts calls by kind and topic.
 	callCounts map[Call]int
 }
 
-// Call is a kind of call.
+// Call identifies a kind of call to a topic.
 type Call struct{ Kind, Topic string }
 
 // The kinds of calls.
@@ -62,12 +62,12 @@
 
 type topic struct{ records []feed.Record }
 
-// New returns an empty store that serves.
+// New returns an empty store in mode Serving.
 func New() *Store {
 	return &Store{topics: map[string]*topic{}, changed: make(chan struct{}), callCounts: map[Call]int{}}
 }
 
-// SetMode changes how all callers are treated.
+// SetMode sets the mode for all clients.
 func (s *Store) SetMode(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,42 +75,41 @@
 	s.notifyChanged()
 }
 
-// Put writes a record; a nil value removes the key.
-func (s *Store) Put(name, key string, value []byte) {
+// Put appends a record; a nil value removes the key.
+func (s *Store) Put(topicName, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.put(name, key, value)
+	s.put(topicName, key, value)
 }
 
-// put writes a record. Callers hold mu.
-func (s *Store) put(name, key string, value []byte) {
-	t := s.topic(name)
+// put appends a record. Callers hold mu.
+func (s *Store) put(topicName, key string, value []byte) {
+	t := s.topic(topicName)
 	t.records = append(t.records, feed.Record{Key: key, Value: value, At: feed.NewPosition(s.era, uint64(len(t.records)))})
 	s.notifyChanged()
 }
 
-// Snapshot is the store's content at a moment.
+// Snapshot is a copy of the content of a store.
 type Snapshot struct{ topics map[string][]feed.Record }
 
-// TakeSnapshot copies the store's content.
+// TakeSnapshot copies the content of the store.
 func (s *Store) TakeSnapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &Snapshot{topics: map[string][]feed.Record{}}
+	snapshot := &Snapshot{topics: map[string][]feed.Record{}}
 	for name, t := range s.topics {
-		c.topics[name] = slices.Clone(t.records)
+		snapshot.topics[name] = slices.Clone(t.records)
 	}
-	return c
+	return snapshot
 }
 
-// Restore has the store come back from a copy: what was written since is gone, and its offsets
-// are given out again.
-func (s *Store) Restore(c *Snapshot) {
+// Restore resets the content to a snapshot and begins a new era, in which offsets are reused.
+func (s *Store) Restore(snapshot *Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
 	for name, t := range s.topics {
-		t.records = slices.Clone(c.topics[name])
+		t.records = slices.Clone(snapshot.topics[name])
 		for i := range t.records {
 			t.records[i].At = feed.NewPosition(s.era, uint64(i))
 		}
@@ -118,36 +117,36 @@
 	s.notifyChanged()
 }
 
-// KeyCount returns how many keys of a topic have a value.
-func (s *Store) KeyCount(name string) int {
+// KeyCount returns the number of keys of a topic that have a value.
+func (s *Store) KeyCount(topicName string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest := map[string]bool{}
-	for _, r := range s.topic(name).records {
+	for _, r := range s.topic(topicName).records {
 		newest[r.Key] = r.Value != nil
 	}
 	n := 0
-	for _, valued := range newest {
-		if valued {
+	for _, present := range newest {
+		if present {
 			n++
 		}
 	}
 	return n
 }
 
-// end returns where a topic ends. Callers hold mu.
-func (s *Store) end(name string) feed.Position {
-	return feed.NewPosition(s.era, uint64(len(s.topic(name).records)))
+// end returns the end of a topic. Callers hold mu.
+func (s *Store) end(topicName string) feed.Position {
+	return feed.NewPosition(s.era, uint64(len(s.topic(topicName).records)))
 }
 
-// CallCounts returns how many calls were made, by kind.
+// CallCounts returns the number of calls by kind and topic.
 func (s *Store) CallCounts() map[Call]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.callCounts)
 }
 
-// TotalCalls returns how many calls were made.
+// TotalCalls returns the number of all calls.
 func (s *Store) TotalCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,29 +158,30 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) topic(name string) *topic {
-	t := s.topics[name]
+func (s *Store) topic(topicName string) *topic {
+	t := s.topics[topicName]
 	if t == nil {
 		t = &topic{}
-		s.topics[name] = t
+		s.topics[topicName] = t
 	}
 	return t
 }
 
-// Client is one daemon's way to the store. Its own mode comes before the store's.
+// Client implements feed.Log for one user of the store. Its own mode, unless Serving, takes
+// precedence over that of the store.
 type Client struct {
 	store *Store
 	mode  Mode
-	// hung says that calls which wait now are never answered.
+	// hung is closed to leave the waiting reads unanswered forever.
 	hung chan struct{}
-	// delayed is open while answers stand still on their way.
+	// delayed is non-nil while responses are delayed, and closed to release them.
 	delayed chan struct{}
 }
 
-// NewClient returns a new way to the store.
+// NewClient returns a new client of the store.
 func (s *Store) NewClient() *Client { return &Client{store: s, hung: make(chan struct{})} }
 
-// SetMode changes how this caller alone is treated.
+// SetMode sets the mode for this client.
 func (c *Client) SetMode(m Mode) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
@@ -189,8 +189,8 @@
 	c.store.notifyChanged()
 }
 
-// HangPending makes the connections of the calls that wait now go silent for good: they are
-// neither answered nor reset, while new ones work.
+// HangPending makes the connections of waiting reads go silent forever, without a reset. New
+// calls work.
 func (c *Client) HangPending() {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
@@ -198,12 +198,11 @@
 	c.hung = make(chan struct{})
 }
 
-// DelayResponses has answers to this caller stand still on their way, as on a link that is full, and
-// go on.
-func (c *Client) DelayResponses(on bool) {
+// DelayResponses holds back responses to this client while enabled, like a congested link.
+func (c *Client) DelayResponses(enabled bool) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	if on {
+	if enabled {
 		c.delayed = make(chan struct{})
 	} else if c.delayed != nil {
 		close(c.delayed)
@@ -211,14 +210,14 @@
 	}
 }
 
-// respond takes an answer to the caller.
+// respond delivers a response, after the delay of DelayResponses.
 func (c *Client) respond(ctx context.Context) error {
 	c.store.mu.Lock()
-	held := c.delayed
+	delayed := c.delayed
 	c.store.mu.Unlock()
-	if held != nil {
+	if delayed != nil {
 		select {
-		case <-held:
+		case <-delayed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -239,7 +238,7 @@
 	return c.store.mode
 }
 
-// startCall takes one call to the store.
+// startCall counts a call and applies the effective mode to it.
 func (c *Client) startCall(ctx context.Context, kind, topic string) error {
 	if err := halfRoundTrip(ctx); err != nil {
 		return err
@@ -262,12 +261,12 @@
 }
 
 // Newest implements feed.Log.
-func (c *Client) Newest(ctx context.Context, name string, heard func()) ([]feed.Record, feed.Position, error) {
-	if err := c.startCall(ctx, CallNewest, name); err != nil {
+func (c *Client) Newest(ctx context.Context, topicName string, progress func()) ([]feed.Record, feed.Position, error) {
+	if err := c.startCall(ctx, CallNewest, topicName); err != nil {
 		return nil, 0, err
 	}
 	c.store.mu.Lock()
-	all, end := c.store.topic(name).records, c.store.end(name)
+	all, end := c.store.topic(topicName).records, c.store.end(topicName)
 	c.store.mu.Unlock()
 	newest := map[string]feed.Record{}
 	for _, r := range all {
@@ -279,82 +278,82 @@
 			out = append(out, r)
 		}
 	}
-	heard()
+	progress()
 	return out, end, c.respond(ctx)
 }
 
 // Read implements feed.Log.
-func (c *Client) Read(ctx context.Context, name string, from feed.Position, wait time.Duration, heard func()) ([]feed.Record, feed.Position, error) {
-	if err := c.startCall(ctx, CallRead, name); err != nil {
+func (c *Client) Read(ctx context.Context, topicName string, from feed.Position, wait time.Duration, progress func()) ([]feed.Record, feed.Position, error) {
+	if err := c.startCall(ctx, CallRead, topicName); err != nil {
 		return nil, 0, err
 	}
-	var over <-chan time.Time // a timer that is due at once crashes: see loop.Pause
+	var expired <-chan time.Time // nil without a wait: see loop.Pause
 	if wait > 0 {
-		over = time.After(wait)
+		expired = time.After(wait)
 	}
 	c.store.mu.Lock()
-	mute := c.hung
+	hung := c.hung
 	c.store.mu.Unlock()
-	for ended := wait == 0; ; {
+	for waitOver := wait == 0; ; {
 		c.store.mu.Lock()
-		mode, changed, all, end := c.effectiveMode(), c.store.changed, c.store.topic(name).records, c.store.end(name)
+		mode, changed, all, end := c.effectiveMode(), c.store.changed, c.store.topic(topicName).records, c.store.end(topicName)
 		c.store.mu.Unlock()
 		switch {
 		case mode == Resetting:
 			return nil, 0, ErrReset
 		case mode == Unresponsive:
-			ended = false // what waits is answered when the store is back
+			waitOver = false // a waiting read is answered after the outage
 		case from.Era() != end.Era():
-			heard()
+			progress()
 			return nil, end, errors.Join(feed.ErrEraChanged, c.respond(ctx))
 		case from < end:
-			heard()
+			progress()
 			return all[from.Offset():len(all):len(all)], end, c.respond(ctx)
-		case ended:
-			heard()
+		case waitOver:
+			progress()
 			return nil, end, c.respond(ctx)
 		}
 		select {
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
-		case <-mute:
+		case <-hung:
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
 		case <-changed:
-		case <-over:
-			ended = true
+		case <-expired:
+			waitOver = true
 		}
 	}
 }
 
 // End implements feed.Log.
-func (c *Client) End(ctx context.Context, name string) (feed.Position, error) {
-	if err := c.startCall(ctx, CallEnd, name); err != nil {
+func (c *Client) End(ctx context.Context, topicName string) (feed.Position, error) {
+	if err := c.startCall(ctx, CallEnd, topicName); err != nil {
 		return 0, err
 	}
 	c.store.mu.Lock()
-	end := c.store.end(name)
+	end := c.store.end(topicName)
 	c.store.mu.Unlock()
 	return end, c.respond(ctx)
 }
 
 // Append implements feed.Log.
-func (c *Client) Append(ctx context.Context, name, key string, value []byte, at *feed.Position) error {
-	if err := c.startCall(ctx, CallAppend, name); err != nil {
+func (c *Client) Append(ctx context.Context, topicName, key string, value []byte, at *feed.Position) error {
+	if err := c.startCall(ctx, CallAppend, topicName); err != nil {
 		return err
 	}
-	if err := c.append(name, key, value, at); err != nil {
+	if err := c.append(topicName, key, value, at); err != nil {
 		return err
 	}
 	return halfRoundTrip(ctx)
 }
 
-func (c *Client) append(name, key string, value []byte, at *feed.Position) error {
+func (c *Client) append(topicName, key string, value []byte, at *feed.Position) error {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	if end := c.store.end(name); at != nil && *at != end {
+	if end := c.store.end(topicName); at != nil && *at != end {
 		return &feed.ConflictError{End: end}
 	}
-	c.store.put(name, key, value)
+	c.store.put(topicName, key, value)
 	return nil
 }
