--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -1,4 +1,4 @@
-// Package peer carries typed calls between daemons over WebSocket with CBOR.
+// Package peer implements typed calls between daemons, encoded as CBOR over WebSocket.
 package peer
 
 import (
@@ -11,81 +11,82 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// Heartbeat probes a daemon; the answer has the same form.
+// Heartbeat is a probe of a daemon, and its response.
 type Heartbeat struct {
 	Sender membership.DaemonInfo `cbor:"1,keyasint"`
 	Rumors []membership.Rumor    `cbor:"2,keyasint,omitempty"`
-	// ConfigNext is the offset of the next configuration record to fold.
+	// ConfigNext is the offset of the next configuration record to read.
 	ConfigNext uint64 `cbor:"3,keyasint"`
-	// LeavingReadAt is when the sender's word on leaving servers was read, in Unix ms.
+	// LeavingReadAt is when the sender's list of leaving servers was read, in Unix ms.
 	LeavingReadAt int64 `cbor:"4,keyasint,omitempty"`
-	// LeavingServers lists the leaving servers. It is left out unless the receiver's
-	// word is older.
+	// LeavingServers lists the leaving servers, if the receiver's list is older.
 	LeavingServers []string `cbor:"5,keyasint,omitempty"`
-	// Quarantine is what the sender learned lately of requests that end servers.
+	// Quarantine holds recent changes of the quarantine.
 	Quarantine quarantine.Update `cbor:"6,keyasint,omitempty"`
 }
 
-// MembersRequest asks for a daemon's whole table.
+// MembersRequest requests the membership table of a daemon.
 type MembersRequest struct{}
 
-// MembersResponse is the answer to AskMembers.
+// MembersResponse is the response to MembersRequest.
 type MembersResponse struct {
 	Members []membership.Rumor `cbor:"1,keyasint"`
-	// Quarantine names all requests that are held.
+	// Quarantine holds the whole quarantine.
 	Quarantine quarantine.Update `cbor:"2,keyasint,omitempty"`
 }
 
-// ConfigRequest asks for configuration records from an offset on.
+// ConfigRequest requests configuration records from an offset on.
 type ConfigRequest struct {
 	From uint64 `cbor:"1,keyasint"`
 }
 
-// ConfigResponse is the answer: records, or a checkpoint when they are gone.
+// ConfigResponse holds the records, or a checkpoint if they have been deleted.
 type ConfigResponse struct {
 	Records []platform.Record `cbor:"1,keyasint"`
-	// Checkpoint is a JSON fleet.Checkpoint.
+	// Checkpoint is a fleet.Checkpoint in JSON.
 	Checkpoint []byte `cbor:"2,keyasint"`
 }
 
-// StoreUsageRequest hands copies of usage records to a keeper until the log has them.
+// StoreUsageRequest sends usage records to a replica, which keeps them until the log has
+// them.
 type StoreUsageRequest struct {
 	Owner string `cbor:"1,keyasint"`
-	// Incarnation tells the places of one run of the owner from those of the next.
+	// Incarnation is the run of the owner that the sequence numbers belong to.
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// FirstSequence is the first record's place in the owner's order of confirmation.
+	// FirstSequence is the sequence number of the first record.
 	FirstSequence uint64          `cbor:"3,keyasint"`
 	Records       []billing.Usage `cbor:"4,keyasint"`
 }
 
-// ConfirmUsageRequest tells a keeper that the log has an owner's records up to a place.
+// ConfirmUsageRequest confirms to a replica that the log has an owner's records up to and
+// including ThroughSequence.
 type ConfirmUsageRequest struct {
 	Owner           string `cbor:"1,keyasint"`
 	Incarnation     uint64 `cbor:"2,keyasint"`
 	ThroughSequence uint64 `cbor:"3,keyasint"`
 }
 
-// LeaseRequest asks the home of a meter for a lease.
+// LeaseRequest requests a lease from the owner of a meter.
 type LeaseRequest struct {
 	Request quota.Ask `cbor:"1,keyasint"`
 }
 
-// EvidenceReport sends one daemon's evidence of a roll-out's stage to its home.
+// EvidenceReport sends a daemon's evidence on a roll-out stage to the owner of the roll-out.
 type EvidenceReport struct {
 	Daemon string `cbor:"1,keyasint"`
 	Model  string `cbor:"2,keyasint"`
-	// Stage identifies the version and stage the evidence belongs to.
+	// Stage identifies the version and the stage.
 	Stage string           `cbor:"3,keyasint"`
 	Cells rollout.Evidence `cbor:"4,keyasint"`
 }
 
-// BurnRequest asks for a daemon's service-level counters.
+// BurnRequest requests the service-level counters of a daemon.
 type BurnRequest struct{}
 
-// BurnResponse is the answer to AskBurn.
+// BurnResponse is the response to BurnRequest.
 type BurnResponse struct {
 	Cells []slo.Cell `cbor:"1,keyasint"`
 }
 
-// Empty is the answer to a call that returns nothing.
+// Empty is the response to calls without a result.
 type Empty struct{}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -31,7 +31,7 @@
 	return s, strings.TrimPrefix(h.URL, "http://")
 }
 
-func TestCallAndRefusal(t *testing.T) {
+func TestCall(t *testing.T) {
 	s, address := startServer(t)
 	l := NewClient("d1", "right-key", nil)
 	defer l.Close()
@@ -48,31 +48,28 @@
 	}
 	refused := 0
 	s.OnRefused = func() { refused++ }
-	stranger := NewClient("d1", "wrong-key", nil)
-	if _, err := Call[echoMessage, echoMessage](t.Context(), stranger, address, "echo", echoMessage{"x"}); err == nil || refused != 1 {
-		t.Fatalf("a wrong key got in: %v, %d refused", err, refused)
+	unauthorized := NewClient("d1", "wrong-key", nil)
+	if _, err := Call[echoMessage, echoMessage](t.Context(), unauthorized, address, "echo", echoMessage{"x"}); err == nil || refused != 1 {
+		t.Fatalf("a wrong key was accepted: %v, %d refused", err, refused)
 	}
 	if _, ok := verify("right-key", sign("right-key", "d1", time.Now().Add(-2*maxClockSkew)), time.Now()); ok {
-		t.Fatal("an old signature counts")
+		t.Fatal("an expired signature was accepted")
 	}
 }
 
-// Symptom: calls to a healthy daemon fail for ever.
-// Sequence: something between the two ends forgets an open connection: writes
-// succeed and nothing comes back; new connections work.
-// Cause: a call that times out must close its connection, so that the next one
-// opens a new one.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+// A call that times out must close its connection, or all later calls would hang on a
+// connection that went silent.
+func TestTimeoutReplacesConnection(t *testing.T) {
 	_, address := startServer(t)
-	gate, err := net.Listen("tcp", "127.0.0.1:0")
+	proxy, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer gate.Close()
-	silence := make(chan struct{})
+	defer proxy.Close()
+	silent := make(chan struct{})
 	go func() {
 		for n := 0; ; n++ {
-			in, err := gate.Accept()
+			in, err := proxy.Accept()
 			if err != nil {
 				return
 			}
@@ -90,7 +87,7 @@
 					}
 					if n == 0 {
 						select {
-						case <-silence:
+						case <-silent:
 							continue
 						default:
 						}
@@ -105,15 +102,15 @@
 	call := func(limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
-		_, err := Call[echoMessage, echoMessage](ctx, l, gate.Addr().String(), "echo", echoMessage{"x"})
+		_, err := Call[echoMessage, echoMessage](ctx, l, proxy.Addr().String(), "echo", echoMessage{"x"})
 		return err
 	}
 	if err := call(time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	close(silence)
+	close(silent)
 	if call(50*time.Millisecond) == nil {
-		t.Fatal("the silent connection answered")
+		t.Fatal("the silent connection returned a response")
 	}
 	if err := call(time.Minute); err != nil {
 		t.Fatalf("the next call: %v", err)
@@ -127,12 +124,12 @@
 	f.Add([]byte{0x9f, 0xff}, "none")
 	f.Fuzz(func(t *testing.T, body []byte, kind string) {
 		if len(s.dispatch(context.Background(), "d", envelope{Seq: 1, Kind: kind, Body: body})) == 0 {
-			t.Fatal("no answer")
+			t.Fatal("no response")
 		}
 	})
 }
 
-func TestPlainHTTPIsRefused(t *testing.T) {
+func TestUnsignedRequestIsRefused(t *testing.T) {
 	_, address := startServer(t)
 	resp, err := http.Get("http://" + address + "/peer")
 	if err != nil {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,13 +12,13 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// Server accepts calls from other daemons.
+// Server accepts connections from other daemons and dispatches their calls.
 type Server struct {
 	key      string
 	handlers map[string]func(ctx context.Context, from string, body []byte) ([]byte, error)
-	// OnRefused counts connections without the right key.
+	// OnRefused is called for each connection without a valid signature.
 	OnRefused func()
-	// OnBytes counts what was sent and received.
+	// OnBytes is called with the size of each message sent or received.
 	OnBytes func(n int)
 
 	mu     sync.Mutex
@@ -26,13 +26,13 @@
 	closed bool
 }
 
-// NewServer returns a server that admits holders of the peer key.
+// NewServer returns a server that accepts clients with the peer key.
 func NewServer(key string) *Server {
 	return &Server{key: key, handlers: map[string]func(context.Context, string, []byte) ([]byte, error){}, OnRefused: func() {}, OnBytes: func(int) {}, conns: map[*websocket.Conn]bool{}}
 }
 
-// Close ends every connection. The HTTP server does not: it no longer knows those
-// that were upgraded, and a closed daemon would go on to answer probes on them.
+// Close closes all connections and rejects new ones. http.Server.Close does not close
+// upgraded connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,18 +53,18 @@
 	return !s.closed
 }
 
-// Handle registers the handler of one kind of call.
-func Handle[Q, A any](s *Server, kind string, h func(ctx context.Context, from string, q Q) (A, error)) {
+// Handle registers the handler of a kind of call. It must not be called while serving.
+func Handle[Q, A any](s *Server, kind string, handler func(ctx context.Context, from string, req Q) (A, error)) {
 	s.handlers[kind] = func(ctx context.Context, from string, body []byte) ([]byte, error) {
-		var q Q
-		if err := decMode.Unmarshal(body, &q); err != nil {
+		var req Q
+		if err := decMode.Unmarshal(body, &req); err != nil {
 			return nil, fault.New(fault.BadRequest, "undecodable %s", kind)
 		}
-		a, err := h(ctx, from, q)
+		resp, err := handler(ctx, from, req)
 		if err != nil {
 			return nil, err
 		}
-		return cbor.Marshal(a)
+		return cbor.Marshal(resp)
 	}
 }
 
@@ -90,21 +90,21 @@
 }
 
 func (s *Server) serveConn(ctx context.Context, from string, conn *websocket.Conn) {
-	var writing sync.Mutex
+	var writeMu sync.Mutex
 	for {
 		_, data, err := conn.Read(ctx)
 		if err != nil {
 			return
 		}
 		s.OnBytes(len(data))
-		var e envelope
-		if decMode.Unmarshal(data, &e) != nil {
+		var request envelope
+		if decMode.Unmarshal(data, &request) != nil {
 			return
 		}
 		go func() {
-			reply := s.dispatch(ctx, from, e)
-			writing.Lock()
-			defer writing.Unlock()
+			reply := s.dispatch(ctx, from, request)
+			writeMu.Lock()
+			defer writeMu.Unlock()
 			if conn.Write(ctx, websocket.MessageBinary, reply) == nil {
 				s.OnBytes(len(reply))
 			}
@@ -112,17 +112,17 @@
 	}
 }
 
-func (s *Server) dispatch(ctx context.Context, from string, e envelope) []byte {
-	out := envelope{Seq: e.Seq}
-	h := s.handlers[e.Kind]
-	if h == nil {
-		out.Error = "unknown call " + e.Kind
-	} else if body, err := h(ctx, from, e.Body); err != nil {
-		out.Error = err.Error()
+func (s *Server) dispatch(ctx context.Context, from string, request envelope) []byte {
+	reply := envelope{Seq: request.Seq}
+	handler := s.handlers[request.Kind]
+	if handler == nil {
+		reply.Error = "unknown call " + request.Kind
+	} else if body, err := handler(ctx, from, request.Body); err != nil {
+		reply.Error = err.Error()
 	} else {
-		out.Body = body
+		reply.Body = body
 	}
-	data, err := cbor.Marshal(out)
+	data, err := cbor.Marshal(reply)
 	if err != nil {
 		return nil
 	}
