--- a/internal/membership/endpoints_test.go
+++ b/internal/membership/endpoints_test.go
@@ -35,9 +35,9 @@
 			}
 		}
 		fairShare := clients * min(n, clientEndpoints) / n
-		for _, f := range all {
-			if got[f.Address] < fairShare/2 || got[f.Address] > 2*fairShare {
-				t.Errorf("%d daemons: %s is selected for %d of %d clients, its fair share is %d", n, f.Address, got[f.Address], clients, fairShare)
+		for _, e := range all {
+			if got[e.Address] < fairShare/2 || got[e.Address] > 2*fairShare {
+				t.Errorf("%d daemons: %s is selected for %d of %d clients, its fair share is %d", n, e.Address, got[e.Address], clients, fairShare)
 			}
 		}
 	}
@@ -69,9 +69,9 @@
 func TestSelectEndpointsPrefersOwnFailureDomain(t *testing.T) {
 	all := readyEndpoints(195, 6)
 	selected := SelectEndpoints(all, Client{Address: "10.200.0.1", FailureDomain: "d2"}, clientEndpoints)
-	for _, f := range all {
-		if f.FailureDomain == "d2" && !slices.Contains(selected, f.Address) {
-			t.Errorf("%s is not selected", f.Address)
+	for _, e := range all {
+		if e.FailureDomain == "d2" && !slices.Contains(selected, e.Address) {
+			t.Errorf("%s is not selected", e.Address)
 		}
 	}
 	if got := SelectEndpoints(all, Client{FailureDomain: "elsewhere"}, clientEndpoints); len(got) != clientEndpoints {
