--- a/internal/gossip/calls.go
+++ b/internal/gossip/calls.go
@@ -28,9 +28,9 @@
 // Transport calls other daemons by their peer addresses.
 type Transport interface {
 	// Exchange sends a message to a daemon and returns its message.
-	Exchange(ctx context.Context, address string, p Message) (Message, error)
+	Exchange(ctx context.Context, address string, msg Message) (Message, error)
 	// FetchRecords fetches records from a daemon.
-	FetchRecords(ctx context.Context, address string, q RecordsRequest) (RecordsResponse, error)
+	FetchRecords(ctx context.Context, address string, req RecordsRequest) (RecordsResponse, error)
 }
 
 // PeerTransport implements Transport over peer connections.
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -82,7 +82,7 @@
 	log          *log.Logger
 	// OnMessage is called with every message. After is a reading of BootTime that precedes
 	// the sending of the message, or zero if none is known.
-	OnMessage func(p Message, after time.Duration)
+	OnMessage func(msg Message, after time.Duration)
 	// BootTime reads a monotonic clock that includes the time of a suspended VM.
 	BootTime func() time.Duration
 	// OnWorkChanged is called with changes of the other daemons' work at backend servers.
@@ -90,7 +90,7 @@
 
 	// QuarantineUpdate returns the recent changes of the quarantine, or all of it for a
 	// daemon that just joined.
-	QuarantineUpdate func(justMet bool) quarantine.Update
+	QuarantineUpdate func(recentlyJoined bool) quarantine.Update
 
 	mu           sync.Mutex
 	members      map[string]*member
@@ -109,8 +109,8 @@
 	addressesSentAt time.Time
 }
 
-// New returns members without any other daemon. LocalMessage builds the local part of a message,
-// with the evidence on new versions if requested.
+// New returns members without any other daemon. LocalMessage builds the local part of a
+// message, with the evidence on new versions if requested.
 func New(name, address, incarnation string, localMessage func(evidence bool) Message, transport Transport, bootTime func() time.Duration, l *log.Logger) *Members {
 	return &Members{
 		localMessage: localMessage, transport: transport, log: l, address: address, incarnation: incarnation, OnMessage: func(Message, time.Duration) {}, BootTime: bootTime,
