--- a/internal/feed/peers.go
+++ b/internal/feed/peers.go
@@ -25,7 +25,7 @@
 	f.peerPosition = next
 	if f.behindSince.IsZero() {
 		f.behindSince = time.Now()
-		// Checks here instead of waiting for the next periodic check.
+		// The next periodic check may be later than this.
 		time.AfterFunc(lagTimeout, func() { f.CheckLag(time.Now()) })
 	}
 	select {
