--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -128,13 +128,13 @@
 	if conn != nil {
 		return conn, nil
 	}
-	scheme, client := "ws://", &http.Client{}
+	scheme, httpClient := "ws://", &http.Client{}
 	if c.tls != nil {
 		scheme = "wss://"
-		client.Transport = &http.Transport{TLSClientConfig: c.tls}
+		httpClient.Transport = &http.Transport{TLSClientConfig: c.tls}
 	}
 	ws, _, err := websocket.Dial(ctx, scheme+address+endpointPath, &websocket.DialOptions{
-		HTTPClient: client,
+		HTTPClient: httpClient,
 		HTTPHeader: http.Header{"Authorization": {sign(c.key, c.self, time.Now())}},
 	})
 	if err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,30 +20,30 @@
 func startServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	s := NewServer("right-key")
-	Handle(s, "echo", func(_ context.Context, from string, q echoMessage) (echoMessage, error) {
-		if q.Text == "fail" {
-			return q, fault.New(fault.BadRequest, "refused")
+	Handle(s, "echo", func(_ context.Context, from string, req echoMessage) (echoMessage, error) {
+		if req.Text == "fail" {
+			return req, fault.New(fault.BadRequest, "refused")
 		}
-		return echoMessage{from + ":" + q.Text}, nil
+		return echoMessage{from + ":" + req.Text}, nil
 	})
-	h := httptest.NewServer(s)
-	t.Cleanup(h.Close)
-	return s, strings.TrimPrefix(h.URL, "http://")
+	httpServer := httptest.NewServer(s)
+	t.Cleanup(httpServer.Close)
+	return s, strings.TrimPrefix(httpServer.URL, "http://")
 }
 
 func TestCall(t *testing.T) {
 	s, address := startServer(t)
-	l := NewClient("d1", "right-key", nil)
-	defer l.Close()
+	client := NewClient("d1", "right-key", nil)
+	defer client.Close()
 	for range 3 {
-		if a, err := Call[echoMessage, echoMessage](t.Context(), l, address, "echo", echoMessage{"x"}); err != nil || a.Text != "d1:x" {
-			t.Fatal(a, err)
+		if resp, err := Call[echoMessage, echoMessage](t.Context(), client, address, "echo", echoMessage{"x"}); err != nil || resp.Text != "d1:x" {
+			t.Fatal(resp, err)
 		}
 	}
-	if _, err := Call[echoMessage, echoMessage](t.Context(), l, address, "echo", echoMessage{"fail"}); err == nil || !strings.Contains(err.Error(), "refused") {
+	if _, err := Call[echoMessage, echoMessage](t.Context(), client, address, "echo", echoMessage{"fail"}); err == nil || !strings.Contains(err.Error(), "refused") {
 		t.Fatal(err)
 	}
-	if _, err := Call[echoMessage, echoMessage](t.Context(), l, address, "none", echoMessage{}); err == nil {
+	if _, err := Call[echoMessage, echoMessage](t.Context(), client, address, "none", echoMessage{}); err == nil {
 		t.Fatal("an unknown call was answered")
 	}
 	refused := 0
@@ -97,12 +97,12 @@
 			}()
 		}
 	}()
-	l := NewClient("d1", "right-key", nil)
-	defer l.Close()
+	client := NewClient("d1", "right-key", nil)
+	defer client.Close()
 	call := func(limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
-		_, err := Call[echoMessage, echoMessage](ctx, l, proxy.Addr().String(), "echo", echoMessage{"x"})
+		_, err := Call[echoMessage, echoMessage](ctx, client, proxy.Addr().String(), "echo", echoMessage{"x"})
 		return err
 	}
 	if err := call(time.Minute); err != nil {
@@ -119,7 +119,7 @@
 
 func FuzzEnvelope(f *testing.F) {
 	s := NewServer("k")
-	Handle(s, "heartbeat", func(_ context.Context, _ string, q Heartbeat) (Heartbeat, error) { return q, nil })
+	Handle(s, "heartbeat", func(_ context.Context, _ string, req Heartbeat) (Heartbeat, error) { return req, nil })
 	f.Add([]byte{0xa0}, "heartbeat")
 	f.Add([]byte{0x9f, 0xff}, "none")
 	f.Fuzz(func(t *testing.T, body []byte, kind string) {
