--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -186,7 +186,7 @@
 				cancel()
 			}
 		},
-		FetchTail: func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("no peer") },
+		FetchTail: func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("nobody") },
 		ReadsLog:  func() bool { return false },
 	})
 	go f.Run(ctx)
@@ -232,9 +232,9 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	dependency := New(&Follower{Logger: log.New(io.Discard), BootTime: func() time.Duration { return 0 }, ReadsLog: func() bool { return false }})
-	dependency.FetchTail = func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("no peer") }
+	dependency.FetchTail = func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("nobody") }
 	dependency.loaded.Store(true)
-	dependency.recordFailure(ctx, errors.New("unreachable"))
+	dependency.recordFailure(ctx, errors.New("log unreachable"))
 	dependent := New(&Follower{Logger: log.New(io.Discard), DependsOn: dependency})
 	go dependency.followPeers(ctx)
 	dependent.awaitDependency(ctx)
