--- a/internal/feedtest/store.go
+++ b/internal/feedtest/store.go
@@ -1,5 +1,5 @@
-// Package feedtest has a store for tests in virtual time: keyed topics in memory, read by
-// calls that can be left without an answer.
+// Package feedtest provides an in-memory feed.Log for tests in virtual time, with injectable
+// failures.
 package feedtest
 
 import (
@@ -14,260 +14,259 @@
 	"github.com/damaskrudder/damaskrudder/internal/loop"
 )
 
-// roundTrip is the time of one call: the users' store answers within some milliseconds.
-const roundTrip = 4 * time.Millisecond
+// roundTripTime is the duration of one call.
+const roundTripTime = 4 * time.Millisecond
 
-// Mode is how the store treats a call.
+// Mode is the way in which the store treats calls.
 type Mode int
 
 // The modes of a store.
 const (
-	// Serving answers.
+	// Serving answers calls.
 	Serving Mode = iota
-	// Silent never answers a call that comes meanwhile; one that waits is kept.
-	Silent
-	// Busy refuses at once; a call that waits is kept.
-	Busy
-	// Reset breaks every connection, also of calls that wait.
-	Reset
+	// Unresponsive never answers calls made in this mode; waiting reads are kept.
+	Unresponsive
+	// Refusing fails new calls at once; waiting reads are kept.
+	Refusing
+	// Resetting fails new calls and waiting reads.
+	Resetting
 )
 
-// ErrBusy and ErrReset are what callers get in the modes of these names.
+// ErrRefused and ErrReset are the errors in the modes Refusing and Resetting.
 var (
-	ErrBusy  = errors.New("the store refuses")
-	ErrReset = errors.New("the store reset the connection")
+	ErrRefused = errors.New("store refused the call")
+	ErrReset   = errors.New("store reset the connection")
 )
 
-// Store implements feed.Log for one or more callers. Create callers with Caller.
+// Store is a store for one or more clients, which NewClient creates.
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
-	// era is how often the store has come back from a copy.
+	// era is incremented by each Restore.
 	era uint64
-	// changed is closed and replaced at each change.
-	changed chan struct{}
-	mode    Mode
-	calls   int
-	// by counts the calls by what was asked for and the topic.
-	by map[Call]int
+	// changed is closed and replaced on each change of content or mode.
+	changed    chan struct{}
+	mode       Mode
+	totalCalls int
+	// callCounts counts calls by kind and topic.
+	callCounts map[Call]int
 }
 
-// Call is a kind of call.
+// Call identifies a kind of call to a topic.
 type Call struct{ Kind, Topic string }
 
 // The kinds of calls.
 const (
-	Newest, Read, End, Append = "newest", "read", "end", "append"
+	CallNewest, CallRead, CallEnd, CallAppend = "newest", "read", "end", "append"
 )
 
 type topic struct{ records []feed.Record }
 
-// New returns an empty store that serves.
+// New returns an empty store in mode Serving.
 func New() *Store {
-	return &Store{topics: map[string]*topic{}, changed: make(chan struct{}), by: map[Call]int{}}
+	return &Store{topics: map[string]*topic{}, changed: make(chan struct{}), callCounts: map[Call]int{}}
 }
 
-// Set changes how all callers are treated.
-func (s *Store) Set(m Mode) {
+// SetMode sets the mode for all clients.
+func (s *Store) SetMode(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
-	s.wake()
+	s.notifyChanged()
 }
 
-// Put writes a record; a nil value removes the key.
-func (s *Store) Put(name, key string, value []byte) {
+// Put appends a record; a nil value removes the key.
+func (s *Store) Put(topicName, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.put(name, key, value)
+	s.put(topicName, key, value)
 }
 
-// put writes a record. Callers hold mu.
-func (s *Store) put(name, key string, value []byte) {
-	t := s.topic(name)
-	t.records = append(t.records, feed.Record{Key: key, Value: value, At: feed.At(s.era, uint64(len(t.records)))})
-	s.wake()
+// put appends a record. Callers hold mu.
+func (s *Store) put(topicName, key string, value []byte) {
+	t := s.topic(topicName)
+	t.records = append(t.records, feed.Record{Key: key, Value: value, At: feed.NewPosition(s.era, uint64(len(t.records)))})
+	s.notifyChanged()
 }
 
-// Copy is the store's content at a moment.
-type Copy struct{ topics map[string][]feed.Record }
+// Snapshot is a copy of the content of a store.
+type Snapshot struct{ topics map[string][]feed.Record }
 
-// Copy copies the store's content.
-func (s *Store) Copy() *Copy {
+// TakeSnapshot copies the content of the store.
+func (s *Store) TakeSnapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &Copy{topics: map[string][]feed.Record{}}
+	snapshot := &Snapshot{topics: map[string][]feed.Record{}}
 	for name, t := range s.topics {
-		c.topics[name] = slices.Clone(t.records)
+		snapshot.topics[name] = slices.Clone(t.records)
 	}
-	return c
+	return snapshot
 }
 
-// Return has the store come back from a copy: what was written since is gone, and its offsets
-// are given out again.
-func (s *Store) Return(c *Copy) {
+// Restore resets the content to a snapshot and begins a new era, in which offsets are reused.
+func (s *Store) Restore(snapshot *Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
 	for name, t := range s.topics {
-		t.records = slices.Clone(c.topics[name])
+		t.records = slices.Clone(snapshot.topics[name])
 		for i := range t.records {
-			t.records[i].At = feed.At(s.era, uint64(i))
+			t.records[i].At = feed.NewPosition(s.era, uint64(i))
 		}
 	}
-	s.wake()
+	s.notifyChanged()
 }
 
-// Keys returns how many keys of a topic have a value.
-func (s *Store) Keys(name string) int {
+// KeyCount returns the number of keys of a topic that have a value.
+func (s *Store) KeyCount(topicName string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest := map[string]bool{}
-	for _, r := range s.topic(name).records {
+	for _, r := range s.topic(topicName).records {
 		newest[r.Key] = r.Value != nil
 	}
 	n := 0
-	for _, valued := range newest {
-		if valued {
+	for _, present := range newest {
+		if present {
 			n++
 		}
 	}
 	return n
 }
 
-// end returns where a topic ends. Callers hold mu.
-func (s *Store) end(name string) feed.Position {
-	return feed.At(s.era, uint64(len(s.topic(name).records)))
+// end returns the end of a topic. Callers hold mu.
+func (s *Store) end(topicName string) feed.Position {
+	return feed.NewPosition(s.era, uint64(len(s.topic(topicName).records)))
 }
 
-// CallsBy returns how many calls were made, by kind.
-func (s *Store) CallsBy() map[Call]int {
+// CallCounts returns the number of calls by kind and topic.
+func (s *Store) CallCounts() map[Call]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.by)
+	return maps.Clone(s.callCounts)
 }
 
-// Calls returns how many calls were made.
-func (s *Store) Calls() int {
+// TotalCalls returns the number of all calls.
+func (s *Store) TotalCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.totalCalls
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) topic(name string) *topic {
-	t := s.topics[name]
+func (s *Store) topic(topicName string) *topic {
+	t := s.topics[topicName]
 	if t == nil {
 		t = &topic{}
-		s.topics[name] = t
+		s.topics[topicName] = t
 	}
 	return t
 }
 
-// Caller is one daemon's way to the store. Its own mode comes before the store's.
-type Caller struct {
+// Client implements feed.Log for one user of the store. Its own mode, unless Serving, takes
+// precedence over that of the store.
+type Client struct {
 	store *Store
 	mode  Mode
-	// mute says that calls which wait now are never answered.
-	mute chan struct{}
-	// held is open while answers stand still on their way.
-	held chan struct{}
+	// hung is closed to leave the waiting reads unanswered forever.
+	hung chan struct{}
+	// delayed is non-nil while responses are delayed, and closed to release them.
+	delayed chan struct{}
 }
 
-// Caller returns a new way to the store.
-func (s *Store) Caller() *Caller { return &Caller{store: s, mute: make(chan struct{})} }
+// NewClient returns a new client of the store.
+func (s *Store) NewClient() *Client { return &Client{store: s, hung: make(chan struct{})} }
 
-// Set changes how this caller alone is treated.
-func (c *Caller) Set(m Mode) {
+// SetMode sets the mode for this client.
+func (c *Client) SetMode(m Mode) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	c.mode = m
-	c.store.wake()
+	c.store.notifyChanged()
 }
 
-// Mute makes the connections of the calls that wait now go silent for good: they are
-// neither answered nor reset, while new ones work.
-func (c *Caller) Mute() {
+// HangPending makes the connections of waiting reads go silent forever, without a reset. New
+// calls work.
+func (c *Client) HangPending() {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	close(c.mute)
-	c.mute = make(chan struct{})
+	close(c.hung)
+	c.hung = make(chan struct{})
 }
 
-// Hold has answers to this caller stand still on their way, as on a link that is full, and
-// go on.
-func (c *Caller) Hold(on bool) {
+// DelayResponses holds back responses to this client while enabled, like a congested link.
+func (c *Client) DelayResponses(enabled bool) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	if on {
-		c.held = make(chan struct{})
-	} else if c.held != nil {
-		close(c.held)
-		c.held = nil
+	if enabled {
+		c.delayed = make(chan struct{})
+	} else if c.delayed != nil {
+		close(c.delayed)
+		c.delayed = nil
 	}
 }
 
-// back takes an answer to the caller.
-func (c *Caller) back(ctx context.Context) error {
+// respond delivers a response, after the delay of DelayResponses.
+func (c *Client) respond(ctx context.Context) error {
 	c.store.mu.Lock()
-	held := c.held
+	delayed := c.delayed
 	c.store.mu.Unlock()
-	if held != nil {
+	if delayed != nil {
 		select {
-		case <-held:
+		case <-delayed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	return half(ctx)
+	return halfRoundTrip(ctx)
 }
 
-// half takes half of a round trip.
-func half(ctx context.Context) error {
-	loop.Pause(ctx, roundTrip/2)
+// halfRoundTrip takes half of a round trip.
+func halfRoundTrip(ctx context.Context) error {
+	loop.Pause(ctx, roundTripTime/2)
 	return ctx.Err()
 }
 
-func (c *Caller) effective() Mode {
+func (c *Client) effectiveMode() Mode {
 	if c.mode != Serving {
 		return c.mode
 	}
 	return c.store.mode
 }
 
-// enter takes one call to the store.
-func (c *Caller) enter(ctx context.Context, kind, topic string) error {
-	if err := half(ctx); err != nil {
+// startCall counts a call and applies the effective mode to it.
+func (c *Client) startCall(ctx context.Context, kind, topic string) error {
+	if err := halfRoundTrip(ctx); err != nil {
 		return err
 	}
 	c.store.mu.Lock()
-	c.store.calls++
-	c.store.by[Call{kind, topic}]++
-	mode := c.effective()
+	c.store.totalCalls++
+	c.store.callCounts[Call{kind, topic}]++
+	mode := c.effectiveMode()
 	c.store.mu.Unlock()
 	switch mode {
-	case Silent:
+	case Unresponsive:
 		<-ctx.Done()
 		return ctx.Err()
-	case Busy:
-		return ErrBusy
-	case Reset:
+	case Refusing:
+		return ErrRefused
+	case Resetting:
 		return ErrReset
 	}
 	return nil
 }
 
 // Newest implements feed.Log.
-func (c *Caller) Newest(ctx context.Context, name string, heard func()) ([]feed.Record, feed.Position, error) {
-	if err := c.enter(ctx, Newest, name); err != nil {
+func (c *Client) Newest(ctx context.Context, topicName string, progress func()) ([]feed.Record, feed.Position, error) {
+	if err := c.startCall(ctx, CallNewest, topicName); err != nil {
 		return nil, 0, err
 	}
 	c.store.mu.Lock()
-	all, end := c.store.topic(name).records, c.store.end(name)
+	all, end := c.store.topic(topicName).records, c.store.end(topicName)
 	c.store.mu.Unlock()
 	newest := map[string]feed.Record{}
 	for _, r := range all {
@@ -279,82 +278,82 @@
 			out = append(out, r)
 		}
 	}
-	heard()
-	return out, end, c.back(ctx)
+	progress()
+	return out, end, c.respond(ctx)
 }
 
 // Read implements feed.Log.
-func (c *Caller) Read(ctx context.Context, name string, from feed.Position, wait time.Duration, heard func()) ([]feed.Record, feed.Position, error) {
-	if err := c.enter(ctx, Read, name); err != nil {
+func (c *Client) Read(ctx context.Context, topicName string, from feed.Position, wait time.Duration, progress func()) ([]feed.Record, feed.Position, error) {
+	if err := c.startCall(ctx, CallRead, topicName); err != nil {
 		return nil, 0, err
 	}
-	var over <-chan time.Time // a timer that is due at once crashes: see loop.Pause
+	var expired <-chan time.Time // nil without a wait: see loop.Pause
 	if wait > 0 {
-		over = time.After(wait)
+		expired = time.After(wait)
 	}
 	c.store.mu.Lock()
-	mute := c.mute
+	hung := c.hung
 	c.store.mu.Unlock()
-	for ended := wait == 0; ; {
+	for waitOver := wait == 0; ; {
 		c.store.mu.Lock()
-		mode, changed, all, end := c.effective(), c.store.changed, c.store.topic(name).records, c.store.end(name)
+		mode, changed, all, end := c.effectiveMode(), c.store.changed, c.store.topic(topicName).records, c.store.end(topicName)
 		c.store.mu.Unlock()
 		switch {
-		case mode == Reset:
+		case mode == Resetting:
 			return nil, 0, ErrReset
-		case mode == Silent:
-			ended = false // what waits is answered when the store is back
+		case mode == Unresponsive:
+			waitOver = false // a waiting read is answered after the outage
 		case from.Era() != end.Era():
-			heard()
-			return nil, end, errors.Join(feed.ErrReturned, c.back(ctx))
+			progress()
+			return nil, end, errors.Join(feed.ErrEraChanged, c.respond(ctx))
 		case from < end:
-			heard()
-			return all[from.Offset():len(all):len(all)], end, c.back(ctx)
-		case ended:
-			heard()
-			return nil, end, c.back(ctx)
+			progress()
+			return all[from.Offset():len(all):len(all)], end, c.respond(ctx)
+		case waitOver:
+			progress()
+			return nil, end, c.respond(ctx)
 		}
 		select {
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
-		case <-mute:
+		case <-hung:
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
 		case <-changed:
-		case <-over:
-			ended = true
+		case <-expired:
+			waitOver = true
 		}
 	}
 }
 
 // End implements feed.Log.
-func (c *Caller) End(ctx context.Context, name string) (feed.Position, error) {
-	if err := c.enter(ctx, End, name); err != nil {
+func (c *Client) End(ctx context.Context, topicName string) (feed.Position, error) {
+	if err := c.startCall(ctx, CallEnd, topicName); err != nil {
 		return 0, err
 	}
 	c.store.mu.Lock()
-	end := c.store.end(name)
+	end := c.store.end(topicName)
 	c.store.mu.Unlock()
-	return end, c.back(ctx)
+	return end, c.respond(ctx)
 }
 
 // Append implements feed.Log.
-func (c *Caller) Append(ctx context.Context, name, key string, value []byte, at *feed.Position) error {
-	if err := c.enter(ctx, Append, name); err != nil {
+func (c *Client) Append(ctx context.Context, topicName, key string, value []byte, at *feed.Position) error {
+	if err := c.startCall(ctx, CallAppend, topicName); err != nil {
 		return err
 	}
-	if err := c.append(name, key, value, at); err != nil {
+	if err := c.append(topicName, key, value, at); err != nil {
 		return err
 	}
-	return half(ctx)
+	return halfRoundTrip(ctx)
 }
 
-func (c *Caller) append(name, key string, value []byte, at *feed.Position) error {
+func (c *Client) append(topicName, key string, value []byte, at *feed.Position) error {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	if end := c.store.end(name); at != nil && *at != end {
-		return &feed.Conflict{End: end}
+	if end := c.store.end(topicName); at != nil && *at != end {
+		return &feed.ConflictError{End: end}
 	}
-	c.store.put(name, key, value)
+	c.store.put(topicName, key, value)
 	return nil
 }
--- a/internal/gossip/calls.go
+++ b/internal/gossip/calls.go
@@ -10,94 +10,95 @@
 	"github.com/damaskrudder/damaskrudder/internal/peer"
 )
 
-// AnswerRecords returns the records that a daemon asks for, or as many of the first of them as
-// one message takes. A first record that is too long, and all keys there are, are not divided.
-func AnswerRecords(q AskRecords, since func(topic string, from feed.Position) feed.Tail) Records {
-	t := since(q.Topic, q.From)
-	page := firstPage(t.Records)
+// HandleRecords answers a request for records with as many of the first ones as fit into
+// one message. A snapshot is not divided: if it, or the first record, does not fit, the
+// response is marked TooLong.
+func HandleRecords(req RecordsRequest, tailFrom func(topic string, from feed.Position) feed.Tail) RecordsResponse {
+	tail := tailFrom(req.Topic, req.From)
+	page := firstPage(tail.Records)
 	switch {
-	case len(page) == len(t.Records):
-		return Records{Records: t.Records, Next: t.Next, Whole: t.Whole}
-	case len(page) == 0 || t.Whole:
-		return Records{Next: t.Next, TooLong: true}
+	case len(page) == len(tail.Records):
+		return RecordsResponse{Records: tail.Records, Next: tail.Next, Snapshot: tail.Snapshot}
+	case len(page) == 0 || tail.Snapshot:
+		return RecordsResponse{Next: tail.Next, TooLong: true}
 	}
-	return Records{Records: page, Next: page[len(page)-1].At.Next()}
+	return RecordsResponse{Records: page, Next: page[len(page)-1].At.Next()}
 }
 
-// Caller calls other daemons at their addresses.
-type Caller interface {
-	// Pulse tells a daemon this one's pulse and returns its own.
-	Pulse(ctx context.Context, address string, p Pulse) (Pulse, error)
-	// Records asks a daemon for records.
-	Records(ctx context.Context, address string, q AskRecords) (Records, error)
+// Transport calls other daemons by their peer addresses.
+type Transport interface {
+	// Exchange sends a message to a daemon and returns its message.
+	Exchange(ctx context.Context, address string, msg Message) (Message, error)
+	// FetchRecords fetches records from a daemon.
+	FetchRecords(ctx context.Context, address string, req RecordsRequest) (RecordsResponse, error)
 }
 
-// Links calls daemons over peer links. It implements Caller.
-type Links struct{ *peer.Links }
+// PeerTransport implements Transport over peer connections.
+type PeerTransport struct{ *peer.Client }
 
-// Pulse implements Caller.
-func (l Links) Pulse(ctx context.Context, address string, p Pulse) (Pulse, error) {
-	return peer.Call[Pulse, Pulse](ctx, l.Links, address, kind, p)
+// Exchange implements Transport.
+func (t PeerTransport) Exchange(ctx context.Context, address string, msg Message) (Message, error) {
+	return peer.Call[Message, Message](ctx, t.Client, address, exchangeKind, msg)
 }
 
-// Records implements Caller.
-func (l Links) Records(ctx context.Context, address string, q AskRecords) (Records, error) {
-	return peer.Call[AskRecords, Records](ctx, l.Links, address, recordsKind, q)
+// FetchRecords implements Transport.
+func (t PeerTransport) FetchRecords(ctx context.Context, address string, req RecordsRequest) (RecordsResponse, error) {
+	return peer.Call[RecordsRequest, RecordsResponse](ctx, t.Client, address, recordsKind, req)
 }
 
-const kind = "pulse"
+const exchangeKind = "pulse"
 
-// maxRecordBytes bounds, in bytes, the records that a daemon passes on. A configuration of
-// some hundred routes is 250 KB: fifty daemons that fetch it at once from one whose
-// link has 10 Mbit/s wait ten seconds. The log serves all in a fraction of one.
-const maxRecordBytes = 16 << 10
+// maxRecordsBytes bounds the size of the records in one response, in bytes. Longer ones
+// are read from the log, since many daemons that fetch them from one peer at the same time
+// would saturate its link.
+const maxRecordsBytes = 16 << 10
 
-// firstPage returns the first records that one message takes.
+// firstPage returns the longest prefix of records within maxRecordsBytes.
 func firstPage(records []feed.Record) []feed.Record {
 	size := 0
 	for i, r := range records {
-		if size += len(r.Key) + len(r.Value); size > maxRecordBytes {
+		if size += len(r.Key) + len(r.Value); size > maxRecordsBytes {
 			return records[:i]
 		}
 	}
 	return records
 }
 
-// Records asks one of the daemons that live and have read further for records. Which
-// one is drawn, so that those that are behind do not all ask the same. The error is
-// feed.ErrTooLong if the records are longer than daemons pass on.
-func (m *Members) Records(ctx context.Context, topic string, from feed.Position, ahead func(p Pulse) bool) (feed.Tail, error) {
-	list := slices.DeleteFunc(m.Alive(), func(p Pulse) bool { return !ahead(p) })
-	if len(list) == 0 {
-		return feed.Tail{}, errNobody
+// FetchRecords fetches records from one of the live daemons for which ahead reports that
+// they have read further. It is picked at random to spread the load. The error is
+// feed.ErrTooLong if the records do not fit into one message.
+func (m *Members) FetchRecords(ctx context.Context, topic string, from feed.Position, ahead func(target Message) bool) (feed.Tail, error) {
+	candidates := slices.DeleteFunc(m.LiveMessages(), func(target Message) bool { return !ahead(target) })
+	if len(candidates) == 0 {
+		return feed.Tail{}, errNoPeerAhead
 	}
-	p := list[rand.IntN(len(list))]
-	a, err := m.peers.Records(ctx, p.Address, AskRecords{topic, from})
+	target := candidates[rand.IntN(len(candidates))]
+	resp, err := m.transport.FetchRecords(ctx, target.Address, RecordsRequest{topic, from})
 	if err != nil {
 		return feed.Tail{}, err
 	}
-	if a.TooLong {
+	if resp.TooLong {
 		return feed.Tail{}, feed.ErrTooLong
 	}
-	return feed.Tail{Records: a.Records, Next: a.Next, Whole: a.Whole}, nil
+	return feed.Tail{Records: resp.Records, Next: resp.Next, Snapshot: resp.Snapshot}, nil
 }
 
-var errNobody = errors.New("no daemon that lives has read further")
+var errNoPeerAhead = errors.New("no live daemon has read further")
 
-// AskRecords asks for the records of a topic from a position on.
-type AskRecords struct {
+// RecordsRequest requests the records of a topic from a position on.
+type RecordsRequest struct {
 	Topic string        `cbor:"1,keyasint"`
 	From  feed.Position `cbor:"2,keyasint"`
 }
 
-// Records is the answer: the newest of each key, and how far the daemon has read.
-type Records struct {
+// RecordsResponse holds the newest record of each key, and the next position to read.
+type RecordsResponse struct {
 	Records []feed.Record `cbor:"1,keyasint"`
 	Next    feed.Position `cbor:"2,keyasint"`
-	// TooLong says that the records are left out: the log has to be read.
+	// TooLong reports that the records do not fit and have to be read from the log.
 	TooLong bool `cbor:"3,keyasint,omitempty"`
-	// Whole says that these are all keys there are.
-	Whole bool `cbor:"4,keyasint,omitempty"`
+	// Snapshot reports that Records holds all keys of the topic.
+	Snapshot bool `cbor:"4,keyasint,omitempty"`
 }
 
 const recordsKind = "records"
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -9,221 +9,219 @@
 	"time"
 )
 
-// Member is a row of the table.
+// Member is an entry of the table.
 type Member struct {
-	Beat
+	DaemonInfo
 	State State `json:"state"`
-	// Since is when the state was taken.
+	// Since is when the member entered its state.
 	Since time.Time `json:"since"`
 }
 
-// Table is one daemon's view. It is owned by one goroutine or its owner's lock.
+// Table is one daemon's view of the fleet. It is not safe for concurrent use.
 type Table struct {
-	self     string
-	rows     map[string]*Member
-	rumors   map[string]*rumor
-	order    []string
-	contacts []contact
-	rng      *rand.Rand
+	self         string
+	members      map[string]*Member
+	rumors       map[string]*pendingRumor
+	probeQueue   []string
+	probeResults []probeResult
+	rng          *rand.Rand
 }
 
-type rumor struct {
-	state State
-	sent  int
+type pendingRumor struct {
+	state     State
+	transmits int
 }
 
-type contact struct {
+type probeResult struct {
 	at time.Time
 	ok bool
 }
 
-// NewTable returns a table that knows only its own daemon. The source orders the
-// probes, so that daemons do not all probe the same ones.
-func NewTable(self Beat, rng *rand.Rand) *Table {
-	t := &Table{self: self.ID, rows: map[string]*Member{}, rumors: map[string]*rumor{}, rng: rng}
-	t.rows[self.ID] = &Member{Beat: self}
-	t.spread(self.ID, Alive)
+// NewTable returns a table that holds only its own daemon. The rng shuffles the probe
+// order, so that daemons do not probe the same targets at the same time.
+func NewTable(self DaemonInfo, rng *rand.Rand) *Table {
+	t := &Table{self: self.ID, members: map[string]*Member{}, rumors: map[string]*pendingRumor{}, rng: rng}
+	t.members[self.ID] = &Member{DaemonInfo: self}
+	t.enqueueRumor(self.ID, Alive)
 	return t
 }
 
-// Self returns the own row.
-func (t *Table) Self() Beat { return t.rows[t.self].Beat }
+// Self returns the info of the own daemon.
+func (t *Table) Self() DaemonInfo { return t.members[t.self].DaemonInfo }
 
-// SetSelf refreshes what the own row says. Starting to leave, to serve or to
-// refuse is news.
-func (t *Table) SetSelf(b Beat) {
-	own := t.rows[t.self]
-	b.Sequence = own.Sequence
-	if b.Leaving != own.Leaving || b.Serving != own.Serving {
-		b.Sequence++
-		t.spread(t.self, Alive)
+// SetSelf replaces the info of the own daemon. A change of Leaving or Serving is
+// announced as a rumor.
+func (t *Table) SetSelf(info DaemonInfo) {
+	own := t.members[t.self]
+	info.Sequence = own.Sequence
+	if info.Leaving != own.Leaving || info.Serving != own.Serving {
+		info.Sequence++
+		t.enqueueRumor(t.self, Alive)
 	}
-	own.Beat = b
+	own.DaemonInfo = info
 }
 
-// spread makes the state of a daemon a rumor to pass on.
-func (t *Table) spread(id string, s State) { t.rumors[id] = &rumor{state: s} }
+// enqueueRumor schedules the state of a daemon for dissemination.
+func (t *Table) enqueueRumor(id string, s State) { t.rumors[id] = &pendingRumor{state: s} }
 
-// Answered takes what a daemon said of itself, in a probe or its answer. A
-// daemon that speaks is alive here, whatever others say; whether it is for them
-// is for it to refute.
-func (t *Table) Answered(b Beat, now time.Time) {
-	old, known := t.admit(b)
-	if !known {
+// MarkAlive applies the info that a daemon sent itself, in a probe or its answer. Direct
+// contact marks it alive here; for others it has to refute a suspicion itself.
+func (t *Table) MarkAlive(info DaemonInfo, now time.Time) {
+	old, admitted := t.admit(info)
+	if !admitted {
 		return
 	}
-	if old == nil || b.newer(old.Beat) {
-		t.set(b, Alive, now)
-		t.spread(b.ID, Alive)
+	if old == nil || info.supersedes(old.DaemonInfo) {
+		t.setMember(info, Alive, now)
+		t.enqueueRumor(info.ID, Alive)
 		return
 	}
-	if old.newer(b) {
+	if old.supersedes(info) {
 		return
 	}
-	old.Beat = b
+	old.DaemonInfo = info
 	if old.State != Alive {
 		old.State, old.Since = Alive, now
 	}
 }
 
-// admit finds the row of a foreign daemon. It refuses beats without identity,
-// of the own id, and of daemons that were replaced at their address.
-func (t *Table) admit(b Beat) (*Member, bool) {
-	if b.ID == t.self || b.ID == "" || !t.takesAddress(b) {
+// admit returns the entry of another daemon, if there is one. It rejects info without an
+// ID, of the own daemon, and of a daemon that was replaced at its address.
+func (t *Table) admit(info DaemonInfo) (*Member, bool) {
+	if info.ID == t.self || info.ID == "" || !t.claimAddress(info) {
 		return nil, false
 	}
-	return t.rows[b.ID], true
+	return t.members[info.ID], true
 }
 
-func (t *Table) set(b Beat, s State, now time.Time) {
-	t.rows[b.ID] = &Member{Beat: b, State: s, Since: now}
+func (t *Table) setMember(info DaemonInfo, s State, now time.Time) {
+	t.members[info.ID] = &Member{DaemonInfo: info, State: s, Since: now}
 }
 
-// Take applies a rumor and passes it on if it was news. A rumor of lower
-// incarnation or sequence is dropped: one that wandered long through others
-// must not bring a replaced daemon back to life.
-func (t *Table) Take(r Rumor, now time.Time) {
-	if r.Beat.ID == t.self {
+// ApplyRumor applies a rumor and forwards it if it changed the table. Rumors of a lower
+// incarnation or sequence are dropped: a delayed one must not revive a replaced daemon.
+func (t *Table) ApplyRumor(r Rumor, now time.Time) {
+	if r.Info.ID == t.self {
 		t.refute(r)
 		return
 	}
-	old, known := t.admit(r.Beat)
-	if !known {
+	old, admitted := t.admit(r.Info)
+	if !admitted {
 		return
 	}
 	switch {
 	case old == nil && r.State == Gone:
 		return
-	case old == nil || r.Beat.newer(old.Beat):
-	case old.newer(r.Beat) || r.State <= old.State:
+	case old == nil || r.Info.supersedes(old.DaemonInfo):
+	case old.supersedes(r.Info) || r.State <= old.State:
 		return
 	}
-	t.set(r.Beat, r.State, now)
-	t.spread(r.Beat.ID, r.State)
+	t.setMember(r.Info, r.State, now)
+	t.enqueueRumor(r.Info.ID, r.State)
 }
 
-// Adopt takes another daemon's whole table. Its rows are no rumors: whoever has
-// this daemon's news has them too.
-func (t *Table) Adopt(rows []Rumor, now time.Time) {
-	for _, r := range rows {
-		old, known := t.admit(r.Beat)
-		if !known || r.State == Gone || old != nil && !r.Beat.newer(old.Beat) {
+// Merge applies the whole table of another daemon. Its entries are not forwarded as
+// rumors.
+func (t *Table) Merge(entries []Rumor, now time.Time) {
+	for _, r := range entries {
+		old, admitted := t.admit(r.Info)
+		if !admitted || r.State == Gone || old != nil && !r.Info.supersedes(old.DaemonInfo) {
 			continue
 		}
-		t.set(r.Beat, r.State, now)
+		t.setMember(r.Info, r.State, now)
 	}
 }
 
-// Sync returns the whole table for another daemon to adopt.
-func (t *Table) Sync() []Rumor {
+// Snapshot returns the whole table for another daemon to merge.
+func (t *Table) Snapshot() []Rumor {
 	var out []Rumor
 	for _, m := range t.Members() {
-		out = append(out, Rumor{m.Beat, m.State})
+		out = append(out, Rumor{m.DaemonInfo, m.State})
 	}
 	return out
 }
 
-// refute answers a rumor that this daemon is not alive with a higher sequence.
+// refute overrides a rumor that this daemon is not alive by raising its sequence.
 func (t *Table) refute(r Rumor) {
-	own := t.rows[t.self]
-	if r.State == Alive || r.Beat.Incarnation != own.Incarnation || r.Beat.Sequence < own.Sequence {
+	own := t.members[t.self]
+	if r.State == Alive || r.Info.Incarnation != own.Incarnation || r.Info.Sequence < own.Sequence {
 		return
 	}
-	own.Sequence = r.Beat.Sequence + 1
-	t.spread(t.self, Alive)
+	own.Sequence = r.Info.Sequence + 1
+	t.enqueueRumor(t.self, Alive)
 }
 
-// takesAddress settles which daemon owns a peer address. A VM replaced at the
-// same address shows up under a new id; keeping both rows would send the old
-// one's share of work to a daemon that knows nothing of it.
-func (t *Table) takesAddress(b Beat) bool {
-	if old := t.rows[b.ID]; old != nil && old.PeerAddress == b.PeerAddress {
+// claimAddress reports whether info owns its peer address, and removes the entry that it
+// replaces. A VM replaced at the same address has a new ID; keeping both entries would
+// assign work to a daemon that no longer exists.
+func (t *Table) claimAddress(info DaemonInfo) bool {
+	if old := t.members[info.ID]; old != nil && old.PeerAddress == info.PeerAddress {
 		return true
 	}
-	for id, m := range t.rows {
-		if id == b.ID || id == t.self || m.PeerAddress != b.PeerAddress {
+	for id, m := range t.members {
+		if id == info.ID || id == t.self || m.PeerAddress != info.PeerAddress {
 			continue
 		}
-		if m.Incarnation > b.Incarnation {
+		if m.Incarnation > info.Incarnation {
 			return false
 		}
-		t.forget(id)
+		t.remove(id)
 	}
 	return true
 }
 
-func (t *Table) forget(id string) {
-	delete(t.rows, id)
+func (t *Table) remove(id string) {
+	delete(t.members, id)
 	delete(t.rumors, id)
 }
 
-// Probed records the outcome of a probe. A daemon that did not answer becomes
-// suspect, which is news.
-func (t *Table) Probed(id string, ok bool, now time.Time) {
-	t.contacts = append(t.contacts, contact{now, ok})
-	if over := len(t.contacts) - contactsKept; over > 0 {
-		t.contacts = t.contacts[over:]
+// RecordProbe records the outcome of a probe. An alive daemon that did not answer becomes
+// suspect, and the suspicion is announced.
+func (t *Table) RecordProbe(id string, ok bool, now time.Time) {
+	t.probeResults = append(t.probeResults, probeResult{now, ok})
+	if excess := len(t.probeResults) - probeHistorySize; excess > 0 {
+		t.probeResults = t.probeResults[excess:]
 	}
-	m := t.rows[id]
+	m := t.members[id]
 	if ok || m == nil || id == t.self || m.State != Alive {
 		return
 	}
 	m.State, m.Since = Suspect, now
-	t.spread(id, Suspect)
+	t.enqueueRumor(id, Suspect)
 }
 
-// Tick ages the rows and returns those that went.
+// Tick expires suspicions and retained entries, and returns the daemons that became gone.
 func (t *Table) Tick(now time.Time) []Member {
 	var gone []Member
-	for id, m := range t.rows {
+	for id, m := range t.members {
 		age := now.Sub(m.Since)
 		switch {
 		case id == t.self:
-		case m.State == Suspect && age >= RefuteTime:
+		case m.State == Suspect && age >= SuspicionTimeout:
 			m.State, m.Since = Gone, now
-			t.spread(id, Gone)
+			t.enqueueRumor(id, Gone)
 			gone = append(gone, *m)
-		case m.State == Gone && (m.Leaving || age >= ForgetAfter):
-			t.forget(id)
+		case m.State == Gone && (m.Leaving || age >= GoneRetention):
+			t.remove(id)
 		}
 	}
 	return gone
 }
 
-// Members returns all rows by id.
+// Members returns all entries, sorted by ID.
 func (t *Table) Members() []Member {
-	out := make([]Member, 0, len(t.rows))
-	for _, m := range t.rows {
+	out := make([]Member, 0, len(t.members))
+	for _, m := range t.members {
 		out = append(out, *m)
 	}
 	slices.SortFunc(out, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
-// Len returns the number of daemons believed alive, the own one included.
-func (t *Table) Len() int {
+// AliveCount returns the number of alive daemons, including the own one.
+func (t *Table) AliveCount() int {
 	n := 0
-	for _, m := range t.rows {
+	for _, m := range t.members {
 		if m.State == Alive {
 			n++
 		}
@@ -231,81 +229,81 @@
 	return n
 }
 
-// Find returns the row of a daemon.
+// Find returns the entry of a daemon.
 func (t *Table) Find(id string) (Member, bool) {
-	m := t.rows[id]
+	m := t.members[id]
 	if m == nil {
 		return Member{}, false
 	}
 	return *m, true
 }
 
-// Targets returns the daemons to probe in the next round. Each cycle goes
-// through all rows in a new random order, gone ones included, so that every
-// daemon is probed in bounded time and a healed partition is noticed.
-func (t *Table) Targets() []Member {
+// ProbeTargets returns the daemons to probe in the next round. Each cycle covers all
+// entries in a new random order, including gone ones, so that every daemon is probed in
+// bounded time and a healed partition is detected.
+func (t *Table) ProbeTargets() []Member {
 	var out []Member
 	for len(out) < Fanout {
-		if len(t.order) == 0 {
-			if len(out) > 0 || len(t.rows) == 1 {
+		if len(t.probeQueue) == 0 {
+			if len(out) > 0 || len(t.members) == 1 {
 				return out
 			}
-			t.shuffle()
+			t.refillProbeQueue()
 		}
-		id := t.order[0]
-		t.order = t.order[1:]
-		if m := t.rows[id]; m != nil {
+		id := t.probeQueue[0]
+		t.probeQueue = t.probeQueue[1:]
+		if m := t.members[id]; m != nil {
 			out = append(out, *m)
 		}
 	}
 	return out
 }
 
-func (t *Table) shuffle() {
+func (t *Table) refillProbeQueue() {
 	for _, m := range t.Members() {
 		if m.ID != t.self {
-			t.order = append(t.order, m.ID)
+			t.probeQueue = append(t.probeQueue, m.ID)
 		}
 	}
-	t.rng.Shuffle(len(t.order), func(i, j int) { t.order[i], t.order[j] = t.order[j], t.order[i] })
+	t.rng.Shuffle(len(t.probeQueue), func(i, j int) { t.probeQueue[i], t.probeQueue[j] = t.probeQueue[j], t.probeQueue[i] })
 }
 
-// Rumors returns the rumors for the next message, the least told first. A rumor
-// is told often enough to reach everybody with near certainty, then dropped.
-func (t *Table) Rumors() []Rumor {
+// NextRumors returns the rumors for the next message, least transmitted first. A rumor is
+// dropped once it reached its retransmit limit.
+func (t *Table) NextRumors() []Rumor {
 	ids := make([]string, 0, len(t.rumors))
 	for id := range t.rumors {
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b string) int {
-		return cmp.Or(cmp.Compare(t.rumors[a].sent, t.rumors[b].sent), strings.Compare(a, b))
+		return cmp.Or(cmp.Compare(t.rumors[a].transmits, t.rumors[b].transmits), strings.Compare(a, b))
 	})
-	limit := rumorFactor * bits.Len(uint(len(t.rows)))
+	limit := retransmitMultiplier * bits.Len(uint(len(t.members)))
 	var out []Rumor
-	for _, id := range ids[:min(RumorRows, len(ids))] {
+	for _, id := range ids[:min(MaxRumorsPerMessage, len(ids))] {
 		r := t.rumors[id]
-		out = append(out, Rumor{t.rows[id].Beat, r.state})
-		if r.sent++; r.sent >= limit {
+		out = append(out, Rumor{t.members[id].DaemonInfo, r.state})
+		if r.transmits++; r.transmits >= limit {
 			delete(t.rumors, id)
 		}
 	}
 	return out
 }
 
-// HearsMost reports whether the daemon is in the larger part of the fleet: at
-// least half of its newest probes were answered, and at least half of the
-// daemons it knows are alive. A lone daemon hears nobody and relies on the log.
-func (t *Table) HearsMost(now time.Time) bool {
-	answered, asked := 0, 0
-	for _, c := range t.contacts {
-		if now.Sub(c.at) > contactFresh {
+// InMajority reports whether the daemon is in the majority of the fleet: at least half of
+// its recent probes were answered, and at least half of the other daemons are alive. A
+// daemon without others is never in the majority and depends on the log.
+func (t *Table) InMajority(now time.Time) bool {
+	answered, probed := 0, 0
+	for _, result := range t.probeResults {
+		if now.Sub(result.at) > probeHistoryMaxAge {
 			continue
 		}
-		asked++
-		if c.ok {
+		probed++
+		if result.ok {
 			answered++
 		}
 	}
-	others := len(t.rows) - 1
-	return answered > 0 && 2*answered >= asked && 2*(t.Len()-1) >= others
+	others := len(t.members) - 1
+	return answered > 0 && 2*answered >= probed && 2*(t.AliveCount()-1) >= others
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -1,4 +1,4 @@
-// Package peer carries typed calls between daemons over WebSocket with CBOR.
+// Package peer implements typed calls between daemons, encoded as CBOR over WebSocket.
 package peer
 
 import (
@@ -11,81 +11,82 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// Heartbeat probes a daemon; the answer has the same form.
+// Heartbeat is a probe of a daemon, and its response.
 type Heartbeat struct {
-	Self   membership.Beat    `cbor:"1,keyasint"`
-	Rumors []membership.Rumor `cbor:"2,keyasint,omitempty"`
-	// ConfigNext is the offset of the next configuration record to fold.
+	Sender membership.DaemonInfo `cbor:"1,keyasint"`
+	Rumors []membership.Rumor    `cbor:"2,keyasint,omitempty"`
+	// ConfigNext is the offset of the next configuration record to read.
 	ConfigNext uint64 `cbor:"3,keyasint"`
-	// VMsAt is when the sender's word on leaving servers was read, in Unix ms.
-	VMsAt int64 `cbor:"4,keyasint,omitempty"`
-	// Leaving lists the leaving servers. It is left out unless the receiver's
-	// word is older.
-	Leaving []string `cbor:"5,keyasint,omitempty"`
-	// Quarantine is what the sender learned lately of requests that end servers.
+	// LeavingReadAt is when the sender's list of leaving servers was read, in Unix ms.
+	LeavingReadAt int64 `cbor:"4,keyasint,omitempty"`
+	// LeavingServers lists the leaving servers, if the receiver's list is older.
+	LeavingServers []string `cbor:"5,keyasint,omitempty"`
+	// Quarantine holds recent changes of the quarantine.
 	Quarantine quarantine.Update `cbor:"6,keyasint,omitempty"`
 }
 
-// AskMembers asks for a daemon's whole table.
-type AskMembers struct{}
+// MembersRequest requests the membership table of a daemon.
+type MembersRequest struct{}
 
-// MemberRows is the answer to AskMembers.
-type MemberRows struct {
-	Rows []membership.Rumor `cbor:"1,keyasint"`
-	// Quarantine names all requests that are held.
+// MembersResponse is the response to MembersRequest.
+type MembersResponse struct {
+	Members []membership.Rumor `cbor:"1,keyasint"`
+	// Quarantine holds the whole quarantine.
 	Quarantine quarantine.Update `cbor:"2,keyasint,omitempty"`
 }
 
-// FetchConfig asks for configuration records from an offset on.
-type FetchConfig struct {
+// ConfigRequest requests configuration records from an offset on.
+type ConfigRequest struct {
 	From uint64 `cbor:"1,keyasint"`
 }
 
-// ConfigTail is the answer: records, or a checkpoint when they are gone.
-type ConfigTail struct {
+// ConfigResponse holds the records, or a checkpoint if they have been deleted.
+type ConfigResponse struct {
 	Records []platform.Record `cbor:"1,keyasint"`
-	// Checkpoint is a JSON fleet.Checkpoint.
+	// Checkpoint is a fleet.Checkpoint in JSON.
 	Checkpoint []byte `cbor:"2,keyasint"`
 }
 
-// StoreUsage hands copies of usage records to a keeper until the log has them.
-type StoreUsage struct {
+// StoreUsageRequest sends usage records to a replica, which keeps them until the log has
+// them.
+type StoreUsageRequest struct {
 	Owner string `cbor:"1,keyasint"`
-	// Incarnation tells the places of one run of the owner from those of the next.
+	// Incarnation is the run of the owner that the sequence numbers belong to.
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Place is the first record's place in the owner's order of confirmation.
-	Place   uint64          `cbor:"3,keyasint"`
-	Records []billing.Usage `cbor:"4,keyasint"`
+	// FirstSequence is the sequence number of the first record.
+	FirstSequence uint64          `cbor:"3,keyasint"`
+	Records       []billing.Usage `cbor:"4,keyasint"`
 }
 
-// ConfirmUsage tells a keeper that the log has an owner's records up to a place.
-type ConfirmUsage struct {
-	Owner       string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"`
-	Through     uint64 `cbor:"3,keyasint"`
+// ConfirmUsageRequest confirms to a replica that the log has an owner's records up to and
+// including ThroughSequence.
+type ConfirmUsageRequest struct {
+	Owner           string `cbor:"1,keyasint"`
+	Incarnation     uint64 `cbor:"2,keyasint"`
+	ThroughSequence uint64 `cbor:"3,keyasint"`
 }
 
-// AskLease asks the home of a meter for a lease.
-type AskLease struct {
-	Ask quota.Ask `cbor:"1,keyasint"`
+// LeaseRequest requests a lease from the owner of a meter.
+type LeaseRequest struct {
+	Request quota.Ask `cbor:"1,keyasint"`
 }
 
-// ReportEvidence sends one daemon's evidence of a roll-out's stage to its home.
-type ReportEvidence struct {
+// EvidenceReport sends a daemon's evidence on a roll-out stage to the owner of the roll-out.
+type EvidenceReport struct {
 	Daemon string `cbor:"1,keyasint"`
 	Model  string `cbor:"2,keyasint"`
-	// Stage identifies the version and stage the evidence belongs to.
+	// Stage identifies the version and the stage.
 	Stage string           `cbor:"3,keyasint"`
 	Cells rollout.Evidence `cbor:"4,keyasint"`
 }
 
-// AskBurn asks for a daemon's service-level counters.
-type AskBurn struct{}
+// BurnRequest requests the service-level counters of a daemon.
+type BurnRequest struct{}
 
-// BurnCells is the answer to AskBurn.
-type BurnCells struct {
+// BurnResponse is the response to BurnRequest.
+type BurnResponse struct {
 	Cells []slo.WindowCounts `cbor:"1,keyasint"`
 }
 
-// Done is the answer to a call that returns nothing.
-type Done struct{}
+// Empty is the response to calls without a result.
+type Empty struct{}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -13,66 +13,63 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-type echo struct {
+type echoMessage struct {
 	Text string `cbor:"1,keyasint"`
 }
 
-func serve(t *testing.T) (*Server, string) {
+func startServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	s := NewServer("right-key")
-	Handle(s, "echo", func(_ context.Context, from string, q echo) (echo, error) {
-		if q.Text == "fail" {
-			return q, fault.New(fault.BadRequest, "refused")
+	Handle(s, "echo", func(_ context.Context, from string, req echoMessage) (echoMessage, error) {
+		if req.Text == "fail" {
+			return req, fault.New(fault.BadRequest, "refused")
 		}
-		return echo{from + ":" + q.Text}, nil
+		return echoMessage{from + ":" + req.Text}, nil
 	})
-	h := httptest.NewServer(s)
-	t.Cleanup(h.Close)
-	return s, strings.TrimPrefix(h.URL, "http://")
+	httpServer := httptest.NewServer(s)
+	t.Cleanup(httpServer.Close)
+	return s, strings.TrimPrefix(httpServer.URL, "http://")
 }
 
-func TestCallAndRefusal(t *testing.T) {
-	s, address := serve(t)
-	l := NewLinks("d1", "right-key", nil)
-	defer l.Close()
+func TestCall(t *testing.T) {
+	s, address := startServer(t)
+	client := NewClient("d1", "right-key", nil)
+	defer client.Close()
 	for range 3 {
-		if a, err := Call[echo, echo](t.Context(), l, address, "echo", echo{"x"}); err != nil || a.Text != "d1:x" {
-			t.Fatal(a, err)
+		if resp, err := Call[echoMessage, echoMessage](t.Context(), client, address, "echo", echoMessage{"x"}); err != nil || resp.Text != "d1:x" {
+			t.Fatal(resp, err)
 		}
 	}
-	if _, err := Call[echo, echo](t.Context(), l, address, "echo", echo{"fail"}); err == nil || !strings.Contains(err.Error(), "refused") {
+	if _, err := Call[echoMessage, echoMessage](t.Context(), client, address, "echo", echoMessage{"fail"}); err == nil || !strings.Contains(err.Error(), "refused") {
 		t.Fatal(err)
 	}
-	if _, err := Call[echo, echo](t.Context(), l, address, "none", echo{}); err == nil {
+	if _, err := Call[echoMessage, echoMessage](t.Context(), client, address, "none", echoMessage{}); err == nil {
 		t.Fatal("an unknown call was answered")
 	}
 	refused := 0
-	s.Refused = func() { refused++ }
-	stranger := NewLinks("d1", "wrong-key", nil)
-	if _, err := Call[echo, echo](t.Context(), stranger, address, "echo", echo{"x"}); err == nil || refused != 1 {
-		t.Fatalf("a wrong key got in: %v, %d refused", err, refused)
+	s.OnRefused = func() { refused++ }
+	unauthorized := NewClient("d1", "wrong-key", nil)
+	if _, err := Call[echoMessage, echoMessage](t.Context(), unauthorized, address, "echo", echoMessage{"x"}); err == nil || refused != 1 {
+		t.Fatalf("a wrong key was accepted: %v, %d refused", err, refused)
 	}
-	if _, ok := verify("right-key", sign("right-key", "d1", time.Now().Add(-2*authSkew)), time.Now()); ok {
-		t.Fatal("an old signature counts")
+	if _, ok := verify("right-key", sign("right-key", "d1", time.Now().Add(-2*maxClockSkew)), time.Now()); ok {
+		t.Fatal("an expired signature was accepted")
 	}
 }
 
-// Symptom: calls to a healthy daemon fail for ever.
-// Sequence: something between the two ends forgets an open connection: writes
-// succeed and nothing comes back; new connections work.
-// Cause: a call that times out must close its connection, so that the next one
-// opens a new one.
-func TestSilentConnectionIsReplaced(t *testing.T) {
-	_, address := serve(t)
-	gate, err := net.Listen("tcp", "127.0.0.1:0")
+// A call that times out must close its connection, or all later calls would hang on a
+// connection that went silent.
+func TestTimeoutReplacesConnection(t *testing.T) {
+	_, address := startServer(t)
+	proxy, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer gate.Close()
-	silence := make(chan struct{})
+	defer proxy.Close()
+	silent := make(chan struct{})
 	go func() {
 		for n := 0; ; n++ {
-			in, err := gate.Accept()
+			in, err := proxy.Accept()
 			if err != nil {
 				return
 			}
@@ -90,7 +87,7 @@
 					}
 					if n == 0 {
 						select {
-						case <-silence:
+						case <-silent:
 							continue
 						default:
 						}
@@ -100,20 +97,20 @@
 			}()
 		}
 	}()
-	l := NewLinks("d1", "right-key", nil)
-	defer l.Close()
+	client := NewClient("d1", "right-key", nil)
+	defer client.Close()
 	call := func(limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
-		_, err := Call[echo, echo](ctx, l, gate.Addr().String(), "echo", echo{"x"})
+		_, err := Call[echoMessage, echoMessage](ctx, client, proxy.Addr().String(), "echo", echoMessage{"x"})
 		return err
 	}
 	if err := call(time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	close(silence)
+	close(silent)
 	if call(50*time.Millisecond) == nil {
-		t.Fatal("the silent connection answered")
+		t.Fatal("the silent connection returned a response")
 	}
 	if err := call(time.Minute); err != nil {
 		t.Fatalf("the next call: %v", err)
@@ -122,18 +119,18 @@
 
 func FuzzEnvelope(f *testing.F) {
 	s := NewServer("k")
-	Handle(s, "heartbeat", func(_ context.Context, _ string, q Heartbeat) (Heartbeat, error) { return q, nil })
+	Handle(s, "heartbeat", func(_ context.Context, _ string, req Heartbeat) (Heartbeat, error) { return req, nil })
 	f.Add([]byte{0xa0}, "heartbeat")
 	f.Add([]byte{0x9f, 0xff}, "none")
 	f.Fuzz(func(t *testing.T, body []byte, kind string) {
-		if len(s.answer(context.Background(), "d", envelope{Seq: 1, Kind: kind, Body: body})) == 0 {
-			t.Fatal("no answer")
+		if len(s.dispatch(context.Background(), "d", envelope{Seq: 1, Kind: kind, Body: body})) == 0 {
+			t.Fatal("no response")
 		}
 	})
 }
 
-func TestPlainHTTPIsRefused(t *testing.T) {
-	_, address := serve(t)
+func TestUnsignedRequestIsRefused(t *testing.T) {
+	_, address := startServer(t)
 	resp, err := http.Get("http://" + address + "/peer")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,27 +12,27 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// Server accepts calls from other daemons.
+// Server accepts connections from other daemons and dispatches their calls.
 type Server struct {
 	key      string
 	handlers map[string]func(ctx context.Context, from string, body []byte) ([]byte, error)
-	// Refused counts connections without the right key.
-	Refused func()
-	// Bytes counts what was sent and received.
-	Bytes func(n int)
+	// OnRefused is called for each connection without a valid signature.
+	OnRefused func()
+	// OnBytes is called with the size of each message sent or received.
+	OnBytes func(n int)
 
 	mu     sync.Mutex
 	conns  map[*websocket.Conn]bool
 	closed bool
 }
 
-// NewServer returns a server that admits holders of the peer key.
+// NewServer returns a server that accepts clients with the peer key.
 func NewServer(key string) *Server {
-	return &Server{key: key, handlers: map[string]func(context.Context, string, []byte) ([]byte, error){}, Refused: func() {}, Bytes: func(int) {}, conns: map[*websocket.Conn]bool{}}
+	return &Server{key: key, handlers: map[string]func(context.Context, string, []byte) ([]byte, error){}, OnRefused: func() {}, OnBytes: func(int) {}, conns: map[*websocket.Conn]bool{}}
 }
 
-// Close ends every connection. The HTTP server does not: it no longer knows those
-// that were upgraded, and a closed daemon would go on to answer probes on them.
+// Close closes all connections and rejects new ones. http.Server.Close does not close
+// upgraded connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,26 +53,26 @@
 	return !s.closed
 }
 
-// Handle registers the handler of one kind of call.
-func Handle[Q, A any](s *Server, kind string, h func(ctx context.Context, from string, q Q) (A, error)) {
+// Handle registers the handler of a kind of call. It must not be called while serving.
+func Handle[Q, A any](s *Server, kind string, handler func(ctx context.Context, from string, req Q) (A, error)) {
 	s.handlers[kind] = func(ctx context.Context, from string, body []byte) ([]byte, error) {
-		var q Q
-		if err := decoder.Unmarshal(body, &q); err != nil {
+		var req Q
+		if err := decMode.Unmarshal(body, &req); err != nil {
 			return nil, fault.New(fault.BadRequest, "undecodable %s", kind)
 		}
-		a, err := h(ctx, from, q)
+		resp, err := handler(ctx, from, req)
 		if err != nil {
 			return nil, err
 		}
-		return cbor.Marshal(a)
+		return cbor.Marshal(resp)
 	}
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, ok := verify(s.key, r.Header.Get("Authorization"), time.Now())
-	if !ok || r.URL.Path != path {
-		s.Refused()
+	if !ok || r.URL.Path != endpointPath {
+		s.OnRefused()
 		http.Error(w, "unauthorized", http.StatusUnauthorized)
 		return
 	}
@@ -85,44 +85,44 @@
 	if !s.track(conn, true) {
 		return
 	}
-	conn.SetReadLimit(maxMessage)
-	s.serve(r.Context(), from, conn)
+	conn.SetReadLimit(maxMessageBytes)
+	s.serveConn(r.Context(), from, conn)
 }
 
-func (s *Server) serve(ctx context.Context, from string, conn *websocket.Conn) {
-	var writing sync.Mutex
+func (s *Server) serveConn(ctx context.Context, from string, conn *websocket.Conn) {
+	var writeMu sync.Mutex
 	for {
 		_, data, err := conn.Read(ctx)
 		if err != nil {
 			return
 		}
-		s.Bytes(len(data))
-		var e envelope
-		if decoder.Unmarshal(data, &e) != nil {
+		s.OnBytes(len(data))
+		var request envelope
+		if decMode.Unmarshal(data, &request) != nil {
 			return
 		}
 		go func() {
-			reply := s.answer(ctx, from, e)
-			writing.Lock()
-			defer writing.Unlock()
+			reply := s.dispatch(ctx, from, request)
+			writeMu.Lock()
+			defer writeMu.Unlock()
 			if conn.Write(ctx, websocket.MessageBinary, reply) == nil {
-				s.Bytes(len(reply))
+				s.OnBytes(len(reply))
 			}
 		}()
 	}
 }
 
-func (s *Server) answer(ctx context.Context, from string, e envelope) []byte {
-	out := envelope{Seq: e.Seq}
-	h := s.handlers[e.Kind]
-	if h == nil {
-		out.Error = "unknown call " + e.Kind
-	} else if body, err := h(ctx, from, e.Body); err != nil {
-		out.Error = err.Error()
+func (s *Server) dispatch(ctx context.Context, from string, request envelope) []byte {
+	reply := envelope{Seq: request.Seq}
+	handler := s.handlers[request.Kind]
+	if handler == nil {
+		reply.Error = "unknown call " + request.Kind
+	} else if body, err := handler(ctx, from, request.Body); err != nil {
+		reply.Error = err.Error()
 	} else {
-		out.Body = body
+		reply.Body = body
 	}
-	data, err := cbor.Marshal(out)
+	data, err := cbor.Marshal(reply)
 	if err != nil {
 		return nil
 	}
