--- a/internal/api/holds.go
+++ b/internal/api/holds.go
@@ -53,7 +53,7 @@
 func fingerprintOf(c echo.Context) (quarantine.Fingerprint, error) {
 	f, err := quarantine.ParseFingerprint(c.Param("fingerprint"))
 	if err != nil {
-		return 0, fault.Field(fault.BadRequest, "fingerprint", "%v", err)
+		return 0, fault.NewField(fault.BadRequest, "fingerprint", "%v", err)
 	}
 	return f, nil
 }
--- a/internal/daemon/cascades.go
+++ b/internal/daemon/cascades.go
@@ -117,7 +117,7 @@
 	if !ok || !rollout.Judged(ro) {
 		return budget
 	}
-	return rollout.RatingShare(budget, ro.Percent(), version == ro.To)
+	return rollout.RatingShare(budget, ro.Percent(), version == ro.TargetVersion)
 }
 
 func (c *cascades) loop(ctx context.Context) {
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -50,7 +50,7 @@
 	now atomic.Pointer[fleet.Config]
 
 	mu        sync.Mutex
-	fold      *fleet.Fold
+	fold      *fleet.StateMachine
 	tail      []platform.Record
 	logHeard  time.Time
 	peerHeard time.Time
@@ -61,7 +61,7 @@
 }
 
 func newConfiguration(d *Daemon) *configuration {
-	c := &configuration{d: d, fold: fleet.NewFold(), domains: map[string]bool{}, changed: make(chan struct{})}
+	c := &configuration{d: d, fold: fleet.NewStateMachine(), domains: map[string]bool{}, changed: make(chan struct{})}
 	c.now.Store(c.fold.Config())
 	return c
 }
@@ -114,7 +114,7 @@
 
 func (c *configuration) read(ctx context.Context) error {
 	c.mu.Lock()
-	from := c.fold.Next()
+	from := c.fold.NextOffset()
 	c.mu.Unlock()
 	b, err := c.d.ports.Log.Read(ctx, configStream, from, readLimit, readWait)
 	if err != nil {
@@ -125,7 +125,7 @@
 	c.mu.Unlock()
 	c.apply(b.Records)
 	c.mu.Lock()
-	caughtUp := c.fold.Next() >= b.Next && c.fold.Anchored()
+	caughtUp := c.fold.NextOffset() >= b.Next && c.fold.Synced()
 	c.loaded = c.loaded || caughtUp
 	mark := c.sinceMark >= checkpointEvery && caughtUp
 	c.mu.Unlock()
@@ -142,7 +142,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range records {
-		if r.Offset >= c.fold.Next() {
+		if r.Offset >= c.fold.NextOffset() {
 			c.tail = append(c.tail, r)
 			c.sinceMark++
 		}
@@ -184,7 +184,7 @@
 func (c *configuration) serveTail(from uint64) (peer.ConfigTail, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.fold.Anchored() || from >= c.fold.Next() {
+	if !c.fold.Synced() || from >= c.fold.NextOffset() {
 		return peer.ConfigTail{}, nil
 	}
 	if len(c.tail) > 0 && c.tail[0].Offset <= from {
@@ -197,20 +197,20 @@
 func (c *configuration) next() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fold.Next()
+	return c.fold.NextOffset()
 }
 
 // peerAhead is called when a heartbeat shows a peer's position.
 func (c *configuration) peerAhead(ctx context.Context, from membership.Beat, theirs uint64) {
 	c.mu.Lock()
-	ours, anchored := c.fold.Next(), c.fold.Anchored()
+	ours, anchored := c.fold.NextOffset(), c.fold.Synced()
 	c.mu.Unlock()
 	if theirs > ours || !anchored {
 		c.fetch(ctx, from.PeerAddress, ours)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.loaded || c.fold.Next() < theirs || theirs == 0 {
+	if c.loaded || c.fold.NextOffset() < theirs || theirs == 0 {
 		return
 	}
 	c.domains[from.FailureDomain] = true
@@ -230,7 +230,7 @@
 			return
 		}
 		c.mu.Lock()
-		if c.fold.Adopt(&cp) {
+		if c.fold.InstallCheckpoint(&cp) {
 			c.tail = nil
 			c.publish()
 		}
@@ -243,22 +243,22 @@
 // Submit appends a patch and waits until the fold has judged it. When the reply
 // of the append is lost, the patch is looked for by its id and never appended
 // again here: a caller who repeats it sends the same id.
-func (d *Daemon) Submit(ctx context.Context, r fleet.Record) (fleet.Outcome, error) {
+func (d *Daemon) Submit(ctx context.Context, r fleet.Record) (fleet.PatchOutcome, error) {
 	if r.PatchID == "" {
-		return fleet.Outcome{}, fault.Field(fault.BadRequest, "patch_id", "must not be empty")
+		return fleet.PatchOutcome{}, fault.NewField(fault.BadRequest, "patch_id", "must not be empty")
 	}
 	if o, known := d.config.outcome(r.PatchID); known {
 		return o, nil
 	}
 	cfg := d.config.current()
 	if r.Base == cfg.Number {
-		if _, _, err := cfg.Apply(r.Patch); err != nil {
-			return fleet.Outcome{}, fault.New(fault.InvalidPatch, "%v", err)
+		if _, _, err := cfg.ApplyPatch(r.Patch); err != nil {
+			return fleet.PatchOutcome{}, fault.New(fault.InvalidPatch, "%v", err)
 		}
 	}
 	data, err := json.Marshal(r)
 	if err != nil {
-		return fleet.Outcome{}, oops.In("config").Wrap(err)
+		return fleet.PatchOutcome{}, oops.In("config").Wrap(err)
 	}
 	d.metrics.logAppends.Inc(1)
 	_, appendErr := d.ports.Log.Append(ctx, configStream, [][]byte{data})
@@ -268,18 +268,18 @@
 	return d.config.await(ctx, r.PatchID, appendErr)
 }
 
-func (c *configuration) outcome(id string) (fleet.Outcome, bool) {
+func (c *configuration) outcome(id string) (fleet.PatchOutcome, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fold.Lookup(id)
+	return c.fold.LookupOutcome(id)
 }
 
-func (c *configuration) await(ctx context.Context, id string, appendErr error) (fleet.Outcome, error) {
+func (c *configuration) await(ctx context.Context, id string, appendErr error) (fleet.PatchOutcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, patchTimeout)
 	defer cancel()
 	for {
 		c.mu.Lock()
-		o, known := c.fold.Lookup(id)
+		o, known := c.fold.LookupOutcome(id)
 		changed := c.changed
 		c.mu.Unlock()
 		if known {
@@ -291,7 +291,7 @@
 			_ = c.readOnce(ctx)
 		case <-ctx.Done():
 			unknown := fault.New(fault.LogUnavailable, "patch %s was sent and is not confirmed; send it again with the same id", id)
-			return fleet.Outcome{}, unknown.With(fault.Unknown).Because(appendErr)
+			return fleet.PatchOutcome{}, unknown.WithExecution(fault.Unknown).WithCause(appendErr)
 		}
 	}
 }
@@ -308,7 +308,7 @@
 func (d *Daemon) Config() *fleet.Config { return d.config.current() }
 
 // History returns the newest patch outcomes, oldest first.
-func (d *Daemon) History() []fleet.Outcome {
+func (d *Daemon) History() []fleet.PatchOutcome {
 	d.config.mu.Lock()
 	defer d.config.mu.Unlock()
 	return d.config.fold.History()
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -23,7 +23,7 @@
 	c := d.config.current()
 	w, ok := c.Workspaces[workspace]
 	if !ok {
-		return nil, fault.Field(fault.NotFound, "workspace", "no workspace %q", workspace)
+		return nil, fault.NewField(fault.NotFound, "workspace", "no workspace %q", workspace)
 	}
 	models, err := entitled(c, w, name)
 	if err != nil {
@@ -40,9 +40,9 @@
 	v, _ := c.Version(model, version)
 	e := &Explanation{Number: c.Number, Model: model, Version: version, Pool: v.Pool, Why: "the stable version"}
 	switch ro, moving := c.RolloutFor(model); {
-	case pin.For(model) != "":
+	case pin.VersionOf(model) != "":
 		e.Why = "the session is pinned"
-	case moving && version == ro.To:
+	case moving && version == ro.TargetVersion:
 		e.Why = "the roll-out's share"
 	}
 	r := routing.Request{PromptTokens: len(prompt) / bytesPerToken, BlockTokens: routing.BlockTokens, Blocks: routing.Blocks(nil, model+"@"+version, prompt)}
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -154,11 +154,11 @@
 
 func refusal(dec routing.Decision, pool string, refused *gate.Tally) *fault.Error {
 	if dec.Refusal == routing.TooLate {
-		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, dec.Expected.Round(time.Millisecond)).After(max(time.Second, dec.Expected/2))
+		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, dec.Expected.Round(time.Millisecond)).WithRetryAfter(max(time.Second, dec.Expected/2))
 	}
 	switch reason, left := refused.Main(); reason {
 	case gate.Warming:
-		return fault.New(fault.Warming, "the servers of pool %s that are left are warming up", pool).After(left)
+		return fault.New(fault.Warming, "the servers of pool %s that are left are warming up", pool).WithRetryAfter(left)
 	case gate.Evacuated:
 		return fault.New(fault.Evacuated, "the servers of pool %s that are left stand in evacuated failure domains", pool)
 	}
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -52,22 +52,22 @@
 
 // held returns the refusal of a request that is kept from servers, or nil. One that ran
 // before is refused as failed, since the other refusal promises that it did not.
-func (d *Daemon) held(f quarantine.Fingerprint, life *request.Life) *fault.Error {
+func (d *Daemon) held(f quarantine.Fingerprint, life *request.RetryState) *fault.Error {
 	s := d.guard.Check(f)
 	if !s.Held {
 		return nil
 	}
 	d.log.Info("held", "fingerprint", f, "left_ms", s.Left.Milliseconds(), "attempts", life.Attempts())
-	return truthful(fault.New(fault.Quarantined, "servers ended that ran this request").After(containment.Advice(s)), life)
+	return truthful(fault.New(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.Advice(s)), life)
 }
 
 // truthful returns a refusal that says of the run what is so: a kind that promises that the
 // request has not run is replaced once it may have.
-func truthful(e *fault.Error, life *request.Life) *fault.Error {
-	if life.State() != fault.NotRun && fault.Lookup(e.Kind).Run == fault.NotRun {
-		e = fault.New(fault.EngineFailed, "%s", e.Detail).After(e.RetryAfter)
+func truthful(e *fault.Error, life *request.RetryState) *fault.Error {
+	if life.ExecutionState() != fault.NotRun && fault.Lookup(e.Kind).Execution == fault.NotRun {
+		e = fault.New(fault.EngineFailed, "%s", e.Detail).WithRetryAfter(e.RetryAfter)
 	}
-	return e.With(life.State())
+	return e.WithExecution(life.ExecutionState())
 }
 
 // guarded names a server to the guard. Servers keep their name over a start.
@@ -77,11 +77,11 @@
 
 // fateOf tells what became of an attempt from its last event; started says that the server
 // had begun to answer.
-func fateOf(e request.Event, complete, started bool) containment.Fate {
+func fateOf(e request.AttemptEvent, complete, started bool) containment.Fate {
 	switch {
-	case complete, e == request.Refused, e == request.RunFailed:
+	case complete, e == request.AttemptRefused, e == request.RunFailed:
 		return containment.Finished
-	case e == request.CallerGone:
+	case e == request.CallerDisconnected:
 		return containment.Left
 	case e == request.ConnectFailed && !started:
 		return containment.Finished
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -61,7 +61,7 @@
 	})
 }
 
-func stageOf(ro fleet.Rollout) string { return fmt.Sprintf("%s/%d", ro.To, ro.Stage) }
+func stageOf(ro fleet.Rollout) string { return fmt.Sprintf("%s/%d", ro.TargetVersion, ro.Stage) }
 
 // observation is what one finished run says about its version.
 type observation struct {
@@ -94,7 +94,7 @@
 func (r *rollouts) count(model, version, server, domain string, n rollout.Counts) {
 	c := r.d.config.current()
 	ro, active := c.RolloutFor(model)
-	isNew := version == ro.To
+	isNew := version == ro.TargetVersion
 	if !active || !rollout.Judged(ro) || !isNew && version != c.Models[model].Stable {
 		return
 	}
@@ -106,10 +106,10 @@
 		r.own[model] = st
 	}
 	st.cells = st.cells.Merge(rollout.Evidence{{Server: server, FailureDomain: domain, New: isNew, Counts: n}})
-	if signal, stop := rollout.DefaultRules().Brake(st.cells); stop && !r.braked[model+"@"+ro.To] {
-		r.braked[model+"@"+ro.To] = true
+	if signal, stop := rollout.DefaultRules().Brake(st.cells); stop && !r.braked[model+"@"+ro.TargetVersion] {
+		r.braked[model+"@"+ro.TargetVersion] = true
 		r.d.metrics.braked.Inc(1)
-		r.d.log.Warn("stopped using a new version on own evidence", "model", model, "version", ro.To, "signal", signal)
+		r.d.log.Warn("stopped using a new version on own evidence", "model", model, "version", ro.TargetVersion, "signal", signal)
 	}
 }
 
@@ -158,7 +158,7 @@
 	for mv := range r.braked {
 		running := false
 		for model, ro := range c.Rollouts {
-			running = running || mv == model+"@"+ro.To && ro.State != fleet.Done && ro.State != fleet.RolledBack
+			running = running || mv == model+"@"+ro.TargetVersion && ro.State != fleet.RolloutDone && ro.State != fleet.RolloutRolledBack
 		}
 		if !running {
 			delete(r.braked, mv)
@@ -232,9 +232,9 @@
 	switch {
 	case s == rollout.RollBack:
 		gone := map[string]any{"state": fleet.Withdrawn, "successor": c.Models[model].Stable}
-		p["models"] = map[string]any{model: map[string]any{"versions": map[string]any{ro.To: gone}}}
-	case next.State == fleet.Done:
-		p["models"] = map[string]any{model: map[string]any{"stable": ro.To}}
+		p["models"] = map[string]any{model: map[string]any{"versions": map[string]any{ro.TargetVersion: gone}}}
+	case next.State == fleet.RolloutDone:
+		p["models"] = map[string]any{model: map[string]any{"stable": ro.TargetVersion}}
 	}
 	return json.Marshal(p)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -32,7 +32,7 @@
 	if _, err := fmt.Sscan(string(r.Value), &version); err != nil {
 		return Instruction{}, errors.New("not a version")
 	}
-	t, err := route.New(route.Document{Version: version})
+	t, err := route.NewTable(route.Document{Version: version})
 	return Instruction{Table: t}, err
 }
 
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -54,8 +54,8 @@
 	// Incarnation tells the places of one run of the owner from those of the next.
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// Place is the first record's place in the owner's order of confirmation.
-	Place   uint64          `cbor:"3,keyasint"`
-	Records []billing.Usage `cbor:"4,keyasint"`
+	Place   uint64                `cbor:"3,keyasint"`
+	Records []billing.UsageRecord `cbor:"4,keyasint"`
 }
 
 // ConfirmUsage tells a keeper that the log has an owner's records up to a place.
@@ -67,7 +67,7 @@
 
 // AskLease asks the home of a meter for a lease.
 type AskLease struct {
-	Ask quota.Ask `cbor:"1,keyasint"`
+	Ask quota.LeaseRequest `cbor:"1,keyasint"`
 }
 
 // ReportEvidence sends one daemon's evidence of a roll-out's stage to its home.
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -26,7 +26,7 @@
 }
 
 func engineWant(rng *rand.Rand) *want {
-	e := &route.Engine{Slots: 32, KVTokens: 500_000, Cost: map[string]float64{"m0": 1, "m1": 8, "m2": 16}}
+	e := &route.Engine{Slots: 32, KVCacheTokens: 500_000, CostPer1kTokens: map[string]float64{"m0": 1, "m1": 8, "m2": 16}}
 	parts := []Part{{ID: uint64(rng.IntN(4)), Tokens: 2500}, {ID: uint64(rng.IntN(1000)), Tokens: 3800}, {ID: rng.Uint64(), Tokens: 2900}}
 	return &want{service: "lm", engine: e, model: "m0", prompt: Prompt{Tokens: 9200, Parts: parts}, budget: 8 * time.Second, choice: everyVersionChoice()}
 }
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -95,7 +95,7 @@
 func noServer(o *selection, w *want) *fault.Error {
 	switch reason, left := o.refused.Main(); reason {
 	case gate.Warming:
-		return fault.New(fault.Warming, "the servers of %s that are left are warming up", w.service).After(max(left, warmRetry))
+		return fault.New(fault.Warming, "the servers of %s that are left are warming up", w.service).WithRetryAfter(max(left, warmRetry))
 	case gate.Evacuated:
 		return fault.New(fault.Evacuated, "the servers of %s that are left stand in evacuated failure domains", w.service)
 	}
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -62,7 +62,7 @@
 	s.Evacuate("east")
 	s.Evacuate("west")
 	w := gatedWant()
-	if _, err := s.pick(&w, 10); err == nil || err.Kind != fault.Evacuated || err.State() != fault.NotRun {
+	if _, err := s.pick(&w, 10); err == nil || err.Kind != fault.Evacuated || err.ExecutionState() != fault.NotRun {
 		t.Errorf("got %v", err)
 	}
 }
@@ -78,7 +78,7 @@
 		switch {
 		case err == nil:
 			sent++
-		case err.Kind != fault.Warming || err.State() != fault.NotRun || err.RetryAfter > 2*time.Second || err.RetryAfter <= 0:
+		case err.Kind != fault.Warming || err.ExecutionState() != fault.NotRun || err.RetryAfter > 2*time.Second || err.RetryAfter <= 0:
 			t.Fatalf("got %v after %s", err, err.RetryAfter)
 		default:
 			refused++
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -25,7 +25,7 @@
 	for i, name := range x.route.Models {
 		out[i].Name = name
 		if x.service.Engine != nil {
-			out[i].Price = x.service.Engine.Cost[name]
+			out[i].Price = x.service.Engine.CostPer1kTokens[name]
 		}
 		dearest = max(dearest, out[i].Price)
 	}
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -49,16 +49,16 @@
 
 // costRatio relates a model's cost to the cheapest one's.
 func costRatio(model string, e *route.Engine) float64 {
-	if e == nil || e.Cost[model] <= 0 {
+	if e == nil || e.CostPer1kTokens[model] <= 0 {
 		return 1
 	}
-	least := e.Cost[model]
-	for _, c := range e.Cost {
+	least := e.CostPer1kTokens[model]
+	for _, c := range e.CostPer1kTokens {
 		if c > 0 {
 			least = min(least, c)
 		}
 	}
-	return math.Pow(e.Cost[model]/least, costPower)
+	return math.Pow(e.CostPer1kTokens[model]/least, costPower)
 }
 
 // scale is how much longer the model takes over a token than the reference.
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -231,11 +231,11 @@
 // expectedWork relates the work of the smallest and the largest model.
 func expectedWork(e *route.Engine) map[string]float64 {
 	var small, large string
-	for m, c := range e.Cost {
-		if small == "" || c < e.Cost[small] {
+	for m, c := range e.CostPer1kTokens {
+		if small == "" || c < e.CostPer1kTokens[small] {
 			small = m
 		}
-		if large == "" || c > e.Cost[large] {
+		if large == "" || c > e.CostPer1kTokens[large] {
 			large = m
 		}
 	}
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -34,17 +34,17 @@
 		return nil
 	}
 	x.note("held", nil, "fingerprint", x.fingerprint, "left_ms", x.standing.Left.Milliseconds(), "sends", x.journey.Sends())
-	return x.journey.Refuse(fault.Quarantined, "servers ended that ran this request").After(containment.Advice(x.standing))
+	return x.journey.Fail(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.Advice(x.standing))
 }
 
 // fateOf tells what became of a send from its outcome.
-func fateOf(ctx context.Context, o request.Outcome, done bool) containment.Fate {
+func fateOf(ctx context.Context, o request.SendOutcome, done bool) containment.Fate {
 	switch {
 	case done, o == request.NotStarted:
 		return containment.Finished
-	case o == request.Unconvincing, ctx.Err() != nil:
+	case o == request.LowConfidence, ctx.Err() != nil:
 		return containment.Left
-	case o == request.Lost, o == request.CutShort:
+	case o == request.ResponseLost, o == request.Truncated:
 		return containment.Broke
 	}
 	return containment.Finished
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -49,7 +49,7 @@
 	w := newWorld(t, brokenStream)
 	w.relay.backend = refusing{w.backend}
 	first := w.ask("/s/1", "x")
-	if first.refusal == nil || first.refusal.State() == fault.NotRun || fault.Lookup(first.refusal.Kind).Run == fault.NotRun {
+	if first.refusal == nil || first.refusal.ExecutionState() == fault.NotRun || fault.Lookup(first.refusal.Kind).Execution == fault.NotRun {
 		t.Errorf("a request that ran was refused with %v", first.refusal)
 	}
 	sent := len(w.backend.sends)
@@ -57,7 +57,7 @@
 		t.Fatalf("sent %d times", sent)
 	}
 	second := w.ask("/s/1", "x")
-	if r := second.refusal; r == nil || r.Kind != fault.Quarantined || r.State() != fault.NotRun || r.Advice() < time.Second {
+	if r := second.refusal; r == nil || r.Kind != fault.Quarantined || r.ExecutionState() != fault.NotRun || r.RetryDelay() < time.Second {
 		t.Errorf("refused with %v", r)
 	}
 	if len(w.backend.sends) != sent {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -69,7 +69,7 @@
 	started time.Time
 
 	mu      sync.Mutex
-	shares  map[string]*request.Share
+	shares  map[string]*request.WindowedRetryBudget
 	valuers map[string]*cascade.Valuer
 	active  int
 	// end is when the daemon stops; zero while it does not leave.
@@ -82,7 +82,7 @@
 func New(s *State, b Backend, rules Rules, m *Metrics, l *log.Logger) *Relay {
 	r := &Relay{
 		State: s, Rollouts: NewRollouts(rules.SessionSpan, time.Now, l), Metrics: m, backend: b, rules: rules, log: l, started: time.Now(), Outdated: func() bool { return false },
-		shares: map[string]*request.Share{}, valuers: map[string]*cascade.Valuer{},
+		shares: map[string]*request.WindowedRetryBudget{}, valuers: map[string]*cascade.Valuer{},
 	}
 	r.watch = newWatch(s, b, l, m)
 	r.Guard = newGuard(r)
@@ -131,10 +131,10 @@
 }
 
 // share returns a service's part of the retry budget. Callers hold mu.
-func (r *Relay) share(service string, daemons int) *request.Share {
+func (r *Relay) share(service string, daemons int) *request.WindowedRetryBudget {
 	s := r.shares[service]
 	if s == nil {
-		s = &request.Share{Window: r.rules.BudgetWindow, Ratio: r.rules.BudgetRatio}
+		s = &request.WindowedRetryBudget{Window: r.rules.BudgetWindow, Ratio: r.rules.BudgetRatio}
 		r.shares[service] = s
 	}
 	s.Reserve = reservePart * r.rules.BudgetReserve / float64(daemons)
@@ -152,14 +152,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.share(service, daemons)
-	return s.Take(time.Since(r.started), keep*s.Reserve)
+	return s.TryWithdraw(time.Since(r.started), keep*s.Reserve)
 }
 
 func (r *Relay) firstSend(service string) {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.share(service, daemons).First(time.Since(r.started))
+	r.share(service, daemons).Deposit(time.Since(r.started))
 }
 
 // valuer runs f on what a service's answers taught.
@@ -208,7 +208,7 @@
 	if t := r.State.Table(); t != nil {
 		version = t.Version
 	}
-	r.log.Info("refused", "request", c.ID, "kind", e.Kind, "ran", e.State(), "why", e.Detail,
+	r.log.Info("refused", "request", c.ID, "kind", e.Kind, "ran", e.ExecutionState(), "why", e.Detail,
 		"config", version, "config_known", known, "config_age_ms", age.Milliseconds(),
 		"held_ms", time.Since(c.Received).Milliseconds())
 	out.Refuse(e)
@@ -218,10 +218,10 @@
 func (r *Relay) admit(c *Call, end time.Time) (*exchange, *fault.Error) {
 	t := r.State.Table()
 	if t == nil || !r.State.Known() {
-		return nil, fault.New(fault.ConfigurationStale, "no configuration is known yet").After(staleRetry)
+		return nil, fault.New(fault.ConfigurationStale, "no configuration is known yet").WithRetryAfter(staleRetry)
 	}
 	if r.Outdated() {
-		return nil, fault.New(fault.ConfigurationStale, "other daemons have a newer configuration than the store").After(staleRetry)
+		return nil, fault.New(fault.ConfigurationStale, "other daemons have a newer configuration than the store").WithRetryAfter(staleRetry)
 	}
 	rt := t.Match(c.Host, c.Path)
 	if rt == nil {
@@ -229,11 +229,11 @@
 	}
 	x := &exchange{relay: r, call: c, route: rt, last: c.LastEvent}
 	x.draw = xxhash.Sum64String(c.ID)
-	w, known := t.Workspace(c.Key)
-	keyed := t.Keyed() && !rt.Public
+	w, known := t.WorkspaceByKey(c.Key)
+	keyed := t.KeyRequired() && !rt.Public
 	switch {
 	case keyed && !r.keysFresh():
-		return nil, fault.New(fault.ConfigurationStale, "the list of keys was not confirmed lately").After(staleRetry)
+		return nil, fault.New(fault.ConfigurationStale, "the list of keys was not confirmed lately").WithRetryAfter(staleRetry)
 	case keyed && !known:
 		return nil, fault.New(fault.Unauthorized, "no workspace owns the presented key")
 	}
@@ -245,12 +245,12 @@
 	if limit := t.Limits.BodyBytes; limit > 0 && int64(len(c.Body)) > limit {
 		return nil, fault.New(fault.TooLarge, "the body is longer than %d bytes", limit)
 	}
-	x.service = t.Services[rt.Service(x.draw)]
+	x.service = t.Services[rt.SelectService(x.draw)]
 	x.deadline = deadline(c, rt)
 	if !end.IsZero() && x.deadline.After(end) {
-		return nil, fault.New(fault.ShuttingDown, "this daemon is leaving").After(leavingRetry)
+		return nil, fault.New(fault.ShuttingDown, "this daemon is leaving").WithRetryAfter(leavingRetry)
 	}
-	x.journey = request.Journey{Repeatable: rt.Repeatable(), MaxRuns: rt.Attempts, Deadline: x.deadline}
+	x.journey = request.ProxyRetryState{Repeatable: rt.Repeatable(), MaxRuns: rt.MaxAttempts, Deadline: x.deadline}
 	return x, nil
 }
 
@@ -283,7 +283,7 @@
 // urgency maps priorities, 0 first, to what engines take: 0 to 9, 5 by default.
 func urgency(rt *route.Route, w route.Workspace) int {
 	p := rt.Priority
-	if w.Ranked {
+	if w.HasPriority {
 		p = w.Priority
 	}
 	return min(max(p, 0)+firstUrgency, lastUrgency)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -105,16 +105,16 @@
 	s := NewState("d1", "", c.read)
 	b := &fakeBackend{script: script}
 	models := []string{"small", "middle", "large"}
-	table, err := route.New(route.Document{
-		Version: 1, Keyed: true, Keys: map[string]route.Workspace{"k": {Name: "w"}},
+	table, err := route.NewTable(route.Document{
+		Version: 1, KeyRequired: true, Keys: map[string]route.Workspace{"k": {Name: "w"}},
 		Services: []route.Service{
-			{Name: "lm", MaxConns: 100, Engine: &route.Engine{Slots: 8, Cost: map[string]float64{"small": 0.02, "middle": 0.14, "large": 0.27}}},
+			{Name: "lm", MaxConns: 100, Engine: &route.Engine{Slots: 8, CostPer1kTokens: map[string]float64{"small": 0.02, "middle": 0.14, "large": 0.27}}},
 			{Name: "app", MaxConns: 100},
 		},
 		Routes: []route.Route{
-			{Name: "stream", Host: "h", Prefix: "/s/", Kind: route.Stream, Resumable: true, Attempts: 3, Timeout: 5 * time.Second, LatencyTarget: time.Second, Models: models, Backends: []route.Backend{{Service: "lm", Weight: 1}}},
-			{Name: "pay", Host: "h", Prefix: "/p/", Kind: route.NonIdempotent, Attempts: 1, Timeout: 2 * time.Second, Backends: []route.Backend{{Service: "app", Weight: 1}}},
-			{Name: "look", Host: "h", Prefix: "/l/", Kind: route.Idempotent, Attempts: 2, Timeout: 2 * time.Second, Backends: []route.Backend{{Service: "app", Weight: 1}}},
+			{Name: "stream", Host: "h", PathPrefix: "/s/", Kind: route.Stream, Resumable: true, MaxAttempts: 3, Timeout: 5 * time.Second, LatencyTarget: time.Second, Models: models, Backends: []route.Backend{{Service: "lm", Weight: 1}}},
+			{Name: "pay", Host: "h", PathPrefix: "/p/", Kind: route.NonIdempotent, MaxAttempts: 1, Timeout: 2 * time.Second, Backends: []route.Backend{{Service: "app", Weight: 1}}},
+			{Name: "look", Host: "h", PathPrefix: "/l/", Kind: route.Idempotent, MaxAttempts: 2, Timeout: 2 * time.Second, Backends: []route.Backend{{Service: "app", Weight: 1}}},
 		},
 	})
 	if err != nil {
@@ -192,7 +192,7 @@
 	if len(w.backend.sends) != 1 {
 		t.Fatalf("sent %d times", len(w.backend.sends))
 	}
-	if out.refusal == nil || out.refusal.State() == fault.NotRun {
+	if out.refusal == nil || out.refusal.ExecutionState() == fault.NotRun {
 		t.Fatalf("refused with %v, which says that it did not run", out.refusal)
 	}
 	if status := fault.Lookup(out.refusal.Kind).Status; status == 503 || status == 429 {
@@ -218,7 +218,7 @@
 func TestRefusedByAllIsRefusedAsNotRun(t *testing.T) {
 	w := newWorld(t, notRun)
 	out := w.call("/p/1")
-	if out.refusal == nil || out.refusal.State() != fault.NotRun || out.refusal.Advice() <= 0 {
+	if out.refusal == nil || out.refusal.ExecutionState() != fault.NotRun || out.refusal.RetryDelay() <= 0 {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
@@ -328,7 +328,7 @@
 func TestLeavingDaemonTakesNothingThatCouldOutlastIt(t *testing.T) {
 	w := newWorld(t, answering(200, "x"))
 	w.relay.Leave(time.Now().Add(500 * time.Millisecond))
-	if out := w.call("/l/1"); out.refusal == nil || out.refusal.Kind != fault.ShuttingDown || out.refusal.State() != fault.NotRun {
+	if out := w.call("/l/1"); out.refusal == nil || out.refusal.Kind != fault.ShuttingDown || out.refusal.ExecutionState() != fault.NotRun {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
@@ -360,7 +360,7 @@
 	w := newWorld(t, nil)
 	w.backend.script = []func(Send) (*Reply, error){
 		func(s Send) (*Reply, error) {
-			table, err := route.New(route.Document{Version: 2, Keyed: true, Keys: map[string]route.Workspace{}})
+			table, err := route.NewTable(route.Document{Version: 2, KeyRequired: true, Keys: map[string]route.Workspace{}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -441,7 +441,7 @@
 	out := &fakeCaller{}
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Wait: time.Minute}
 	w.relay.Serve(context.Background(), c, out)
-	if out.refusal == nil || out.refusal.Kind != fault.DeadlineExceeded || out.refusal.State() == fault.NotRun {
+	if out.refusal == nil || out.refusal.Kind != fault.DeadlineExceeded || out.refusal.ExecutionState() == fault.NotRun {
 		t.Errorf("answered %+v after the route's two seconds", out.refusal)
 	}
 }
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -104,7 +104,7 @@
 		t.Error("it stays with a server that is lost")
 	}
 	x.journey.MaxRuns = 0
-	x.journey.Sent()
+	x.journey.RecordSend()
 	if x.mayMove(true) {
 		t.Error("it leaves a server though no other may run it")
 	}
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -85,19 +85,21 @@
 	doubt := 0.0
 	for s := range signalCount {
 		v, level := r.signal(e, s)
-		if v.Step == RollBack || v.Step == Hold && ro.State == fleet.Running {
+		if v.Step == RollBack || v.Step == Hold && ro.State == fleet.RolloutRunning {
 			return v
 		}
 		doubt = math.Max(doubt, level)
 	}
-	if ro.State == fleet.Held {
+	if ro.State == fleet.RolloutHeld {
 		return Verdict{Wait, "held"}
 	}
 	return r.progress(ro, e, lasted, doubt)
 }
 
 // Judged reports whether a roll-out carries traffic that may speak against it.
-func Judged(ro fleet.Rollout) bool { return ro.State == fleet.Running || ro.State == fleet.Held }
+func Judged(ro fleet.Rollout) bool {
+	return ro.State == fleet.RolloutRunning || ro.State == fleet.RolloutHeld
+}
 
 // signal judges one signal and returns how far it speaks against the version.
 func (r Rules) signal(e Evidence, s Signal) (Verdict, float64) {
@@ -175,14 +177,14 @@
 	switch s {
 	case Advance:
 		if ro.Stage+1 >= len(ro.Stages) {
-			ro.State = fleet.Done
+			ro.State = fleet.RolloutDone
 			return ro
 		}
 		ro.Stage++
 	case Hold:
-		ro.State = fleet.Held
+		ro.State = fleet.RolloutHeld
 	case RollBack:
-		ro.State = fleet.RolledBack
+		ro.State = fleet.RolloutRolledBack
 	}
 	return ro
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -9,7 +9,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-var running = fleet.Rollout{Model: "m", To: "v2", Stages: []float64{10, 100}, State: fleet.Running}
+var running = fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: []float64{10, 100}, State: fleet.RolloutRunning}
 
 // spread makes evidence of both versions on n servers in 2 failure domains.
 func spread(n int, fresh, old Counts) Evidence {
@@ -29,7 +29,7 @@
 	both := spread(4, good, old)
 	both[0].Counts.Errors, both[1].Counts.Errors = 25, 225
 	held := running
-	held.State = fleet.Held
+	held.State = fleet.RolloutHeld
 	cases := []struct {
 		name string
 		ro   fleet.Rollout
@@ -103,10 +103,10 @@
 
 func TestNextAndRatingShare(t *testing.T) {
 	ro := Next(running, Advance)
-	if ro.Stage != 1 || ro.State != fleet.Running {
+	if ro.Stage != 1 || ro.State != fleet.RolloutRunning {
 		t.Fatalf("%+v", ro)
 	}
-	if ro = Next(ro, Advance); ro.State != fleet.Done || ro.Percent() != 100 {
+	if ro = Next(ro, Advance); ro.State != fleet.RolloutDone || ro.Percent() != 100 {
 		t.Fatalf("%+v", ro)
 	}
 	if ro = Next(running, RollBack); ro.Percent() != 0 {
--- a/internal/slo/burn_test.go
+++ b/internal/slo/burn_test.go
@@ -12,7 +12,7 @@
 // In the last five minutes 4 of 200 failed: a burn of 2. In the hour 6 of 1,000
 // failed: a burn of 0.6, 40% left, which lasts 40 minutes at that rate.
 func TestBurnOfAHandWorkedHistory(t *testing.T) {
-	c := fleet.Empty()
+	c := fleet.NewConfig()
 	c.Workspaces["w"] = fleet.Workspace{Objectives: fleet.Objectives{Availability: 0.99, FirstTokenMillis: 1500, FirstTokenFraction: 0.9}}
 	now := time.Unix(100*3600, 0)
 	key := Key{"w", "m", "v1", "fd1"}
--- a/lab/experiments/rollout.go
+++ b/lab/experiments/rollout.go
@@ -174,7 +174,7 @@
 }
 
 func newOurs() *ours {
-	o := &ours{rules: rollout.DefaultRules(), ro: fleet.Rollout{Model: "m", To: "v2", Stages: stages, State: fleet.Running}}
+	o := &ours{rules: rollout.DefaultRules(), ro: fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: stages, State: fleet.RolloutRunning}}
 	o.rules.MinStage = stageTime
 	for d := range o.own {
 		for s := range engines {
@@ -220,7 +220,7 @@
 	if rollout.Judged(o.ro) {
 		o.judge(second)
 	}
-	return o.ro.State == fleet.RolledBack, o.ro.Percent() == 100, o.ro.State == fleet.Held
+	return o.ro.State == fleet.RolloutRolledBack, o.ro.Percent() == 100, o.ro.State == fleet.RolloutHeld
 }
 
 func (o *ours) judge(second int) {
--- a/lab/sim/router.go
+++ b/lab/sim/router.go
@@ -94,15 +94,15 @@
 	res := &Result{Sent: c.Clock.now, Priority: r.Priority, Server: -1}
 	c.Results = append(c.Results, res)
 	daemon := c.rng.IntN(len(c.Daemons))
-	c.budgets[daemon].Earn()
-	life := &request.Life{Repeatable: true}
+	c.budgets[daemon].Deposit()
+	life := &request.RetryState{Repeatable: true}
 	if r.Deadline > 0 {
 		life.Deadline = c.Clock.Now().Add(r.Deadline)
 	}
 	c.attempt(daemon, r, res, life, nil)
 }
 
-func (c *Cluster) attempt(daemon int, r *Request, res *Result, life *request.Life, tried []int) {
+func (c *Cluster) attempt(daemon int, r *Request, res *Result, life *request.RetryState, tried []int) {
 	p := c.Daemons[daemon]
 	left := *r
 	if r.Deadline > 0 {
@@ -114,7 +114,7 @@
 		return
 	}
 	tried = append(slices.Clone(tried), server)
-	life.Began()
+	life.RecordAttempt()
 	res.Attempts++
 	p.Began(server, r)
 	began := c.Clock.now
@@ -126,7 +126,7 @@
 				return
 			}
 			res.First, res.Server = c.Clock.now-res.Sent, server
-			life.Delivered()
+			life.RecordDelivery()
 			wait = p.First(server, r, c.Clock.now-began)
 		})
 	}
@@ -139,7 +139,7 @@
 		}
 		p.Ended(server, r, c.Clock.now-began-wait, true)
 		p.Unreachable(server)
-		if life.After(request.RunGone, c.Clock.Now(), c.budgets[daemon]).Action == request.TryAnother {
+		if life.Next(request.RunNotFound, c.Clock.Now(), c.budgets[daemon]).Action == request.Retry {
 			c.attempt(daemon, r, res, life, tried)
 			return
 		}
