--- a/internal/request/assembler.go
+++ b/internal/request/assembler.go
@@ -1,41 +1,42 @@
-// Package request is the life of one request: its attempts, retries, resumes
-// and cancellation, the assembly of its answer from frames, and the claim that
-// lets a non-repeatable request run at most once. It does no I/O.
+// Package request holds the state of one request: its attempts, retries, resumes
+// and cancellation, the ordering of its response frames, and the idempotency key
+// claims that let a non-repeatable request run at most once. It does no I/O.
 package request
 
-// Frame is one piece of an answer as it arrived on some connection.
+// Frame is one piece of a streamed response as received on a connection.
 type Frame struct {
-	// Run is the attempt the frame says it belongs to.
+	// Run is the ID of the run that produced the frame.
 	Run string
-	// Offset numbers the frames of a run from 1 without gaps.
+	// Offset is the frame's sequence number within the run, starting at 1.
 	Offset int
-	// Delta is the answer text of the frame.
+	// Delta is the response text of the frame.
 	Delta string
-	// End marks the last frame of a complete answer.
+	// End marks the last frame of a complete response.
 	End bool
 	// Failed marks the last frame of a run that failed.
 	Failed bool
 }
 
-// FrameAction says what to do with a frame.
+// FrameAction is how a received frame must be handled.
 type FrameAction uint8
 
 const (
-	// Deliver passes the frame on.
+	// Deliver forwards the frame to the caller.
 	Deliver FrameAction = iota
-	// DropOtherRun drops a frame of another run.
+	// DropOtherRun drops a frame that belongs to another run.
 	DropOtherRun
-	// DropDuplicate drops a frame that was delivered before.
+	// DropDuplicate drops a frame that was already delivered.
 	DropDuplicate
-	// SequenceGap drops the frame and asks for a resume from Last.
+	// SequenceGap drops a frame that skips offsets; the stream must be resumed
+	// from LastOffset.
 	SequenceGap
-	// DropAfterEnd drops a frame after the terminal one.
+	// DropAfterEnd drops a frame received after the last one.
 	DropAfterEnd
 )
 
-// Assembler admits the frames of one run in order, each once. Connections cross,
-// repeat and lose frames when a stream is resumed on a new connection while the
-// old one still drains; a caller would see doubled or missing words.
+// Assembler accepts the frames of one run in order and exactly once. Frames can
+// be duplicated, reordered or lost while a stream is resumed on a new connection
+// and the old connection still delivers.
 type Assembler struct {
 	run        string
 	lastOffset int
@@ -45,14 +46,14 @@
 // NewAssembler returns an assembler for one run.
 func NewAssembler(run string) *Assembler { return &Assembler{run: run} }
 
-// LastOffset returns the offset of the newest delivered frame, from which to resume.
+// LastOffset returns the offset of the last delivered frame, after which to resume.
 func (a *Assembler) LastOffset() int { return a.lastOffset }
 
-// Done reports whether the terminal frame was delivered. Without it the answer
-// is not whole, however the connection ended.
+// Done reports whether the last frame was delivered. Until then the response is
+// incomplete, even if the connection was closed cleanly.
 func (a *Assembler) Done() bool { return a.done }
 
-// Accept judges a frame.
+// Accept returns how to handle a frame and advances the offset if it is delivered.
 func (a *Assembler) Accept(f Frame) FrameAction {
 	switch {
 	case f.Run != a.run:
--- a/internal/request/claim.go
+++ b/internal/request/claim.go
@@ -6,58 +6,58 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// ClaimRecordKind says what a record of a claims stream means.
+// ClaimRecordKind is the type of a record in a claims stream.
 type ClaimRecordKind string
 
 const (
-	// Claimed asks for the right to run a key.
+	// Claimed requests the right to run the request of a key.
 	Claimed ClaimRecordKind = "claimed"
-	// Finished carries the outcome of the run.
+	// Finished carries the response of the run.
 	Finished ClaimRecordKind = "finished"
-	// Abandoned says that the claim's owner did not and will not run it.
+	// Abandoned releases a claim whose request did not run and will not run.
 	Abandoned ClaimRecordKind = "abandoned"
 )
 
-// KeyRetention is how long a key is remembered. It must stay below the log's
-// retention, since a claim that aged out can no longer stop a second run.
+// KeyRetention is how long a key is kept. It must be shorter than the retention of
+// the log: a claim that was deleted from the log cannot prevent a second run.
 const KeyRetention = 24 * time.Hour
 
 // ClaimRecord is one record of a claims stream.
 type ClaimRecord struct {
 	Kind ClaimRecordKind `cbor:"1,keyasint"`
-	// Key is the hash of workspace and idempotency key.
+	// Key is the hash of the workspace and the idempotency key.
 	Key string `cbor:"2,keyasint"`
-	// BodyHash is the hash of the request's body.
+	// BodyHash is the hash of the request body.
 	BodyHash string `cbor:"3,keyasint"`
-	// RequestID identifies the claimant; a repeated append of one claim carries
-	// the same value and counts once.
+	// RequestID identifies the claimant. Repeated appends of one claim carry the
+	// same value.
 	RequestID string `cbor:"4,keyasint"`
-	// Owner is the daemon and incarnation that runs the request.
+	// Owner is the daemon and incarnation that handles the request.
 	Owner string `cbor:"5,keyasint"`
-	// UnixSeconds is the claimant's time in Unix seconds, used for retention only.
+	// UnixSeconds is the time at the claimant, used for retention only.
 	UnixSeconds int64 `cbor:"6,keyasint"`
-	// Status and Answer are the outcome of a finished run.
+	// Status and Response are the HTTP status and body of a finished run.
 	Status   int    `cbor:"7,keyasint,omitempty"`
 	Response []byte `cbor:"8,keyasint,omitempty"`
 }
 
-// ClaimState says what a claimant may do.
+// ClaimState is the state of a key for one claimant.
 type ClaimState uint8
 
 const (
-	// ClaimPending means the claim is not folded yet.
+	// ClaimPending means that no claim of the key has been applied yet.
 	ClaimPending ClaimState = iota
-	// ClaimGranted grants the run to this claimant, once.
+	// ClaimGranted allows this claimant to run the request once.
 	ClaimGranted
-	// ClaimReplay returns the stored answer.
+	// ClaimReplay means that the request finished and its response is stored.
 	ClaimReplay
-	// ClaimInProgress means another claimant holds the key.
+	// ClaimInProgress means that another claimant owns the key.
 	ClaimInProgress
-	// ClaimKeyReused means the key stands for another body.
+	// ClaimKeyReused means that the key was claimed with a different body.
 	ClaimKeyReused
 )
 
-// ClaimResult is the state of a key as seen by one claimant.
+// ClaimResult is the result of resolving a key for one claimant.
 type ClaimResult struct {
 	State    ClaimState
 	Owner    string
@@ -73,29 +73,29 @@
 	response                   []byte
 }
 
-// ClaimTable folds one claims stream. The first claim of a key that no live claim
-// precedes owns the key; the log's order decides and nothing else does.
+// ClaimTable is the state built from one claims stream. A claim owns its key if no
+// unexpired claim precedes it in log order.
 type ClaimTable struct {
 	nextOffset uint64
 	byKey      map[string]*claim
 	abandoned  map[string]int64
-	// applied holds the time of every claim that was folded, winners' and losers', by
-	// request.
+	// applied maps the request ID of every applied claim to its time, whether or not
+	// the claim was granted.
 	applied map[string]int64
 }
 
-// NewClaimTable returns an empty fold.
+// NewClaimTable returns an empty table that expects offset 0.
 func NewClaimTable() *ClaimTable {
 	return &ClaimTable{byKey: map[string]*claim{}, abandoned: map[string]int64{}, applied: map[string]int64{}}
 }
 
-// NextOffset returns the offset of the next record to fold.
+// NextOffset returns the offset of the next record to apply.
 func (c *ClaimTable) NextOffset() uint64 { return c.nextOffset }
 
-// Len returns the number of remembered keys.
+// Len returns the number of claimed keys.
 func (c *ClaimTable) Len() int { return len(c.byKey) }
 
-// Apply folds the record at an offset; repeated offsets are ignored.
+// Apply applies the record at an offset. Offsets that were already applied are ignored.
 func (c *ClaimTable) Apply(offset uint64, r ClaimRecord) {
 	if offset < c.nextOffset {
 		return
@@ -105,79 +105,80 @@
 	case Claimed:
 		c.applyClaim(r)
 	case Finished:
-		if o := c.byKey[r.Key]; o != nil && o.requestID == r.RequestID {
-			o.finished, o.status, o.response = true, r.Status, r.Response
+		if current := c.byKey[r.Key]; current != nil && current.requestID == r.RequestID {
+			current.finished, current.status, current.response = true, r.Status, r.Response
 		}
 	case Abandoned:
 		c.abandoned[r.RequestID] = r.UnixSeconds
-		if o := c.byKey[r.Key]; o != nil && o.requestID == r.RequestID && !o.finished {
+		if current := c.byKey[r.Key]; current != nil && current.requestID == r.RequestID && !current.finished {
 			delete(c.byKey, r.Key)
 		}
 	}
 }
 
-// applyClaim admits a claim only when no live one stands. A loser never inherits the
-// key later: it has told its caller "not run" by then, and granting it the key
-// would lock out everybody else.
+// applyClaim grants the key if it has no unexpired claim. A claim that was not
+// granted never gets the key later: its caller may already have been told that the
+// request did not run, and nobody would release the key.
 func (c *ClaimTable) applyClaim(r ClaimRecord) {
 	c.applied[r.RequestID] = r.UnixSeconds
-	if _, void := c.abandoned[r.RequestID]; void {
+	if _, abandoned := c.abandoned[r.RequestID]; abandoned {
 		return
 	}
-	o := c.byKey[r.Key]
-	if o != nil && r.UnixSeconds-o.unixSeconds < int64(KeyRetention/time.Second) {
+	current := c.byKey[r.Key]
+	if current != nil && r.UnixSeconds-current.unixSeconds < int64(KeyRetention/time.Second) {
 		return
 	}
 	c.byKey[r.Key] = &claim{bodyHash: r.BodyHash, requestID: r.RequestID, owner: r.Owner, unixSeconds: r.UnixSeconds}
 }
 
-// Resolve judges a claimant's request for a key.
-func (c *ClaimTable) Resolve(key, body, request string) ClaimResult {
-	o := c.byKey[key]
+// Resolve returns the state of a key for the claimant with the given body hash and
+// request ID.
+func (c *ClaimTable) Resolve(key, bodyHash, requestID string) ClaimResult {
+	current := c.byKey[key]
 	switch {
-	case o == nil:
+	case current == nil:
 		return ClaimResult{State: ClaimPending}
-	case o.bodyHash != body:
-		return ClaimResult{State: ClaimKeyReused, Owner: o.owner}
-	case o.finished:
-		return ClaimResult{State: ClaimReplay, Owner: o.owner, Status: o.status, Response: o.response}
-	case o.requestID == request:
-		return ClaimResult{State: ClaimGranted, Owner: o.owner}
+	case current.bodyHash != bodyHash:
+		return ClaimResult{State: ClaimKeyReused, Owner: current.owner}
+	case current.finished:
+		return ClaimResult{State: ClaimReplay, Owner: current.owner, Status: current.status, Response: current.response}
+	case current.requestID == requestID:
+		return ClaimResult{State: ClaimGranted, Owner: current.owner}
 	}
-	return ClaimResult{State: ClaimInProgress, Owner: o.owner}
+	return ClaimResult{State: ClaimInProgress, Owner: current.owner}
 }
 
-// Applied reports whether a claimant's own record has been folded.
-func (c *ClaimTable) Applied(request string) bool {
-	_, folded := c.applied[request]
-	return folded
+// Applied reports whether the claim of a request has been applied.
+func (c *ClaimTable) Applied(requestID string) bool {
+	_, ok := c.applied[requestID]
+	return ok
 }
 
-// Expire forgets keys, void marks and requests past retention.
+// Expire removes keys, abandonments and request IDs that are past retention.
 func (c *ClaimTable) Expire(now time.Time) {
-	cut := now.Add(-KeyRetention).Unix()
-	for k, o := range c.byKey {
-		if o.unixSeconds < cut {
-			delete(c.byKey, k)
+	cutoff := now.Add(-KeyRetention).Unix()
+	for key, current := range c.byKey {
+		if current.unixSeconds < cutoff {
+			delete(c.byKey, key)
 		}
 	}
 	for _, times := range []map[string]int64{c.abandoned, c.applied} {
-		for r, at := range times {
-			if at < cut {
-				delete(times, r)
+		for id, at := range times {
+			if at < cutoff {
+				delete(times, id)
 			}
 		}
 	}
 }
 
-// Err turns a verdict that forbids the run into the caller's answer. The
-// claimant itself never ran; whether the key's owner did is for the owner to say.
-func (v ClaimResult) Err() *fault.Error {
-	switch v.State {
+// Err returns the error for a claimant that may not run the request. It applies to
+// this claimant only; the owner of the key may have run its own request.
+func (r ClaimResult) Err() *fault.Error {
+	switch r.State {
 	case ClaimKeyReused:
 		return fault.NewField(fault.KeyReused, "Idempotency-Key", "the key stands for another body")
 	case ClaimInProgress:
-		return fault.NewField(fault.KeyInProgress, "Idempotency-Key", "a request with this key is held by %s", v.Owner)
+		return fault.NewField(fault.KeyInProgress, "Idempotency-Key", "a request with this key is held by %s", r.Owner)
 	}
 	return fault.New(fault.LogUnavailable, "the claim was not confirmed by the log in time")
 }
--- a/internal/request/minted_key.go
+++ b/internal/request/minted_key.go
@@ -8,10 +8,9 @@
 	"github.com/damaskrudder/damaskrudder/internal/session"
 )
 
-// MintedKey is an idempotency key that names the one daemon incarnation allowed
-// to run it. It needs no log: the incarnation remembers its keys in memory and,
-// once it is gone, nobody may run them. The price is that a key whose daemon
-// died answers "unknown" although it may never have run.
+// MintedKey is a signed idempotency key that only the daemon incarnation that issued
+// it may run. It needs no log, because the incarnation keeps its keys in memory. If the
+// daemon restarts, the execution state of its keys is reported as unknown.
 type MintedKey struct {
 	Workspace   string
 	Daemon      string
@@ -19,38 +18,39 @@
 	Nonce       string
 }
 
-// mintedKeyPurpose marks minted keys of this form.
+// mintedKeyPurpose is the token purpose of minted keys.
 const mintedKeyPurpose = "dk1"
 
-// IsMintedKey reports whether a key claims to be one of ours.
+// IsMintedKey reports whether a key has the form of a minted key. The signature is not
+// verified.
 func IsMintedKey(key string) bool { return strings.HasPrefix(key, mintedKeyPurpose+".") }
 
-// Mint signs a key.
+// Mint returns the signed key.
 func (k MintedKey) Mint(ring *session.Keyring) string {
 	payload := strings.Join([]string{k.Workspace, k.Daemon, strconv.FormatUint(k.Incarnation, 10), k.Nonce}, "/")
 	return ring.Sign(mintedKeyPurpose, payload)
 }
 
-// ParseMintedKey verifies a key.
+// ParseMintedKey verifies the signature of a key and decodes it.
 func ParseMintedKey(ring *session.Keyring, key string) (MintedKey, error) {
-	refused := fault.NewField(fault.BadRequest, "Idempotency-Key", "the key looks minted but its signature is wrong")
+	invalid := fault.NewField(fault.BadRequest, "Idempotency-Key", "the key looks minted but its signature is wrong")
 	payload, ok := ring.Verify(mintedKeyPurpose, key)
 	if !ok {
-		return MintedKey{}, refused
+		return MintedKey{}, invalid
 	}
 	parts := strings.Split(payload, "/")
 	if len(parts) != 4 {
-		return MintedKey{}, refused
+		return MintedKey{}, invalid
 	}
-	inc, err := strconv.ParseUint(parts[2], 10, 64)
+	incarnation, err := strconv.ParseUint(parts[2], 10, 64)
 	if err != nil {
-		return MintedKey{}, refused
+		return MintedKey{}, invalid
 	}
-	return MintedKey{parts[0], parts[1], inc, parts[3]}, nil
+	return MintedKey{parts[0], parts[1], incarnation, parts[3]}, nil
 }
 
-// Authorize says whether daemon may run the key: a nil error allows it, provided
-// its own memory holds no earlier use.
+// Authorize returns an error unless the given workspace may use the key at the given
+// daemon incarnation. The caller checks that the key was not used before.
 func (k MintedKey) Authorize(workspace, daemon string, incarnation uint64) error {
 	switch {
 	case k.Workspace != workspace:
--- a/internal/request/proxy_retry_state.go
+++ b/internal/request/proxy_retry_state.go
@@ -6,36 +6,37 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// SendOutcome is how one send of an opaque request to a backend server ended.
+// SendOutcome is the result of one send of a proxied request to a backend server.
 type SendOutcome uint8
 
 const (
-	// NotStarted is a send that the server proved it did not run, or of which
-	// no byte left.
+	// NotStarted means that the server confirmed that it did not run the request,
+	// or that no byte was sent.
 	NotStarted SendOutcome = iota
-	// ResponseLost is a send without a usable answer; it may have run.
+	// ResponseLost means that no usable response was received; the request may have run.
 	ResponseLost
-	// ErrorResponse is an answer that says the run failed.
+	// ErrorResponse means that the response reported a failed run.
 	ErrorResponse
-	// LowConfidence is an answer of a smaller model that was dropped unseen.
+	// LowConfidence means that the response of a smaller model was discarded before
+	// the caller received any of it.
 	LowConfidence
-	// Truncated is a stream that ended before its last event.
+	// Truncated means that a stream ended before its last event.
 	Truncated
 )
 
-// maxRefusedSends bounds the sends of one request that did not run, so that a service
-// whose servers all refuse is not asked over and over: each is an arrival there.
+// maxRefusedSends is the number of sends allowed beyond MaxRuns. It limits the load
+// of a request that every server refuses.
 const maxRefusedSends = 4
 
-// ProxyRetryState decides what follows each send of one opaque request. Unlike Life, it
-// may continue a stream on another server, because the server is told after
-// which event to begin.
+// ProxyRetryState decides after each send of one proxied request whether to send it
+// again. Unlike RetryState, it may continue a stream on another server, because the
+// request names the last event received.
 type ProxyRetryState struct {
-	// Repeatable requests may run again after they may have run.
+	// Repeatable requests may run more than once.
 	Repeatable bool
-	// MaxRuns is the most servers that may run the request; zero is one.
+	// MaxRuns is the maximum number of servers that may run the request; zero means one.
 	MaxRuns int
-	// Deadline is when the answer is of no more use.
+	// Deadline is the time after which the request is not sent again.
 	Deadline time.Time
 
 	sends      int
@@ -44,75 +45,78 @@
 	mayHaveRun bool
 }
 
-// RecordSend records a send.
-func (j *ProxyRetryState) RecordSend() { j.sends++; j.runs++ }
+// RecordSend counts a send as started.
+func (s *ProxyRetryState) RecordSend() { s.sends++; s.runs++ }
 
-// Sends returns how many sends began.
-func (j *ProxyRetryState) Sends() int { return j.sends }
+// Sends returns the number of sends started.
+func (s *ProxyRetryState) Sends() int { return s.sends }
 
-// Runs returns how many sends ran or may have run.
-func (j *ProxyRetryState) Runs() int { return j.runs }
+// Runs returns the number of sends that ran or may have run.
+func (s *ProxyRetryState) Runs() int { return s.runs }
 
-// RunsLeft returns how many more servers may run the request.
-func (j *ProxyRetryState) RunsLeft() int { return max(1, j.MaxRuns) - j.runs }
+// RunsLeft returns the number of further servers that may run the request.
+func (s *ProxyRetryState) RunsLeft() int { return max(1, s.MaxRuns) - s.runs }
 
-// ExecutionState returns what may truthfully be said about execution.
-func (j *ProxyRetryState) ExecutionState() fault.ExecutionState {
+// ExecutionState returns whether the request ran on any server, as far as known.
+func (s *ProxyRetryState) ExecutionState() fault.ExecutionState {
 	switch {
-	case j.ran:
+	case s.ran:
 		return fault.Ran
-	case j.mayHaveRun:
+	case s.mayHaveRun:
 		return fault.Unknown
 	}
 	return fault.NotRun
 }
 
-// Next returns nil if the request is to be sent again, and else the final
-// refusal. Allowed says whether the budget admits a repeat; it is asked last, so
-// that nothing is spent on a request that cannot be repeated.
-func (j *ProxyRetryState) Next(o SendOutcome, now time.Time, allowed func() bool) *fault.Error {
-	switch o {
+// Next records the outcome of a send. It returns nil if the request is to be sent
+// again, and otherwise the error for the caller. takeRetry withdraws a retry from the
+// budget and reports whether there was one; it is called only if all other conditions
+// for a retry hold.
+func (s *ProxyRetryState) Next(outcome SendOutcome, now time.Time, takeRetry func() bool) *fault.Error {
+	switch outcome {
 	case NotStarted:
-		j.runs--
+		s.runs--
 	case ResponseLost:
-		j.mayHaveRun = true
+		s.mayHaveRun = true
 	default:
-		j.ran = true
+		s.ran = true
 	}
 	switch {
-	case !now.Before(j.Deadline):
-		return j.fail(fault.DeadlineExceeded, "the deadline passed")
-	case o != NotStarted && !j.Repeatable:
-		return j.fail(fault.EngineFailed, "the request may not be repeated")
-	case j.RunsLeft() <= 0:
-		return j.fail(fault.EngineFailed, "every attempt failed")
-	case j.sends >= max(1, j.MaxRuns)+maxRefusedSends:
-		return j.fail(fault.EngineRefused, "every server refused")
-	case !allowed():
-		return j.fail(fault.EngineRefused, "the retry budget is used up")
+	case !now.Before(s.Deadline):
+		return s.fail(fault.DeadlineExceeded, "the deadline passed")
+	case outcome != NotStarted && !s.Repeatable:
+		return s.fail(fault.EngineFailed, "the request may not be repeated")
+	case s.RunsLeft() <= 0:
+		return s.fail(fault.EngineFailed, "every attempt failed")
+	case s.sends >= max(1, s.MaxRuns)+maxRefusedSends:
+		return s.fail(fault.EngineRefused, "every server refused")
+	case !takeRetry():
+		return s.fail(fault.EngineRefused, "the retry budget is used up")
 	}
 	return nil
 }
 
-// consistentKind returns the kind of a refusal in place of one that says something else of the run.
-// One that promises not to have run must not be given once the request may have run: the
-// caller would repeat it.
-func consistentKind(k fault.Kind, state fault.ExecutionState) fault.Kind {
+// consistentKind replaces an error kind that contradicts the execution state. A kind
+// that states that the request did not run must not be returned once it may have run,
+// because the caller would repeat it.
+func consistentKind(kind fault.Kind, state fault.ExecutionState) fault.Kind {
 	switch {
-	case state != fault.NotRun && fault.Lookup(k).Execution == fault.NotRun:
+	case state != fault.NotRun && fault.Lookup(kind).Execution == fault.NotRun:
 		return fault.EngineFailed
-	case state == fault.NotRun && k == fault.EngineFailed:
+	case state == fault.NotRun && kind == fault.EngineFailed:
 		return fault.EngineRefused
 	}
-	return k
+	return kind
 }
 
-// fail returns a final refusal.
-func (j *ProxyRetryState) fail(k fault.Kind, detail string) *fault.Error {
-	state := j.ExecutionState()
-	k = consistentKind(k, state)
-	return fault.New(k, "%s", detail).WithExecution(state)
+// fail returns the error of the given kind with the execution state set.
+func (s *ProxyRetryState) fail(kind fault.Kind, detail string) *fault.Error {
+	state := s.ExecutionState()
+	kind = consistentKind(kind, state)
+	return fault.New(kind, "%s", detail).WithExecution(state)
 }
 
-// Fail returns a final refusal for a request that will not be sent (again).
-func (j *ProxyRetryState) Fail(k fault.Kind, detail string) *fault.Error { return j.fail(k, detail) }
+// Fail returns the error for a request that will not be sent again.
+func (s *ProxyRetryState) Fail(kind fault.Kind, detail string) *fault.Error {
+	return s.fail(kind, detail)
+}
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -12,11 +12,9 @@
 	"github.com/damaskrudder/damaskrudder/internal/session"
 )
 
-// Symptom: an answer has doubled, missing or foreign words.
-// Sequence: connections repeat, cross and cut frames; each resume replays from
-// the last delivered offset, in the middle of a rune too.
-// Cause: frames must be admitted in order, each once, of one's own run only.
-func TestAssemblerDeliversTheWholeAnswerOnce(t *testing.T) {
+// Guards against duplicated, missing or foreign text when frames are duplicated, lost or
+// from another run, and the stream is resumed at any offset.
+func TestAssemblerDeliversResponseOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		answer := rapid.StringN(1, 40, -1).Draw(t, "answer")
 		var frames []Frame
@@ -25,7 +23,7 @@
 		}
 		a := NewAssembler("r")
 		var got strings.Builder
-		take := func(f Frame) FrameAction {
+		accept := func(f Frame) FrameAction {
 			v := a.Accept(f)
 			if v == Deliver {
 				got.WriteString(f.Delta)
@@ -35,24 +33,24 @@
 		for tries := 0; !a.Done(); tries++ {
 			for _, f := range frames[a.LastOffset():] {
 				if rapid.IntRange(0, 9).Draw(t, "fault") == 0 && tries < 20 {
-					take(Frame{Run: "other", Offset: f.Offset, Delta: "X"})
-					take(frames[0])
-					if v := take(Frame{Run: "r", Offset: f.Offset + 2, Delta: "X"}); v != SequenceGap && !a.Done() {
-						t.Fatalf("a skipped frame gave %v", v)
+					accept(Frame{Run: "other", Offset: f.Offset, Delta: "X"})
+					accept(frames[0])
+					if v := accept(Frame{Run: "r", Offset: f.Offset + 2, Delta: "X"}); v != SequenceGap && !a.Done() {
+						t.Fatalf("action %v for a skipped frame", v)
 					}
 					break
 				}
-				take(f)
+				accept(f)
 			}
 		}
-		take(Frame{Run: "r", Offset: len(frames) + 1, Delta: "X"})
+		accept(Frame{Run: "r", Offset: len(frames) + 1, Delta: "X"})
 		if got.String() != answer {
 			t.Fatalf("got %q, want %q", got.String(), answer)
 		}
 	})
 }
 
-func TestLifeTellsTheTruth(t *testing.T) {
+func TestRetryStateDecisions(t *testing.T) {
 	now := time.Unix(100, 0)
 	cases := []struct {
 		name       string
@@ -64,41 +62,39 @@
 	}{
 		{"refused", false, []AttemptEvent{AttemptRefused}, false, Retry, fault.NotRun},
 		{"refused three times", true, []AttemptEvent{AttemptRefused, AttemptRefused, AttemptRefused}, false, Fail, fault.NotRun},
-		{"broken resumes", false, []AttemptEvent{ConnectionLost}, false, Resume, fault.Unknown},
-		{"payment lost", false, []AttemptEvent{ConnectionLost, RunNotFound}, false, Fail, fault.Unknown},
-		{"chat lost", true, []AttemptEvent{ConnectionLost, RunNotFound}, false, Retry, fault.Unknown},
-		{"lost after part was delivered", true, []AttemptEvent{RunNotFound}, true, Fail, fault.Ran},
-		{"payment failed", false, []AttemptEvent{RunFailed}, false, Fail, fault.Ran},
-		{"caller left", true, []AttemptEvent{CallerDisconnected}, true, Cancel, fault.Ran},
-		{"silent for good", false, []AttemptEvent{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, false, Fail, fault.Unknown},
+		{"lost connection is resumed", false, []AttemptEvent{ConnectionLost}, false, Resume, fault.Unknown},
+		{"non-repeatable run lost", false, []AttemptEvent{ConnectionLost, RunNotFound}, false, Fail, fault.Unknown},
+		{"repeatable run lost", true, []AttemptEvent{ConnectionLost, RunNotFound}, false, Retry, fault.Unknown},
+		{"run lost after partial delivery", true, []AttemptEvent{RunNotFound}, true, Fail, fault.Ran},
+		{"non-repeatable run failed", false, []AttemptEvent{RunFailed}, false, Fail, fault.Ran},
+		{"caller disconnected", true, []AttemptEvent{CallerDisconnected}, true, Cancel, fault.Ran},
+		{"connection lost until resumes are exhausted", false, []AttemptEvent{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, false, Fail, fault.Unknown},
 	}
 	for _, c := range cases {
-		l := RetryState{Repeatable: c.repeatable, Deadline: now.Add(time.Minute)}
+		state := RetryState{Repeatable: c.repeatable, Deadline: now.Add(time.Minute)}
 		budget := NewRetryBudget()
 		var d Decision
-		l.RecordAttempt()
+		state.RecordAttempt()
 		if c.delivered {
-			l.RecordDelivery()
+			state.RecordDelivery()
 		}
 		for _, e := range c.events {
-			if d = l.Next(e, now, budget); d.Action == Retry {
-				l.RecordAttempt()
+			if d = state.Next(e, now, budget); d.Action == Retry {
+				state.RecordAttempt()
 			}
 		}
-		if d.Action != c.action || l.ExecutionState() != c.run || d.Error != nil && d.Error.ExecutionState() != c.run {
-			t.Errorf("%s: action %d, state %s", c.name, d.Action, l.ExecutionState())
+		if d.Action != c.action || state.ExecutionState() != c.run || d.Error != nil && d.Error.ExecutionState() != c.run {
+			t.Errorf("%s: action %d, state %s", c.name, d.Action, state.ExecutionState())
 		}
 	}
-	late := RetryState{Repeatable: true, Deadline: now}
-	if d := late.Next(AttemptRefused, now, NewRetryBudget()); d.Action != Fail || d.Error.Kind != fault.DeadlineExceeded || d.Error.ExecutionState() != fault.NotRun {
-		t.Errorf("past the deadline: %+v", d)
+	expired := RetryState{Repeatable: true, Deadline: now}
+	if d := expired.Next(AttemptRefused, now, NewRetryBudget()); d.Action != Fail || d.Error.Kind != fault.DeadlineExceeded || d.Error.ExecutionState() != fault.NotRun {
+		t.Errorf("after the deadline: %+v", d)
 	}
 }
 
-// Symptom: an overload grows as every failed attempt is repeated.
-// Sequence: all attempts fail for a long time.
-// Cause: retries must stay below a fraction of first attempts.
-func TestRetriesStayBelowTheirShare(t *testing.T) {
+// Guards against retries amplifying an overload when every attempt fails.
+func TestRetryBudgetLimitsRetries(t *testing.T) {
 	b := NewRetryBudget()
 	retries := 0
 	const firsts = 10_000
@@ -117,61 +113,61 @@
 	return ClaimRecord{Kind: Claimed, Key: "k", BodyHash: "b", RequestID: request, Owner: "d", UnixSeconds: 1000}
 }
 
-func TestClaims(t *testing.T) {
-	void := func(request string) ClaimRecord { r := claimed(request); r.Kind = Abandoned; return r }
-	done := func(request string) ClaimRecord {
+func TestClaimTable(t *testing.T) {
+	abandoned := func(request string) ClaimRecord { r := claimed(request); r.Kind = Abandoned; return r }
+	finished := func(request string) ClaimRecord {
 		r := claimed(request)
 		r.Kind, r.Status, r.Response = Finished, 200, []byte("x")
 		return r
 	}
-	late := claimed("b")
-	late.UnixSeconds += int64(KeyRetention / time.Second)
+	expired := claimed("b")
+	expired.UnixSeconds += int64(KeyRetention / time.Second)
 	cases := []struct {
 		name    string
 		records []ClaimRecord
 		request string
 		want    ClaimState
 	}{
-		{"nothing folded", nil, "a", ClaimPending},
-		{"first wins", []ClaimRecord{claimed("a"), claimed("b")}, "a", ClaimGranted},
-		{"second loses", []ClaimRecord{claimed("a"), claimed("b")}, "b", ClaimInProgress},
+		{"no claim applied", nil, "a", ClaimPending},
+		{"first claim is granted", []ClaimRecord{claimed("a"), claimed("b")}, "a", ClaimGranted},
+		{"second claim is not granted", []ClaimRecord{claimed("a"), claimed("b")}, "b", ClaimInProgress},
 		{"a repeated append is the same claim", []ClaimRecord{claimed("a"), claimed("a")}, "a", ClaimGranted},
-		{"finished is replayed", []ClaimRecord{claimed("a"), done("a")}, "b", ClaimReplay},
-		{"a stranger cannot finish", []ClaimRecord{claimed("a"), done("b")}, "a", ClaimGranted},
-		{"abandoned frees the key", []ClaimRecord{claimed("a"), void("a"), claimed("b")}, "b", ClaimGranted},
-		{"a claim that lands after its abandonment is void", []ClaimRecord{void("a"), claimed("a"), claimed("b")}, "b", ClaimGranted},
-		{"a loser does not inherit the key", []ClaimRecord{claimed("a"), claimed("b"), void("a"), claimed("c")}, "b", ClaimInProgress},
-		{"the next claim does", []ClaimRecord{claimed("a"), claimed("b"), void("a"), claimed("c")}, "c", ClaimGranted},
-		{"a finished key cannot be abandoned", []ClaimRecord{claimed("a"), done("a"), void("a")}, "b", ClaimReplay},
-		{"past retention the key is free", []ClaimRecord{claimed("a"), late}, "b", ClaimGranted},
+		{"finished claim is replayed", []ClaimRecord{claimed("a"), finished("a")}, "b", ClaimReplay},
+		{"another request cannot finish the claim", []ClaimRecord{claimed("a"), finished("b")}, "a", ClaimGranted},
+		{"abandonment releases the key", []ClaimRecord{claimed("a"), abandoned("a"), claimed("b")}, "b", ClaimGranted},
+		{"a claim after its own abandonment is ignored", []ClaimRecord{abandoned("a"), claimed("a"), claimed("b")}, "b", ClaimGranted},
+		{"a claim that was not granted does not get a released key", []ClaimRecord{claimed("a"), claimed("b"), abandoned("a"), claimed("c")}, "b", ClaimInProgress},
+		{"the next claim gets a released key", []ClaimRecord{claimed("a"), claimed("b"), abandoned("a"), claimed("c")}, "c", ClaimGranted},
+		{"a finished key cannot be abandoned", []ClaimRecord{claimed("a"), finished("a"), abandoned("a")}, "b", ClaimReplay},
+		{"an expired key can be claimed", []ClaimRecord{claimed("a"), expired}, "b", ClaimGranted},
 	}
 	for _, c := range cases {
-		f := NewClaimTable()
+		table := NewClaimTable()
 		for i, r := range c.records {
-			f.Apply(uint64(i), r)
-			f.Apply(uint64(i), r)
+			table.Apply(uint64(i), r)
+			table.Apply(uint64(i), r)
 		}
-		if v := f.Resolve("k", "b", c.request); v.State != c.want {
+		if v := table.Resolve("k", "b", c.request); v.State != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, v.State, c.want)
 		}
 	}
-	f := NewClaimTable()
-	f.Apply(0, claimed("a"))
-	f.Apply(1, claimed("a loser"))
-	if v := f.Resolve("k", "other body", "b"); v.State != ClaimKeyReused || v.Err().Kind != fault.KeyReused {
-		t.Errorf("another body: %+v", v)
+	table := NewClaimTable()
+	table.Apply(0, claimed("a"))
+	table.Apply(1, claimed("not granted"))
+	if v := table.Resolve("k", "other body", "b"); v.State != ClaimKeyReused || v.Err().Kind != fault.KeyReused {
+		t.Errorf("different body: %+v", v)
 	}
-	f.Expire(time.Unix(1000, 0).Add(KeyRetention + time.Second))
-	if f.Len() != 0 || f.Applied("a") || f.Applied("a loser") {
-		t.Error("an old key or claim is remembered")
+	table.Expire(time.Unix(1000, 0).Add(KeyRetention + time.Second))
+	if table.Len() != 0 || table.Applied("a") || table.Applied("not granted") {
+		t.Error("an expired key or claim was kept")
 	}
 }
 
-// Claims, abandonments and outcomes in any order and number: at most one request
-// ever gets to run, as long as nobody who was told to run abandons.
-func TestAtMostOneClaimRuns(t *testing.T) {
+// Under any order of claims and abandonments, at most one request may run, as long as no
+// granted claim is abandoned.
+func TestAtMostOneClaimIsGranted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewClaimTable()
+		table := NewClaimTable()
 		ran := map[string]bool{}
 		var offset uint64
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -180,9 +176,9 @@
 			if !ran[req] && rapid.IntRange(0, 3).Draw(t, "abandon") == 0 {
 				rec.Kind = Abandoned
 			}
-			f.Apply(offset, rec)
+			table.Apply(offset, rec)
 			offset++
-			if f.Applied(req) && f.Resolve("k", "b", req).State == ClaimGranted {
+			if table.Applied(req) && table.Resolve("k", "b", req).State == ClaimGranted {
 				ran[req] = true
 			}
 			if len(ran) > 1 {
@@ -196,10 +192,8 @@
 	return &session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte("0123456789abcdef")}}
 }
 
-// Symptom: a payment runs twice around a daemon's restart while the log is down.
-// Sequence: a key is minted by one incarnation and presented to the next.
-// Cause: only the incarnation that remembers its keys may run them.
-func TestMintedKeyRunsInItsIncarnationOnly(t *testing.T) {
+// Guards against a second run of a minted key after a daemon restart.
+func TestMintedKeyIsBoundToIncarnation(t *testing.T) {
 	key := MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(ring())
 	m, err := ParseMintedKey(ring(), key)
 	if err != nil || !IsMintedKey(key) {
@@ -216,7 +210,7 @@
 		}
 	}
 	if _, err := ParseMintedKey(ring(), key+"x"); !fault.Is(err, fault.BadRequest) {
-		t.Errorf("a forged key: %v", err)
+		t.Errorf("forged key: %v", err)
 	}
 }
 
@@ -225,7 +219,7 @@
 	f.Add("dk1.k1.e30.e30")
 	f.Fuzz(func(t *testing.T, key string) {
 		if m, err := ParseMintedKey(ring(), key); err == nil && m.Mint(ring()) != key {
-			t.Fatalf("%q is accepted and is not what we mint", key)
+			t.Fatalf("%q was accepted but differs from the minted form", key)
 		}
 	})
 }
--- a/internal/request/retry_state.go
+++ b/internal/request/retry_state.go
@@ -6,25 +6,25 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// AttemptEvent is something that happened to an attempt.
+// AttemptEvent is an event of an attempt that needs a decision.
 type AttemptEvent uint8
 
 const (
-	// AttemptRefused means the backend server proved that it did not start the run.
+	// AttemptRefused means that the backend server confirmed that it did not start the run.
 	AttemptRefused AttemptEvent = iota
-	// ConnectFailed means no connection was made, so nothing was sent.
+	// ConnectFailed means that no connection was established and nothing was sent.
 	ConnectFailed
-	// ConnectionLost means the connection ended or went silent after the request was sent.
+	// ConnectionLost means that the connection closed or timed out after the request was sent.
 	ConnectionLost
-	// RunNotFound means a resume was answered: the server knows no such run.
+	// RunNotFound means that the server answered a resume with an unknown run ID.
 	RunNotFound
-	// RunFailed means the server reported that the run failed.
+	// RunFailed means that the server reported a failed run.
 	RunFailed
-	// CallerDisconnected means the caller closed its connection.
+	// CallerDisconnected means that the caller closed its connection.
 	CallerDisconnected
 )
 
-// Action is what to do next.
+// Action is the next step for a request.
 type Action uint8
 
 const (
@@ -34,28 +34,29 @@
 	Resume
 	// Cancel cancels the run and ends the request.
 	Cancel
-	// Fail answers the caller with Decision.Error.
+	// Fail returns Decision.Error to the caller.
 	Fail
 )
 
-// Decision is the outcome of one event.
+// Decision is the next step after an event, with the error for the caller if the
+// request ends.
 type Decision struct {
 	Action Action
 	Error  *fault.Error
 }
 
 const (
-	// MaxAttempts bounds the attempts of one request.
+	// MaxAttempts is the maximum number of attempts of one request.
 	MaxAttempts = 3
-	// MaxResumes bounds the reconnections of one attempt.
+	// MaxResumes is the maximum number of reconnections of one attempt.
 	MaxResumes = 4
 )
 
-// RetryState decides what follows each event of one request.
+// RetryState decides the next step after each event of one request.
 type RetryState struct {
-	// Repeatable requests may run again after a run was lost.
+	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Deadline ends the request; zero is none.
+	// Deadline is the time after which nothing is retried; zero means none.
 	Deadline time.Time
 
 	attempts   int
@@ -65,101 +66,102 @@
 	mayHaveRun bool
 }
 
-// RecordAttempt records a new attempt.
-func (l *RetryState) RecordAttempt() { l.attempts++; l.resumes = 0 }
+// RecordAttempt counts an attempt as started.
+func (s *RetryState) RecordAttempt() { s.attempts++; s.resumes = 0 }
 
-// Attempts returns how many attempts began.
-func (l *RetryState) Attempts() int { return l.attempts }
+// Attempts returns the number of attempts started.
+func (s *RetryState) Attempts() int { return s.attempts }
 
-// RecordDelivery records that the caller has seen part of the answer. From then on
-// another run cannot continue it, since its words would differ.
-func (l *RetryState) RecordDelivery() { l.delivered, l.ran = true, true }
+// RecordDelivery records that part of the response was delivered to the caller. No
+// other run can continue it, because it would generate different text.
+func (s *RetryState) RecordDelivery() { s.delivered, s.ran = true, true }
 
-// RecordExecution records proof that the server runs the attempt.
-func (l *RetryState) RecordExecution() { l.ran = true }
+// RecordExecution records that the server has started to run the request.
+func (s *RetryState) RecordExecution() { s.ran = true }
 
-// ExecutionState returns what may truthfully be said about execution.
-func (l *RetryState) ExecutionState() fault.ExecutionState {
+// ExecutionState returns whether the request ran on any server, as far as known.
+func (s *RetryState) ExecutionState() fault.ExecutionState {
 	switch {
-	case l.ran:
+	case s.ran:
 		return fault.Ran
-	case l.mayHaveRun:
+	case s.mayHaveRun:
 		return fault.Unknown
 	}
 	return fault.NotRun
 }
 
-// Next decides. Budget allows or denies a further attempt.
-func (l *RetryState) Next(e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
+// Next records an event and returns the next step. A retry is withdrawn from budget.
+func (s *RetryState) Next(e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
 	switch e {
 	case CallerDisconnected:
-		return Decision{Cancel, fault.New(fault.CallerLeft, "the caller left").WithExecution(l.ExecutionState())}
+		return Decision{Cancel, fault.New(fault.CallerLeft, "the caller left").WithExecution(s.ExecutionState())}
 	case AttemptRefused, ConnectFailed:
-		return l.retryOrFail(fault.NoServer, e, now, budget)
+		return s.retryOrFail(fault.NoServer, e, now, budget)
 	case ConnectionLost:
-		l.mayHaveRun = true
-		if l.resumes < MaxResumes && !l.expired(now) {
-			l.resumes++
+		s.mayHaveRun = true
+		if s.resumes < MaxResumes && !s.expired(now) {
+			s.resumes++
 			return Decision{Action: Resume}
 		}
-		return l.retryOrFail(fault.EngineFailed, e, now, budget)
+		return s.retryOrFail(fault.EngineFailed, e, now, budget)
 	case RunNotFound:
-		l.mayHaveRun = true
-		return l.retryOrFail(fault.EngineFailed, e, now, budget)
+		s.mayHaveRun = true
+		return s.retryOrFail(fault.EngineFailed, e, now, budget)
 	}
-	l.ran = true
-	return l.retryOrFail(fault.EngineFailed, e, now, budget)
+	s.ran = true
+	return s.retryOrFail(fault.EngineFailed, e, now, budget)
 }
 
-func (l *RetryState) retryOrFail(k fault.Kind, e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
-	proven := e == AttemptRefused || e == ConnectFailed
+func (s *RetryState) retryOrFail(k fault.Kind, e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
+	notExecuted := e == AttemptRefused || e == ConnectFailed
 	switch {
-	case l.expired(now):
-		return l.fail(fault.DeadlineExceeded, "the deadline passed")
-	case l.delivered:
-		return l.fail(k, "the run was lost after part of the answer was delivered")
-	case !proven && !l.Repeatable:
-		return l.fail(k, "the request may not be repeated")
-	case l.attempts >= MaxAttempts:
-		return l.fail(k, "every attempt failed")
+	case s.expired(now):
+		return s.fail(fault.DeadlineExceeded, "the deadline passed")
+	case s.delivered:
+		return s.fail(k, "the run was lost after part of the answer was delivered")
+	case !notExecuted && !s.Repeatable:
+		return s.fail(k, "the request may not be repeated")
+	case s.attempts >= MaxAttempts:
+		return s.fail(k, "every attempt failed")
 	case !budget.TryWithdraw():
-		return l.fail(k, "the retry budget is used up")
+		return s.fail(k, "the retry budget is used up")
 	}
 	return Decision{Action: Retry}
 }
 
-func (l *RetryState) expired(now time.Time) bool {
-	return !l.Deadline.IsZero() && !now.Before(l.Deadline)
+func (s *RetryState) expired(now time.Time) bool {
+	return !s.Deadline.IsZero() && !now.Before(s.Deadline)
 }
 
-func (l *RetryState) fail(k fault.Kind, detail string) Decision {
-	return Decision{Fail, fault.New(consistentKind(k, l.ExecutionState()), "%s", detail).WithExecution(l.ExecutionState())}
+func (s *RetryState) fail(k fault.Kind, detail string) Decision {
+	return Decision{Fail, fault.New(consistentKind(k, s.ExecutionState()), "%s", detail).WithExecution(s.ExecutionState())}
 }
 
-// RetryBudget keeps retries below a fraction of first attempts, so that they
-// never multiply an overload. It is owned by one goroutine or its owner's lock.
+// RetryBudget limits retries to a fraction of first attempts, so that retries do not
+// amplify an overload. It is not safe for concurrent use.
 type RetryBudget struct {
-	tokens float64
+	balance float64
 }
 
 const (
-	// retryRatio is the retries earned by one first attempt.
+	// retryRatio is the number of retries allowed per first attempt.
 	retryRatio = 0.1
-	// retryReserve caps the saved-up retries, and is the budget at start.
+	// retryReserve is the initial and the maximum balance.
 	retryReserve = 10
 )
 
 // NewRetryBudget returns a full budget.
-func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: retryReserve} }
+func NewRetryBudget() *RetryBudget { return &RetryBudget{balance: retryReserve} }
 
-// Deposit records a first attempt.
-func (b *RetryBudget) Deposit() { b.tokens = min(retryReserve, b.tokens+retryRatio) }
+// Deposit credits the budget for a first attempt.
+func (b *RetryBudget) Deposit() { b.balance = min(retryReserve, b.balance+retryRatio) }
 
-// TryWithdraw spends one retry if there is one. A nil budget denies.
+// TryWithdraw withdraws one retry and reports whether there was one. It returns false
+// for a nil budget.
 func (b *RetryBudget) TryWithdraw() bool {
-	if b == nil || b.tokens < 1 {
+	if b == nil || b.balance < 1 {
 		return false
 	}
-	b.tokens--
+	b.balance--
 	return true
 }
--- a/internal/request/windowed_retry_budget.go
+++ b/internal/request/windowed_retry_budget.go
@@ -2,74 +2,72 @@
 
 import "time"
 
-// budgetBuckets is how finely a window is divided.
+// budgetBuckets is the number of buckets per window.
 const budgetBuckets = 50
 
-// WindowedRetryBudget is one daemon's part of a limit on repeats that all daemons keep
-// together: in any window, repeats for a service stay under ratio times the first
-// sends plus a reserve. Each daemon keeps ratio to its own first sends and an
-// even part of the reserve, so the sum over all daemons keeps the limit without
-// a word between them, also while daemons come and go. Times are readings of a steady
-// clock: when the time of day jumps ahead by some seconds, repeats of the last window
-// would be forgotten and made again.
+// WindowedRetryBudget is one daemon's part of a limit shared by all daemons: in any
+// window, the retries for a service stay below Ratio times the first sends plus a
+// reserve. Each daemon applies the ratio to its own first sends and has an equal part
+// of the reserve, so that no communication is needed. Times are readings of a
+// monotonic clock.
 type WindowedRetryBudget struct {
-	// Window is the span of the limit.
+	// Window is the length of the sliding window.
 	Window time.Duration
-	// Ratio is the repeats allowed for one first send.
+	// Ratio is the number of retries allowed per first send.
 	Ratio float64
-	// Reserve is the repeats allowed beyond that.
+	// Reserve is the number of retries allowed in addition.
 	Reserve float64
 
 	buckets [budgetBuckets]struct {
-		slot           int64
-		first, repeats float64
+		slot            int64
+		firsts, retries float64
 	}
 }
 
-// budgetMargin is the part of the ratio that is used. The limit holds for any
-// window while Share counts in steps of a tenth of one, and a repeat reaches the
-// server a little later than it was counted.
+// budgetMargin is the part of Ratio that is used. It covers the bucket width and the
+// delay between withdrawing a retry and its arrival at the server.
 const budgetMargin = 0.95
 
-// slot numbers the part of a window in which a time lies, from 1 on: 0 marks buckets
-// that were never used.
-func (s *WindowedRetryBudget) slot(now time.Duration) int64 {
-	return 1 + int64(now/(s.Window/budgetBuckets))
+// slot returns the number of the bucket interval that contains a time. It starts at 1,
+// since 0 marks a bucket that was never used.
+func (w *WindowedRetryBudget) slot(now time.Duration) int64 {
+	return 1 + int64(now/(w.Window/budgetBuckets))
 }
 
-func (s *WindowedRetryBudget) bucket(now time.Duration) *struct {
-	slot           int64
-	first, repeats float64
+func (w *WindowedRetryBudget) bucket(now time.Duration) *struct {
+	slot            int64
+	firsts, retries float64
 } {
-	n := s.slot(now)
-	b := &s.buckets[n%budgetBuckets]
+	n := w.slot(now)
+	b := &w.buckets[n%budgetBuckets]
 	if b.slot != n {
-		b.slot, b.first, b.repeats = n, 0, 0
+		b.slot, b.firsts, b.retries = n, 0, 0
 	}
 	return b
 }
 
-// Deposit records a request's first send.
-func (s *WindowedRetryBudget) Deposit(now time.Duration) { s.bucket(now).first++ }
+// Deposit credits the budget for the first send of a request.
+func (w *WindowedRetryBudget) Deposit(now time.Duration) { w.bucket(now).firsts++ }
 
-// Available returns how many repeats may be made now.
-func (s *WindowedRetryBudget) Available(now time.Duration) float64 {
-	newest := s.slot(now)
-	first, repeats := 0.0, 0.0
-	for _, b := range s.buckets {
+// Available returns the number of retries that may be sent now.
+func (w *WindowedRetryBudget) Available(now time.Duration) float64 {
+	newest := w.slot(now)
+	firsts, retries := 0.0, 0.0
+	for _, b := range w.buckets {
 		if b.slot > 0 && newest-b.slot < budgetBuckets {
-			first += b.first
-			repeats += b.repeats
+			firsts += b.firsts
+			retries += b.retries
 		}
 	}
-	return budgetMargin*s.Ratio*first + s.Reserve - repeats
+	return budgetMargin*w.Ratio*firsts + w.Reserve - retries
 }
 
-// TryWithdraw spends one repeat if there is room beyond keep.
-func (s *WindowedRetryBudget) TryWithdraw(now time.Duration, keep float64) bool {
-	if s.Available(now) < 1+keep {
+// TryWithdraw withdraws one retry if at least keep remain available afterwards, and
+// reports whether it did.
+func (w *WindowedRetryBudget) TryWithdraw(now time.Duration, keep float64) bool {
+	if w.Available(now) < 1+keep {
 		return false
 	}
-	s.bucket(now).repeats++
+	w.bucket(now).retries++
 	return true
 }
