--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -2,70 +2,73 @@
 
 import "time"
 
-// LeaseRequest is a daemon's request for a lease.
+// LeaseRequest is a daemon's request to the lessor of a meter.
 type LeaseRequest struct {
-	// Meter names the workspace and what is limited.
+	// Meter identifies the workspace and the limited quantity.
 	Meter     string `cbor:"1,keyasint"`
 	Requested int64  `cbor:"2,keyasint"`
-	// Unused is the part of the last lease that was not spent, and Bucket the
-	// window's bucket the lease stands in. Taking it out of a later bucket would
-	// free the room twice: now, and when the lease's bucket expires.
+	// Unused is the unspent part of the last lease, and UnusedBucket the bucket in
+	// which the lessor counted that lease. Subtracting it from a later bucket would
+	// release the amount twice: now, and when the bucket of the lease expires.
 	Unused       int64 `cbor:"3,keyasint,omitempty"`
 	UnusedBucket int64 `cbor:"6,keyasint,omitempty"`
-	// UnleasedSpend is what was spent without a lease while no home answered.
+	// UnleasedSpend is the amount spent without a lease while the lessor was
+	// unreachable.
 	UnleasedSpend int64 `cbor:"7,keyasint,omitempty"`
-	// Snapshot is the newest history the daemon heard, for a home that has none.
-	// It is left out once the home's epoch is known to it.
+	// Snapshot is the newest window received by the daemon, from which a new lessor
+	// restores its state. It is omitted if that window is from the current epoch.
 	Snapshot *WindowSnapshot `cbor:"4,keyasint,omitempty"`
-	// Limit is the limit in force at the daemon.
+	// Limit is the limit configured at the daemon.
 	Limit int64 `cbor:"5,keyasint"`
 }
 
-// Lease is an amount that may be spent until LeaseTerm after it was asked for.
+// Lease is an amount that may be spent until LeaseTTL after it was requested.
 type Lease struct {
 	Amount int64 `cbor:"1,keyasint"`
-	// Epoch identifies the home's incarnation.
+	// Epoch is the lessor's incarnation.
 	Epoch uint64 `cbor:"2,keyasint"`
-	// Snapshot is the home's window after this lease.
+	// Snapshot is the lessor's window after this lease.
 	Snapshot WindowSnapshot `cbor:"3,keyasint"`
-	// RetryAfter is set when Amount falls short of what was wanted.
+	// RetryAfter is the time until the requested amount is available. It is set if
+	// Amount is less than requested.
 	RetryAfter time.Duration `cbor:"4,keyasint"`
 }
 
-// Lessor holds the windows of the meters it is home of.
+// Lessor grants leases and holds the windows of its meters.
 type Lessor struct {
 	epoch   uint64
 	windows map[string]*Window
 }
 
-// NewLessor returns a home with no history.
+// NewLessor returns a lessor with empty windows.
 func NewLessor(epoch uint64) *Lessor { return &Lessor{epoch: epoch, windows: map[string]*Window{}} }
 
-// Grant answers an ask. An amount leased at t may be spent until t+LeaseTerm,
-// so the home bounds leases over Span+LeaseTerm: no span of spending can then
-// hold more than the limit.
-func (h *Lessor) Grant(now time.Time, a LeaseRequest) Lease {
-	w := h.windows[a.Meter]
+// Grant handles a lease request. An amount leased at t may be spent until t+LeaseTTL,
+// so the leases of any WindowSpan+LeaseTTL are limited: the spending in any WindowSpan
+// then stays within the limit.
+func (l *Lessor) Grant(now time.Time, req LeaseRequest) Lease {
+	w := l.windows[req.Meter]
 	if w == nil {
 		w = &Window{}
-		h.windows[a.Meter] = w
+		l.windows[req.Meter] = w
 	}
-	if a.Snapshot != nil {
-		w.Merge(now, *a.Snapshot)
+	if req.Snapshot != nil {
+		w.Merge(now, *req.Snapshot)
 	}
-	w.AddToBucket(now, a.UnusedBucket, -a.Unused)
-	w.Add(now, a.UnleasedSpend)
-	free := max(0, a.Limit-w.Sum(now, WindowSpan+LeaseTTL))
-	l := Lease{Amount: min(a.Requested, free), Epoch: h.epoch}
-	w.Add(now, l.Amount)
-	l.Snapshot = w.Snapshot(now)
-	if l.Amount < a.Requested {
-		l.RetryAfter = w.TimeUntilFree(now, WindowSpan+LeaseTTL, a.Limit, a.Requested)
+	w.AddToBucket(now, req.UnusedBucket, -req.Unused)
+	w.Add(now, req.UnleasedSpend)
+	available := max(0, req.Limit-w.Sum(now, WindowSpan+LeaseTTL))
+	lease := Lease{Amount: min(req.Requested, available), Epoch: l.epoch}
+	w.Add(now, lease.Amount)
+	lease.Snapshot = w.Snapshot(now)
+	if lease.Amount < req.Requested {
+		lease.RetryAfter = w.TimeUntilFree(now, WindowSpan+LeaseTTL, req.Limit, req.Requested)
 	}
-	return l
+	return lease
 }
 
-// Limiter is a daemon's side of one meter.
+// Limiter enforces the limit of one meter at a daemon, using leases from the lessor.
+// It is not safe for concurrent use.
 type Limiter struct {
 	meter        string
 	spent        Window
@@ -75,50 +78,49 @@
 	unusedBucket int64
 	lessorEpoch  uint64
 	snapshot     WindowSnapshot
-	// offlineLimit caps the own window while no home answers; homeless is what was
-	// spent under it.
+	// offlineLimit limits the daemon's own spending per WindowSpan while the lessor is
+	// unreachable; unleasedSpend is the amount spent in that state.
 	offlineLimit      int64
 	unleasedSpend     int64
 	lessorUnreachable bool
-	// offlineUntil ends the spending without a lease until the home was asked once
-	// more. Without it a daemon would go on under its ceiling while a new home,
-	// unaware of it, leases the same room to others.
+	// offlineUntil ends spending without a lease until the lessor has been tried
+	// again. Otherwise a new lessor could lease the same amount to other daemons.
 	offlineUntil time.Time
-	// deniedUntil is when to ask again after the home had nothing.
+	// deniedUntil is the time of the next request after the lessor had nothing to
+	// lease.
 	deniedUntil time.Time
 	rate        float64
 	rateAt      time.Time
 }
 
-// NewLimiter returns a share with nothing leased.
+// NewLimiter returns a limiter without a lease.
 func NewLimiter(meter string) *Limiter { return &Limiter{meter: meter} }
 
-// TryAcquire takes n from the lease and reports whether it was there. While no
-// home answers, a daemon may keep its own window at the level it had when the
-// home was lost: the sum over all daemons then stays within the limit without
-// any of them knowing the others.
-func (s *Limiter) TryAcquire(now time.Time, n int64) bool {
-	s.expire(now)
-	if s.lessorUnreachable {
-		if !now.Before(s.offlineUntil) || s.spent.Sum(now, WindowSpan)+n > s.offlineLimit {
+// TryAcquire spends n from the lease and reports whether the lease covered it. While
+// the lessor is unreachable, the daemon may spend as much per WindowSpan as it had spent
+// when contact was lost, so that the sum over all daemons stays within the limit.
+func (l *Limiter) TryAcquire(now time.Time, n int64) bool {
+	l.expire(now)
+	if l.lessorUnreachable {
+		if !now.Before(l.offlineUntil) || l.spent.Sum(now, WindowSpan)+n > l.offlineLimit {
 			return false
 		}
-		s.unleasedSpend += n
-		s.record(now, n)
+		l.unleasedSpend += n
+		l.record(now, n)
 		return true
 	}
-	if s.available < n {
+	if l.available < n {
 		return false
 	}
-	s.available -= n
-	s.record(now, n)
+	l.available -= n
+	l.record(now, n)
 	return true
 }
 
-func (s *Limiter) record(now time.Time, n int64) {
-	s.spent.Add(now, n)
-	s.rate = s.rate*decay(now.Sub(s.rateAt)) + float64(n)
-	s.rateAt = now
+func (l *Limiter) record(now time.Time, n int64) {
+	l.spent.Add(now, n)
+	l.rate = l.rate*decay(now.Sub(l.rateAt)) + float64(n)
+	l.rateAt = now
 }
 
 func decay(age time.Duration) float64 {
@@ -128,77 +130,76 @@
 	return max(0, 1-float64(age)/float64(LeaseTTL))
 }
 
-func (s *Limiter) expire(now time.Time) {
-	if s.available > 0 && !now.Before(s.expires) {
-		s.unused += s.available
-		s.available = 0
+func (l *Limiter) expire(now time.Time) {
+	if l.available > 0 && !now.Before(l.expires) {
+		l.unused += l.available
+		l.available = 0
 	}
 }
 
-// Settle gives back what a reservation did not use. A reservation counts the
-// most a request may use, so that concurrent requests cannot all pass on the
-// same room.
-func (s *Limiter) Settle(now time.Time, reserved, used int64) {
-	back := reserved - used
-	s.spent.Add(now, -back)
-	if s.lessorUnreachable {
-		s.unleasedSpend -= back
+// Settle returns the unused part of a reservation. Requests reserve the maximum they
+// may use, so that concurrent requests cannot be admitted for the same amount.
+func (l *Limiter) Settle(now time.Time, reserved, used int64) {
+	unused := reserved - used
+	l.spent.Add(now, -unused)
+	if l.lessorUnreachable {
+		l.unleasedSpend -= unused
 		return
 	}
-	s.unused += back
+	l.unused += unused
 }
 
-// NewLeaseRequest returns what to ask the home for: what is needed now plus what the recent
-// rate will use within a lease's term.
-func (s *Limiter) NewLeaseRequest(now time.Time, need, limit int64, epoch uint64) LeaseRequest {
-	s.expire(now)
-	a := LeaseRequest{Meter: s.meter, Requested: need + int64(s.rate*decay(now.Sub(s.rateAt))), Limit: limit, Unused: s.unused, UnusedBucket: s.unusedBucket, UnleasedSpend: s.unleasedSpend}
-	s.unused, s.unleasedSpend = 0, 0
-	if epoch == 0 || epoch != s.lessorEpoch {
-		known := s.snapshot
-		a.Snapshot = &known
+// NewLeaseRequest returns a request for the amount needed now plus the amount that the
+// recent rate will use within LeaseTTL. epoch is the incarnation of the current lessor,
+// or 0 if unknown.
+func (l *Limiter) NewLeaseRequest(now time.Time, need, limit int64, epoch uint64) LeaseRequest {
+	l.expire(now)
+	req := LeaseRequest{Meter: l.meter, Requested: need + int64(l.rate*decay(now.Sub(l.rateAt))), Limit: limit, Unused: l.unused, UnusedBucket: l.unusedBucket, UnleasedSpend: l.unleasedSpend}
+	l.unused, l.unleasedSpend = 0, 0
+	if epoch == 0 || epoch != l.lessorEpoch {
+		snapshot := l.snapshot
+		req.Snapshot = &snapshot
 	}
-	return a
+	return req
 }
 
-// maxDenialTime bounds how long a daemon takes the home's "nothing left" for true
-// without asking. A workspace far over its limit would otherwise cost its home a
-// message for every refused request.
+// maxDenialTime is the maximum time for which a denial is cached. Without the cache, a
+// workspace over its limit would cause a lease request for every rejected request.
 const maxDenialTime = 200 * time.Millisecond
 
-// Denied reports whether the home had nothing a moment ago.
-func (s *Limiter) Denied(now time.Time) bool { return now.Before(s.deniedUntil) }
-
-// HasUnleasedSpend reports whether the home must hear of spending without a lease. A daemon
-// with little demand would otherwise tell it much later, and the new home would
-// lease out room that is used up.
-func (s *Limiter) HasUnleasedSpend() bool { return s.unleasedSpend != 0 }
-
-// ApplyLease stores a lease that was asked for at a time.
-func (s *Limiter) ApplyLease(askedAt time.Time, l Lease) {
-	s.available += l.Amount
-	s.expires = askedAt.Add(LeaseTTL)
-	s.lessorEpoch, s.snapshot, s.lessorUnreachable = l.Epoch, l.Snapshot, false
-	s.unusedBucket = l.Snapshot.Newest
-	if l.Amount == 0 && l.RetryAfter > 0 {
-		s.deniedUntil = askedAt.Add(min(l.RetryAfter, maxDenialTime))
+// Denied reports whether a recent lease request was denied.
+func (l *Limiter) Denied(now time.Time) bool { return now.Before(l.deniedUntil) }
+
+// HasUnleasedSpend reports whether spending without a lease is yet to be reported to the
+// lessor. It must be reported at once, or a new lessor leases amounts that are already
+// spent.
+func (l *Limiter) HasUnleasedSpend() bool { return l.unleasedSpend != 0 }
+
+// ApplyLease adds a lease that was requested at the given time.
+func (l *Limiter) ApplyLease(requestedAt time.Time, lease Lease) {
+	l.available += lease.Amount
+	l.expires = requestedAt.Add(LeaseTTL)
+	l.lessorEpoch, l.snapshot, l.lessorUnreachable = lease.Epoch, lease.Snapshot, false
+	l.unusedBucket = lease.Snapshot.Newest
+	if lease.Amount == 0 && lease.RetryAfter > 0 {
+		l.deniedUntil = requestedAt.Add(min(lease.RetryAfter, maxDenialTime))
 	}
 }
 
-// LessorEpoch returns the home incarnation that last answered, or 0.
-func (s *Limiter) LessorEpoch() uint64 { return s.lessorEpoch }
-
-// LeaseRequestFailed records that an ask got no answer. What the ask reported was perhaps
-// not heard: the unused part is forgotten, so that it counts as spent, and what
-// was spent without a home is reported again. Both err on the safe side.
-func (s *Limiter) LeaseRequestFailed(now time.Time, failed LeaseRequest) {
-	s.expire(now)
-	s.unused = 0
-	s.unleasedSpend += failed.UnleasedSpend
-	s.offlineUntil = now.Add(LeaseTTL / 2)
-	if s.lessorUnreachable {
+// LessorEpoch returns the epoch of the last lease, or 0.
+func (l *Limiter) LessorEpoch() uint64 { return l.lessorEpoch }
+
+// LeaseRequestFailed records that a lease request got no reply. The lessor may or may
+// not have applied it, so its unused amount counts as spent and its unleased spending
+// is reported again; neither can lead to spending over the limit.
+func (l *Limiter) LeaseRequestFailed(now time.Time, failed LeaseRequest) {
+	l.expire(now)
+	l.unused = 0
+	l.unleasedSpend += failed.UnleasedSpend
+	l.offlineUntil = now.Add(LeaseTTL / 2)
+	if l.lessorUnreachable {
 		return
 	}
-	s.lessorUnreachable = true
-	s.offlineLimit = s.spent.Sum(now, WindowSpan)
+	l.lessorUnreachable = true
+	l.offlineLimit = l.spent.Sum(now, WindowSpan)
 }
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -1,7 +1,7 @@
-// Package quota limits a workspace's requests and tokens over many daemons. A
-// home, chosen by rendezvous hashing, leases small amounts to the daemons that
-// ask; nothing is stored, and a lost home is replaced from what its leases told.
-// It does no I/O.
+// Package quota limits a workspace's requests and tokens over all daemons. The lessor
+// of a meter, chosen by rendezvous hashing, leases small amounts to the other daemons.
+// Nothing is persisted: a new lessor restores its state from the snapshots that the
+// daemons received with their leases. The package does no I/O.
 package quota
 
 import "time"
@@ -9,16 +9,16 @@
 const (
 	// WindowSpan is the length of the sliding window.
 	WindowSpan = time.Minute
-	// bucketWidth is the window's resolution. A partly expired bucket counts
-	// whole, so a limit is undershot by up to bucketWidth/Span (0.8%).
+	// bucketWidth is the window's resolution. A partly expired bucket is counted
+	// in full, so up to bucketWidth/WindowSpan of a limit is not used.
 	bucketWidth = 500 * time.Millisecond
 	// LeaseTTL is how long a leased amount may be spent.
 	LeaseTTL = time.Second
-	// bucketCount covers Span and, for homes, one LeaseTerm more.
+	// bucketCount covers WindowSpan and, for lessors, another LeaseTTL.
 	bucketCount = int((WindowSpan+LeaseTTL)/bucketWidth) + 1
 )
 
-// Window sums amounts over a sliding span.
+// Window sums amounts over a sliding time span. The zero value is empty.
 type Window struct {
 	buckets [bucketCount]int64
 	newest  int64
@@ -26,13 +26,13 @@
 
 func bucketOf(now time.Time) int64 { return now.UnixNano() / int64(bucketWidth) }
 
-// Add counts n (which may be negative for a correction) at a time.
+// Add adds n to the current bucket. A negative n corrects an earlier amount.
 func (w *Window) Add(now time.Time, n int64) {
 	w.advance(now)
 	w.buckets[w.newest%int64(bucketCount)] += n
 }
 
-// AddToBucket counts n in a bucket if the window still holds it.
+// AddToBucket adds n to a bucket if the window still contains it.
 func (w *Window) AddToBucket(now time.Time, bucket, n int64) {
 	w.advance(now)
 	if bucket > w.newest || bucket <= w.newest-int64(bucketCount) || bucket < 0 {
@@ -41,7 +41,7 @@
 	w.buckets[bucket%int64(bucketCount)] += n
 }
 
-// Sum returns the amount in the span that ends at a time.
+// Sum returns the amount in the span that ends now, at least 0.
 func (w *Window) Sum(now time.Time, span time.Duration) int64 {
 	w.advance(now)
 	var sum int64
@@ -63,14 +63,14 @@
 	}
 }
 
-// TimeUntilFree returns when the span will hold at most limit-n, assuming nothing is
-// added: the advice for Retry-After.
+// TimeUntilFree returns the time until the amount in the span has fallen to limit-n, if
+// nothing is added. It is used for Retry-After.
 func (w *Window) TimeUntilFree(now time.Time, span time.Duration, limit, n int64) time.Duration {
 	sum := w.Sum(now, span)
-	depth := int64(span / bucketWidth)
-	for b := w.newest - depth; b <= w.newest; b++ {
+	spanBuckets := int64(span / bucketWidth)
+	for b := w.newest - spanBuckets; b <= w.newest; b++ {
 		if sum+n <= limit {
-			return max(0, time.Duration(b+depth-w.newest)*bucketWidth)
+			return max(0, time.Duration(b+spanBuckets-w.newest)*bucketWidth)
 		}
 		if b >= 0 {
 			sum -= w.buckets[b%int64(bucketCount)]
@@ -79,35 +79,36 @@
 	return span
 }
 
-// WindowSnapshot is the compact form of a window that rides on leases, oldest first.
+// WindowSnapshot is the encoded form of a window. Buckets are ordered from oldest to
+// newest; Newest is the number of the last one.
 type WindowSnapshot struct {
 	Newest  int64   `cbor:"1,keyasint"`
 	Buckets []int64 `cbor:"2,keyasint"`
 }
 
-// Snapshot returns the window's content at a time.
+// Snapshot returns the content of the window at the given time.
 func (w *Window) Snapshot(now time.Time) WindowSnapshot {
 	w.advance(now)
-	h := WindowSnapshot{Newest: w.newest, Buckets: make([]int64, bucketCount)}
+	snapshot := WindowSnapshot{Newest: w.newest, Buckets: make([]int64, bucketCount)}
 	for i := range bucketCount {
 		b := w.newest - int64(bucketCount-1-i)
 		if b >= 0 {
-			h.Buckets[i] = w.buckets[b%int64(bucketCount)]
+			snapshot.Buckets[i] = w.buckets[b%int64(bucketCount)]
 		}
 	}
-	return h
+	return snapshot
 }
 
-// Merge raises every bucket to at least the value a history gives for it. Taking
-// the larger value is safe: a bucket only ever grows while it is current.
-func (w *Window) Merge(now time.Time, h WindowSnapshot) {
+// Merge sets every bucket to the larger of its own value and that of the snapshot. The
+// larger value is the newer one, because a bucket only grows while it is current.
+func (w *Window) Merge(now time.Time, snapshot WindowSnapshot) {
 	w.advance(now)
-	for i, v := range h.Buckets {
-		b := h.Newest - int64(len(h.Buckets)-1-i)
+	for i, v := range snapshot.Buckets {
+		b := snapshot.Newest - int64(len(snapshot.Buckets)-1-i)
 		if b > w.newest || b <= w.newest-int64(bucketCount) || b < 0 {
 			continue
 		}
-		at := b % int64(bucketCount)
-		w.buckets[at] = max(w.buckets[at], v)
+		index := b % int64(bucketCount)
+		w.buckets[index] = max(w.buckets[index], v)
 	}
 }
