--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// bigPatch declares 33 versions of 11 models, 1,600 servers in 20 pools and 200
+// largePatch adds 11 models with 3 versions each, 20 pools with 80 servers each, and 200
 // workspaces.
-func bigPatch(tb testing.TB) json.RawMessage {
+func largePatch(tb testing.TB) json.RawMessage {
 	pools, models, workspaces := map[string]Pool{}, map[string]Model{}, map[string]Workspace{}
 	var names []string
 	for p := range 20 {
@@ -45,10 +45,9 @@
 	return data
 }
 
-// BenchmarkFoldOfADay folds 3,400 patches of the usual kinds onto the full-size
-// configuration.
-func BenchmarkFoldOfADay(b *testing.B) {
-	records := [][]byte{record(b, "first", 0, bigPatch(b))}
+// BenchmarkApply applies 3,400 patches to a large configuration.
+func BenchmarkApply(b *testing.B) {
+	records := [][]byte{record(b, "first", 0, largePatch(b))}
 	for i := range 3400 {
 		var patch string
 		switch i % 3 {
@@ -63,19 +62,19 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f := NewStateMachine()
+		m := NewStateMachine()
 		for o, r := range records {
-			f.Apply(uint64(o), r)
+			m.Apply(uint64(o), r)
 		}
-		if f.Config().Number != 3401 {
-			b.Fatalf("number %d, last %+v", f.Config().Number, f.History()[len(f.History())-1])
+		if m.Config().Number != 3401 {
+			b.Fatalf("number %d, last %+v", m.Config().Number, m.History()[len(m.History())-1])
 		}
 	}
 }
 
-// BenchmarkVersionFor resolves entitlement, roll-out and successor.
-func BenchmarkVersionFor(b *testing.B) {
-	c, _, err := NewConfig().ApplyPatch(bigPatch(b))
+// BenchmarkSelectVersion selects a version and checks the entitlement to it.
+func BenchmarkSelectVersion(b *testing.B) {
+	c, _, err := NewConfig().ApplyPatch(largePatch(b))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,9 +1,9 @@
-// Package fleet is the numbered configuration of the system: workspaces,
-// pools, models with their versions, cascades, roll-outs and plain services.
+// Package fleet holds the versioned configuration of the system: workspaces,
+// pools, models with their versions, cascades, rollouts and plain services.
 //
-// The configuration is a fold over records of the append-only log. Every daemon
-// folds the same records in the same order, so all accept and reject alike
-// without talking to each other. The package does no I/O.
+// The configuration is a replicated state machine over the append-only log. Every
+// daemon applies the same records in the same order and therefore accepts and rejects
+// the same patches. The package does no I/O.
 package fleet
 
 import (
@@ -13,10 +13,10 @@
 	"strings"
 )
 
-// Config is the configuration in force at one number. A published Config is
-// immutable: Fold replaces maps instead of changing them.
+// Config is the configuration at one number. It is immutable once published: patches
+// replace maps instead of changing them.
 type Config struct {
-	// Number counts accepted patches; the empty configuration has number 0.
+	// Number is the number of accepted patches; the empty configuration has number 0.
 	Number     uint64               `json:"number"`
 	Workspaces map[string]Workspace `json:"workspaces"`
 	Pools      map[string]Pool      `json:"pools"`
@@ -24,60 +24,63 @@
 	Cascades   map[string]Cascade   `json:"cascades"`
 	Rollouts   map[string]Rollout   `json:"rollouts"`
 	Services   map[string]Service   `json:"services"`
-	// Evacuations are the failure domains whose servers get nothing new.
+	// Evacuations are the failure domains whose servers get no new requests.
 	Evacuations map[string]Evacuation `json:"evacuations,omitempty"`
 }
 
-// Workspace is a customer's account: its keys and what it may use.
+// Workspace is a tenant with its API keys, entitlements and limits.
 type Workspace struct {
-	// KeyHashes are hex SHA-256 digests of the API keys. Keys themselves never
-	// enter the configuration.
+	// KeyHashes are hex SHA-256 digests of the API keys. The keys themselves are
+	// not stored.
 	KeyHashes []string `json:"key_hashes"`
-	// Models lists entitlements: "model" allows every version, "model@version" one.
+	// Models lists entitlements: "model" allows every version, "model@version" a single one.
 	Models []string `json:"models,omitempty"`
-	// Cascades lists the cascades the workspace may name as a model.
+	// Cascades lists the cascades that the workspace may use as a model name.
 	Cascades []string `json:"cascades,omitempty"`
-	// Services lists the plain services the workspace may call.
+	// Services lists the plain services that the workspace may call.
 	Services []string `json:"services,omitempty"`
-	// RequestsPerMinute limits requests in any sliding minute; 0 is unlimited.
+	// RequestsPerMinute limits requests in any sliding minute; 0 means unlimited.
 	RequestsPerMinute int64 `json:"requests_per_minute,omitempty"`
-	// TokensPerMinute limits prompt plus answer tokens in any sliding minute; 0 is unlimited.
+	// TokensPerMinute limits prompt plus completion tokens in any sliding minute;
+	// 0 means unlimited.
 	TokensPerMinute int64 `json:"tokens_per_minute,omitempty"`
-	// Priority orders work in overload: 0 (first) to 9. Default 0.
+	// Priority is the scheduling priority under overload, from 0 (highest) to 9.
 	Priority int `json:"priority,omitempty"`
-	// DeadlineMillis bounds the wait for the first token in ms; 0 means 10,000.
+	// DeadlineMillis is the maximum time to the first token in ms; 0 means 10,000.
 	DeadlineMillis int64 `json:"deadline_ms,omitempty"`
-	// Objectives are the service levels reported by the burn report.
+	// Objectives are the service-level objectives in the burn rate report.
 	Objectives Objectives `json:"objectives,omitzero"`
 }
 
-// Objectives are service-level objectives. A zero target is not reported.
+// Objectives are service-level objectives. Zero fields are not reported.
 type Objectives struct {
-	// Availability is the wanted fraction of requests answered in full, in [0,1).
+	// Availability is the target fraction of requests with a complete response, in [0,1).
 	Availability float64 `json:"availability,omitempty"`
-	// FirstTokenMillis is the wanted first-token latency in ms...
+	// FirstTokenMillis is the target time to the first token in ms.
 	FirstTokenMillis int64 `json:"first_token_ms,omitempty"`
-	// FirstTokenFraction ...for this fraction of requests, in [0,1).
+	// FirstTokenFraction is the fraction of requests that must meet FirstTokenMillis,
+	// in [0,1).
 	FirstTokenFraction float64 `json:"first_token_fraction,omitempty"`
 }
 
-// Pool is a set of backend servers that are interchangeable for the versions they hold.
+// Pool is a set of interchangeable backend servers.
 type Pool struct {
 	Servers []Server `json:"servers"`
-	// SlowStart limits what a server gets after its start; nil has no limit.
+	// SlowStart limits the request rate of a server after its start; nil means no limit.
 	SlowStart *SlowStart `json:"slow_start,omitempty"`
 }
 
-// SlowStart is what a server of a pool bears after its start, from all daemons together.
+// SlowStart is the request rate limit of a server after its start, over all daemons.
 type SlowStart struct {
-	// Seconds is how long the limit holds.
+	// Seconds is how long the limit applies.
 	Seconds float64 `json:"seconds"`
-	// PerSecond is the rate of requests, and Burst how many more any second may bring.
+	// PerSecond is the rate of requests; Burst is the number of additional requests
+	// allowed in any second.
 	PerSecond float64 `json:"per_second"`
 	Burst     float64 `json:"burst,omitempty"`
 }
 
-// Evacuation is an order that the servers of a failure domain get nothing new.
+// Evacuation stops new requests to the servers of a failure domain.
 type Evacuation struct {
 	// Reason is shown to operators.
 	Reason string `json:"reason,omitempty"`
@@ -88,79 +91,81 @@
 	ID string `json:"id"`
 	// Address is ip:port.
 	Address string `json:"address"`
-	// FailureDomain is where the server runs.
+	// FailureDomain is the failure domain of the server.
 	FailureDomain string `json:"failure_domain"`
-	// Slots is how many requests run at once; default 8.
+	// Slots is the maximum number of concurrent requests; default 8.
 	Slots int `json:"slots,omitempty"`
-	// ChecksFencing says that the server refuses an order with an old fencing number.
+	// ChecksFencing states that the server rejects orders with an outdated fencing token.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
 }
 
-// VersionState says whether a version may get new work.
+// VersionState is the state of a model version.
 type VersionState string
 
 const (
-	// Serving versions may get new work.
+	// Serving versions accept new requests.
 	Serving VersionState = "serving"
-	// Withdrawn versions get no new work, not even for pinned sessions.
+	// Withdrawn versions accept no new requests, not even from pinned sessions.
 	Withdrawn VersionState = "withdrawn"
 )
 
-// Model is a family of versions behind one name.
+// Model is a named set of versions.
 type Model struct {
-	// Stable is the version for sessions that no roll-out moves.
+	// Stable is the version of sessions that are not part of a rollout.
 	Stable   string             `json:"stable"`
 	Versions map[string]Version `json:"versions"`
 }
 
-// Version is one deployable build of a model.
+// Version is one version of a model.
 type Version struct {
 	// State defaults to serving.
 	State VersionState `json:"state,omitempty"`
-	// Pool holds the servers that have the version loaded.
+	// Pool is the pool whose servers have the version loaded.
 	Pool string `json:"pool"`
-	// Successor takes the sessions of a withdrawn version; empty means the stable one.
+	// Successor is the version that replaces this one when it is withdrawn; empty
+	// means the stable version.
 	Successor string `json:"successor,omitempty"`
-	// MicrosPerKiloToken is the cost in millionths of the billing currency
-	// per 1,000 tokens, prompt and answer alike.
+	// MicrosPerKiloToken is the price in millionths of the billing currency
+	// per 1,000 prompt or completion tokens.
 	MicrosPerKiloToken int64 `json:"micros_per_1k_tokens"`
 }
 
 // Cascade is an ordered list of models, cheapest first.
 type Cascade struct {
 	Steps []string `json:"steps"`
-	// QualityTarget is the wanted fraction of answers rated good, in (0,1).
+	// QualityTarget is the target fraction of responses rated good, in (0,1).
 	QualityTarget float64 `json:"quality_target"`
 }
 
-// RolloutState says what a roll-out is doing.
+// RolloutState is the state of a rollout.
 type RolloutState string
 
 const (
-	// RolloutRunning sends Percent of sessions to the new version.
+	// RolloutRunning assigns Percent of the sessions to the new version.
 	RolloutRunning RolloutState = "running"
-	// RolloutHeld keeps its stage and starts no further one.
+	// RolloutHeld stays at its current stage.
 	RolloutHeld RolloutState = "held"
-	// RolloutDone has reached every session.
+	// RolloutDone assigns all sessions to the new version.
 	RolloutDone RolloutState = "done"
-	// RolloutRolledBack sends nobody to the new version.
+	// RolloutRolledBack assigns no sessions to the new version.
 	RolloutRolledBack RolloutState = "rolled_back"
 )
 
-// Rollout moves a model's sessions from its stable version to another.
+// Rollout moves the sessions of a model from its stable version to another version.
 type Rollout struct {
 	Model         string `json:"model"`
 	TargetVersion string `json:"to"`
-	// Stages are shares in percent, rising to 100.
+	// Stages are the percentages of sessions per stage, in ascending order up to 100.
 	Stages []float64 `json:"stages"`
-	// Stage indexes Stages.
+	// Stage is the index of the current stage in Stages.
 	Stage int          `json:"stage"`
 	State RolloutState `json:"state"`
-	// MinRequests is the evidence a stage needs before the next; default 30.
+	// MinRequests is the minimum number of requests observed in a stage before the
+	// next one starts; default 30.
 	MinRequests int64 `json:"min_requests,omitempty"`
 }
 
-// Percent returns the share of sessions on the new version, 0 to 100.
+// Percent returns the percentage of sessions assigned to the new version, 0 to 100.
 func (r Rollout) Percent() float64 {
 	switch r.State {
 	case RolloutDone:
@@ -174,16 +179,16 @@
 	return r.Stages[r.Stage]
 }
 
-// Service is a plain (non-model) service the system routes to.
+// Service is a plain service, that is, one that does not serve a model.
 type Service struct {
 	Pool string `json:"pool"`
-	// NonRepeatable calls run at most once and need an Idempotency-Key.
+	// NonRepeatable calls run at most once and require an Idempotency-Key.
 	NonRepeatable bool `json:"non_repeatable,omitempty"`
 	// Micros is the price of one call in millionths of the billing currency.
 	Micros int64 `json:"micros,omitempty"`
 }
 
-// NewConfig returns configuration 0.
+// NewConfig returns the empty configuration, number 0.
 func NewConfig() *Config {
 	return &Config{
 		Workspaces: map[string]Workspace{},
@@ -197,24 +202,25 @@
 	}
 }
 
-// HashAPIKey returns the digest under which an API key stands in a Workspace.
+// HashAPIKey returns the digest of an API key as stored in Workspace.KeyHashes.
 func HashAPIKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// WorkspaceByKey finds the workspace that owns an API key.
+// WorkspaceByKey returns the name and configuration of the workspace that owns an API
+// key.
 func (c *Config) WorkspaceByKey(key string) (string, Workspace, bool) {
-	h := HashAPIKey(key)
+	hash := HashAPIKey(key)
 	for name, w := range c.Workspaces {
-		if slices.Contains(w.KeyHashes, h) {
+		if slices.Contains(w.KeyHashes, hash) {
 			return name, w, true
 		}
 	}
 	return "", Workspace{}, false
 }
 
-// Version looks up a version of a model.
+// Version returns a version of a model.
 func (c *Config) Version(model, version string) (Version, bool) {
 	m, ok := c.Models[model]
 	if !ok {
@@ -227,16 +233,17 @@
 // Allows reports whether workspace w may use a version of a model.
 func (w Workspace) Allows(model, version string) bool {
 	for _, e := range w.Models {
-		name, only, pinned := strings.Cut(e, "@")
-		if name == model && (!pinned || only == version) {
+		name, single, hasVersion := strings.Cut(e, "@")
+		if name == model && (!hasVersion || single == version) {
 			return true
 		}
 	}
 	return false
 }
 
-// MayDispatch is the last check before work is sent to a backend server: the
-// workspace exists, may use the version, and the version is serving.
+// MayDispatch reports whether a request of a workspace may be sent to servers of a
+// version: the workspace exists and is entitled to the version, and the version is
+// serving.
 func (c *Config) MayDispatch(workspace, model, version string) bool {
 	w, ok := c.Workspaces[workspace]
 	if !ok || !w.Allows(model, version) {
@@ -246,20 +253,20 @@
 	return ok && v.State != Withdrawn
 }
 
-// RolloutFor returns the active roll-out of a model.
+// RolloutFor returns the rollout of a model.
 func (c *Config) RolloutFor(model string) (Rollout, bool) {
 	r, ok := c.Rollouts[model]
 	return r, ok
 }
 
-// UsableNames lists the models, single versions and cascades that a workspace
-// may name in a request, sorted.
+// UsableNames returns the model, "model@version" and cascade names that a workspace may
+// use in a request, sorted.
 func (c *Config) UsableNames(workspace string) []string {
 	w := c.Workspaces[workspace]
 	var out []string
 	for _, e := range w.Models {
-		model, version, pinned := strings.Cut(e, "@")
-		if !pinned {
+		model, version, hasVersion := strings.Cut(e, "@")
+		if !hasVersion {
 			out = append(out, model)
 		} else if c.MayDispatch(workspace, model, version) {
 			out = append(out, e)
--- a/internal/fleet/diff.go
+++ b/internal/fleet/diff.go
@@ -10,43 +10,43 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// Change is one entity in which two configurations differ.
+// Change is one entity that differs between two configurations.
 type Change struct {
 	// Path is "section/name".
 	Path string `json:"path"`
 	// Patch is the merge patch from the old to the new entity; null removes it.
 	Patch json.RawMessage `json:"patch"`
-	// Old and New are the entities; nil where there is none.
+	// Old and New are the old and the new entity, nil if it does not exist.
 	Old json.RawMessage `json:"old,omitempty"`
 	New json.RawMessage `json:"new,omitempty"`
 }
 
-// Diff returns the patch that turns the configuration in force into the wanted
-// one, and its parts. Of a roll-out that is under way to the same version, the
-// stage and state in force are kept: they move on by themselves.
-func Diff(inForce, wanted *Config) (Patch, []Change, error) {
-	w := *wanted
-	// An evacuation is taken back by hand, not by declarations that do not speak of it.
-	w.Evacuations = map[string]Evacuation{}
-	maps.Copy(w.Evacuations, inForce.Evacuations)
-	maps.Copy(w.Evacuations, wanted.Evacuations)
-	w.Rollouts = map[string]Rollout{}
-	for name, r := range wanted.Rollouts {
-		if old, ok := inForce.Rollouts[name]; ok && old.TargetVersion == r.TargetVersion {
+// Diff returns the patch from the current to the desired configuration, and its changes
+// by entity. A rollout to the same version keeps its current stage and state, because
+// the daemons advance them.
+func Diff(current, desired *Config) (Patch, []Change, error) {
+	target := *desired
+	// Current evacuations are kept, because only an operator may end them.
+	target.Evacuations = map[string]Evacuation{}
+	maps.Copy(target.Evacuations, current.Evacuations)
+	maps.Copy(target.Evacuations, desired.Evacuations)
+	target.Rollouts = map[string]Rollout{}
+	for name, r := range desired.Rollouts {
+		if old, ok := current.Rollouts[name]; ok && old.TargetVersion == r.TargetVersion {
 			r.Stage, r.State = old.Stage, old.State
 		}
-		w.Rollouts[name] = r
+		target.Rollouts[name] = r
 	}
 	var p Patch
 	var changes []Change
 	for _, err := range []error{
-		diffSection("pools", inForce.Pools, w.Pools, &p.Pools, &changes),
-		diffSection("models", inForce.Models, w.Models, &p.Models, &changes),
-		diffSection("cascades", inForce.Cascades, w.Cascades, &p.Cascades, &changes),
-		diffSection("services", inForce.Services, w.Services, &p.Services, &changes),
-		diffSection("rollouts", inForce.Rollouts, w.Rollouts, &p.Rollouts, &changes),
-		diffSection("workspaces", inForce.Workspaces, w.Workspaces, &p.Workspaces, &changes),
-		diffSection("evacuations", inForce.Evacuations, w.Evacuations, &p.Evacuations, &changes),
+		diffSection("pools", current.Pools, target.Pools, &p.Pools, &changes),
+		diffSection("models", current.Models, target.Models, &p.Models, &changes),
+		diffSection("cascades", current.Cascades, target.Cascades, &p.Cascades, &changes),
+		diffSection("services", current.Services, target.Services, &p.Services, &changes),
+		diffSection("rollouts", current.Rollouts, target.Rollouts, &p.Rollouts, &changes),
+		diffSection("workspaces", current.Workspaces, target.Workspaces, &p.Workspaces, &changes),
+		diffSection("evacuations", current.Evacuations, target.Evacuations, &p.Evacuations, &changes),
 	} {
 		if err != nil {
 			return p, nil, err
@@ -55,11 +55,11 @@
 	return p, changes, nil
 }
 
-func diffSection[T any](section string, old, wanted map[string]T, into *map[string]json.RawMessage, changes *[]Change) error {
-	names := append(mapKeys(old), mapKeys(wanted)...)
+func diffSection[T any](section string, current, desired map[string]T, patch *map[string]json.RawMessage, changes *[]Change) error {
+	names := append(mapKeys(current), mapKeys(desired)...)
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
-		c, err := diffEntity(section+"/"+name, old, wanted, name)
+		c, err := diffEntity(section+"/"+name, current, desired, name)
 		if err != nil {
 			return err
 		}
@@ -67,52 +67,52 @@
 			continue
 		}
 		*changes = append(*changes, *c)
-		if *into == nil {
-			*into = map[string]json.RawMessage{}
+		if *patch == nil {
+			*patch = map[string]json.RawMessage{}
 		}
-		(*into)[name] = c.Patch
+		(*patch)[name] = c.Patch
 	}
 	return nil
 }
 
-func diffEntity[T any](path string, old, wanted map[string]T, name string) (*Change, error) {
-	o, had := old[name]
-	n, has := wanted[name]
+func diffEntity[T any](path string, current, desired map[string]T, name string) (*Change, error) {
+	oldEntity, hasOld := current[name]
+	newEntity, hasNew := desired[name]
 	c := Change{Path: path}
 	var err error
-	if had {
-		if c.Old, err = json.Marshal(o); err != nil {
+	if hasOld {
+		if c.Old, err = json.Marshal(oldEntity); err != nil {
 			return nil, err
 		}
 	}
-	if !has {
+	if !hasNew {
 		c.Patch = json.RawMessage("null")
 		return &c, nil
 	}
-	if c.New, err = json.Marshal(n); err != nil {
+	if c.New, err = json.Marshal(newEntity); err != nil {
 		return nil, err
 	}
 	from := c.Old
-	if !had {
+	if !hasOld {
 		from = json.RawMessage("{}")
 	}
 	if c.Patch, err = jsonpatch.CreateMergePatch(from, c.New); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if had && bytes.Equal(c.Patch, []byte("{}")) {
+	if hasOld && bytes.Equal(c.Patch, []byte("{}")) {
 		return nil, nil
 	}
 	return &c, nil
 }
 
-// ReinstatedVersions lists the "model@version" names that are withdrawn in force and
-// that the wanted configuration would serve again.
-func ReinstatedVersions(inForce, wanted *Config) []string {
+// ReinstatedVersions returns the "model@version" names that are withdrawn in the current
+// and serving in the desired configuration, sorted.
+func ReinstatedVersions(current, desired *Config) []string {
 	var out []string
-	for mn, m := range inForce.Models {
+	for mn, m := range current.Models {
 		for vn, v := range m.Versions {
-			again, ok := wanted.Version(mn, vn)
-			if v.State == Withdrawn && ok && again.State != Withdrawn {
+			next, ok := desired.Version(mn, vn)
+			if v.State == Withdrawn && ok && next.State != Withdrawn {
 				out = append(out, mn+"@"+vn)
 			}
 		}
@@ -121,7 +121,7 @@
 	return out
 }
 
-// Merge adds a document of declarations; an entity may stand in one only.
+// Merge adds the entities of d to c. It returns an error if an entity exists in both.
 func (c *Config) Merge(d *Config) error {
 	for _, err := range []error{
 		mergeSection("pools", c.Pools, d.Pools), mergeSection("models", c.Models, d.Models),
@@ -138,7 +138,7 @@
 
 func mergeSection[T any](section string, into, from map[string]T) error {
 	for name, v := range from {
-		if _, twice := into[name]; twice {
+		if _, exists := into[name]; exists {
 			return fmt.Errorf("%s/%s is declared twice", section, name)
 		}
 		into[name] = v
--- a/internal/fleet/state_machine.go
+++ b/internal/fleet/state_machine.go
@@ -11,8 +11,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// Patch changes named entities. A value is an RFC 7386 merge patch for the
-// entity of that name; null removes it.
+// Patch changes entities by name. Each value is an RFC 7386 merge patch of the entity;
+// null removes it.
 type Patch struct {
 	Workspaces map[string]json.RawMessage `json:"workspaces,omitempty"`
 	Pools      map[string]json.RawMessage `json:"pools,omitempty"`
@@ -26,38 +26,38 @@
 
 // Record is one entry of the configuration stream.
 type Record struct {
-	// PatchID is chosen by the author; the fold ignores its second occurrence,
-	// so an append whose reply was lost may be repeated.
+	// PatchID is chosen by the author. Later records with the same ID are ignored,
+	// so that an append whose reply was lost can be repeated.
 	PatchID string `json:"patch_id"`
-	// Base is the number the patch was written against.
+	// Base is the configuration number on which the patch is based.
 	Base uint64 `json:"base"`
-	// Author is shown by the history.
+	// Author is shown in the history.
 	Author string `json:"author,omitempty"`
-	// Patch is kept raw so that a malformed one is a rejected record and not
-	// an undecodable stream.
+	// Patch is decoded when it is applied, so that a malformed patch is rejected
+	// like any other invalid one.
 	Patch json.RawMessage `json:"patch,omitempty"`
-	// Checkpoint, when present, carries the whole state; Base is its number.
+	// Checkpoint, if set, is the complete state, and the record has no patch.
 	Checkpoint *Checkpoint `json:"checkpoint,omitempty"`
 }
 
-// Checkpoint is the folded state up to an offset. It is appended again before
-// the records it covers age out of the log.
+// Checkpoint is the state after the record at LastOffset. A new one is appended before
+// the records that it covers are deleted from the log.
 type Checkpoint struct {
 	Config *Config `json:"config"`
-	// LastOffset is the offset of the last record folded into Config.
+	// LastOffset is the offset of the last record applied to Config.
 	LastOffset uint64 `json:"through"`
-	// Recent are the newest patch outcomes, so that a repeated append after a
-	// checkpoint is still recognised.
+	// Recent are the newest patch outcomes, used to detect repeated appends after
+	// the checkpoint.
 	Recent []PatchOutcome `json:"recent"`
 }
 
-// PatchOutcome says what the fold did with one patch.
+// PatchOutcome is the result of applying one patch.
 type PatchOutcome struct {
 	Offset  uint64 `json:"offset"`
 	PatchID string `json:"patch_id"`
 	Author  string `json:"author,omitempty"`
 	Base    uint64 `json:"base"`
-	// Number is the number in force after the record.
+	// Number is the configuration number after the record.
 	Number   uint64     `json:"number"`
 	Accepted bool       `json:"accepted"`
 	Kind     fault.Kind `json:"kind,omitempty"`
@@ -66,13 +66,13 @@
 	Changed []string `json:"touched,omitempty"`
 }
 
-// recentOutcomes is how many outcomes the fold remembers: the history shown to
-// operators and the window in which a repeated append of one patch is
-// recognised. It is counted in records, so that all daemons forget alike.
+// recentOutcomes is the number of outcomes kept for the history and for detecting
+// repeated appends. It is a number of records rather than a time, so that all daemons
+// keep the same ones.
 const recentOutcomes = 1024
 
-// StateMachine applies records in offset order. It is not safe for concurrent use;
-// Config returns a snapshot that is.
+// StateMachine builds the configuration by applying records in offset order. It is not
+// safe for concurrent use, but the result of Config is.
 type StateMachine struct {
 	config       *Config
 	nextOffset   uint64
@@ -83,90 +83,91 @@
 	dropped      int
 }
 
-// pendingRecord waits for a checkpoint that says what came before it.
+// pendingRecord is a record after a gap, kept until a checkpoint covers the gap.
 type pendingRecord struct {
 	offset uint64
 	record Record
 }
 
-// NewStateMachine returns a fold at configuration 0, expecting offset 0.
+// NewStateMachine returns a state machine with the empty configuration that expects
+// offset 0.
 func NewStateMachine() *StateMachine {
 	return &StateMachine{config: NewConfig(), synced: true, indexByPatch: map[string]int{}}
 }
 
-// Config returns the configuration in force. The result never changes.
-func (f *StateMachine) Config() *Config { return f.config }
+// Config returns the current configuration, which is immutable.
+func (s *StateMachine) Config() *Config { return s.config }
 
-// NextOffset returns the offset of the next record to fold.
-func (f *StateMachine) NextOffset() uint64 { return f.nextOffset }
+// NextOffset returns the offset of the next record to apply.
+func (s *StateMachine) NextOffset() uint64 { return s.nextOffset }
 
-// Synced reports whether every record up to Next is reflected in Config.
-// It is false after a gap until a checkpoint covers the gap.
-func (f *StateMachine) Synced() bool { return f.synced }
+// Synced reports whether Config reflects every record before NextOffset. It is false
+// after a gap until a checkpoint covers the gap.
+func (s *StateMachine) Synced() bool { return s.synced }
 
 // History returns the newest outcomes, oldest first.
-func (f *StateMachine) History() []PatchOutcome {
-	return append([]PatchOutcome(nil), f.recent[max(0, len(f.recent)-recentOutcomes):]...)
+func (s *StateMachine) History() []PatchOutcome {
+	return append([]PatchOutcome(nil), s.recent[max(0, len(s.recent)-recentOutcomes):]...)
 }
 
-// LookupOutcome finds the outcome of a patch id among the remembered ones.
-func (f *StateMachine) LookupOutcome(patchID string) (PatchOutcome, bool) {
-	i, ok := f.indexByPatch[patchID]
-	if !ok || i < f.dropped+len(f.recent)-recentOutcomes {
+// LookupOutcome returns the outcome of a patch ID if it is among the recent ones.
+func (s *StateMachine) LookupOutcome(patchID string) (PatchOutcome, bool) {
+	i, ok := s.indexByPatch[patchID]
+	if !ok || i < s.dropped+len(s.recent)-recentOutcomes {
 		return PatchOutcome{}, false
 	}
-	return f.recent[i-f.dropped], true
+	return s.recent[i-s.dropped], true
 }
 
-// Apply folds the record at an offset. An offset that was folded already is
-// ignored, because a reader that reconnects may deliver it twice. An offset
-// beyond the next one means that records aged out of the log unread: the fold
-// then keeps its number and holds records back until a checkpoint explains the
-// gap, since folding past it would silently skip accepted patches.
-func (f *StateMachine) Apply(offset uint64, data []byte) {
-	if offset < f.nextOffset {
+// Apply applies the record at an offset. Offsets that were already applied are ignored,
+// because a reader that reconnects may deliver them twice. An offset beyond the next one
+// means that records were deleted from the log before they were read. Further records
+// are then kept pending until a checkpoint covers the gap, because the missing ones may
+// contain accepted patches.
+func (s *StateMachine) Apply(offset uint64, data []byte) {
+	if offset < s.nextOffset {
 		return
 	}
-	if offset > f.nextOffset {
-		f.synced = false
+	if offset > s.nextOffset {
+		s.synced = false
 	}
-	f.nextOffset = offset + 1
+	s.nextOffset = offset + 1
 	var r Record
 	if err := DecodeStrict(data, &r); err != nil {
 		r = Record{Patch: data}
 	}
 	if r.Checkpoint != nil {
-		f.restoreCheckpoint(r.Checkpoint)
+		s.restoreCheckpoint(r.Checkpoint)
 		return
 	}
-	if !f.synced {
-		f.pending = append(f.pending, pendingRecord{offset, r})
+	if !s.synced {
+		s.pending = append(s.pending, pendingRecord{offset, r})
 		return
 	}
-	f.applyRecord(offset, r)
+	s.applyRecord(offset, r)
 }
 
-func (f *StateMachine) applyRecord(offset uint64, r Record) {
-	if _, seen := f.LookupOutcome(r.PatchID); seen && r.PatchID != "" {
+func (s *StateMachine) applyRecord(offset uint64, r Record) {
+	if _, exists := s.LookupOutcome(r.PatchID); exists && r.PatchID != "" {
 		return
 	}
-	f.addOutcome(f.applyPatch(offset, r))
+	s.addOutcome(s.applyPatch(offset, r))
 }
 
-func (f *StateMachine) applyPatch(offset uint64, r Record) PatchOutcome {
-	out := PatchOutcome{Offset: offset, PatchID: r.PatchID, Author: r.Author, Base: r.Base, Number: f.config.Number}
+func (s *StateMachine) applyPatch(offset uint64, r Record) PatchOutcome {
+	out := PatchOutcome{Offset: offset, PatchID: r.PatchID, Author: r.Author, Base: r.Base, Number: s.config.Number}
 	if r.PatchID == "" {
 		return reject(out, fault.InvalidPatch, "the record is malformed or has no patch_id")
 	}
-	if r.Base != f.config.Number {
-		return reject(out, fault.BaseStale, fmt.Sprintf("base %d, in force %d", r.Base, f.config.Number))
+	if r.Base != s.config.Number {
+		return reject(out, fault.BaseStale, fmt.Sprintf("base %d, in force %d", r.Base, s.config.Number))
 	}
-	next, touched, err := f.config.ApplyPatch(r.Patch)
+	next, changed, err := s.config.ApplyPatch(r.Patch)
 	if err != nil {
 		return reject(out, fault.InvalidPatch, err.Error())
 	}
-	f.config = next
-	out.Accepted, out.Number, out.Changed = true, next.Number, touched
+	s.config = next
+	out.Accepted, out.Number, out.Changed = true, next.Number, changed
 	return out
 }
 
@@ -175,77 +176,77 @@
 	return o
 }
 
-// restoreCheckpoint closes a gap with a checkpoint. An anchored fold needs none, and
-// adopting one written by a slow daemon would revert newer patches.
+// restoreCheckpoint loads a checkpoint that covers a gap. A synced state machine ignores
+// it, because a checkpoint written by a slow daemon would revert newer patches.
 //
-// The checkpoint's writer may not have seen the records just before it in the
-// log, so those after Through are folded again on top of it; a daemon that
-// skipped them would lack an accepted patch for good.
-func (f *StateMachine) restoreCheckpoint(c *Checkpoint) {
-	if f.synced || c.Config == nil || c.Config.Number < f.config.Number {
+// The writer of the checkpoint may not have read the records just before it in the log,
+// so pending records after LastOffset are applied on top of it.
+func (s *StateMachine) restoreCheckpoint(c *Checkpoint) {
+	if s.synced || c.Config == nil || c.Config.Number < s.config.Number {
 		return
 	}
-	if len(f.pending) > 0 && f.pending[0].offset > c.LastOffset+1 || c.Config.Validate() != nil {
+	if len(s.pending) > 0 && s.pending[0].offset > c.LastOffset+1 || c.Config.Validate() != nil {
 		return
 	}
-	f.loadCheckpoint(c)
-	waiting := f.pending
-	f.pending = nil
-	for _, p := range waiting {
+	s.loadCheckpoint(c)
+	pending := s.pending
+	s.pending = nil
+	for _, p := range pending {
 		if p.offset > c.LastOffset {
-			f.applyRecord(p.offset, p.record)
+			s.applyRecord(p.offset, p.record)
 		}
 	}
 }
 
-func (f *StateMachine) loadCheckpoint(c *Checkpoint) {
-	f.config = c.Config.withEmptyMaps()
-	f.synced = true
-	f.recent, f.indexByPatch, f.dropped = nil, map[string]int{}, 0
+func (s *StateMachine) loadCheckpoint(c *Checkpoint) {
+	s.config = c.Config.withEmptyMaps()
+	s.synced = true
+	s.recent, s.indexByPatch, s.dropped = nil, map[string]int{}, 0
 	for _, o := range c.Recent {
-		f.addOutcome(o)
+		s.addOutcome(o)
 	}
 }
 
-// Checkpoint returns the state for appending or for handing to a peer.
-func (f *StateMachine) Checkpoint() *Checkpoint {
-	through := f.nextOffset
-	if through > 0 {
-		through--
+// Checkpoint returns the state, to be appended to the log or sent to a peer.
+func (s *StateMachine) Checkpoint() *Checkpoint {
+	lastOffset := s.nextOffset
+	if lastOffset > 0 {
+		lastOffset--
 	}
-	return &Checkpoint{Config: f.config, LastOffset: through, Recent: f.History()}
+	return &Checkpoint{Config: s.config, LastOffset: lastOffset, Recent: s.History()}
 }
 
-// InstallCheckpoint takes a peer's state when it is ahead and reports whether it did. The
-// next record to fold is then the one after the peer's last.
-func (f *StateMachine) InstallCheckpoint(c *Checkpoint) bool {
-	if c == nil || c.Config == nil || c.Config.Number <= f.config.Number || c.Config.Validate() != nil {
+// InstallCheckpoint replaces the state with that of a peer if the peer's configuration is
+// newer and valid, and reports whether it did. NextOffset is then the offset after the
+// peer's last one.
+func (s *StateMachine) InstallCheckpoint(c *Checkpoint) bool {
+	if c == nil || c.Config == nil || c.Config.Number <= s.config.Number || c.Config.Validate() != nil {
 		return false
 	}
-	f.loadCheckpoint(c)
-	f.pending = nil
-	f.nextOffset = c.LastOffset + 1
+	s.loadCheckpoint(c)
+	s.pending = nil
+	s.nextOffset = c.LastOffset + 1
 	return true
 }
 
-func (f *StateMachine) addOutcome(o PatchOutcome) {
-	f.recent = append(f.recent, o)
+func (s *StateMachine) addOutcome(o PatchOutcome) {
+	s.recent = append(s.recent, o)
 	if o.PatchID != "" {
-		f.indexByPatch[o.PatchID] = f.dropped + len(f.recent) - 1
+		s.indexByPatch[o.PatchID] = s.dropped + len(s.recent) - 1
 	}
-	if len(f.recent) <= 2*recentOutcomes {
+	if len(s.recent) <= 2*recentOutcomes {
 		return
 	}
-	cut := len(f.recent) - recentOutcomes
-	for _, old := range f.recent[:cut] {
-		delete(f.indexByPatch, old.PatchID)
+	start := len(s.recent) - recentOutcomes
+	for _, old := range s.recent[:start] {
+		delete(s.indexByPatch, old.PatchID)
 	}
-	f.recent = append([]PatchOutcome(nil), f.recent[cut:]...)
-	f.dropped += cut
+	s.recent = append([]PatchOutcome(nil), s.recent[start:]...)
+	s.dropped += start
 }
 
-// ApplyPatch returns the configuration that a patch leads to, with the next number
-// and the names of the entities it changed. c is left as it is.
+// ApplyPatch returns the configuration after a patch, with the next number, and the
+// "section/name" of every changed entity. It does not change c.
 func (c *Config) ApplyPatch(raw json.RawMessage) (*Config, []string, error) {
 	var p Patch
 	if err := DecodeStrict(raw, &p); err != nil {
@@ -253,32 +254,32 @@
 	}
 	next := *c
 	next.Number = c.Number + 1
-	var touched []string
+	var changed []string
 	steps := []func() error{
-		func() error { return patchSection("pools", p.Pools, &next.Pools, &touched) },
-		func() error { return patchSection("models", p.Models, &next.Models, &touched) },
-		func() error { return patchSection("cascades", p.Cascades, &next.Cascades, &touched) },
-		func() error { return patchSection("services", p.Services, &next.Services, &touched) },
-		func() error { return patchSection("rollouts", p.Rollouts, &next.Rollouts, &touched) },
-		func() error { return patchSection("workspaces", p.Workspaces, &next.Workspaces, &touched) },
-		func() error { return patchSection("evacuations", p.Evacuations, &next.Evacuations, &touched) },
+		func() error { return patchSection("pools", p.Pools, &next.Pools, &changed) },
+		func() error { return patchSection("models", p.Models, &next.Models, &changed) },
+		func() error { return patchSection("cascades", p.Cascades, &next.Cascades, &changed) },
+		func() error { return patchSection("services", p.Services, &next.Services, &changed) },
+		func() error { return patchSection("rollouts", p.Rollouts, &next.Rollouts, &changed) },
+		func() error { return patchSection("workspaces", p.Workspaces, &next.Workspaces, &changed) },
+		func() error { return patchSection("evacuations", p.Evacuations, &next.Evacuations, &changed) },
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return nil, nil, err
 		}
 	}
-	if len(touched) == 0 {
+	if len(changed) == 0 {
 		return nil, nil, fault.New(fault.InvalidPatch, "the patch changes nothing")
 	}
 	if err := next.validatePatch(c, &p); err != nil {
 		return nil, nil, err
 	}
-	return &next, touched, nil
+	return &next, changed, nil
 }
 
-// patchSection merges the patches of one section into a copy of its map.
-func patchSection[T any](name string, patches map[string]json.RawMessage, target *map[string]T, touched *[]string) error {
+// patchSection applies the patches of one section to a copy of its map.
+func patchSection[T any](name string, patches map[string]json.RawMessage, target *map[string]T, changed *[]string) error {
 	if len(patches) == 0 {
 		return nil
 	}
@@ -288,7 +289,7 @@
 	}
 	for key, raw := range patches {
 		path := name + "/" + key
-		*touched = append(*touched, path)
+		*changed = append(*changed, path)
 		if bytes.Equal(bytes.TrimSpace(raw), []byte("null")) {
 			delete(out, key)
 			continue
@@ -321,7 +322,7 @@
 	return value, err
 }
 
-// DecodeStrict decodes JSON and refuses unknown fields and trailing data.
+// DecodeStrict decodes JSON and returns an error for unknown fields and trailing data.
 func DecodeStrict(data []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
--- a/internal/fleet/state_machine_test.go
+++ b/internal/fleet/state_machine_test.go
@@ -14,25 +14,25 @@
 
 const base = `{"pools":{"p":{"servers":[]}},"models":{"m":{"stable":"v1","versions":{"v1":{"pool":"p","micros_per_1k_tokens":1},"v2":{"pool":"p","micros_per_1k_tokens":1,"successor":"v1"}}}},"workspaces":{"w":{"key_hashes":[],"models":["m"]}}}`
 
-// apply folds patches given as id, base and body.
-func apply(t testing.TB, f *StateMachine, id string, number uint64, patch string) PatchOutcome {
-	f.Apply(f.NextOffset(), record(t, id, number, json.RawMessage(patch)))
-	o, ok := f.LookupOutcome(id)
+// apply applies a patch at the next offset and returns its outcome.
+func apply(t testing.TB, m *StateMachine, id string, number uint64, patch string) PatchOutcome {
+	m.Apply(m.NextOffset(), record(t, id, number, json.RawMessage(patch)))
+	o, ok := m.LookupOutcome(id)
 	if !ok {
 		t.Fatalf("no outcome of %s", id)
 	}
 	return o
 }
 
-func started(t testing.TB) *StateMachine {
-	f := NewStateMachine()
-	if o := apply(t, f, "base", 0, base); !o.Accepted {
+func newBaseStateMachine(t testing.TB) *StateMachine {
+	m := NewStateMachine()
+	if o := apply(t, m, "base", 0, base); !o.Accepted {
 		t.Fatal(o)
 	}
-	return f
+	return m
 }
 
-func TestInvalidPatchesAreRejectedRecords(t *testing.T) {
+func TestInvalidPatchesAreRejected(t *testing.T) {
 	cases := map[string]string{
 		`{"workspaces":{"w":{"models":["none"]}}}`:  `"none" does not exist`,
 		`{"models":{"m":null}}`:                     `model "m" does not exist`,
@@ -51,30 +51,26 @@
 		`[]`:             "cannot unmarshal",
 	}
 	for patch, want := range cases {
-		f := started(t)
-		before := f.Config()
-		o := apply(t, f, "bad", 1, patch)
+		m := newBaseStateMachine(t)
+		before := m.Config()
+		o := apply(t, m, "bad", 1, patch)
 		if o.Accepted || o.Kind != fault.InvalidPatch || !strings.Contains(o.Detail, want) {
 			t.Errorf("%s: %+v, want %q", patch, o, want)
 		}
-		if f.Config() != before {
+		if m.Config() != before {
 			t.Errorf("%s changed the configuration", patch)
 		}
 	}
-	f := started(t)
-	f.Apply(f.NextOffset(), []byte("{broken"))
-	if f.Config().Number != 1 || f.NextOffset() != 2 {
-		t.Fatalf("a broken record: number %d, next %d", f.Config().Number, f.NextOffset())
+	m := newBaseStateMachine(t)
+	m.Apply(m.NextOffset(), []byte("{broken"))
+	if m.Config().Number != 1 || m.NextOffset() != 2 {
+		t.Fatalf("malformed record: number %d, next %d", m.Config().Number, m.NextOffset())
 	}
 }
 
-// Symptom: a daemon that was away misses one accepted patch for good.
-// Sequence: a checkpoint is written by a daemon that has read up to record 2;
-// records 3 and 4 reach the log before the checkpoint does; records 0 to 1 age
-// out; a fresh daemon starts from what is left.
-// Cause: records between a checkpoint's last and its own offset must be folded
-// on top of it.
-func TestCheckpointKeepsRecordsWrittenBesideIt(t *testing.T) {
+// Guards against skipping records that were appended after the last record that the writer
+// of a checkpoint had read, but before the checkpoint itself.
+func TestCheckpointKeepsConcurrentRecords(t *testing.T) {
 	log := [][]byte{
 		record(t, "base", 0, json.RawMessage(base)),
 		record(t, "a", 1, json.RawMessage(`{"workspaces":{"w":{"priority":1}}}`)),
@@ -84,96 +80,94 @@
 	for o, r := range log {
 		writer.Apply(uint64(o), r)
 	}
-	mark, _ := json.Marshal(Record{Checkpoint: writer.Checkpoint()})
+	checkpoint, _ := json.Marshal(Record{Checkpoint: writer.Checkpoint()})
 	log = append(log,
 		record(t, "c", 3, json.RawMessage(`{"workspaces":{"w":{"priority":3}}}`)),
 		record(t, "d", 3, json.RawMessage(`{"workspaces":{"w":{"priority":4}}}`)),
-		mark,
+		checkpoint,
 		record(t, "a", 1, json.RawMessage(`{"workspaces":{"w":{"priority":1}}}`)),
 		record(t, "e", 4, json.RawMessage(`{"workspaces":{"w":{"priority":5}}}`)))
-	all, fresh := NewStateMachine(), NewStateMachine()
+	complete, restored := NewStateMachine(), NewStateMachine()
 	for o, r := range log {
-		all.Apply(uint64(o), r)
+		complete.Apply(uint64(o), r)
 		if o >= 2 {
-			fresh.Apply(uint64(o), r)
+			restored.Apply(uint64(o), r)
 		}
 	}
-	if !fresh.Synced() || fresh.Config().Number != 5 || !reflect.DeepEqual(all.Config(), fresh.Config()) {
-		t.Fatalf("fresh: anchored %v, %+v; all: %+v", fresh.Synced(), fresh.Config(), all.Config())
+	if !restored.Synced() || restored.Config().Number != 5 || !reflect.DeepEqual(complete.Config(), restored.Config()) {
+		t.Fatalf("restored: synced %v, %+v; complete: %+v", restored.Synced(), restored.Config(), complete.Config())
 	}
 }
 
-// Operators race through daemons that lag behind each other, repeat appends whose
-// replies were lost, and write nonsense; the log keeps a limited tail with
-// checkpoints by whoever is ahead; daemons start late. Each number is won once,
-// no daemon goes back, and all end alike. The naive version is one fold that
-// reads every record at once.
-func TestRacingOperatorsAgree(t *testing.T) {
+// With concurrent, repeated and invalid patches, a truncated log with checkpoints, and
+// daemons that lag or restart, every number is assigned to one patch, no daemon returns
+// to an earlier number, and all daemons reach the state of a reader of the whole log.
+func TestDaemonsConvergeUnderConcurrentPatches(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep = 12
-		truth := NewStateMachine()
+		reference := NewStateMachine()
 		var log [][]byte
 		daemons := []*StateMachine{NewStateMachine(), NewStateMachine(), NewStateMachine()}
-		add := func(r []byte) {
-			truth.Apply(uint64(len(log)), r)
+		appendRecord := func(r []byte) {
+			reference.Apply(uint64(len(log)), r)
 			log = append(log, r)
 		}
-		read := func(f *StateMachine) {
-			before := f.Config().Number
-			for o := max(int(f.NextOffset()), len(log)-keep); o < len(log); o++ {
-				f.Apply(uint64(o), log[o])
+		read := func(m *StateMachine) {
+			before := m.Config().Number
+			for o := max(int(m.NextOffset()), len(log)-keep); o < len(log); o++ {
+				m.Apply(uint64(o), log[o])
 			}
-			if f.Config().Number < before {
-				t.Fatalf("went from %d to %d", before, f.Config().Number)
+			if m.Config().Number < before {
+				t.Fatalf("number went from %d back to %d", before, m.Config().Number)
 			}
 		}
-		add(record2(t, "base", 0, base))
-		won := map[uint64]string{}
+		appendRecord(rapidRecord(t, "base", 0, base))
+		winners := map[uint64]string{}
 		for step := range rapid.IntRange(5, 60).Draw(t, "steps") {
 			d := rapid.IntRange(0, 2).Draw(t, "daemon")
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1, 2:
 				id := fmt.Sprint("p", step)
 				patch := fmt.Sprintf(`{"workspaces":{"w":{"priority":%d}}}`, step%10)
-				add(record2(t, id, daemons[d].Config().Number, patch))
+				appendRecord(rapidRecord(t, id, daemons[d].Config().Number, patch))
 				if rapid.Bool().Draw(t, "repeat") {
-					add(record2(t, id, daemons[d].Config().Number, patch))
+					appendRecord(rapidRecord(t, id, daemons[d].Config().Number, patch))
 				}
 			case 3:
-				add([]byte("{"))
+				appendRecord([]byte("{"))
 			case 4:
-				add(record2(t, fmt.Sprint("x", step), truth.Config().Number, `{"pools":{"p":null}}`))
+				appendRecord(rapidRecord(t, fmt.Sprint("x", step), reference.Config().Number, `{"pools":{"p":null}}`))
 			case 5:
 				daemons[d] = NewStateMachine()
 			default:
 				read(daemons[d])
 			}
 			if len(log)%8 == 0 {
-				mark, _ := json.Marshal(Record{Checkpoint: truth.Checkpoint()})
-				add(mark)
+				checkpoint, _ := json.Marshal(Record{Checkpoint: reference.Checkpoint()})
+				appendRecord(checkpoint)
 			}
 		}
-		for _, o := range truth.History() {
+		for _, o := range reference.History() {
 			if !o.Accepted {
 				continue
 			}
-			if other := won[o.Number]; other != "" {
-				t.Fatalf("number %d was won by %s and %s", o.Number, other, o.PatchID)
+			if other := winners[o.Number]; other != "" {
+				t.Fatalf("number %d was assigned to %s and %s", o.Number, other, o.PatchID)
 			}
-			won[o.Number] = o.PatchID
+			winners[o.Number] = o.PatchID
 		}
-		mark, _ := json.Marshal(Record{Checkpoint: truth.Checkpoint()})
-		add(mark)
-		for i, f := range daemons {
-			read(f)
-			if !f.Synced() || !reflect.DeepEqual(f.Config(), truth.Config()) {
-				t.Fatalf("daemon %d: anchored %v at %d, truth at %d", i, f.Synced(), f.Config().Number, truth.Config().Number)
+		checkpoint, _ := json.Marshal(Record{Checkpoint: reference.Checkpoint()})
+		appendRecord(checkpoint)
+		for i, m := range daemons {
+			read(m)
+			if !m.Synced() || !reflect.DeepEqual(m.Config(), reference.Config()) {
+				t.Fatalf("daemon %d: synced %v at %d, reference at %d", i, m.Synced(), m.Config().Number, reference.Config().Number)
 			}
 		}
 	})
 }
 
-func record2(t *rapid.T, id string, number uint64, patch string) []byte {
+func rapidRecord(t *rapid.T, id string, number uint64, patch string) []byte {
 	data, err := json.Marshal(Record{PatchID: id, Base: number, Patch: json.RawMessage(patch)})
 	if err != nil {
 		t.Fatal(err)
@@ -181,24 +175,24 @@
 	return data
 }
 
-func TestWithdrawalMovesSessionsToOneSuccessor(t *testing.T) {
-	f := started(t)
-	apply(t, f, "a", 1, `{"models":{"m":{"stable":"v2","versions":{"v1":{"state":"withdrawn","successor":"v2"},"v2":{"successor":""}}}}}`)
-	w := f.Config().Workspaces["w"]
-	if v, ok := f.Config().ResolveSuccessor(w, "m", "v1"); !ok || v != "v2" {
+func TestWithdrawnVersionResolvesToSuccessor(t *testing.T) {
+	m := newBaseStateMachine(t)
+	apply(t, m, "a", 1, `{"models":{"m":{"stable":"v2","versions":{"v1":{"state":"withdrawn","successor":"v2"},"v2":{"successor":""}}}}}`)
+	w := m.Config().Workspaces["w"]
+	if v, ok := m.Config().ResolveSuccessor(w, "m", "v1"); !ok || v != "v2" {
 		t.Fatalf("successor %q %v", v, ok)
 	}
-	apply(t, f, "b", 2, `{"models":{"m":{"versions":{"v2":{"state":"withdrawn","successor":"v1"}}}}}`)
-	if v, ok := f.Config().ResolveSuccessor(w, "m", "v1"); ok {
-		t.Fatalf("a cycle of withdrawn versions led to %q", v)
+	apply(t, m, "b", 2, `{"models":{"m":{"versions":{"v2":{"state":"withdrawn","successor":"v1"}}}}}`)
+	if v, ok := m.Config().ResolveSuccessor(w, "m", "v1"); ok {
+		t.Fatalf("a cycle of withdrawn versions resolved to %q", v)
 	}
-	if f.Config().MayDispatch("w", "m", "v1") {
+	if m.Config().MayDispatch("w", "m", "v1") {
 		t.Fatal("a withdrawn version may be dispatched")
 	}
 }
 
-// A rising share only adds sessions to the new version.
-func TestRisingShareMovesNobodyBack(t *testing.T) {
+// Raising the percentage of a rollout only adds sessions to the new version.
+func TestHigherRolloutPercentageKeepsSessions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		session := rapid.String().Draw(t, "session")
 		low := rapid.Float64Range(0, 100).Draw(t, "low")
@@ -207,33 +201,33 @@
 			t.Fatalf("bucket %v", b)
 		}
 	})
-	in := 0
+	selected := 0
 	for i := range 10000 {
 		if Bucket("m", fmt.Sprint(i)) < 10 {
-			in++
+			selected++
 		}
 	}
-	if in < 900 || in > 1100 {
-		t.Fatalf("10%% took %d of 10,000 sessions", in)
+	if selected < 900 || selected > 1100 {
+		t.Fatalf("10%% selected %d of 10,000 sessions", selected)
 	}
 }
 
-func TestDiffLeadsToTheWantedConfiguration(t *testing.T) {
-	f := started(t)
-	wanted := NewConfig()
-	if err := json.Unmarshal([]byte(`{"pools":{"q":{"servers":[]}},"models":{"n":{"stable":"v1","versions":{"v1":{"pool":"q","micros_per_1k_tokens":3}}}},"workspaces":{"w":{"key_hashes":[],"models":["n"],"priority":2}}}`), wanted); err != nil {
+func TestDiffYieldsDesiredConfiguration(t *testing.T) {
+	m := newBaseStateMachine(t)
+	desired := NewConfig()
+	if err := json.Unmarshal([]byte(`{"pools":{"q":{"servers":[]}},"models":{"n":{"stable":"v1","versions":{"v1":{"pool":"q","micros_per_1k_tokens":3}}}},"workspaces":{"w":{"key_hashes":[],"models":["n"],"priority":2}}}`), desired); err != nil {
 		t.Fatal(err)
 	}
-	p, changes, err := Diff(f.Config(), wanted)
+	p, changes, err := Diff(m.Config(), desired)
 	if err != nil || len(changes) != 5 {
 		t.Fatalf("%d changes, %v", len(changes), err)
 	}
 	data, _ := json.Marshal(p)
-	if o := apply(t, f, "diff", 1, string(data)); !o.Accepted {
+	if o := apply(t, m, "diff", 1, string(data)); !o.Accepted {
 		t.Fatal(o)
 	}
-	if _, changes, _ := Diff(f.Config(), wanted); len(changes) != 0 {
-		t.Fatalf("left over: %+v", changes)
+	if _, changes, _ := Diff(m.Config(), desired); len(changes) != 0 {
+		t.Fatalf("remaining changes: %+v", changes)
 	}
 }
 
@@ -243,13 +237,13 @@
 	f.Add([]byte(`{"rollouts":{"m":{"stages":[100],"stage":-1}}}`))
 	f.Add([]byte(`{"workspaces":{"w":null},"pools":{"p":{"servers":null}}}`))
 	f.Fuzz(func(t *testing.T, patch []byte) {
-		fold := started(t)
+		machine := newBaseStateMachine(t)
 		raw, err := json.Marshal(Record{PatchID: "fuzz", Base: 1, Patch: patch})
 		if err != nil {
 			raw = patch
 		}
-		fold.Apply(1, raw)
-		if err := fold.Config().Validate(); err != nil {
+		machine.Apply(1, raw)
+		if err := machine.Config().Validate(); err != nil {
 			t.Fatalf("an accepted patch left an invalid configuration: %v", err)
 		}
 	})
--- a/internal/fleet/validate.go
+++ b/internal/fleet/validate.go
@@ -10,20 +10,20 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// namePattern keeps names safe in URLs, headers, metrics and session tokens.
+// namePattern allows names that are safe in URLs, headers, metrics and session tokens.
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
 
 const (
 	keyHashLength = 64
 	maxPriority   = 9
-	// maxPriceMicros caps prices so that a bill of 2^31 tokens still fits an int64.
+	// maxPriceMicros keeps the price of 2^31 tokens within int64.
 	maxPriceMicros = int64(1) << 31
 )
 
-// Validate checks the whole configuration. The error names the first bad
-// entity in a fixed order, so that all daemons report the same one.
+// Validate checks the whole configuration. It checks entities in a fixed order, so that
+// all daemons report the same error.
 func (c *Config) Validate() error {
-	all := func(names []string, check func(string) error) error {
+	checkAll := func(names []string, check func(string) error) error {
 		slices.Sort(names)
 		for _, n := range names {
 			if err := check(n); err != nil {
@@ -32,31 +32,30 @@
 		}
 		return nil
 	}
-	if err := all(mapKeys(c.Pools), c.checkPool); err != nil {
+	if err := checkAll(mapKeys(c.Pools), c.checkPool); err != nil {
 		return err
 	}
-	if err := all(mapKeys(c.Models), c.checkModel); err != nil {
+	if err := checkAll(mapKeys(c.Models), c.checkModel); err != nil {
 		return err
 	}
-	if err := all(mapKeys(c.Cascades), c.checkCascade); err != nil {
+	if err := checkAll(mapKeys(c.Cascades), c.checkCascade); err != nil {
 		return err
 	}
-	if err := all(mapKeys(c.Services), c.checkService); err != nil {
+	if err := checkAll(mapKeys(c.Services), c.checkService); err != nil {
 		return err
 	}
-	if err := all(mapKeys(c.Rollouts), c.checkRollout); err != nil {
+	if err := checkAll(mapKeys(c.Rollouts), c.checkRollout); err != nil {
 		return err
 	}
-	if err := all(mapKeys(c.Evacuations), c.checkEvacuation); err != nil {
+	if err := checkAll(mapKeys(c.Evacuations), c.checkEvacuation); err != nil {
 		return err
 	}
-	return all(mapKeys(c.Workspaces), c.checkWorkspace)
+	return checkAll(mapKeys(c.Workspaces), c.checkWorkspace)
 }
 
-// validatePatch checks only what a patch can have broken, so that folding a
-// patch costs the size of the patch and not of the configuration. Removing an
-// entity, or a version of one, can break entities the patch does not name;
-// then everything is checked.
+// validatePatch checks only the entities in the patch, so that its cost depends on the
+// size of the patch and not of the configuration. If the patch removes an entity or a
+// version, other entities may refer to it, and everything is checked.
 func (c *Config) validatePatch(old *Config, p *Patch) error {
 	if c.removesEntities(old, p) {
 		return c.Validate()
@@ -128,7 +127,7 @@
 	return nil
 }
 
-// maxSlowStartSeconds bounds a slow start in seconds.
+// maxSlowStartSeconds is the maximum duration of a slow start.
 const maxSlowStartSeconds = 600
 
 func checkSlowStart(path string, s *SlowStart) error {
@@ -145,7 +144,8 @@
 	return nil
 }
 
-// checkEvacuation accepts domains that no server stands in now: one may come.
+// checkEvacuation accepts failure domains without servers, because servers may be added
+// later.
 func (c *Config) checkEvacuation(name string) error {
 	if _, ok := c.Evacuations[name]; !ok {
 		return nil
@@ -167,22 +167,22 @@
 	}
 	seen := map[string]bool{}
 	for _, s := range p.Servers {
-		at := path + "/servers/" + s.ID
-		if err := checkEntityName(at, s.ID); err != nil {
+		serverPath := path + "/servers/" + s.ID
+		if err := checkEntityName(serverPath, s.ID); err != nil {
 			return err
 		}
 		if seen[s.ID] {
-			return invalidField(at, "server id is listed twice")
+			return invalidField(serverPath, "server id is listed twice")
 		}
 		seen[s.ID] = true
 		if _, err := netip.ParseAddrPort(s.Address); err != nil {
-			return invalidField(at+"/address", "%q is not ip:port", s.Address)
+			return invalidField(serverPath+"/address", "%q is not ip:port", s.Address)
 		}
 		if s.FailureDomain == "" {
-			return invalidField(at+"/failure_domain", "must not be empty")
+			return invalidField(serverPath+"/failure_domain", "must not be empty")
 		}
 		if s.Slots < 0 {
-			return invalidField(at+"/slots", "%d is negative", s.Slots)
+			return invalidField(serverPath+"/slots", "%d is negative", s.Slots)
 		}
 	}
 	return nil
@@ -201,38 +201,38 @@
 		return invalidField(path+"/stable", "version %q does not exist", m.Stable)
 	}
 	for vn, v := range m.Versions {
-		at := path + "/versions/" + vn
-		if err := checkEntityName(at, vn); err != nil {
+		versionPath := path + "/versions/" + vn
+		if err := checkEntityName(versionPath, vn); err != nil {
 			return err
 		}
-		if err := c.checkVersion(at, m, vn, v); err != nil {
+		if err := c.checkVersion(versionPath, m, vn, v); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Config) checkVersion(at string, m Model, name string, v Version) error {
+func (c *Config) checkVersion(path string, m Model, name string, v Version) error {
 	if _, ok := c.Pools[v.Pool]; !ok {
-		return invalidField(at+"/pool", "pool %q does not exist", v.Pool)
+		return invalidField(path+"/pool", "pool %q does not exist", v.Pool)
 	}
 	if v.State != "" && v.State != Serving && v.State != Withdrawn {
-		return invalidField(at+"/state", "%q is neither serving nor withdrawn", v.State)
+		return invalidField(path+"/state", "%q is neither serving nor withdrawn", v.State)
 	}
 	if v.MicrosPerKiloToken < 0 || v.MicrosPerKiloToken > maxPriceMicros {
-		return invalidField(at+"/micros_per_1k_tokens", "%d is out of 0..%d", v.MicrosPerKiloToken, maxPriceMicros)
+		return invalidField(path+"/micros_per_1k_tokens", "%d is out of 0..%d", v.MicrosPerKiloToken, maxPriceMicros)
 	}
 	if v.Successor == name {
-		return invalidField(at+"/successor", "a version cannot succeed itself")
+		return invalidField(path+"/successor", "a version cannot succeed itself")
 	}
 	if _, ok := m.Versions[v.Successor]; v.Successor != "" && !ok {
-		return invalidField(at+"/successor", "version %q does not exist", v.Successor)
+		return invalidField(path+"/successor", "version %q does not exist", v.Successor)
 	}
 	return nil
 }
 
 func (c *Config) checkCascade(name string) error {
-	k, ok := c.Cascades[name]
+	cascade, ok := c.Cascades[name]
 	if !ok {
 		return nil
 	}
@@ -240,19 +240,19 @@
 	if err := checkEntityName(path, name); err != nil {
 		return err
 	}
-	if _, clash := c.Models[name]; clash {
+	if _, exists := c.Models[name]; exists {
 		return invalidField(path, "a model has the same name")
 	}
-	if len(k.Steps) < 2 {
+	if len(cascade.Steps) < 2 {
 		return invalidField(path+"/steps", "a cascade needs at least two models")
 	}
-	for _, s := range k.Steps {
+	for _, s := range cascade.Steps {
 		if _, ok := c.Models[s]; !ok {
 			return invalidField(path+"/steps", "model %q does not exist", s)
 		}
 	}
-	if k.QualityTarget <= 0 || k.QualityTarget >= 1 {
-		return invalidField(path+"/quality_target", "%v is not between 0 and 1", k.QualityTarget)
+	if cascade.QualityTarget <= 0 || cascade.QualityTarget >= 1 {
+		return invalidField(path+"/quality_target", "%v is not between 0 and 1", cascade.QualityTarget)
 	}
 	return nil
 }
@@ -337,12 +337,12 @@
 
 func (c *Config) checkEntitlements(path string, w Workspace) error {
 	for _, e := range w.Models {
-		model, version, pinned := strings.Cut(e, "@")
+		model, version, hasVersion := strings.Cut(e, "@")
 		m, ok := c.Models[model]
 		if !ok {
 			return invalidField(path+"/models", "model %q does not exist", model)
 		}
-		if _, ok := m.Versions[version]; pinned && !ok {
+		if _, ok := m.Versions[version]; hasVersion && !ok {
 			return invalidField(path+"/models", "version %q of model %q does not exist", version, model)
 		}
 	}
--- a/internal/fleet/version.go
+++ b/internal/fleet/version.go
@@ -2,21 +2,21 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// maxSuccessorHops bounds the walk along successors; a longer chain is a cycle.
+// maxSuccessorHops limits the length of a successor chain, which may contain a cycle.
 const maxSuccessorHops = 16
 
-// bucketCount is the resolution of roll-out shares: 0.01 percent.
+// bucketCount sets the resolution of rollout percentages to 0.01%.
 const bucketCount = 10000
 
-// Bucket places a session for one model in [0, 100) percent. It depends on
-// nothing but the names, so every daemon agrees and a rising share only ever
-// adds sessions to the new version.
+// Bucket maps a session of a model to a percentage in [0, 100). A session is part of a
+// rollout if the value is below the rollout's percentage. Every daemon computes the same
+// value, and raising the percentage only adds sessions.
 func Bucket(model, session string) float64 {
 	h := xxhash.Sum64String(model + "\x00" + session)
 	return float64(h%bucketCount) * 100 / bucketCount
 }
 
-// SelectVersion chooses the version of a model for a session that has no pin.
+// SelectVersion returns the version of a model for a session without a pinned version.
 func (c *Config) SelectVersion(w Workspace, model, session string) (string, bool) {
 	m, ok := c.Models[model]
 	if !ok {
@@ -28,8 +28,9 @@
 	return c.ResolveSuccessor(w, model, m.Stable)
 }
 
-// ResolveSuccessor follows successors from a version to one that is serving and
-// allowed. All daemons at one configuration number reach the same version.
+// ResolveSuccessor follows successors from a version to the first one that is serving
+// and allowed for the workspace. The result is the same on all daemons with the same
+// configuration number.
 func (c *Config) ResolveSuccessor(w Workspace, model, version string) (string, bool) {
 	for range maxSuccessorHops {
 		if c.usable(w, model, version) {
@@ -51,16 +52,16 @@
 	return c.firstUsable(w, model)
 }
 
-// firstUsable serves a workspace entitled to single versions none of which
-// lies on the successor chain: the first allowed one by name.
+// firstUsable returns the alphabetically first version that a workspace may use, for
+// workspaces that are entitled only to versions outside the successor chain.
 func (c *Config) firstUsable(w Workspace, model string) (string, bool) {
-	best := ""
+	first := ""
 	for name := range c.Models[model].Versions {
-		if c.usable(w, model, name) && (best == "" || name < best) {
-			best = name
+		if c.usable(w, model, name) && (first == "" || name < first) {
+			first = name
 		}
 	}
-	return best, best != ""
+	return first, first != ""
 }
 
 func (c *Config) usable(w Workspace, model, version string) bool {
