--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,6 +1,6 @@
-// Package session pins a caller's session to a version. The pin rides in a
-// signed token that the caller returns, so that any daemon can read it and no
-// store is needed.
+// Package session pins a caller's session to model versions. The pin is stored in a
+// signed token that the caller sends with each request, so that every daemon can read
+// it and no server-side storage is needed.
 package session
 
 import (
@@ -14,30 +14,30 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// Keyring signs with its current key and verifies with any of its keys. During
-// a rotation every daemon first learns the new key and only then signs with it.
+// Keyring signs with its current key and verifies with any of its keys. In a rotation,
+// the new key must be known to every daemon before it becomes the current one.
 type Keyring struct {
-	// Current is the id of the signing key.
+	// Current is the ID of the signing key.
 	Current string
-	// Keys maps ids to secrets.
+	// Keys maps key IDs to secrets.
 	Keys map[string][]byte
 }
 
-// Sign returns a token for a purpose: the purpose, a key id, the payload and a MAC
-// over all of it. The purpose keeps a token of one kind from passing as another.
+// Sign returns a token that contains the purpose, the key ID, the payload and a MAC. The
+// purpose prevents a token of one kind from being accepted as another.
 func (k *Keyring) Sign(purpose, payload string) string {
 	body := base64.RawURLEncoding.EncodeToString([]byte(payload))
 	return purpose + "." + k.Current + "." + body + "." + k.mac(k.Current, purpose, body)
 }
 
-// Verify returns the payload of a token of a purpose.
+// Verify returns the payload of a token and whether its signature and purpose are valid.
 func (k *Keyring) Verify(purpose, token string) (string, bool) {
 	parts := strings.Split(token, ".")
 	if len(parts) != 4 || parts[0] != purpose {
 		return "", false
 	}
 	id, body := parts[1], parts[2]
-	if _, known := k.Keys[id]; !known || !hmac.Equal([]byte(parts[3]), []byte(k.mac(id, purpose, body))) {
+	if _, ok := k.Keys[id]; !ok || !hmac.Equal([]byte(parts[3]), []byte(k.mac(id, purpose, body))) {
 		return "", false
 	}
 	payload, err := base64.RawURLEncoding.DecodeString(body)
@@ -50,24 +50,24 @@
 	return base64.RawURLEncoding.EncodeToString(m.Sum(nil))
 }
 
-// Pin says which versions a session of a workspace uses.
+// Pin holds the model versions used by a session of a workspace.
 type Pin struct {
 	Workspace string
-	// Name is the session's own name, which places it in a roll-out.
+	// Name is the name of the session, which determines its bucket in a rollout.
 	Name string
-	// Model and Version are of the newest answer.
+	// Model and Version are those of the latest response.
 	Model   string
 	Version string
-	// OtherModels lists the "model@version" of earlier answers by other models, newest
-	// first, separated by blanks. A cascade's session goes back and forth between
-	// models and keeps the version of each.
+	// OtherModels lists "model@version" for the other models used by the session,
+	// newest first, separated by spaces. The sessions of a cascade alternate between
+	// models.
 	OtherModels string
 }
 
-// maxOtherModels bounds Others; a session that uses more models forgets the oldest.
+// maxOtherModels is the maximum number of entries in OtherModels; the oldest are dropped.
 const maxOtherModels = 8
 
-// VersionOf returns the version the session uses of a model, or "".
+// VersionOf returns the pinned version of a model, or "".
 func (p Pin) VersionOf(model string) string {
 	if p.Model == model {
 		return p.Version
@@ -80,7 +80,7 @@
 	return ""
 }
 
-// WithVersion returns the pin after an answer of a model's version.
+// WithVersion returns the pin after a response from the given version of a model.
 func (p Pin) WithVersion(model, version string) Pin {
 	others := slices.DeleteFunc(strings.Fields(p.OtherModels), func(o string) bool { return strings.HasPrefix(o, model+"@") })
 	if p.Model != "" && p.Model != model {
@@ -91,21 +91,22 @@
 	return p
 }
 
-// tokenFields is the number of a pin's fields in a token.
+// tokenFields is the number of fields in the payload of a session token.
 const tokenFields = 5
 
-// tokenPurpose marks session tokens of this form.
+// tokenPurpose is the purpose of session tokens.
 const tokenPurpose = "s1"
 
-// IsToken reports whether a session header claims to be a signed token.
+// IsToken reports whether a session header has the form of a signed token. The signature
+// is not verified.
 func IsToken(s string) bool { return strings.HasPrefix(s, tokenPurpose+".") }
 
-// Token signs the pin.
+// Token returns the pin as a signed token.
 func (p Pin) Token(ring *Keyring) string {
 	return ring.Sign(tokenPurpose, strings.Join([]string{p.Workspace, p.Name, p.Model, p.Version, p.OtherModels}, "\n"))
 }
 
-// ParseToken verifies a token for a workspace.
+// ParseToken verifies a token of a workspace and decodes its pin.
 func ParseToken(ring *Keyring, workspace, token string) (Pin, error) {
 	payload, ok := ring.Verify(tokenPurpose, token)
 	parts := strings.Split(payload, "\n")
@@ -118,22 +119,21 @@
 	return Pin{parts[0], parts[1], parts[2], parts[3], parts[4]}, nil
 }
 
-// maxNameLength bounds a caller's own session name in bytes.
+// maxNameLength is the maximum length of a session name in bytes.
 const maxNameLength = 128
 
-// ValidateName validates a caller's own session name.
+// ValidateName checks a session name chosen by the caller.
 func ValidateName(name string) error {
-	bad := func(r rune) bool { return r <= ' ' || r > '~' }
-	if len(name) > maxNameLength || slices.ContainsFunc([]rune(name), bad) {
+	invalid := func(r rune) bool { return r <= ' ' || r > '~' }
+	if len(name) > maxNameLength || slices.ContainsFunc([]rune(name), invalid) {
 		return fault.NewField(fault.BadRequest, "X-Session-Id", "a session name has 1 to %d printable ASCII characters", maxNameLength)
 	}
 	return nil
 }
 
-// ResolveVersion chooses the version for a session. A pinned version that is serving
-// and allowed stays, whatever a roll-out does. A withdrawn one moves to its
-// successor, the same at every daemon of one configuration number. A session
-// without a pin gets the version its name falls to.
+// ResolveVersion returns the version of a model for a session. A pinned version is kept
+// while it is serving and allowed, regardless of rollouts; otherwise its successor is
+// used. A session without a pin gets the version selected by its name.
 func ResolveVersion(c *fleet.Config, w fleet.Workspace, model string, pin Pin) (string, error) {
 	if pinned := pin.VersionOf(model); pinned != "" {
 		if v, ok := c.ResolveSuccessor(w, model, pinned); ok {
