--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -1,6 +1,6 @@
-// Package route holds a whole-document configuration: which host and path leads
-// to which service, what may be repeated, and which API key belongs to which
-// workspace. A Table is immutable; a newer document makes a new Table.
+// Package route holds the routing table of the proxy: the mapping of hosts and paths to
+// services, the repeatability of requests, and the owners of API keys. A Table is
+// immutable and is replaced as a whole by a newer configuration document.
 package route
 
 import (
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind is the type of requests of a route, which determines whether they may be
+// repeated.
 type Kind uint8
 
 const (
@@ -19,52 +20,52 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run again after any failure.
 	Idempotent
-	// Stream requests are answered by a series of numbered events. They count
-	// as non-idempotent unless the route is resumable.
+	// Stream requests get a stream of numbered events. They are non-idempotent
+	// unless the route is resumable.
 	Stream
 )
 
-// Route is one rule of the table.
+// Route matches requests by host and path prefix.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Backends are the services that share the route's requests by weight.
+	// Backends are the services to which requests are distributed by weight.
 	Backends []Backend
-	// Timeout is the longest time a caller is kept waiting; zero is unbounded.
+	// Timeout is the maximum duration of a request; zero means unlimited.
 	Timeout time.Duration
-	// LatencyTarget is the time to a first event or an answer of full value.
+	// LatencyTarget is the target time to the first event or the response.
 	LatencyTarget time.Duration
-	// GapTarget is the longest pause between events of full value.
+	// GapTarget is the target time between events.
 	GapTarget time.Duration
-	// Priority ranks the route, 0 first.
+	// Priority is the priority of the route; 0 is the highest.
 	Priority int
-	// MaxAttempts is the most servers that may run one request.
+	// MaxAttempts is the maximum number of servers that may run one request.
 	MaxAttempts int
-	// Public routes need no API key.
+	// Public routes require no API key.
 	Public bool
 	// Resumable streams may continue on another server after the last event.
 	Resumable bool
-	// Models are the models that may answer, smallest first; empty means that
-	// the caller names the model.
+	// Models are the models that may serve the request, smallest first. If empty,
+	// the caller selects the model.
 	Models []string
 }
 
-// Backend is one service of a route and its share.
+// Backend is one service of a route with its weight.
 type Backend struct {
 	Service string
 	Weight  int
 }
 
-// Repeatable reports whether a request may run again after it may have run.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// SelectService chooses a service by weight; draw is uniform over all uint64 and the
-// same for every attempt of a request, so that a repeat goes to the same service.
-func (r *Route) SelectService(draw uint64) string {
+// SelectService returns the name of a service selected by weight. random is uniformly
+// distributed and must be the same for every attempt of a request.
+func (r *Route) SelectService(random uint64) string {
 	total := 0
 	for _, b := range r.Backends {
 		total += b.Weight
@@ -72,51 +73,52 @@
 	if total <= 0 {
 		return r.Backends[0].Service
 	}
-	at := int(draw % uint64(total))
+	position := int(random % uint64(total))
 	for _, b := range r.Backends {
-		if at -= b.Weight; at < 0 {
+		if position -= b.Weight; position < 0 {
 			return b.Service
 		}
 	}
 	return r.Backends[len(r.Backends)-1].Service
 }
 
-// Service is a group of like backend servers.
+// Service is a group of equivalent backend servers.
 type Service struct {
 	Name string
-	// HealthPath answers 200 while a server thinks itself healthy.
+	// HealthPath is the path of the health check, which returns 200 if the server is
+	// healthy.
 	HealthPath string
-	// MaxConns is how many connections one server takes from all daemons.
+	// MaxConns is the maximum number of connections to one server from all daemons.
 	MaxConns int
-	// Engine describes model engines; nil for plain services.
+	// Engine describes the model engines of the service; nil for plain services.
 	Engine *Engine
-	// WarmUp is how long a server is warming up after its start, and WarmUpRate the
-	// requests a second that it serves until then; zero is unlimited.
+	// WarmUp is the duration of the warm-up after a server starts. WarmUpRate is the
+	// maximum number of requests per second during the warm-up; zero means unlimited.
 	WarmUp     time.Duration
 	WarmUpRate float64
 }
 
-// Engine is what the configuration tells of a service's model engines.
+// Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests in one batch.
+	// Slots is the maximum number of requests in one batch.
 	Slots int
-	// KVCacheTokens is the memory for prompts, in tokens.
+	// KVCacheTokens is the capacity of the KV cache in tokens.
 	KVCacheTokens int
-	// EventTokens is the number of tokens in one event of a stream; zero is one.
+	// EventTokens is the number of tokens per stream event; zero means one.
 	EventTokens int
 	// CostPer1kTokens is the price of 1,000 generated tokens by model.
 	CostPer1kTokens map[string]float64
 }
 
-// Workspace owns API keys.
+// Workspace is the owner of API keys.
 type Workspace struct {
 	Name string
-	// Priority goes before the route's when Ranked.
+	// Priority overrides the priority of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on requests from callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -124,7 +126,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one version of the configuration.
+// Table is an immutable routing table built from one version of the configuration.
 type Table struct {
 	Version     int64
 	Limits      Limits
@@ -134,19 +136,19 @@
 	keyRequired bool
 }
 
-// Document is a decoded configuration, not yet checked.
+// Document is a decoded configuration that has not been validated.
 type Document struct {
 	Version  int64
 	Limits   Limits
 	Routes   []Route
 	Services []Service
-	// Keys maps API keys to workspaces. Keyed says that the document lists
-	// workspaces at all; without them no key is asked for.
+	// Keys maps API keys to workspaces. KeyRequired is set if the document lists
+	// workspaces; otherwise no API key is required.
 	Keys        map[string]Workspace
 	KeyRequired bool
 }
 
-// NewTable checks a document and indexes it. An error names the offending part.
+// NewTable validates a document and builds its table. The error names the invalid part.
 func NewTable(d Document) (*Table, error) {
 	t := &Table{
 		Version: d.Version, Limits: d.Limits, byKey: d.Keys, keyRequired: d.KeyRequired,
@@ -190,11 +192,11 @@
 	return nil
 }
 
-// Match returns the route of a host and path with the longest prefix, or nil.
-// A port in the host is ignored.
+// Match returns the route of a host with the longest matching path prefix, or nil. A
+// port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
-	if at := strings.LastIndexByte(host, ':'); at > 0 && !strings.HasSuffix(host, "]") {
-		host = host[:at]
+	if i := strings.LastIndexByte(host, ':'); i > 0 && !strings.HasSuffix(host, "]") {
+		host = host[:i]
 	}
 	routes := t.byHost[strings.ToLower(host)]
 	for i := range routes {
@@ -205,7 +207,7 @@
 	return nil
 }
 
-// KeyRequired reports whether requests must carry an API key.
+// KeyRequired reports whether requests must have an API key.
 func (t *Table) KeyRequired() bool { return t.keyRequired }
 
 // WorkspaceByKey returns the owner of an API key.
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -7,13 +7,13 @@
 
 func testTable(t *testing.T) *Table {
 	t.Helper()
-	one := []Backend{{Service: "s", Weight: 1}}
+	backends := []Backend{{Service: "s", Weight: 1}}
 	table, err := NewTable(Document{
 		Version: 3, KeyRequired: true, Keys: map[string]Workspace{"k": {Name: "w"}}, Services: []Service{{Name: "s"}, {Name: "t"}},
 		Routes: []Route{
-			{Name: "short", Host: "h.example", PathPrefix: "/a/", Backends: one},
+			{Name: "short", Host: "h.example", PathPrefix: "/a/", Backends: backends},
 			{Name: "long", Host: "H.example", PathPrefix: "/a/b/", Backends: []Backend{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}},
-			{Name: "other", Host: "o.example", PathPrefix: "/", Backends: one},
+			{Name: "other", Host: "o.example", PathPrefix: "/", Backends: backends},
 		},
 	})
 	if err != nil {
@@ -22,7 +22,7 @@
 	return table
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	table := testTable(t)
 	for _, tt := range []struct{ host, path, want string }{
 		{"h.example", "/a/x", "short"}, {"h.example", "/a/b/x", "long"}, {"h.example:80", "/a/b/", "long"},
@@ -39,22 +39,22 @@
 	}
 }
 
-func TestServicesShareByWeight(t *testing.T) {
+func TestSelectServiceByWeight(t *testing.T) {
 	r := testTable(t).Match("h.example", "/a/b/")
 	got := map[string]int{}
-	for draw := range uint64(1000) {
-		got[r.SelectService(draw)]++
+	for random := range uint64(1000) {
+		got[r.SelectService(random)]++
 	}
 	if got["s"] != 900 || got["t"] != 100 {
 		t.Errorf("got %v", got)
 	}
 }
 
-func TestBadDocumentsAreRefusedWithTheirPart(t *testing.T) {
-	one := []Backend{{Service: "s", Weight: 1}}
+func TestInvalidDocumentErrors(t *testing.T) {
+	backends := []Backend{{Service: "s", Weight: 1}}
 	for want, d := range map[string]Document{
-		"does not begin and end":  {Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", PathPrefix: "a/", Backends: one}}},
-		"unknown service":         {Routes: []Route{{Name: "r", PathPrefix: "/a/", Backends: one}}},
+		"does not begin and end":  {Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", PathPrefix: "a/", Backends: backends}}},
+		"unknown service":         {Routes: []Route{{Name: "r", PathPrefix: "/a/", Backends: backends}}},
 		"no service":              {Routes: []Route{{Name: "r", PathPrefix: "/a/"}}},
 		"a service has no name":   {Services: []Service{{}}},
 		"has the negative weight": {Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", PathPrefix: "/a/", Backends: []Backend{{Service: "s", Weight: -1}}}}},
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestWhatMayRunAgain(t *testing.T) {
+func TestRepeatable(t *testing.T) {
 	for _, tt := range []struct {
 		r    Route
 		want bool
