--- a/internal/billing/billing.go
+++ b/internal/billing/billing.go
@@ -1,5 +1,5 @@
-// Package billing keeps the usage records: one bill for each request, however
-// many attempts, copies and repeated appends stand behind it. It does no I/O.
+// Package billing buffers usage records until the log has confirmed them and aggregates
+// them, counting each request once. It does no I/O.
 package billing
 
 import (
@@ -10,58 +10,59 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// Outcome says how a billed request ended.
+// Outcome is how a billed request ended.
 type Outcome string
 
 const (
-	// Complete answers were delivered in full.
+	// Complete means that the whole response was delivered.
 	Complete Outcome = "complete"
-	// Truncated answers ended early because the caller left or a run was lost; the
-	// tokens delivered until then are billed.
+	// Truncated means that the response ended early because the caller disconnected or
+	// the run was lost. The delivered tokens are billed.
 	Truncated Outcome = "cut"
 )
 
-// UsageRecord is the bill of one request.
+// UsageRecord is the billed usage of one request.
 type UsageRecord struct {
 	RequestID string `cbor:"1,keyasint" json:"request_id"`
 	Workspace string `cbor:"2,keyasint" json:"workspace"`
 	Model     string `cbor:"3,keyasint" json:"model"`
 	Version   string `cbor:"4,keyasint" json:"version"`
-	// PromptTokens and AnswerTokens sum over the steps of a cascade.
-	PromptTokens int64 `cbor:"5,keyasint" json:"prompt_tokens"`
-	AnswerTokens int64 `cbor:"6,keyasint" json:"answer_tokens"`
+	// PromptTokens and CompletionTokens are totals over the steps of a cascade.
+	PromptTokens     int64 `cbor:"5,keyasint" json:"prompt_tokens"`
+	CompletionTokens int64 `cbor:"6,keyasint" json:"answer_tokens"`
 	// Micros is the price in millionths of the billing currency.
 	Micros  int64   `cbor:"7,keyasint" json:"micros"`
 	Outcome Outcome `cbor:"8,keyasint" json:"outcome"`
-	// UnixMillis is when the request ended.
+	// UnixMillis is the end time of the request in Unix milliseconds.
 	UnixMillis int64 `cbor:"9,keyasint" json:"unix_ms"`
-	// Daemon is where it ended.
+	// Daemon is the ID of the daemon at which the request ended.
 	Daemon string `cbor:"10,keyasint" json:"daemon"`
-	// FirstTokenMillis is the first-token latency in ms.
+	// FirstTokenMillis is the time to the first token in ms.
 	FirstTokenMillis int64 `cbor:"11,keyasint,omitempty" json:"first_token_ms"`
-	// FailureDomain is where the answering server runs.
+	// FailureDomain is the failure domain of the server that sent the response.
 	FailureDomain string `cbor:"12,keyasint,omitempty" json:"failure_domain,omitempty"`
 }
 
-// Buffer holds a daemon's records until the log has confirmed them. Its size is
-// bounded: at the bound new requests are refused before they run, since work
-// that cannot be billed must not start.
+// Buffer holds the usage records of a daemon until the log has confirmed them. Its size
+// is limited: when it is full, new requests are rejected, because requests that cannot
+// be billed must not run.
 type Buffer struct {
 	limit    int
 	records  []UsageRecord
 	inFlight int
-	// reserved counts requests that run and will need a place.
+	// reserved is the number of running requests, each of which will add a record.
 	reserved int
-	// unprotected says that a record found no place to survive this VM.
+	// unprotected is set while records exist on this VM only.
 	unprotected bool
-	// added and confirmed count records over the buffer's life.
+	// added and confirmed are the total numbers of records added and confirmed.
 	added, confirmed uint64
 }
 
 // NewBuffer returns a buffer for up to limit records.
 func NewBuffer(limit int) *Buffer { return &Buffer{limit: limit} }
 
-// Reserve takes a place for a request before it runs.
+// Reserve reserves space for the record of a request before it runs. It returns an error
+// if the buffer is full or its records are unprotected.
 func (b *Buffer) Reserve() error {
 	if b.unprotected {
 		return fault.New(fault.UsageUnprotected, "%d usage records exist on this VM only", len(b.records))
@@ -73,11 +74,11 @@
 	return nil
 }
 
-// Release gives a reserved place back unused.
+// Release cancels a reservation.
 func (b *Buffer) Release() { b.reserved = max(0, b.reserved-1) }
 
-// Add stores a record in a reserved place and returns its place in the order
-// of confirmation.
+// Add adds a record, using one reservation, and returns its sequence number, starting
+// at 1.
 func (b *Buffer) Add(u UsageRecord) uint64 {
 	b.Release()
 	b.records = append(b.records, u)
@@ -85,31 +86,32 @@
 	return b.added
 }
 
-// Confirmed reports whether the log has the record of a place. A batch that was
-// under way when the record was added does not hold it.
-func (b *Buffer) Confirmed(place uint64) bool { return place <= b.confirmed }
+// Confirmed reports whether the log has confirmed the record with the given sequence
+// number.
+func (b *Buffer) Confirmed(sequence uint64) bool { return sequence <= b.confirmed }
 
 // Len returns the number of unconfirmed records.
 func (b *Buffer) Len() int { return len(b.records) }
 
-// SetUnprotected records whether records can be given to the log or to a keeper. While
-// they cannot, new requests are refused: their bills would be lost with this VM.
-func (b *Buffer) SetUnprotected(exposed bool) { b.unprotected = exposed }
+// SetUnprotected sets whether records can be copied neither to the log nor to another
+// daemon. New requests are then rejected, because their records would be lost with this
+// VM.
+func (b *Buffer) SetUnprotected(unprotected bool) { b.unprotected = unprotected }
 
-// LastConfirmed returns the place up to which the log has the records.
+// LastConfirmed returns the sequence number of the last confirmed record.
 func (b *Buffer) LastConfirmed() uint64 { return b.confirmed }
 
-// NextBatch returns up to most records to append, or none while a batch is in
-// flight. The records stay until Confirm.
-func (b *Buffer) NextBatch(most int) []UsageRecord {
+// NextBatch returns up to limit records to append, or none while a batch is in flight.
+// The records stay in the buffer until ConfirmBatch.
+func (b *Buffer) NextBatch(limit int) []UsageRecord {
 	if b.inFlight > 0 || len(b.records) == 0 {
 		return nil
 	}
-	b.inFlight = min(most, len(b.records))
+	b.inFlight = min(limit, len(b.records))
 	return slices.Clone(b.records[:b.inFlight])
 }
 
-// ConfirmBatch drops the batch in flight.
+// ConfirmBatch removes the batch in flight after the log has confirmed it.
 func (b *Buffer) ConfirmBatch() {
 	b.records = append([]UsageRecord(nil), b.records[b.inFlight:]...)
 	b.confirmed += uint64(b.inFlight)
@@ -117,25 +119,26 @@
 	b.inFlight = 0
 }
 
-// RetryBatch makes the batch in flight eligible again. The log may have taken it
-// although its reply was lost; Ledger drops the second copy.
+// RetryBatch returns the batch in flight to the buffer after a failed append. If the log
+// had stored it nevertheless, Ledger ignores the duplicates.
 func (b *Buffer) RetryBatch() { b.inFlight = 0 }
 
-// Ledger folds usage records of the log to one bill a request.
+// Ledger aggregates the usage records of the log, keeping one record per request.
 type Ledger struct {
 	records    map[string]UsageRecord
 	Duplicates int
-	// Conflicting are requests whose copies disagree.
+	// Conflicting are the IDs of requests with duplicates that differ from the first
+	// record.
 	Conflicting []string
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{records: map[string]UsageRecord{}} }
 
-// Apply folds one record. The first record of a request stands.
+// Apply adds a record. Only the first record of a request is kept.
 func (l *Ledger) Apply(u UsageRecord) {
-	old, known := l.records[u.RequestID]
-	if !known {
+	old, exists := l.records[u.RequestID]
+	if !exists {
 		l.records[u.RequestID] = u
 		return
 	}
@@ -145,19 +148,19 @@
 	}
 }
 
-// Len returns the number of bills.
+// Len returns the number of requests.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// Record returns the bill of a request.
+// Record returns the record of a request.
 func (l *Ledger) Record(request string) (UsageRecord, bool) {
 	u, ok := l.records[request]
 	return u, ok
 }
 
-// Records returns every bill by request id. The map is the ledger's own.
+// Records returns all records by request ID. The map must not be modified.
 func (l *Ledger) Records() map[string]UsageRecord { return l.records }
 
-// LineItem is the sum of one workspace's bills for one model and version.
+// LineItem is the total usage of one workspace for one model and version.
 type LineItem struct {
 	Workspace string `json:"workspace"`
 	Model     string `json:"model"`
@@ -168,26 +171,26 @@
 	Micros    int64  `json:"micros"`
 }
 
-// LineItems sums the bills, ordered by workspace, model and version.
+// LineItems returns the totals ordered by workspace, model and version.
 func (l *Ledger) LineItems() []LineItem {
-	sums := map[string]*LineItem{}
+	totals := map[string]*LineItem{}
 	for _, u := range l.records {
 		key := fmt.Sprintf("%s\x00%s\x00%s", u.Workspace, u.Model, u.Version)
-		s := sums[key]
-		if s == nil {
-			s = &LineItem{Workspace: u.Workspace, Model: u.Model, Version: u.Version}
-			sums[key] = s
+		total := totals[key]
+		if total == nil {
+			total = &LineItem{Workspace: u.Workspace, Model: u.Model, Version: u.Version}
+			totals[key] = total
 		}
-		s.Requests++
-		s.Tokens += u.PromptTokens + u.AnswerTokens
-		s.Micros += u.Micros
+		total.Requests++
+		total.Tokens += u.PromptTokens + u.CompletionTokens
+		total.Micros += u.Micros
 		if u.Outcome == Truncated {
-			s.Truncated++
+			total.Truncated++
 		}
 	}
-	out := make([]LineItem, 0, len(sums))
-	for _, s := range sums {
-		out = append(out, *s)
+	out := make([]LineItem, 0, len(totals))
+	for _, total := range totals {
+		out = append(out, *total)
 	}
 	slices.SortFunc(out, func(a, b LineItem) int {
 		return strings.Compare(a.Workspace+"\x00"+a.Model+"\x00"+a.Version, b.Workspace+"\x00"+b.Model+"\x00"+b.Version)
@@ -195,11 +198,10 @@
 	return out
 }
 
-// tokensPerPriceUnit is the number of tokens a version's price is given for.
+// tokensPerPriceUnit is the number of tokens to which a price applies.
 const tokensPerPriceUnit = 1000
 
-// Price returns the price of tokens in micros, rounded up so that a short
-// answer is never free.
+// Price returns the price of tokens in micros, rounded up so that no response is free.
 func Price(tokens, microsPerKiloToken int64) int64 {
 	return (tokens*microsPerKiloToken + tokensPerPriceUnit - 1) / tokensPerPriceUnit
 }
--- a/internal/billing/billing_test.go
+++ b/internal/billing/billing_test.go
@@ -7,12 +7,9 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// Symptom: a bill is missing although its answer was delivered.
-// Sequence: a batch is under way to the log; a record is added; the batch is
-// confirmed; the answer of the new record ends; the daemon is lost.
-// Cause: the confirmation was taken for the new record's, which the batch did
-// not hold.
-func TestConfirmationCoversItsOwnBatchOnly(t *testing.T) {
+// Guards against treating a record as confirmed that was added while an earlier batch was
+// in flight.
+func TestConfirmBatchConfirmsOnlyItsRecords(t *testing.T) {
 	b := NewBuffer(10)
 	first := b.Add(UsageRecord{RequestID: "a"})
 	if batch := b.NextBatch(10); len(batch) != 1 {
@@ -21,44 +18,42 @@
 	second := b.Add(UsageRecord{RequestID: "b"})
 	b.ConfirmBatch()
 	if !b.Confirmed(first) || b.Confirmed(second) || b.Len() != 1 {
-		t.Fatalf("first %v, second %v, left %d", b.Confirmed(first), b.Confirmed(second), b.Len())
+		t.Fatalf("first %v, second %v, %d unconfirmed", b.Confirmed(first), b.Confirmed(second), b.Len())
 	}
 }
 
 func TestBufferIsBounded(t *testing.T) {
 	b := NewBuffer(2)
-	for place := range 2 {
+	for i := range 2 {
 		if err := b.Reserve(); err != nil {
-			t.Fatalf("place %d: %v", place, err)
+			t.Fatalf("reservation %d: %v", i, err)
 		}
 	}
 	if err := b.Reserve(); !fault.Is(err, fault.BillingBacklog) {
-		t.Fatalf("a third place: %v", err)
+		t.Fatalf("reservation over the limit: %v", err)
 	}
 	b.Release()
 	b.Add(UsageRecord{RequestID: "a"})
 	if b.Reserve() != nil {
-		t.Fatal("the released place is lost")
+		t.Fatal("released reservation cannot be reused")
 	}
 	b.SetUnprotected(true)
 	if err := b.Reserve(); !fault.Is(err, fault.UsageUnprotected) {
-		t.Fatalf("exposed: %v", err)
+		t.Fatalf("unprotected: %v", err)
 	}
 	b.NextBatch(10)
 	b.ConfirmBatch()
 	if err := b.Reserve(); err != nil {
-		t.Fatalf("after the log confirmed: %v", err)
+		t.Fatalf("after confirmation: %v", err)
 	}
 }
 
-// Symptom: a request is billed twice after an outage of the log.
-// Sequence: an append acts and its reply is lost; the batch is appended again;
-// a keeper appends its copy too.
-// Cause: records of one request must fold to one.
-func TestRepeatedAppendsFoldToOneBill(t *testing.T) {
+// Guards against billing a request twice when a batch is appended again after a lost reply
+// or by another daemon that holds a copy.
+func TestLedgerIgnoresDuplicates(t *testing.T) {
 	b, log := NewBuffer(100), []UsageRecord{}
 	for i := range 5 {
-		b.Add(UsageRecord{RequestID: fmt.Sprint(i), Workspace: "w", Model: "m", Version: "v", AnswerTokens: 10, Micros: 7})
+		b.Add(UsageRecord{RequestID: fmt.Sprint(i), Workspace: "w", Model: "m", Version: "v", CompletionTokens: 10, Micros: 7})
 	}
 	log = append(log, b.NextBatch(3)...)
 	b.RetryBatch()
@@ -69,13 +64,13 @@
 	for _, u := range log {
 		l.Apply(u)
 	}
-	lines := l.LineItems()
-	if l.Len() != 5 || l.Duplicates != 4 || len(lines) != 1 || lines[0].Requests != 5 || lines[0].Micros != 35 || len(l.Conflicting) != 0 {
-		t.Fatalf("%d bills, %d duplicates, %+v, doubtful %v", l.Len(), l.Duplicates, lines, l.Conflicting)
+	items := l.LineItems()
+	if l.Len() != 5 || l.Duplicates != 4 || len(items) != 1 || items[0].Requests != 5 || items[0].Micros != 35 || len(l.Conflicting) != 0 {
+		t.Fatalf("%d records, %d duplicates, %+v, conflicting %v", l.Len(), l.Duplicates, items, l.Conflicting)
 	}
 	l.Apply(UsageRecord{RequestID: "0", Micros: 9})
 	if u, _ := l.Record("0"); u.Micros != 7 || len(l.Conflicting) != 1 {
-		t.Fatalf("a differing copy: %+v, doubtful %v", u, l.Conflicting)
+		t.Fatalf("conflicting duplicate: %+v, conflicting %v", u, l.Conflicting)
 	}
 }
 
--- a/internal/daemon/account.go
+++ b/internal/daemon/account.go
@@ -71,7 +71,7 @@
 	for _, s := range st.steps {
 		u.Model, u.Version = s.model, s.version
 		u.PromptTokens += s.prompt
-		u.AnswerTokens += s.answer
+		u.CompletionTokens += s.answer
 		u.Micros += billing.Price(s.prompt+s.answer, s.microsPerKiloTokens)
 	}
 	return d.usage.add(ctx, u)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -164,7 +164,7 @@
 		}
 		chats++
 		micros += u.Micros
-		dear += billing.Price(u.PromptTokens+u.AnswerTokens, dearPrice)
+		dear += billing.Price(u.PromptTokens+u.CompletionTokens, dearPrice)
 	}
 	ms := func(q float64) float64 { return float64(t.firstToken.ValueAtQuantile(q)) / 1000 }
 	fmt.Fprintf(out, "\nrequests            %6d\n", t.asked)
--- a/lab/history/serve.go
+++ b/lab/history/serve.go
@@ -223,7 +223,7 @@
 // bill stores the usage record where it survives this daemon, then answers.
 func (c *call) bill() {
 	d := c.d
-	u := billing.UsageRecord{RequestID: c.id, Workspace: workspace, Model: "m", Version: c.pin.Version, Outcome: billing.Complete, AnswerTokens: frames}
+	u := billing.UsageRecord{RequestID: c.id, Workspace: workspace, Model: "m", Version: c.pin.Version, Outcome: billing.Complete, CompletionTokens: frames}
 	place := d.buffer.Add(u)
 	answer := func() {
 		if c.key == "" {
