--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault holds the one closed list of error kinds and the table that
-// turns a kind into an answer. Nothing outside this package chooses an HTTP
-// status or decides whether a caller may repeat a request.
+// Package fault defines the error kinds and, for each kind, the HTTP status, the
+// execution state and the retry advice returned to callers. No other package chooses
+// these.
 package fault
 
 import (
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// ExecutionState tells a caller whether its request was executed by a backend server.
+// ExecutionState states whether a request was executed by a backend server.
 type ExecutionState string
 
 const (
-	// NotRun means no backend server started the request; repeating it is safe.
+	// NotRun means that no backend server started the request, so it is safe to repeat.
 	NotRun ExecutionState = "not_run"
-	// Ran means a backend server executed the request at least in part.
+	// Ran means that a backend server executed at least part of the request.
 	Ran ExecutionState = "ran"
-	// Unknown means execution can be neither proven nor excluded.
+	// Unknown means that the request may have been executed.
 	Unknown ExecutionState = "unknown"
 )
 
-// Kind names one class of failure. The list is closed: Kinds returns all.
+// Kind is a class of errors. Specs lists all kinds.
 type Kind string
 
-// The closed list of kinds.
+// All error kinds.
 const (
 	BadRequest         Kind = "bad_request"
 	Unauthorized       Kind = "unauthorized"
@@ -58,52 +58,52 @@
 	Internal           Kind = "internal"
 )
 
-// Spec is one row of the table from kind to answer.
+// Spec specifies how errors of a kind are returned to callers.
 type Spec struct {
 	Kind Kind
 	// Status is the HTTP status code.
 	Status int
-	// Execution is the execution state a refusal of this kind claims unless the
-	// error itself carries a less certain one.
+	// Execution is the execution state of errors of this kind, unless the error
+	// overrides it.
 	Execution ExecutionState
-	// Retryable says whether another attempt inside the system may succeed.
+	// Retryable is set if another attempt on a different server may succeed.
 	Retryable bool
-	// RetryAfter is the default advice to the caller; zero omits the header.
+	// RetryAfter is the default value of the Retry-After header; zero omits it.
 	RetryAfter time.Duration
-	// Description is the sentence shown in docs/ERRORS.md.
+	// Description is the text in docs/ERRORS.md.
 	Description string
 }
 
 var specs = []Spec{
 	{BadRequest, http.StatusBadRequest, NotRun, false, 0, "The request is malformed; the detail names the field."},
-	{Unauthorized, http.StatusUnauthorized, NotRun, false, 0, "No workspace or operator owns the presented key."},
+	{Unauthorized, http.StatusUnauthorized, NotRun, false, 0, "The API key does not belong to a workspace or an operator."},
 	{NotEntitled, http.StatusForbidden, NotRun, false, 0, "The workspace may not use this model, version, cascade or service."},
 	{UnknownModel, http.StatusNotFound, NotRun, false, 0, "No model, cascade or service of this name is configured."},
-	{NotFound, http.StatusNotFound, NotRun, false, 0, "No such resource."},
-	{TooLarge, http.StatusRequestEntityTooLarge, NotRun, false, 0, "The body exceeds the limit in the settings."},
-	{RateLimited, http.StatusTooManyRequests, NotRun, false, time.Second, "The workspace has used up its request or token limit for the window."},
+	{NotFound, http.StatusNotFound, NotRun, false, 0, "The resource does not exist."},
+	{TooLarge, http.StatusRequestEntityTooLarge, NotRun, false, 0, "The request body exceeds the configured limit."},
+	{RateLimited, http.StatusTooManyRequests, NotRun, false, time.Second, "The workspace has reached its request or token limit."},
 	{Overloaded, http.StatusServiceUnavailable, NotRun, false, time.Second, "No backend server can start the request before its deadline."},
-	{DeadlineExceeded, http.StatusGatewayTimeout, Unknown, false, 0, "The deadline passed before the answer was complete."},
-	{NoServer, http.StatusServiceUnavailable, NotRun, true, 2 * time.Second, "No live backend server holds an allowed version."},
-	{Warming, http.StatusServiceUnavailable, NotRun, true, time.Second, "The backend servers that are left have just started and have had what they bear until they are warm."},
-	{Evacuated, http.StatusServiceUnavailable, NotRun, true, 2 * time.Second, "The backend servers that are left stand in failure domains that an operator has evacuated."},
-	{VersionWithdrawn, http.StatusGone, NotRun, false, 0, "The requested version is withdrawn and names no successor the workspace may use."},
-	{SessionRefused, http.StatusForbidden, NotRun, false, 0, "The session token is forged, expired or belongs to another workspace."},
-	{ConfigurationStale, http.StatusServiceUnavailable, NotRun, false, 2 * time.Second, "This daemon cannot show that its configuration is current; another address may serve."},
-	{BaseStale, http.StatusConflict, NotRun, false, 0, "The patch was written against a configuration number no longer in force."},
-	{InvalidPatch, http.StatusUnprocessableEntity, NotRun, false, 0, "The patch does not lead to a valid configuration."},
-	{KeyReused, http.StatusUnprocessableEntity, NotRun, false, 0, "The idempotency key was used before with another body."},
+	{DeadlineExceeded, http.StatusGatewayTimeout, Unknown, false, 0, "The deadline passed before the response was complete."},
+	{NoServer, http.StatusServiceUnavailable, NotRun, true, 2 * time.Second, "No live backend server serves an allowed version."},
+	{Warming, http.StatusServiceUnavailable, NotRun, true, time.Second, "The remaining backend servers are warming up and have reached their request rate limit."},
+	{Evacuated, http.StatusServiceUnavailable, NotRun, true, 2 * time.Second, "The remaining backend servers are in failure domains that an operator has evacuated."},
+	{VersionWithdrawn, http.StatusGone, NotRun, false, 0, "The requested version is withdrawn and has no successor that the workspace may use."},
+	{SessionRefused, http.StatusForbidden, NotRun, false, 0, "The session token has an invalid signature, was signed with a retired key, or belongs to another workspace."},
+	{ConfigurationStale, http.StatusServiceUnavailable, NotRun, false, 2 * time.Second, "This daemon cannot verify that its configuration is current; retry at another address."},
+	{BaseStale, http.StatusConflict, NotRun, false, 0, "The patch is based on a configuration number that is no longer current."},
+	{InvalidPatch, http.StatusUnprocessableEntity, NotRun, false, 0, "The patch is malformed or results in an invalid configuration."},
+	{KeyReused, http.StatusUnprocessableEntity, NotRun, false, 0, "The idempotency key was already used with a different body."},
 	{KeyInProgress, http.StatusConflict, Unknown, false, time.Second, "A request with this idempotency key is still executing."},
-	{AnswerUnavailable, http.StatusConflict, Unknown, false, 0, "The request with this idempotency key may have executed and its answer cannot be recovered."},
-	{LogUnavailable, http.StatusServiceUnavailable, NotRun, false, 5 * time.Second, "The log service does not answer, so a non-repeatable request cannot be claimed."},
-	{BillingBacklog, http.StatusServiceUnavailable, NotRun, false, 5 * time.Second, "Unconfirmed usage records have reached their memory bound."},
-	{UsageUnprotected, http.StatusServiceUnavailable, NotRun, false, 2 * time.Second, "Neither the log nor another daemon can be given usage records. A request that ran by then is answered without its terminal mark and says ran."},
-	{EngineRefused, http.StatusServiceUnavailable, NotRun, true, time.Second, "The backend server proved that it did not start the request."},
+	{AnswerUnavailable, http.StatusConflict, Unknown, false, 0, "The request with this idempotency key may have been executed, and its response is not available."},
+	{LogUnavailable, http.StatusServiceUnavailable, NotRun, false, 5 * time.Second, "The log service is unavailable, so the idempotency key of a non-repeatable request cannot be claimed."},
+	{BillingBacklog, http.StatusServiceUnavailable, NotRun, false, 5 * time.Second, "The buffer of unconfirmed usage records is full."},
+	{UsageUnprotected, http.StatusServiceUnavailable, NotRun, false, 2 * time.Second, "Usage records can be written neither to the log nor to another daemon. A request that has already run gets a response without its terminal event and with the state ran."},
+	{EngineRefused, http.StatusServiceUnavailable, NotRun, true, time.Second, "The backend server confirmed that it did not start the request."},
 	{EngineFailed, http.StatusBadGateway, Unknown, false, time.Second, "The backend server failed after the request was sent to it."},
 	{CallerLeft, 499, Unknown, false, 0, "The caller closed its connection."},
-	{Quarantined, http.StatusServiceUnavailable, NotRun, false, time.Hour, "Backend servers ended that ran this request, so it is kept from them for as long as the advice says. An attempt that ran before is answered engine_failed."},
-	{ShuttingDown, http.StatusServiceUnavailable, NotRun, false, time.Second, "This daemon is leaving; ask /v1/endpoints for another address."},
-	{Internal, http.StatusInternalServerError, Unknown, false, 0, "A defect in the router."},
+	{Quarantined, http.StatusServiceUnavailable, NotRun, false, time.Hour, "Backend servers terminated while running this request, so it is not sent to them until the advised time has passed. If an attempt already ran, engine_failed is returned instead."},
+	{ShuttingDown, http.StatusServiceUnavailable, NotRun, false, time.Second, "This daemon is shutting down; get another address from /v1/endpoints."},
+	{Internal, http.StatusInternalServerError, Unknown, false, 0, "An internal error of the router."},
 }
 
 var byKind = func() map[Kind]Spec {
@@ -114,10 +114,10 @@
 	return m
 }()
 
-// Specs returns the whole table in its documented order.
+// Specs returns the specs of all kinds in the order of the documentation.
 func Specs() []Spec { return append([]Spec(nil), specs...) }
 
-// Lookup returns the answer for k. An unlisted kind yields the row of Internal.
+// Lookup returns the spec of a kind, or that of Internal if the kind is unknown.
 func Lookup(k Kind) Spec {
 	if a, ok := byKind[k]; ok {
 		return a
@@ -125,18 +125,18 @@
 	return byKind[Internal]
 }
 
-// Error is a failure of a listed kind.
+// Error is an error of one of the kinds.
 type Error struct {
 	Kind Kind
-	// Execution overrides the table's execution state when set.
+	// Execution overrides the execution state of the kind if it is not empty.
 	Execution ExecutionState
-	// Detail is shown to the caller and must hold no secret.
+	// Detail is returned to the caller and must not contain secrets.
 	Detail string
-	// Field names the offending input, if there is one.
+	// Field is the name of the invalid input field, if any.
 	Field string
-	// RetryAfter overrides the table's advice when positive.
+	// RetryAfter overrides the default of the kind if it is positive.
 	RetryAfter time.Duration
-	// Cause is logged and never shown.
+	// Cause is logged and not returned to the caller.
 	Cause error
 }
 
@@ -145,12 +145,12 @@
 	return &Error{Kind: k, Detail: fmt.Sprintf(format, args...)}
 }
 
-// NewField returns an error of kind k about one named input field.
+// NewField returns an error of kind k for an input field.
 func NewField(k Kind, field, format string, args ...any) *Error {
 	return &Error{Kind: k, Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Error implements error.
+// Error implements error. The result includes the cause.
 func (e *Error) Error() string {
 	s := string(e.Kind)
 	if e.Field != "" {
@@ -175,21 +175,21 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy of e that advises a retry after d.
+// WithRetryAfter returns a copy of e that advises the caller to retry after d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// WithCause returns a copy of e with the cause attached.
+// WithCause returns a copy of e with the given cause.
 func (e *Error) WithCause(err error) *Error {
 	c := *e
 	c.Cause = err
 	return &c
 }
 
-// ExecutionState returns the execution state that e claims.
+// ExecutionState returns the execution state of the request that failed with e.
 func (e *Error) ExecutionState() ExecutionState {
 	if e.Execution != "" {
 		return e.Execution
@@ -197,7 +197,8 @@
 	return Lookup(e.Kind).Execution
 }
 
-// RetryDelay returns how long the caller should wait before trying again, or zero.
+// RetryDelay returns how long the caller should wait before a retry, or zero if none is
+// advised.
 func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -205,7 +206,7 @@
 	return Lookup(e.Kind).RetryAfter
 }
 
-// FromError finds the listed error inside err. An unlisted one becomes Internal.
+// FromError returns the Error in the chain of err, or an Internal error caused by err.
 func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -214,7 +215,7 @@
 	return &Error{Kind: Internal, Detail: "internal error", Cause: err}
 }
 
-// Is reports whether err carries kind k.
+// Is reports whether the chain of err contains an Error of kind k.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
