--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -54,8 +54,8 @@
 	// Incarnation is the run of the owner that the sequence numbers belong to.
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// FirstSequence is the sequence number of the first record.
-	FirstSequence uint64          `cbor:"3,keyasint"`
-	Records       []billing.Usage `cbor:"4,keyasint"`
+	FirstSequence uint64                `cbor:"3,keyasint"`
+	Records       []billing.UsageRecord `cbor:"4,keyasint"`
 }
 
 // ConfirmUsageRequest confirms to a replica that the log has an owner's records up to and
@@ -68,7 +68,7 @@
 
 // LeaseRequest requests a lease from the owner of a meter.
 type LeaseRequest struct {
-	Request quota.Ask `cbor:"1,keyasint"`
+	Request quota.LeaseRequest `cbor:"1,keyasint"`
 }
 
 // EvidenceReport sends a daemon's evidence on a roll-out stage to the owner of the roll-out.
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -2,203 +2,204 @@
 
 import "time"
 
-// Ask is a daemon's request for a lease.
-type Ask struct {
-	// Meter names the workspace and what is limited.
-	Meter string `cbor:"1,keyasint"`
-	Want  int64  `cbor:"2,keyasint"`
-	// Unused is the part of the last lease that was not spent, and Bucket the
-	// window's bucket the lease stands in. Taking it out of a later bucket would
-	// free the room twice: now, and when the lease's bucket expires.
-	Unused int64 `cbor:"3,keyasint,omitempty"`
-	Bucket int64 `cbor:"6,keyasint,omitempty"`
-	// Homeless is what was spent without a lease while no home answered.
-	Homeless int64 `cbor:"7,keyasint,omitempty"`
-	// Known is the newest history the daemon heard, for a home that has none.
-	// It is left out once the home's epoch is known to it.
-	Known *History `cbor:"4,keyasint,omitempty"`
-	// Limit is the limit in force at the daemon.
+// LeaseRequest is a daemon's request to the lessor of a meter.
+type LeaseRequest struct {
+	// Meter identifies the workspace and the limited quantity.
+	Meter     string `cbor:"1,keyasint"`
+	Requested int64  `cbor:"2,keyasint"`
+	// Unused is the unspent part of the last lease, and UnusedBucket the bucket in
+	// which the lessor counted that lease. Subtracting it from a later bucket would
+	// release the amount twice: now, and when the bucket of the lease expires.
+	Unused       int64 `cbor:"3,keyasint,omitempty"`
+	UnusedBucket int64 `cbor:"6,keyasint,omitempty"`
+	// UnleasedSpend is the amount spent without a lease while the lessor was
+	// unreachable.
+	UnleasedSpend int64 `cbor:"7,keyasint,omitempty"`
+	// Snapshot is the newest window received by the daemon, from which a new lessor
+	// restores its state. It is omitted if that window is from the current epoch.
+	Snapshot *WindowSnapshot `cbor:"4,keyasint,omitempty"`
+	// Limit is the limit configured at the daemon.
 	Limit int64 `cbor:"5,keyasint"`
 }
 
-// Lease is an amount that may be spent until LeaseTerm after it was asked for.
+// Lease is an amount that may be spent until LeaseTTL after it was requested.
 type Lease struct {
 	Amount int64 `cbor:"1,keyasint"`
-	// Epoch identifies the home's incarnation.
+	// Epoch is the lessor's incarnation.
 	Epoch uint64 `cbor:"2,keyasint"`
-	// History is the home's window after this lease.
-	History History `cbor:"3,keyasint"`
-	// RetryAfter is set when Amount falls short of what was wanted.
+	// Snapshot is the lessor's window after this lease.
+	Snapshot WindowSnapshot `cbor:"3,keyasint"`
+	// RetryAfter is the time until the requested amount is available. It is set if
+	// Amount is less than requested.
 	RetryAfter time.Duration `cbor:"4,keyasint"`
 }
 
-// Home holds the windows of the meters it is home of.
-type Home struct {
-	epoch  uint64
-	meters map[string]*Window
+// Lessor grants leases and holds the windows of its meters.
+type Lessor struct {
+	epoch   uint64
+	windows map[string]*Window
 }
 
-// NewHome returns a home with no history.
-func NewHome(epoch uint64) *Home { return &Home{epoch: epoch, meters: map[string]*Window{}} }
+// NewLessor returns a lessor with empty windows.
+func NewLessor(epoch uint64) *Lessor { return &Lessor{epoch: epoch, windows: map[string]*Window{}} }
 
-// Grant answers an ask. An amount leased at t may be spent until t+LeaseTerm,
-// so the home bounds leases over Span+LeaseTerm: no span of spending can then
-// hold more than the limit.
-func (h *Home) Grant(now time.Time, a Ask) Lease {
-	w := h.meters[a.Meter]
+// Grant handles a lease request. An amount leased at t may be spent until t+LeaseTTL,
+// so the leases of any WindowSpan+LeaseTTL are limited: the spending in any WindowSpan
+// then stays within the limit.
+func (l *Lessor) Grant(now time.Time, req LeaseRequest) Lease {
+	w := l.windows[req.Meter]
 	if w == nil {
 		w = &Window{}
-		h.meters[a.Meter] = w
+		l.windows[req.Meter] = w
 	}
-	if a.Known != nil {
-		w.Merge(now, *a.Known)
+	if req.Snapshot != nil {
+		w.Merge(now, *req.Snapshot)
 	}
-	w.AddAt(now, a.Bucket, -a.Unused)
-	w.Add(now, a.Homeless)
-	free := max(0, a.Limit-w.Sum(now, Span+LeaseTerm))
-	l := Lease{Amount: min(a.Want, free), Epoch: h.epoch}
-	w.Add(now, l.Amount)
-	l.History = w.History(now)
-	if l.Amount < a.Want {
-		l.RetryAfter = w.FreeAt(now, Span+LeaseTerm, a.Limit, a.Want)
+	w.AddToBucket(now, req.UnusedBucket, -req.Unused)
+	w.Add(now, req.UnleasedSpend)
+	available := max(0, req.Limit-w.Sum(now, WindowSpan+LeaseTTL))
+	lease := Lease{Amount: min(req.Requested, available), Epoch: l.epoch}
+	w.Add(now, lease.Amount)
+	lease.Snapshot = w.Snapshot(now)
+	if lease.Amount < req.Requested {
+		lease.RetryAfter = w.TimeUntilFree(now, WindowSpan+LeaseTTL, req.Limit, req.Requested)
 	}
-	return l
+	return lease
 }
 
-// Share is a daemon's side of one meter.
-type Share struct {
-	meter   string
-	spent   Window
-	amount  int64
-	expires time.Time
-	unused  int64
-	bucket  int64
-	epoch   uint64
-	known   History
-	// ceiling caps the own window while no home answers; homeless is what was
-	// spent under it.
-	ceiling  int64
-	homeless int64
-	lost     bool
-	// askAgain ends the spending without a lease until the home was asked once
-	// more. Without it a daemon would go on under its ceiling while a new home,
-	// unaware of it, leases the same room to others.
-	askAgain time.Time
-	// deniedUntil is when to ask again after the home had nothing.
+// Limiter enforces the limit of one meter at a daemon, using leases from the lessor.
+// It is not safe for concurrent use.
+type Limiter struct {
+	meter        string
+	spent        Window
+	available    int64
+	expires      time.Time
+	unused       int64
+	unusedBucket int64
+	lessorEpoch  uint64
+	snapshot     WindowSnapshot
+	// offlineLimit limits the daemon's own spending per WindowSpan while the lessor is
+	// unreachable; unleasedSpend is the amount spent in that state.
+	offlineLimit      int64
+	unleasedSpend     int64
+	lessorUnreachable bool
+	// offlineUntil ends spending without a lease until the lessor has been tried
+	// again. Otherwise a new lessor could lease the same amount to other daemons.
+	offlineUntil time.Time
+	// deniedUntil is the time of the next request after the lessor had nothing to
+	// lease.
 	deniedUntil time.Time
 	rate        float64
 	rateAt      time.Time
 }
 
-// NewShare returns a share with nothing leased.
-func NewShare(meter string) *Share { return &Share{meter: meter} }
-
-// TrySpend takes n from the lease and reports whether it was there. While no
-// home answers, a daemon may keep its own window at the level it had when the
-// home was lost: the sum over all daemons then stays within the limit without
-// any of them knowing the others.
-func (s *Share) TrySpend(now time.Time, n int64) bool {
-	s.expire(now)
-	if s.lost {
-		if !now.Before(s.askAgain) || s.spent.Sum(now, Span)+n > s.ceiling {
+// NewLimiter returns a limiter without a lease.
+func NewLimiter(meter string) *Limiter { return &Limiter{meter: meter} }
+
+// TryAcquire spends n from the lease and reports whether the lease covered it. While
+// the lessor is unreachable, the daemon may spend as much per WindowSpan as it had spent
+// when contact was lost, so that the sum over all daemons stays within the limit.
+func (l *Limiter) TryAcquire(now time.Time, n int64) bool {
+	l.expire(now)
+	if l.lessorUnreachable {
+		if !now.Before(l.offlineUntil) || l.spent.Sum(now, WindowSpan)+n > l.offlineLimit {
 			return false
 		}
-		s.homeless += n
-		s.record(now, n)
+		l.unleasedSpend += n
+		l.record(now, n)
 		return true
 	}
-	if s.amount < n {
+	if l.available < n {
 		return false
 	}
-	s.amount -= n
-	s.record(now, n)
+	l.available -= n
+	l.record(now, n)
 	return true
 }
 
-func (s *Share) record(now time.Time, n int64) {
-	s.spent.Add(now, n)
-	s.rate = s.rate*decay(now.Sub(s.rateAt)) + float64(n)
-	s.rateAt = now
+func (l *Limiter) record(now time.Time, n int64) {
+	l.spent.Add(now, n)
+	l.rate = l.rate*decay(now.Sub(l.rateAt)) + float64(n)
+	l.rateAt = now
 }
 
 func decay(age time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
-	return max(0, 1-float64(age)/float64(LeaseTerm))
+	return max(0, 1-float64(age)/float64(LeaseTTL))
 }
 
-func (s *Share) expire(now time.Time) {
-	if s.amount > 0 && !now.Before(s.expires) {
-		s.unused += s.amount
-		s.amount = 0
+func (l *Limiter) expire(now time.Time) {
+	if l.available > 0 && !now.Before(l.expires) {
+		l.unused += l.available
+		l.available = 0
 	}
 }
 
-// Settle gives back what a reservation did not use. A reservation counts the
-// most a request may use, so that concurrent requests cannot all pass on the
-// same room.
-func (s *Share) Settle(now time.Time, reserved, used int64) {
-	back := reserved - used
-	s.spent.Add(now, -back)
-	if s.lost {
-		s.homeless -= back
+// Settle returns the unused part of a reservation. Requests reserve the maximum they
+// may use, so that concurrent requests cannot be admitted for the same amount.
+func (l *Limiter) Settle(now time.Time, reserved, used int64) {
+	unused := reserved - used
+	l.spent.Add(now, -unused)
+	if l.lessorUnreachable {
+		l.unleasedSpend -= unused
 		return
 	}
-	s.unused += back
+	l.unused += unused
 }
 
-// Ask returns what to ask the home for: what is needed now plus what the recent
-// rate will use within a lease's term.
-func (s *Share) Ask(now time.Time, need, limit int64, epoch uint64) Ask {
-	s.expire(now)
-	a := Ask{Meter: s.meter, Want: need + int64(s.rate*decay(now.Sub(s.rateAt))), Limit: limit, Unused: s.unused, Bucket: s.bucket, Homeless: s.homeless}
-	s.unused, s.homeless = 0, 0
-	if epoch == 0 || epoch != s.epoch {
-		known := s.known
-		a.Known = &known
+// NewLeaseRequest returns a request for the amount needed now plus the amount that the
+// recent rate will use within LeaseTTL. epoch is the incarnation of the current lessor,
+// or 0 if unknown.
+func (l *Limiter) NewLeaseRequest(now time.Time, need, limit int64, epoch uint64) LeaseRequest {
+	l.expire(now)
+	req := LeaseRequest{Meter: l.meter, Requested: need + int64(l.rate*decay(now.Sub(l.rateAt))), Limit: limit, Unused: l.unused, UnusedBucket: l.unusedBucket, UnleasedSpend: l.unleasedSpend}
+	l.unused, l.unleasedSpend = 0, 0
+	if epoch == 0 || epoch != l.lessorEpoch {
+		snapshot := l.snapshot
+		req.Snapshot = &snapshot
 	}
-	return a
+	return req
 }
 
-// denialTerm bounds how long a daemon takes the home's "nothing left" for true
-// without asking. A workspace far over its limit would otherwise cost its home a
-// message for every refused request.
-const denialTerm = 200 * time.Millisecond
-
-// Denied reports whether the home had nothing a moment ago.
-func (s *Share) Denied(now time.Time) bool { return now.Before(s.deniedUntil) }
-
-// Owes reports whether the home must hear of spending without a lease. A daemon
-// with little demand would otherwise tell it much later, and the new home would
-// lease out room that is used up.
-func (s *Share) Owes() bool { return s.homeless != 0 }
-
-// Granted stores a lease that was asked for at a time.
-func (s *Share) Granted(askedAt time.Time, l Lease) {
-	s.amount += l.Amount
-	s.expires = askedAt.Add(LeaseTerm)
-	s.epoch, s.known, s.lost = l.Epoch, l.History, false
-	s.bucket = l.History.Newest
-	if l.Amount == 0 && l.RetryAfter > 0 {
-		s.deniedUntil = askedAt.Add(min(l.RetryAfter, denialTerm))
+// maxDenialTime is the maximum time for which a denial is cached. Without the cache, a
+// workspace over its limit would cause a lease request for every rejected request.
+const maxDenialTime = 200 * time.Millisecond
+
+// Denied reports whether a recent lease request was denied.
+func (l *Limiter) Denied(now time.Time) bool { return now.Before(l.deniedUntil) }
+
+// HasUnleasedSpend reports whether spending without a lease is yet to be reported to the
+// lessor. It must be reported at once, or a new lessor leases amounts that are already
+// spent.
+func (l *Limiter) HasUnleasedSpend() bool { return l.unleasedSpend != 0 }
+
+// ApplyLease adds a lease that was requested at the given time.
+func (l *Limiter) ApplyLease(requestedAt time.Time, lease Lease) {
+	l.available += lease.Amount
+	l.expires = requestedAt.Add(LeaseTTL)
+	l.lessorEpoch, l.snapshot, l.lessorUnreachable = lease.Epoch, lease.Snapshot, false
+	l.unusedBucket = lease.Snapshot.Newest
+	if lease.Amount == 0 && lease.RetryAfter > 0 {
+		l.deniedUntil = requestedAt.Add(min(lease.RetryAfter, maxDenialTime))
 	}
 }
 
-// Epoch returns the home incarnation that last answered, or 0.
-func (s *Share) Epoch() uint64 { return s.epoch }
-
-// HomeLost records that an ask got no answer. What the ask reported was perhaps
-// not heard: the unused part is forgotten, so that it counts as spent, and what
-// was spent without a home is reported again. Both err on the safe side.
-func (s *Share) HomeLost(now time.Time, failed Ask) {
-	s.expire(now)
-	s.unused = 0
-	s.homeless += failed.Homeless
-	s.askAgain = now.Add(LeaseTerm / 2)
-	if s.lost {
+// LessorEpoch returns the epoch of the last lease, or 0.
+func (l *Limiter) LessorEpoch() uint64 { return l.lessorEpoch }
+
+// LeaseRequestFailed records that a lease request got no reply. The lessor may or may
+// not have applied it, so its unused amount counts as spent and its unleased spending
+// is reported again; neither can lead to spending over the limit.
+func (l *Limiter) LeaseRequestFailed(now time.Time, failed LeaseRequest) {
+	l.expire(now)
+	l.unused = 0
+	l.unleasedSpend += failed.UnleasedSpend
+	l.offlineUntil = now.Add(LeaseTTL / 2)
+	if l.lessorUnreachable {
 		return
 	}
-	s.lost = true
-	s.ceiling = s.spent.Sum(now, Span)
+	l.lessorUnreachable = true
+	l.offlineLimit = l.spent.Sum(now, WindowSpan)
 }
--- a/internal/request/claim.go
+++ b/internal/request/claim.go
@@ -6,178 +6,179 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// ClaimKind says what a record of a claims stream means.
-type ClaimKind string
+// ClaimRecordKind is the type of a record in a claims stream.
+type ClaimRecordKind string
 
 const (
-	// Claimed asks for the right to run a key.
-	Claimed ClaimKind = "claimed"
-	// Finished carries the outcome of the run.
-	Finished ClaimKind = "finished"
-	// Abandoned says that the claim's owner did not and will not run it.
-	Abandoned ClaimKind = "abandoned"
+	// Claimed requests the right to run the request of a key.
+	Claimed ClaimRecordKind = "claimed"
+	// Finished carries the response of the run.
+	Finished ClaimRecordKind = "finished"
+	// Abandoned releases a claim whose request did not run and will not run.
+	Abandoned ClaimRecordKind = "abandoned"
 )
 
-// KeyRetention is how long a key is remembered. It must stay below the log's
-// retention, since a claim that aged out can no longer stop a second run.
+// KeyRetention is how long a key is kept. It must be shorter than the retention of
+// the log: a claim that was deleted from the log cannot prevent a second run.
 const KeyRetention = 24 * time.Hour
 
 // ClaimRecord is one record of a claims stream.
 type ClaimRecord struct {
-	Kind ClaimKind `cbor:"1,keyasint"`
-	// Key is the hash of workspace and idempotency key.
+	Kind ClaimRecordKind `cbor:"1,keyasint"`
+	// Key is the hash of the workspace and the idempotency key.
 	Key string `cbor:"2,keyasint"`
-	// Body is the hash of the request's body.
-	Body string `cbor:"3,keyasint"`
-	// Request identifies the claimant; a repeated append of one claim carries
-	// the same value and counts once.
-	Request string `cbor:"4,keyasint"`
-	// Owner is the daemon and incarnation that runs the request.
+	// BodyHash is the hash of the request body.
+	BodyHash string `cbor:"3,keyasint"`
+	// RequestID identifies the claimant. Repeated appends of one claim carry the
+	// same value.
+	RequestID string `cbor:"4,keyasint"`
+	// Owner is the daemon and incarnation that handles the request.
 	Owner string `cbor:"5,keyasint"`
-	// At is the claimant's time in Unix seconds, used for retention only.
-	At int64 `cbor:"6,keyasint"`
-	// Status and Answer are the outcome of a finished run.
-	Status int    `cbor:"7,keyasint,omitempty"`
-	Answer []byte `cbor:"8,keyasint,omitempty"`
+	// UnixSeconds is the time at the claimant, used for retention only.
+	UnixSeconds int64 `cbor:"6,keyasint"`
+	// Status and Response are the HTTP status and body of a finished run.
+	Status   int    `cbor:"7,keyasint,omitempty"`
+	Response []byte `cbor:"8,keyasint,omitempty"`
 }
 
-// VerdictKind says what a claimant may do.
-type VerdictKind uint8
+// ClaimState is the state of a key for one claimant.
+type ClaimState uint8
 
 const (
-	// Wait means the claim is not folded yet.
-	Wait VerdictKind = iota
-	// Run grants the run to this claimant, once.
-	Run
-	// Replay returns the stored answer.
-	Replay
-	// InProgress means another claimant holds the key.
-	InProgress
-	// Reused means the key stands for another body.
-	Reused
+	// ClaimPending means that no claim of the key has been applied yet.
+	ClaimPending ClaimState = iota
+	// ClaimGranted allows this claimant to run the request once.
+	ClaimGranted
+	// ClaimReplay means that the request finished and its response is stored.
+	ClaimReplay
+	// ClaimInProgress means that another claimant owns the key.
+	ClaimInProgress
+	// ClaimKeyReused means that the key was claimed with a different body.
+	ClaimKeyReused
 )
 
-// Verdict is the state of a key as seen by one claimant.
-type Verdict struct {
-	Kind   VerdictKind
-	Owner  string
-	Status int
-	Answer []byte
+// ClaimResult is the result of resolving a key for one claimant.
+type ClaimResult struct {
+	State    ClaimState
+	Owner    string
+	Status   int
+	Response []byte
 }
 
 type claim struct {
-	body, request, owner string
-	at                   int64
-	finished             bool
-	status               int
-	answer               []byte
+	bodyHash, requestID, owner string
+	unixSeconds                int64
+	finished                   bool
+	status                     int
+	response                   []byte
 }
 
-// Claims folds one claims stream. The first claim of a key that no live claim
-// precedes owns the key; the log's order decides and nothing else does.
-type Claims struct {
-	next  uint64
-	owner map[string]*claim
-	void  map[string]int64
-	// seen holds the time of every claim that was folded, winners' and losers', by
-	// request.
-	seen map[string]int64
+// ClaimTable is the state built from one claims stream. A claim owns its key if no
+// unexpired claim precedes it in log order.
+type ClaimTable struct {
+	nextOffset uint64
+	byKey      map[string]*claim
+	abandoned  map[string]int64
+	// applied maps the request ID of every applied claim to its time, whether or not
+	// the claim was granted.
+	applied map[string]int64
 }
 
-// NewClaims returns an empty fold.
-func NewClaims() *Claims {
-	return &Claims{owner: map[string]*claim{}, void: map[string]int64{}, seen: map[string]int64{}}
+// NewClaimTable returns an empty table that expects offset 0.
+func NewClaimTable() *ClaimTable {
+	return &ClaimTable{byKey: map[string]*claim{}, abandoned: map[string]int64{}, applied: map[string]int64{}}
 }
 
-// Next returns the offset of the next record to fold.
-func (c *Claims) Next() uint64 { return c.next }
+// NextOffset returns the offset of the next record to apply.
+func (c *ClaimTable) NextOffset() uint64 { return c.nextOffset }
 
-// Len returns the number of remembered keys.
-func (c *Claims) Len() int { return len(c.owner) }
+// Len returns the number of claimed keys.
+func (c *ClaimTable) Len() int { return len(c.byKey) }
 
-// Apply folds the record at an offset; repeated offsets are ignored.
-func (c *Claims) Apply(offset uint64, r ClaimRecord) {
-	if offset < c.next {
+// Apply applies the record at an offset. Offsets that were already applied are ignored.
+func (c *ClaimTable) Apply(offset uint64, r ClaimRecord) {
+	if offset < c.nextOffset {
 		return
 	}
-	c.next = offset + 1
+	c.nextOffset = offset + 1
 	switch r.Kind {
 	case Claimed:
-		c.claim(r)
+		c.applyClaim(r)
 	case Finished:
-		if o := c.owner[r.Key]; o != nil && o.request == r.Request {
-			o.finished, o.status, o.answer = true, r.Status, r.Answer
+		if current := c.byKey[r.Key]; current != nil && current.requestID == r.RequestID {
+			current.finished, current.status, current.response = true, r.Status, r.Response
 		}
 	case Abandoned:
-		c.void[r.Request] = r.At
-		if o := c.owner[r.Key]; o != nil && o.request == r.Request && !o.finished {
-			delete(c.owner, r.Key)
+		c.abandoned[r.RequestID] = r.UnixSeconds
+		if current := c.byKey[r.Key]; current != nil && current.requestID == r.RequestID && !current.finished {
+			delete(c.byKey, r.Key)
 		}
 	}
 }
 
-// claim admits a claim only when no live one stands. A loser never inherits the
-// key later: it has told its caller "not run" by then, and granting it the key
-// would lock out everybody else.
-func (c *Claims) claim(r ClaimRecord) {
-	c.seen[r.Request] = r.At
-	if _, void := c.void[r.Request]; void {
+// applyClaim grants the key if it has no unexpired claim. A claim that was not
+// granted never gets the key later: its caller may already have been told that the
+// request did not run, and nobody would release the key.
+func (c *ClaimTable) applyClaim(r ClaimRecord) {
+	c.applied[r.RequestID] = r.UnixSeconds
+	if _, abandoned := c.abandoned[r.RequestID]; abandoned {
 		return
 	}
-	o := c.owner[r.Key]
-	if o != nil && r.At-o.at < int64(KeyRetention/time.Second) {
+	current := c.byKey[r.Key]
+	if current != nil && r.UnixSeconds-current.unixSeconds < int64(KeyRetention/time.Second) {
 		return
 	}
-	c.owner[r.Key] = &claim{body: r.Body, request: r.Request, owner: r.Owner, at: r.At}
+	c.byKey[r.Key] = &claim{bodyHash: r.BodyHash, requestID: r.RequestID, owner: r.Owner, unixSeconds: r.UnixSeconds}
 }
 
-// Verdict judges a claimant's request for a key.
-func (c *Claims) Verdict(key, body, request string) Verdict {
-	o := c.owner[key]
+// Resolve returns the state of a key for the claimant with the given body hash and
+// request ID.
+func (c *ClaimTable) Resolve(key, bodyHash, requestID string) ClaimResult {
+	current := c.byKey[key]
 	switch {
-	case o == nil:
-		return Verdict{Kind: Wait}
-	case o.body != body:
-		return Verdict{Kind: Reused, Owner: o.owner}
-	case o.finished:
-		return Verdict{Kind: Replay, Owner: o.owner, Status: o.status, Answer: o.answer}
-	case o.request == request:
-		return Verdict{Kind: Run, Owner: o.owner}
+	case current == nil:
+		return ClaimResult{State: ClaimPending}
+	case current.bodyHash != bodyHash:
+		return ClaimResult{State: ClaimKeyReused, Owner: current.owner}
+	case current.finished:
+		return ClaimResult{State: ClaimReplay, Owner: current.owner, Status: current.status, Response: current.response}
+	case current.requestID == requestID:
+		return ClaimResult{State: ClaimGranted, Owner: current.owner}
 	}
-	return Verdict{Kind: InProgress, Owner: o.owner}
+	return ClaimResult{State: ClaimInProgress, Owner: current.owner}
 }
 
-// Folded reports whether a claimant's own record has been folded.
-func (c *Claims) Folded(request string) bool {
-	_, folded := c.seen[request]
-	return folded
+// Applied reports whether the claim of a request has been applied.
+func (c *ClaimTable) Applied(requestID string) bool {
+	_, ok := c.applied[requestID]
+	return ok
 }
 
-// Expire forgets keys, void marks and requests past retention.
-func (c *Claims) Expire(now time.Time) {
-	cut := now.Add(-KeyRetention).Unix()
-	for k, o := range c.owner {
-		if o.at < cut {
-			delete(c.owner, k)
+// Expire removes keys, abandonments and request IDs that are past retention.
+func (c *ClaimTable) Expire(now time.Time) {
+	cutoff := now.Add(-KeyRetention).Unix()
+	for key, current := range c.byKey {
+		if current.unixSeconds < cutoff {
+			delete(c.byKey, key)
 		}
 	}
-	for _, times := range []map[string]int64{c.void, c.seen} {
-		for r, at := range times {
-			if at < cut {
-				delete(times, r)
+	for _, times := range []map[string]int64{c.abandoned, c.applied} {
+		for id, at := range times {
+			if at < cutoff {
+				delete(times, id)
 			}
 		}
 	}
 }
 
-// Refusal turns a verdict that forbids the run into the caller's answer. The
-// claimant itself never ran; whether the key's owner did is for the owner to say.
-func (v Verdict) Refusal() *fault.Error {
-	switch v.Kind {
-	case Reused:
-		return fault.Field(fault.KeyReused, "Idempotency-Key", "the key stands for another body")
-	case InProgress:
-		return fault.Field(fault.KeyInProgress, "Idempotency-Key", "a request with this key is held by %s", v.Owner)
+// Err returns the error for a claimant that may not run the request. It applies to
+// this claimant only; the owner of the key may have run its own request.
+func (r ClaimResult) Err() *fault.Error {
+	switch r.State {
+	case ClaimKeyReused:
+		return fault.NewField(fault.KeyReused, "Idempotency-Key", "the key stands for another body")
+	case ClaimInProgress:
+		return fault.NewField(fault.KeyInProgress, "Idempotency-Key", "a request with this key is held by %s", r.Owner)
 	}
 	return fault.New(fault.LogUnavailable, "the claim was not confirmed by the log in time")
 }
--- /dev/null
+++ b/internal/request/retry_state.go
@@ -0,0 +1,167 @@
+package request
+
+import (
+	"time"
+
+	"github.com/damaskrudder/damaskrudder/internal/fault"
+)
+
+// AttemptEvent is an event of an attempt that needs a decision.
+type AttemptEvent uint8
+
+const (
+	// AttemptRefused means that the backend server confirmed that it did not start the run.
+	AttemptRefused AttemptEvent = iota
+	// ConnectFailed means that no connection was established and nothing was sent.
+	ConnectFailed
+	// ConnectionLost means that the connection closed or timed out after the request was sent.
+	ConnectionLost
+	// RunNotFound means that the server answered a resume with an unknown run ID.
+	RunNotFound
+	// RunFailed means that the server reported a failed run.
+	RunFailed
+	// CallerDisconnected means that the caller closed its connection.
+	CallerDisconnected
+)
+
+// Action is the next step for a request.
+type Action uint8
+
+const (
+	// Retry starts a new attempt on another server.
+	Retry Action = iota
+	// Resume reconnects to the same run.
+	Resume
+	// Cancel cancels the run and ends the request.
+	Cancel
+	// Fail returns Decision.Error to the caller.
+	Fail
+)
+
+// Decision is the next step after an event, with the error for the caller if the
+// request ends.
+type Decision struct {
+	Action Action
+	Error  *fault.Error
+}
+
+const (
+	// MaxAttempts is the maximum number of attempts of one request.
+	MaxAttempts = 3
+	// MaxResumes is the maximum number of reconnections of one attempt.
+	MaxResumes = 4
+)
+
+// RetryState decides the next step after each event of one request.
+type RetryState struct {
+	// Repeatable requests may run more than once.
+	Repeatable bool
+	// Deadline is the time after which nothing is retried; zero means none.
+	Deadline time.Time
+
+	attempts   int
+	resumes    int
+	delivered  bool
+	ran        bool
+	mayHaveRun bool
+}
+
+// RecordAttempt counts an attempt as started.
+func (s *RetryState) RecordAttempt() { s.attempts++; s.resumes = 0 }
+
+// Attempts returns the number of attempts started.
+func (s *RetryState) Attempts() int { return s.attempts }
+
+// RecordDelivery records that part of the response was delivered to the caller. No
+// other run can continue it, because it would generate different text.
+func (s *RetryState) RecordDelivery() { s.delivered, s.ran = true, true }
+
+// RecordExecution records that the server has started to run the request.
+func (s *RetryState) RecordExecution() { s.ran = true }
+
+// ExecutionState returns whether the request ran on any server, as far as known.
+func (s *RetryState) ExecutionState() fault.ExecutionState {
+	switch {
+	case s.ran:
+		return fault.Ran
+	case s.mayHaveRun:
+		return fault.Unknown
+	}
+	return fault.NotRun
+}
+
+// Next records an event and returns the next step. A retry is withdrawn from budget.
+func (s *RetryState) Next(e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
+	switch e {
+	case CallerDisconnected:
+		return Decision{Cancel, fault.New(fault.CallerLeft, "the caller left").WithExecution(s.ExecutionState())}
+	case AttemptRefused, ConnectFailed:
+		return s.retryOrFail(fault.NoServer, e, now, budget)
+	case ConnectionLost:
+		s.mayHaveRun = true
+		if s.resumes < MaxResumes && !s.expired(now) {
+			s.resumes++
+			return Decision{Action: Resume}
+		}
+		return s.retryOrFail(fault.EngineFailed, e, now, budget)
+	case RunNotFound:
+		s.mayHaveRun = true
+		return s.retryOrFail(fault.EngineFailed, e, now, budget)
+	}
+	s.ran = true
+	return s.retryOrFail(fault.EngineFailed, e, now, budget)
+}
+
+func (s *RetryState) retryOrFail(k fault.Kind, e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
+	notExecuted := e == AttemptRefused || e == ConnectFailed
+	switch {
+	case s.expired(now):
+		return s.fail(fault.DeadlineExceeded, "the deadline passed")
+	case s.delivered:
+		return s.fail(k, "the run was lost after part of the answer was delivered")
+	case !notExecuted && !s.Repeatable:
+		return s.fail(k, "the request may not be repeated")
+	case s.attempts >= MaxAttempts:
+		return s.fail(k, "every attempt failed")
+	case !budget.TryWithdraw():
+		return s.fail(k, "the retry budget is used up")
+	}
+	return Decision{Action: Retry}
+}
+
+func (s *RetryState) expired(now time.Time) bool {
+	return !s.Deadline.IsZero() && !now.Before(s.Deadline)
+}
+
+func (s *RetryState) fail(k fault.Kind, detail string) Decision {
+	return Decision{Fail, fault.New(consistentKind(k, s.ExecutionState()), "%s", detail).WithExecution(s.ExecutionState())}
+}
+
+// RetryBudget limits retries to a fraction of first attempts, so that retries do not
+// amplify an overload. It is not safe for concurrent use.
+type RetryBudget struct {
+	balance float64
+}
+
+const (
+	// retryRatio is the number of retries allowed per first attempt.
+	retryRatio = 0.1
+	// retryReserve is the initial and the maximum balance.
+	retryReserve = 10
+)
+
+// NewRetryBudget returns a full budget.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{balance: retryReserve} }
+
+// Deposit credits the budget for a first attempt.
+func (b *RetryBudget) Deposit() { b.balance = min(retryReserve, b.balance+retryRatio) }
+
+// TryWithdraw withdraws one retry and reports whether there was one. It returns false
+// for a nil budget.
+func (b *RetryBudget) TryWithdraw() bool {
+	if b == nil || b.balance < 1 {
+		return false
+	}
+	b.balance--
+	return true
+}
--- /dev/null
+++ b/internal/request/windowed_retry_budget.go
@@ -0,0 +1,73 @@
+package request
+
+import "time"
+
+// budgetBuckets is the number of buckets per window.
+const budgetBuckets = 50
+
+// WindowedRetryBudget is one daemon's part of a limit shared by all daemons: in any
+// window, the retries for a service stay below Ratio times the first sends plus a
+// reserve. Each daemon applies the ratio to its own first sends and has an equal part
+// of the reserve, so that no communication is needed. Times are readings of a
+// monotonic clock.
+type WindowedRetryBudget struct {
+	// Window is the length of the sliding window.
+	Window time.Duration
+	// Ratio is the number of retries allowed per first send.
+	Ratio float64
+	// Reserve is the number of retries allowed in addition.
+	Reserve float64
+
+	buckets [budgetBuckets]struct {
+		slot            int64
+		firsts, retries float64
+	}
+}
+
+// budgetMargin is the part of Ratio that is used. It covers the bucket width and the
+// delay between withdrawing a retry and its arrival at the server.
+const budgetMargin = 0.95
+
+// slot returns the number of the bucket interval that contains a time. It starts at 1,
+// since 0 marks a bucket that was never used.
+func (w *WindowedRetryBudget) slot(now time.Duration) int64 {
+	return 1 + int64(now/(w.Window/budgetBuckets))
+}
+
+func (w *WindowedRetryBudget) bucket(now time.Duration) *struct {
+	slot            int64
+	firsts, retries float64
+} {
+	n := w.slot(now)
+	b := &w.buckets[n%budgetBuckets]
+	if b.slot != n {
+		b.slot, b.firsts, b.retries = n, 0, 0
+	}
+	return b
+}
+
+// Deposit credits the budget for the first send of a request.
+func (w *WindowedRetryBudget) Deposit(now time.Duration) { w.bucket(now).firsts++ }
+
+// Available returns the number of retries that may be sent now.
+func (w *WindowedRetryBudget) Available(now time.Duration) float64 {
+	newest := w.slot(now)
+	firsts, retries := 0.0, 0.0
+	for _, b := range w.buckets {
+		if b.slot > 0 && newest-b.slot < budgetBuckets {
+			firsts += b.firsts
+			retries += b.retries
+		}
+	}
+	return budgetMargin*w.Ratio*firsts + w.Reserve - retries
+}
+
+// TryWithdraw withdraws one retry if at least keep remain available afterwards, and
+// reports whether it did.
+func (w *WindowedRetryBudget) TryWithdraw(now time.Duration, keep float64) bool {
+	if w.Available(now) < 1+keep {
+		return false
+	}
+	w.bucket(now).retries++
+	return true
+}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -9,7 +9,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-var runningRollout = fleet.Rollout{Model: "m", To: "v2", Stages: []float64{10, 100}, State: fleet.Running}
+var runningRollout = fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: []float64{10, 100}, State: fleet.RolloutRunning}
 
 // evidenceOnServers returns evidence of both versions on n servers in 2 failure domains.
 func evidenceOnServers(n int, newCounts, oldCounts Counts) Evidence {
@@ -29,7 +29,7 @@
 	both := evidenceOnServers(4, good, old)
 	both[0].Counts.Errors, both[1].Counts.Errors = 25, 225
 	held := runningRollout
-	held.State = fleet.Held
+	held.State = fleet.RolloutHeld
 	cases := []struct {
 		name string
 		ro   fleet.Rollout
@@ -100,10 +100,10 @@
 
 func TestApplyStepAndRatingShare(t *testing.T) {
 	ro := ApplyStep(runningRollout, Advance)
-	if ro.Stage != 1 || ro.State != fleet.Running {
+	if ro.Stage != 1 || ro.State != fleet.RolloutRunning {
 		t.Fatalf("%+v", ro)
 	}
-	if ro = ApplyStep(ro, Advance); ro.State != fleet.Done || ro.Percent() != 100 {
+	if ro = ApplyStep(ro, Advance); ro.State != fleet.RolloutDone || ro.Percent() != 100 {
 		t.Fatalf("%+v", ro)
 	}
 	if ro = ApplyStep(runningRollout, RollBack); ro.Percent() != 0 {
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -86,12 +86,12 @@
 	maxLogE := 0.0
 	for s := range signalCount {
 		v, logE := p.evaluateSignal(e, s)
-		if v.Step == RollBack || v.Step == Hold && ro.State == fleet.Running {
+		if v.Step == RollBack || v.Step == Hold && ro.State == fleet.RolloutRunning {
 			return v
 		}
 		maxLogE = math.Max(maxLogE, logE)
 	}
-	if ro.State == fleet.Held {
+	if ro.State == fleet.RolloutHeld {
 		return Decision{Wait, "held"}
 	}
 	return p.evaluateProgress(ro, e, elapsed, maxLogE)
@@ -99,7 +99,7 @@
 
 // CarriesTraffic reports whether the new version of a roll-out may receive requests.
 func CarriesTraffic(ro fleet.Rollout) bool {
-	return ro.State == fleet.Running || ro.State == fleet.Held
+	return ro.State == fleet.RolloutRunning || ro.State == fleet.RolloutHeld
 }
 
 // evaluateSignal returns the decision for one signal and its log e-value.
@@ -177,14 +177,14 @@
 	switch s {
 	case Advance:
 		if ro.Stage+1 >= len(ro.Stages) {
-			ro.State = fleet.Done
+			ro.State = fleet.RolloutDone
 			return ro
 		}
 		ro.Stage++
 	case Hold:
-		ro.State = fleet.Held
+		ro.State = fleet.RolloutHeld
 	case RollBack:
-		ro.State = fleet.RolledBack
+		ro.State = fleet.RolloutRolledBack
 	}
 	return ro
 }
--- a/internal/slo/burn_test.go
+++ b/internal/slo/burn_test.go
@@ -12,7 +12,7 @@
 // burn rate of 2. In the last hour 6 of 1,000 failed: a burn rate of 0.6, with 40% of the
 // budget left, which lasts 40 minutes at that rate.
 func TestReport(t *testing.T) {
-	c := fleet.Empty()
+	c := fleet.NewConfig()
 	c.Workspaces["w"] = fleet.Workspace{Objectives: fleet.Objectives{Availability: 0.99, FirstTokenMillis: 1500, FirstTokenFraction: 0.9}}
 	now := time.Unix(100*3600, 0)
 	key := Key{"w", "m", "v1", "fd1"}
