--- a/internal/arch/docs_test.go
+++ b/internal/arch/docs_test.go
@@ -63,7 +63,7 @@
 		names       map[string]string
 	}{
 		{"Of a daemon with the product's own interface", "daemon", daemon.MetricNames()},
-		{"Of a daemon on the users' platform", "relay", relay.MetricNames()},
+		{"Of a daemon on the users' platform", "relay", relay.MetricDescriptions()},
 	} {
 		fmt.Fprintf(&b, "\n## %s\n\n| name | meaning |\n|---|---|\n", list.title)
 		for _, n := range slices.Sorted(maps.Keys(list.names)) {
--- a/internal/enginetest/engines.go
+++ b/internal/enginetest/engines.go
@@ -111,7 +111,7 @@
 }
 
 // Send implements relay.Backend.
-func (e *Engines) Send(ctx context.Context, s relay.Send) (*relay.Reply, error) {
+func (e *Engines) Send(ctx context.Context, s relay.BackendRequest) (*relay.BackendResponse, error) {
 	time.Sleep(oneWay)
 	run, body := e.find(s.Server.Run.Name), string(s.Call.Body)
 	if run == nil {
@@ -134,25 +134,25 @@
 		time.AfterFunc(untilEnd, func() { e.end(run.id, body) })
 	}
 	answer := &answerOf{run: run, ctx: ctx, whole: time.Now().Add(wholeAnswer)}
-	return &relay.Reply{Status: http.StatusOK, Header: http.Header{}, Sealed: true, Confidence: -1, Length: -1, Body: answer}, nil
+	return &relay.BackendResponse{Status: http.StatusOK, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: -1, Body: answer}, nil
 }
 
-// Alive implements relay.Backend.
-func (e *Engines) Alive(_ context.Context, s backend.Server, _ bool) error {
+// Probe implements relay.Backend.
+func (e *Engines) Probe(_ context.Context, s backend.Server, _ bool) error {
 	if e.find(s.Run.Name) == nil {
 		return syscall.ECONNREFUSED
 	}
 	return nil
 }
 
-// Refuses implements relay.Backend.
-func (e *Engines) Refuses(_ context.Context, address string) bool {
+// RefusesConnections implements relay.Backend.
+func (e *Engines) RefusesConnections(_ context.Context, address string) bool {
 	time.Sleep(2 * oneWay)
 	return e.find(address) == nil
 }
 
-// Forget implements relay.Backend.
-func (e *Engines) Forget(string) {}
+// CloseIdleConnections implements relay.Backend.
+func (e *Engines) CloseIdleConnections(string) {}
 
 // answerOf is a stream of one event that ends when it is whole, or broken off with its server.
 type answerOf struct {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -89,7 +89,7 @@
 	// Boot reads a clock that counts while the VM is suspended.
 	Boot func() time.Duration
 	// OnWorkChanged is called when the work of other daemons has changed at backend servers.
-	OnWorkChanged func(changes []relay.Work)
+	OnWorkChanged func(changes []relay.ServerWork)
 
 	// Quarantined returns the update on requests that end servers, with all that are
 	// held for a daemon that was just met.
@@ -106,7 +106,7 @@
 	// firstContact is when the first other daemon was in contact, if one was.
 	firstContact time.Time
 	// lapsed is work of daemons that fell silent, not yet passed to OnWorkChanged.
-	lapsed []relay.Work
+	lapsed []relay.ServerWork
 	// incarnation names this run, so that word of ourselves is told apart.
 	incarnation string
 	knownSentAt time.Time
@@ -117,7 +117,7 @@
 func New(name, address, incarnation string, self func(evidence bool) Pulse, peers Caller, boot func() time.Duration, l *log.Logger) *Members {
 	return &Members{
 		self: self, peers: peers, log: l, where: address, incarnation: incarnation, OnPulse: func(Pulse, time.Duration) {}, Boot: boot,
-		OnWorkChanged: func([]relay.Work) {}, Quarantined: func(bool) quarantine.Update { return quarantine.Update{} }, all: map[string]*member{}, left: map[string]time.Time{}, roster: membership.NewRoster(name),
+		OnWorkChanged: func([]relay.ServerWork) {}, Quarantined: func(bool) quarantine.Update { return quarantine.Update{} }, all: map[string]*member{}, left: map[string]time.Time{}, roster: membership.NewRoster(name),
 	}
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -53,7 +53,7 @@
 func TestPlacementsAreHeardOnce(t *testing.T) {
 	var p Placements
 	now := time.Unix(50, 0)
-	take := func() []relay.Placed { return []relay.Placed{{Server: 7}} }
+	take := func() []relay.Placement { return []relay.Placement{{Server: 7}} }
 	_, first := p.Current(take, now)
 	_, same := p.Current(take, now.Add(Every/2))
 	_, next := p.Current(take, now.Add(Every))
@@ -71,23 +71,23 @@
 func TestWorkIsSummedByServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := testMembers()
-		sum := map[relay.ServerKey]relay.Work{}
-		m.OnWorkChanged = func(changes []relay.Work) {
+		sum := map[relay.ServerKey]relay.ServerWork{}
+		m.OnWorkChanged = func(changes []relay.ServerWork) {
 			for _, c := range changes {
 				w := sum[c.Server]
-				sum[c.Server] = relay.Work{Running: w.Running + c.Running, Pending: w.Pending + c.Pending}
+				sum[c.Server] = relay.ServerWork{InFlight: w.InFlight + c.InFlight, PendingPrefill: w.PendingPrefill + c.PendingPrefill}
 			}
 		}
-		m.Take("a:1", Pulse{Incarnation: "a/1", Name: "a", Work: []relay.Work{{Server: 1, Running: 9, Pending: 9}, {Server: 3, Running: 1}}})
-		m.Take("a:1", Pulse{Incarnation: "a/1", Name: "a", Work: []relay.Work{{Server: 1, Running: 2, Pending: 5}}})
+		m.Take("a:1", Pulse{Incarnation: "a/1", Name: "a", Work: []relay.ServerWork{{Server: 1, InFlight: 9, PendingPrefill: 9}, {Server: 3, InFlight: 1}}})
+		m.Take("a:1", Pulse{Incarnation: "a/1", Name: "a", Work: []relay.ServerWork{{Server: 1, InFlight: 2, PendingPrefill: 5}}})
 		time.Sleep(silentAfter / 2)
-		m.Take("b:1", Pulse{Incarnation: "b/1", Name: "b", Work: []relay.Work{{Server: 1, Running: 1, Pending: 7}, {Server: 2, Running: 4}}})
-		if sum[1].Running != 3 || sum[1].Pending != 12 || sum[2].Running != 4 || sum[3].Running != 0 {
+		m.Take("b:1", Pulse{Incarnation: "b/1", Name: "b", Work: []relay.ServerWork{{Server: 1, InFlight: 1, PendingPrefill: 7}, {Server: 2, InFlight: 4}}})
+		if sum[1].InFlight != 3 || sum[1].PendingPrefill != 12 || sum[2].InFlight != 4 || sum[3].InFlight != 0 {
 			t.Errorf("got %v", sum)
 		}
 		time.Sleep(silentAfter/2 + time.Millisecond)
 		m.forget()
-		if sum[1].Running != 1 || sum[1].Pending != 7 || sum[2].Running != 4 {
+		if sum[1].InFlight != 1 || sum[1].PendingPrefill != 7 || sum[2].InFlight != 4 {
 			t.Errorf("after a daemon fell silent: %v", sum)
 		}
 	})
--- a/internal/gossip/placements.go
+++ b/internal/gossip/placements.go
@@ -13,13 +13,13 @@
 	mu    sync.Mutex
 	round uint64
 	since time.Time
-	now   []relay.Placed
+	now   []relay.Placement
 	heard map[string]uint64
 }
 
 // Current returns the round that pulses carry now. A round is carried for as
 // long as one turn of pulses takes.
-func (p *Placements) Current(take func() []relay.Placed, now time.Time) ([]relay.Placed, uint64) {
+func (p *Placements) Current(take func() []relay.Placement, now time.Time) ([]relay.Placement, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.since) >= Every {
--- a/internal/gossip/pulse.go
+++ b/internal/gossip/pulse.go
@@ -29,15 +29,15 @@
 	// Ages is how long ago, in ms, the daemon's knowledge of each subject was last
 	// known to be complete, or Unconfirmed.
 	Ages   []int64             `cbor:"9,keyasint"`
-	Work   []relay.Work        `cbor:"10,keyasint,omitempty"`
+	Work   []relay.ServerWork  `cbor:"10,keyasint,omitempty"`
 	Orders []relay.OrderReport `cbor:"11,keyasint,omitempty"`
 	// Known lists addresses of other daemons, so that one that can reach any
 	// daemon finds all.
 	Known []string `cbor:"12,keyasint,omitempty"`
 	// Placed are prompts placed in the last round, and PlacedRound its number:
 	// a pulse may arrive twice or answer several calls.
-	Placed      []relay.Placed `cbor:"13,keyasint,omitempty"`
-	PlacedRound uint64         `cbor:"14,keyasint,omitempty"`
+	Placed      []relay.Placement `cbor:"13,keyasint,omitempty"`
+	PlacedRound uint64            `cbor:"14,keyasint,omitempty"`
 	// Stamp is the reading of the sender's clock, in ms, when it made the pulse.
 	// Echo is the newest stamp that it had from the receiver's run EchoTo: what the
 	// pulse says was true after that moment of the receiver's own clock, however
--- a/internal/gossip/views.go
+++ b/internal/gossip/views.go
@@ -9,10 +9,10 @@
 )
 
 // difference returns how a daemon's work at backend servers has changed.
-func difference(before, after []relay.Work) []relay.Work {
-	out := make([]relay.Work, 0, len(before)+len(after))
+func difference(before, after []relay.ServerWork) []relay.ServerWork {
+	out := make([]relay.ServerWork, 0, len(before)+len(after))
 	for _, w := range before {
-		out = append(out, relay.Work{Server: w.Server, Running: -w.Running, Pending: -w.Pending})
+		out = append(out, relay.ServerWork{Server: w.Server, InFlight: -w.InFlight, PendingPrefill: -w.PendingPrefill})
 	}
 	return append(out, after...)
 }
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -13,9 +13,9 @@
 	out := make([]gossip.Pulse, others)
 	for i := range out {
 		name := fmt.Sprintf("d%03d", i+1)
-		work := make([]relay.Work, 6)
+		work := make([]relay.ServerWork, 6)
 		for j := range work {
-			work[j] = relay.Work{Server: relay.KeyOf(fmt.Sprint("e", (i+7*j)%63)), Running: 1, Pending: 100}
+			work[j] = relay.ServerWork{Server: relay.ServerKeyOf(fmt.Sprint("e", (i+7*j)%63)), InFlight: 1, PendingPrefill: 100}
 		}
 		out[i] = gossip.Pulse{Incarnation: name + "/1", Name: name, Address: "c" + name, Ready: true, Ages: []int64{1, 1, 1, 1}, Work: work}
 		n.members.Learn(out[i].Address)
--- a/internal/node/deadly_test.go
+++ b/internal/node/deadly_test.go
@@ -25,10 +25,10 @@
 	bytes   int
 }
 
-func (c *asker) Refuse(e *fault.Error)        { c.refusal = e }
-func (c *asker) Head(int, http.Header, int64) {}
-func (c *asker) Pass(p []byte) error          { c.bytes += len(p); return nil }
-func (c *asker) Cut()                         { c.cut = true }
+func (c *asker) Refuse(e *fault.Error)               { c.refusal = e }
+func (c *asker) WriteHeader(int, http.Header, int64) {}
+func (c *asker) WriteBody(p []byte) error            { c.bytes += len(p); return nil }
+func (c *asker) Abort()                              { c.cut = true }
 
 // serving gives daemons a configuration with one service of streams.
 func serving(n *Node) {
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -52,8 +52,8 @@
 	loop.Every(ctx, gossip.Every, func(context.Context, time.Time) {
 		v := n.members.View()
 		v.Trusted = v.Trusted && n.inTouchFor(placedAfter)
-		n.state.SetView(v)
-		n.ports.Metrics.Evacuated.Update(float64(len(n.state.Evacuations())))
-		n.ports.Metrics.Warming.Update(float64(n.state.Warming()))
+		n.state.SetSlowStartView(v)
+		n.ports.Metrics.DomainsEvacuated.Update(float64(len(n.state.Evacuations())))
+		n.ports.Metrics.ServersWarming.Update(float64(n.state.WarmingServers()))
 	})
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -126,7 +126,7 @@
 	c := Config{
 		Name: fmt.Sprintf("d%03d", i), Control: address(i), Front: fmt.Sprintf("f%03d", i), Seeds: f.seeds,
 		InForce: f.bound, Leave: f.bound,
-		Rules: relay.Rules{BudgetWindow: 10 * time.Second, BudgetRatio: 0.9, BudgetReserve: 50},
+		Rules: relay.Options{RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50},
 	}
 	var servers relay.Backend = noBackend{}
 	if f.backend != nil {
--- a/internal/node/fresh.go
+++ b/internal/node/fresh.go
@@ -44,7 +44,7 @@
 // readsStore reports whether this daemon waits on the store: it is one of the
 // readers, or has not heard of a fresh confirmation for too long.
 func (n *Node) readsStore() bool {
-	age, known := n.state.Age(freshness.Configuration)
+	age, known := n.state.ConfirmationAge(freshness.Configuration)
 	if !known {
 		return n.settled() // until then the reading of configurations itself asks
 	}
@@ -60,7 +60,7 @@
 	if n.reader() || at == 0 || n.ports.Boot()-at >= n.part(ownReadPart) {
 		return n.reader()
 	}
-	by, age := n.state.Confirmed(freshness.Configuration)
+	by, age := n.state.LastConfirmation(freshness.Configuration)
 	return by == freshness.Own && age >= peerReportDelay
 }
 
@@ -74,7 +74,7 @@
 // Ready reports whether callers should be sent here. A daemon that is cut off from
 // the store serves on by the word of others, but those that reach it come first.
 func (n *Node) Ready() bool {
-	return !n.leaving.Load() && n.state.Known() && !n.isOutdated() && n.state.Fresh(freshness.Configuration, readyAge) && n.ownAge() < n.ownEvery()+ownGrace
+	return !n.leaving.Load() && n.state.Ready() && !n.isOutdated() && n.state.ConfirmedWithin(freshness.Configuration, readyAge) && n.ownAge() < n.ownEvery()+ownGrace
 }
 
 // lookAfter keeps what this daemon knows of the store confirmed, until the context ends.
@@ -94,8 +94,8 @@
 // showAges shows on the metrics port how old the knowledge of each subject is.
 func (n *Node) showAges() {
 	for about := range freshness.Subjects {
-		if age, known := n.state.Age(about); known {
-			n.ports.Metrics.Age(about).Update(age.Seconds())
+		if age, known := n.state.ConfirmationAge(about); known {
+			n.ports.Metrics.ConfirmationAge(about).Update(age.Seconds())
 		}
 	}
 }
@@ -104,7 +104,7 @@
 // While the reading of a subject itself asks for an answer, that will tell when the store
 // is back.
 func (n *Node) look(ctx context.Context, now time.Time) time.Duration {
-	about, due, any := n.state.NextLook(n.plan, n.rank(), n.ownDue())
+	about, due, any := n.state.NextCheck(n.plan, n.rank(), n.ownDue())
 	f := n.followers[about]
 	switch {
 	case !any || f.Away():
@@ -133,7 +133,7 @@
 // confirm takes a confirmation that the store itself gave.
 func (n *Node) confirm(about freshness.Subject, sent time.Duration) {
 	n.ownContact.Store(int64(sent))
-	if age, known := n.state.Age(about); about == freshness.Configuration && known && age > n.part(ownReadPart) {
+	if age, known := n.state.ConfirmationAge(about); about == freshness.Configuration && known && age > n.part(ownReadPart) {
 		n.stoodIn.Store(int64(n.ports.Boot()))
 	}
 	n.take(about, freshness.Confirmation{At: sent, By: freshness.Own})
@@ -147,7 +147,7 @@
 	now := n.ports.Boot()
 	n.unanswered.CompareAndSwap(0, int64(now))
 	first := time.Duration(n.unanswered.Load())
-	if age, known := n.state.Age(freshness.Configuration); known && now-age > first+peerReportDelay {
+	if age, known := n.state.ConfirmationAge(freshness.Configuration); known && now-age > first+peerReportDelay {
 		n.cutOff.Store(true)
 	}
 }
@@ -186,7 +186,7 @@
 		return
 	}
 	n.log.Info("store back", "subject", freshness.Servers, "unconfirmed_ms", gap.Milliseconds(), "unanswered_ms", (n.ports.Boot() - since).Milliseconds())
-	n.state.Healed()
+	n.state.StoreRecovered()
 }
 
 // ownAge is how long ago the store itself answered this daemon.
@@ -199,7 +199,7 @@
 // ownDue is the time until this daemon has to see for itself whether it reaches the store.
 // While nobody does, there is nothing to see.
 func (n *Node) ownDue() time.Duration {
-	if !n.state.Fresh(freshness.Configuration, n.part(ownReadPart)) {
+	if !n.state.ConfirmedWithin(freshness.Configuration, n.part(ownReadPart)) {
 		return n.ownEvery()
 	}
 	return n.ownEvery() - n.ownAge()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,7 @@
 	// Leave is the time within which a backend server that has said that it leaves, or
 	// whose entry is gone, must get nothing new.
 	Leave time.Duration
-	Rules relay.Rules
+	Rules relay.Options
 }
 
 // Topics name the log's topics.
@@ -171,7 +171,7 @@
 	n.members = gossip.New(c.Name, c.Control, n.incarnation, n.pulse, peers, p.Boot, p.Logger)
 	n.members.OnPulse, n.members.OnWorkChanged = n.onPulse, n.state.AddPeerWork
 	n.members.Quarantined = n.Relay.Guard.Update
-	n.Relay.Outdated = n.isOutdated
+	n.Relay.ConfigOutdated = n.isOutdated
 	n.members.Learn(c.Seeds...)
 	n.prepare(ctx)
 	return n
@@ -210,12 +210,12 @@
 	p := gossip.Pulse{
 		Incarnation: n.incarnation, Name: n.config.Name, Address: n.config.Control, FrontAddress: n.config.Front,
 		FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load(), Able: n.able(),
-		Work: n.state.Work(), Orders: n.Relay.Rollouts.Reports(n.state.RunningBut, evidence, judge), Ages: n.ages(), Judge: judge,
+		Work: n.state.OwnWork(), Orders: n.Relay.Rollouts.Reports(n.state.InFlightOnOtherVersions, evidence, judge), Ages: n.ages(), Judge: judge,
 	}
 	for _, f := range n.followers {
 		p.Nexts = append(p.Nexts, f.Next())
 	}
-	p.Placed, p.PlacedRound = n.placements.Current(n.state.Placements, time.Now())
+	p.Placed, p.PlacedRound = n.placements.Current(n.state.DrainPlacements, time.Now())
 	p.Version = n.version()
 	return p
 }
@@ -225,7 +225,7 @@
 	out := make([]int64, freshness.Subjects)
 	for about := range freshness.Subjects {
 		out[about] = gossip.Unconfirmed
-		if age, known := n.state.Age(about); known {
+		if age, known := n.state.ConfirmationAge(about); known {
 			out[about] = age.Milliseconds()
 		}
 	}
@@ -242,10 +242,10 @@
 	if after != 0 {
 		n.confirmedBy(p, after)
 	}
-	n.Relay.Rollouts.Heard(p.Incarnation, p.Orders)
+	n.Relay.Rollouts.ApplyReports(p.Incarnation, p.Orders)
 	n.Relay.Guard.Merge(p.Quarantine)
 	if n.placements.Fresh(p.Incarnation, p.PlacedRound) {
-		n.state.TakePlacements(p.Placed)
+		n.state.ApplyPlacements(p.Placed)
 	}
 	n.state.SetDaemons(n.daemons())
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -90,7 +90,7 @@
 // noBackend has no server that answers.
 type noBackend struct{ relay.Backend }
 
-func (noBackend) Forget(string) {}
+func (noBackend) CloseIdleConnections(string) {}
 
 // testNode returns a daemon that does not run, with a boot clock to move.
 func testNode(t testing.TB) (*Node, *time.Duration) {
@@ -131,7 +131,7 @@
 	n.know()
 	*now += ownLeast + ownGrace
 	n.confirmedBy(gossip.Pulse{Ages: []int64{100}}, *now)
-	if !n.state.Fresh(freshness.Configuration, time.Second) {
+	if !n.state.ConfirmedWithin(freshness.Configuration, time.Second) {
 		t.Error("the word of another daemon is not taken")
 	}
 	if n.Ready() {
@@ -144,7 +144,7 @@
 	n.know()
 	*now += time.Second
 	n.confirmedBy(gossip.Pulse{Ages: []int64{0}, Nexts: []feed.Position{9}}, *now)
-	if n.state.Fresh(freshness.Configuration, time.Second/2) {
+	if n.state.ConfirmedWithin(freshness.Configuration, time.Second/2) {
 		t.Error("confirmed although the other daemon has read a configuration that this one has not")
 	}
 }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -91,27 +91,27 @@
 			n.log.Info("configuration in force", "version", in.Table.Version, "at", r.At)
 		}
 		if in.Order != nil {
-			n.Relay.Rollouts.Ordered(*in.Order)
+			n.Relay.Rollouts.AddOrder(*in.Order)
 		}
 	}
 }
 
 // servers takes the entries of backend servers.
 func (n *Node) servers(records []feed.Record, whole bool) {
-	confirmed, known := n.state.Age(freshness.Servers)
+	confirmed, known := n.state.ConfirmationAge(freshness.Servers)
 	if known {
 		// The last read that found nothing newer is the youngest proof that these
 		// records were not there: they are late by its age at most.
-		n.ports.Metrics.Lateness(freshness.Servers).RecordDuration(confirmed)
+		n.ports.Metrics.ReadDelay(freshness.Servers).RecordDuration(confirmed)
 		n.noteGap(confirmed)
 	}
 	var ended []backend.Server
 	restored := n.returned.take(freshness.Servers)
 	if restored {
 		// What the copy lacks has two seconds to be written again, as after an outage.
-		n.state.Healed()
+		n.state.StoreRecovered()
 	}
-	n.state.Servers(func(reg *backend.Registry, now time.Duration) {
+	n.state.UpdateServers(func(reg *backend.Registry, now time.Duration) {
 		listed := map[string]bool{}
 		for _, r := range records {
 			listed[r.Key] = r.Value != nil
@@ -127,7 +127,7 @@
 		}
 	})
 	for _, run := range ended {
-		n.Relay.Ended(run)
+		n.Relay.ServerRestarted(run)
 	}
 }
 
@@ -179,7 +179,7 @@
 // or is bad in another way: its writer may repeat it with each heartbeat.
 func (n *Node) badEntry(r feed.Record, err error) {
 	fault := backend.FaultOf(err)
-	n.ports.Metrics.BadEntry(fault).Inc(1)
+	n.ports.Metrics.BadServerEntries(fault).Inc(1)
 	if n.faults.note(r.Key, fault) {
 		n.log.Error("server entry names no server to use", "server", r.Key, "at", r.At, "fault", fault, "err", err)
 	}
@@ -188,7 +188,7 @@
 // status takes how far roll-outs have come.
 func (n *Node) status(records []feed.Record, _ bool) {
 	if n.returned.take(freshness.Rollouts) {
-		n.Relay.Rollouts.Restored()
+		n.Relay.Rollouts.StoreRestored()
 	}
 	for _, r := range records {
 		if r.Value == nil {
@@ -200,7 +200,7 @@
 			continue
 		}
 		if about {
-			n.Relay.Rollouts.Settled(relay.Settlement{Service: s.Service, Target: s.Target, Order: s.Order, Phase: s.Phase, Ago: s.Since})
+			n.Relay.Rollouts.ApplyStoredPhase(relay.StoredPhase{Service: s.Service, Target: s.Target, OrderOffset: s.Order, Phase: s.Phase, OrderAge: s.Since})
 		}
 	}
 }
--- a/internal/node/roles.go
+++ b/internal/node/roles.go
@@ -100,7 +100,7 @@
 // able reports whether this daemon can work for all. It cannot while the store does not
 // answer it, but somebody else: then others take its place. In an outage for all, and after
 // it, nobody's place changes.
-func (n *Node) able() bool { return n.state.Known() && !n.cutOff.Load() }
+func (n *Node) able() bool { return n.state.Ready() && !n.cutOff.Load() }
 
 // contact reports whether others are to find the deployment through this daemon.
 func (n *Node) contact() bool { return n.inTouchFor(placedAfter) && n.rank() < contacts }
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -42,7 +42,7 @@
 		time.Sleep(4 * time.Second)
 		f.store.Set(feedtest.Serving)
 		within(t, leaveBound, "the configuration is confirmed", func() bool {
-			return f.member(address(0)).state.Fresh(freshness.Configuration, time.Second)
+			return f.member(address(0)).state.ConfirmedWithin(freshness.Configuration, time.Second)
 		})
 	})
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -108,7 +108,7 @@
 					during := f.store.Calls() - before
 					f.store.Set(feedtest.Serving)
 					took := within(t, again, "all know that the store is back", func() bool {
-						return f.count(func(m *member) bool { return m.state.Fresh(freshness.Configuration, again) }) == daemons
+						return f.count(func(m *member) bool { return m.state.ConfirmedWithin(freshness.Configuration, again) }) == daemons
 					})
 					f.store.Put("servers", "a", []byte("leaving"))
 					acted := within(t, f.bound/2, "a word is acted on", func() bool { return f.using("a") == 0 })
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -14,7 +14,7 @@
 func engineState(daemon string, engines int) *State {
 	boot := time.Duration(0)
 	s := NewState(daemon, "", func() time.Duration { boot += time.Microsecond; return boot })
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for i := range engines {
 			_, _ = r.Put(backend.Server{
 				Run: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1),
@@ -25,22 +25,22 @@
 	return s
 }
 
-func engineWant(rng *rand.Rand) *want {
+func engineRequirements(rng *rand.Rand) *requirements {
 	e := &route.Engine{Slots: 32, KVTokens: 500_000, Cost: map[string]float64{"m0": 1, "m1": 8, "m2": 16}}
-	parts := []Part{{ID: uint64(rng.IntN(4)), Tokens: 2500}, {ID: uint64(rng.IntN(1000)), Tokens: 3800}, {ID: rng.Uint64(), Tokens: 2900}}
-	return &want{service: "lm", engine: e, model: "m0", prompt: Prompt{Tokens: 9200, Parts: parts}, budget: 8 * time.Second, choice: everyVersionChoice()}
+	parts := []PromptPart{{ID: uint64(rng.IntN(4)), Tokens: 2500}, {ID: uint64(rng.IntN(1000)), Tokens: 3800}, {ID: rng.Uint64(), Tokens: 2900}}
+	return &requirements{service: "lm", engine: e, model: "m0", prompt: Prompt{Tokens: 9200, Parts: parts}, timeLeft: 8 * time.Second, versions: anyVersionChoice()}
 }
 
 // One choice of an engine with its booking, beside other work on the machine: 66 us and 23 KB
 // at 64 engines before candidates had room of their own and one order, 17 us and 1.3 KB
 // with it; 33 us at 160.
-func BenchmarkChoice(b *testing.B) {
+func BenchmarkPick(b *testing.B) {
 	for _, engines := range []int{64, 160, 1600} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			s, rng := engineState("d1", engines), rand.New(rand.NewPCG(1, 2))
-			wants := make([]*want, 512)
+			wants := make([]*requirements, 512)
 			for i := range wants {
-				wants[i] = engineWant(rng)
+				wants[i] = engineRequirements(rng)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -48,7 +48,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				s.ended(target, 0, false)
+				s.recordSendEnd(target, 0, false)
 			}
 		})
 	}
@@ -58,14 +58,14 @@
 // Sequence: 63 engines run a version and 63 the next; each daemon limits the next one to
 // an eighth of its servers.
 // Cause: each daemon worked with 64 servers of its own choice, and took an eighth of these.
-func TestCanaryPartIsTheSameForAllDaemons(t *testing.T) {
+func TestCanaryServersAreTheSameForAllDaemons(t *testing.T) {
 	for _, engines := range []int{12, 63, 126, 240} {
 		used := map[string]bool{}
 		for d := range 195 {
 			s, rng := engineState(fmt.Sprint("d", d), engines), rand.New(rand.NewPCG(uint64(d), 2))
 			for range 40 {
-				w := engineWant(rng)
-				w.choice = Choice{Prefer: func(v string) bool { return v == "v2" }, Else: everyVersion, Part: 0.125}
+				w := engineRequirements(rng)
+				w.versions = VersionChoice{Preferred: func(v string) bool { return v == "v2" }, Fallback: anyVersion, Fraction: 0.125}
 				target, err := s.pick(w, 1000)
 				if err != nil {
 					t.Fatal(err)
@@ -73,7 +73,7 @@
 				used[target.server.ID] = true
 			}
 		}
-		if most := max(fewestInPart, (engines/2+7)/8); len(used) > most {
+		if most := max(minCanaryServers, (engines/2+7)/8); len(used) > most {
 			t.Errorf("%d engines: the canary uses %d, its part is %d", engines, len(used), most)
 		}
 	}
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// maxEvent bounds one event in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event in bytes.
+const maxEventBytes = 1 << 20
 
 var errEventTooLong = errors.New("an event is longer than allowed")
 
@@ -22,14 +22,14 @@
 // one; what is left of it then is never passed on, or the event that another
 // server sends next would be joined to it.
 type eventReader struct {
-	buf  []byte
-	scan int
+	buf     []byte
+	scanned int
 }
 
 // feed adds bytes.
 func (e *eventReader) feed(p []byte) error {
 	e.buf = append(e.buf, p...)
-	if len(e.buf) > maxEvent {
+	if len(e.buf) > maxEventBytes {
 		return errEventTooLong
 	}
 	return nil
@@ -40,19 +40,19 @@
 
 // next returns the next complete event. Its bytes are valid until the next feed.
 func (e *eventReader) next() (event, bool) {
-	end := blankLine(e.buf[e.scan:])
+	end := blankLineEnd(e.buf[e.scanned:])
 	if end < 0 {
-		e.scan = max(0, len(e.buf)-len("\r\n\r"))
+		e.scanned = max(0, len(e.buf)-len("\r\n\r"))
 		return event{}, false
 	}
-	end += e.scan
+	end += e.scanned
 	raw := e.buf[:end]
-	e.buf, e.scan = e.buf[end:], 0
+	e.buf, e.scanned = e.buf[end:], 0
 	return event{raw: raw, id: eventID(raw)}, true
 }
 
-// blankLine returns the place after the first blank line, or -1.
-func blankLine(b []byte) int {
+// blankLineEnd returns the place after the first blank line, or -1.
+func blankLineEnd(b []byte) int {
 	plain := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestEventsAreSplitWhereverBytesAreCut(t *testing.T) {
+func TestEventReaderSplitsAtAnyChunkBoundary(t *testing.T) {
 	text := "id: 1\ndata: a\n\nx-versions: 3\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\nid: 4\nda"
 	for cut := 1; cut < len(text); cut++ {
 		var r eventReader
@@ -31,14 +31,14 @@
 	}
 }
 
-func TestEndlessEventIsRefused(t *testing.T) {
+func TestEventReaderRejectsOversizedEvent(t *testing.T) {
 	var r eventReader
-	if err := r.feed(make([]byte, maxEvent+1)); err == nil {
+	if err := r.feed(make([]byte, maxEventBytes+1)); err == nil {
 		t.Fatal("taken")
 	}
 }
 
-func FuzzEvents(f *testing.F) {
+func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2"), 3)
 	f.Add([]byte("\r\n\r\n\n\n\r\n"), 1)
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -11,7 +11,7 @@
 
 // Evacuate closes a failure domain and reports whether it was open.
 func (s *State) Evacuate(domain string) bool {
-	now := s.boot()
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gate.Evacuate(domain, now)
@@ -19,7 +19,7 @@
 
 // Readmit opens a failure domain again and reports whether it was closed.
 func (s *State) Readmit(domain string) bool {
-	now := s.boot()
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gate.Readmit(domain, now)
@@ -32,53 +32,53 @@
 	return s.gate.Evacuations()
 }
 
-// SetView takes with whom this daemon shares the limits of warming servers.
-func (s *State) SetView(v slowstart.View) {
-	now := s.boot()
+// SetSlowStartView takes with whom this daemon shares the limits of warming servers.
+func (s *State) SetSlowStartView(v slowstart.View) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate.SetView(v, now)
 }
 
-// gated is a server as the gate sees it.
-func gated(b backend.Server, hash uint64, limit slowstart.Limit) gate.Server {
+// gateServer is a server as the gate sees it.
+func gateServer(b backend.Server, hash uint64, limit slowstart.Limit) gate.Server {
 	return gate.Server{ID: b.ID, Hash: hash, FailureDomain: b.FailureDomain, Leaving: b.Leaving, WarmAt: b.WarmAt, Limit: limit}
 }
 
-// bar excludes the servers that the request may not be sent to now, and counts why.
-func (s *State) bar(o *selection, w *want, now time.Duration) {
-	o.refused = gate.Tally{}
-	for i := range o.candidates {
-		b, known := o.service.servers[o.candidates[i].ID]
+// excludeRefused excludes the servers that the request may not be sent to now, and counts why.
+func (s *State) excludeRefused(sel *selection, req *requirements, now time.Duration) {
+	sel.refusals = gate.Tally{}
+	for i := range sel.candidates {
+		b, known := sel.service.servers[sel.candidates[i].ID]
 		if !known {
 			continue
 		}
-		if !s.gate.Admit(w.gated, gated(b, o.candidates[i].Hash, w.limit), now, &o.refused) {
-			o.request.Tried.Add(i)
+		if !s.gate.Admit(req.gateRequest, gateServer(b, sel.candidates[i].Hash, req.slowStart), now, &sel.refusals) {
+			sel.request.Tried.Add(i)
 		}
 	}
 }
 
-// pass records at the gate that a request is sent to the chosen server, and reports whether
+// recordSend records at the gate that a request is sent to the chosen server, and reports whether
 // that server is warming up.
-func (s *State) pass(o *selection, w *want, now time.Duration) (warming bool) {
-	c := &o.candidates[o.decision.Index]
-	g := gated(o.service.servers[c.ID], c.Hash, w.limit)
+func (s *State) recordSend(sel *selection, req *requirements, now time.Duration) (warming bool) {
+	c := &sel.candidates[sel.decision.Index]
+	g := gateServer(sel.service.servers[c.ID], c.Hash, req.slowStart)
 	s.gate.Pass(g, now)
 	return now < s.gate.WarmAt(g, now)
 }
 
-// endedRun books that a run of a server has ended: its VM refuses connections.
-func (s *State) endedRun(id string) {
-	now := s.boot()
+// recordServerEnd books that a run of a server has ended: its VM refuses connections.
+func (s *State) recordServerEnd(id string) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate.Ended(id, now)
 }
 
-// Warming counts the servers that are warming up by their entries.
-func (s *State) Warming() (n int) {
-	now := s.boot()
+// WarmingServers counts the servers that are warming up by their entries.
+func (s *State) WarmingServers() (n int) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
@@ -91,31 +91,31 @@
 	return n
 }
 
-// noServer is the refusal of a request that no server is left for.
-func noServer(o *selection, w *want) *fault.Error {
-	switch reason, left := o.refused.Main(); reason {
+// noServerError is the refusal of a request that no server is left for.
+func noServerError(sel *selection, req *requirements) *fault.Error {
+	switch reason, left := sel.refusals.Main(); reason {
 	case gate.Warming:
-		return fault.New(fault.Warming, "the servers of %s that are left are warming up", w.service).After(max(left, warmRetry))
+		return fault.New(fault.Warming, "the servers of %s that are left are warming up", req.service).After(max(left, minWarmingRetryAfter))
 	case gate.Evacuated:
-		return fault.New(fault.Evacuated, "the servers of %s that are left stand in evacuated failure domains", w.service)
+		return fault.New(fault.Evacuated, "the servers of %s that are left stand in evacuated failure domains", req.service)
 	}
-	return fault.New(fault.NoServer, "no server of %s is left", w.service)
+	return fault.New(fault.NoServer, "no server of %s is left", req.service)
 }
 
-// warmRetry is the least time after which to come back to servers that are warming up: their
+// minWarmingRetryAfter is the least time after which to come back to servers that are warming up: their
 // limit lets further requests through meanwhile.
-const warmRetry = 100 * time.Millisecond
+const minWarmingRetryAfter = 100 * time.Millisecond
 
-// limitOf is what a warming server of a service bears.
-func (r *Relay) limitOf(x *exchange) slowstart.Limit {
+// slowStartLimit is what a warming server of a service bears.
+func (r *Relay) slowStartLimit(x *exchange) slowstart.Limit {
 	return slowstart.Limit{
-		For: x.service.WarmUp, PerSecond: x.service.WarmUpRate, Excess: r.rules.WarmUpExcess, Slack: r.rules.WarmUpSlack,
+		For: x.service.WarmUp, PerSecond: x.service.WarmUpRate, Excess: r.options.WarmUpRateFactor, Slack: r.options.WarmUpBurst,
 	}
 }
 
-// mark excludes what a choice may not use: servers that were tried, those whose version may
+// applyExclusions excludes what a choice may not use: servers that were tried, those whose version may
 // not be used, and those that the gate refuses.
-func (s *State) mark(o *selection, w *want, admits func(string) bool, now time.Duration) {
-	mark(&o.request, o.candidates, o.service, w, admits)
-	s.bar(o, w, now)
+func (s *State) applyExclusions(sel *selection, req *requirements, admits func(string) bool, now time.Duration) {
+	excludeUnsuitable(&sel.request, sel.candidates, sel.service, req, admits)
+	s.excludeRefused(sel, req, now)
 }
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -13,12 +13,12 @@
 var warmUp = slowstart.Limit{For: 3 * time.Second, PerSecond: 15, Excess: 1.5, Slack: 5}
 
 // gatedState has servers a in "east" and b in "west" and is the only daemon.
-func gatedState(t *testing.T, warmAt time.Duration) (*State, *clock) {
+func gatedState(t *testing.T, warmAt time.Duration) (*State, *fakeClock) {
 	t.Helper()
-	c := &clock{now: time.Minute}
+	c := &fakeClock{now: time.Minute}
 	s := NewState("d1", "", c.read)
-	s.SetView(slowstart.View{Own: 1, Trusted: true})
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
+	s.SetSlowStartView(slowstart.View{Own: 1, Trusted: true})
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for id, domain := range map[string]string{"a": "east", "b": "west"} {
 			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: id}, Service: "s", Address: id, FailureDomain: domain, Slots: 4, WarmAt: warmAt})
 		}
@@ -26,27 +26,29 @@
 	return s, c
 }
 
-func gatedWant() want { return want{service: "s", choice: everyVersionChoice(), limit: warmUp} }
+func gatedRequirements() requirements {
+	return requirements{service: "s", versions: anyVersionChoice(), slowStart: warmUp}
+}
 
 // Guards against a way to a server past the gate: with another version preferred, after all
 // were tried, and where every server is suspect.
-func TestNoSecondChoiceLeadsToAnEvacuatedDomain(t *testing.T) {
+func TestEvacuatedDomainIsNeverPicked(t *testing.T) {
 	s, _ := gatedState(t, 0)
 	s.Evacuate("east")
-	for name, change := range map[string]func(w *want){
-		"first send":    func(*want) {},
-		"repeat":        func(w *want) { w.tried = []string{"b"} },
-		"other version": func(w *want) { w.choice.Prefer = func(string) bool { return false } },
-		"part":          func(w *want) { w.choice.Part = 0.1 },
-		"ended servers": func(w *want) { w.standing.Ends = 1; w.fingerprint = 7 },
-		"all suspect": func(*want) {
+	for name, change := range map[string]func(w *requirements){
+		"first send":    func(*requirements) {},
+		"repeat":        func(w *requirements) { w.tried = []string{"b"} },
+		"other version": func(w *requirements) { w.versions.Preferred = func(string) bool { return false } },
+		"part":          func(w *requirements) { w.versions.Fraction = 0.1 },
+		"ended servers": func(w *requirements) { w.standing.Ends = 1; w.fingerprint = 7 },
+		"all suspect": func(*requirements) {
 			for _, id := range []string{"a", "b"} {
-				s.unreachable(&target{service: "s", server: backend.Server{ID: id}})
+				s.markUnreachable(&target{service: "s", server: backend.Server{ID: id}})
 			}
 		},
 	} {
 		for range 20 {
-			w := gatedWant()
+			w := gatedRequirements()
 			change(&w)
 			got, err := s.pick(&w, 10)
 			if err == nil && got.server.FailureDomain == "east" {
@@ -57,11 +59,11 @@
 }
 
 // Guards against refusals that do not say that all is evacuated.
-func TestEvacuationOfTheLastDomainIsRefusedAtOnce(t *testing.T) {
+func TestEvacuatingEveryDomainRefusesAsEvacuated(t *testing.T) {
 	s, _ := gatedState(t, 0)
 	s.Evacuate("east")
 	s.Evacuate("west")
-	w := gatedWant()
+	w := gatedRequirements()
 	if _, err := s.pick(&w, 10); err == nil || err.Kind != fault.Evacuated || err.State() != fault.NotRun {
 		t.Errorf("got %v", err)
 	}
@@ -69,11 +71,11 @@
 
 // Guards against sends to warming servers above their limit, and refusals without the time
 // after which they are warm.
-func TestWarmingServersGetTheirShareAndTheRestIsRefused(t *testing.T) {
+func TestWarmingServersAreRateLimited(t *testing.T) {
 	s, c := gatedState(t, time.Minute+2*time.Second)
 	sent, refused := 0, 0
 	for range 100 {
-		w := gatedWant()
+		w := gatedRequirements()
 		_, err := s.pick(&w, 10)
 		switch {
 		case err == nil:
@@ -90,7 +92,7 @@
 	}
 	c.now = time.Minute + 2*time.Second
 	for range 100 {
-		w := gatedWant()
+		w := gatedRequirements()
 		if _, err := s.pick(&w, 10); err != nil {
 			t.Fatalf("warm: %v", err)
 		}
@@ -98,10 +100,10 @@
 }
 
 // Guards against a held request that is sent, whatever else is known of it.
-func TestHeldRequestPassesNoGate(t *testing.T) {
+func TestGateRefusesHeldRequest(t *testing.T) {
 	s, _ := gatedState(t, 0)
-	w := gatedWant()
-	w.gated = gate.Request{Held: true}
+	w := gatedRequirements()
+	w.gateRequest = gate.Request{Held: true}
 	if _, err := s.pick(&w, 10); err == nil {
 		t.Error("sent")
 	}
--- a/internal/relay/homes.go
+++ b/internal/relay/homes.go
@@ -6,33 +6,33 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// homeKey is what decides where a prompt that nobody has cached goes: all parts
+// affinityKey is what decides where a prompt that nobody has cached goes: all parts
 // but the last, which is the request's own.
-func homeKey(model string, p Prompt) uint64 {
+func affinityKey(model string, p Prompt) uint64 {
 	chain := xxhash.Sum64String(model)
 	for i, part := range p.Parts {
 		if i == len(p.Parts)-1 && i > 0 {
 			break
 		}
-		chain = chain*prime + part.ID
+		chain = chain*hashMultiplier + part.ID
 	}
 	return chain
 }
 
-// rendezvous is a server's weight for a key: the server with the largest is its first.
-func rendezvous(server, key uint64) uint64 {
-	h := (server ^ key) * prime
+// rendezvousWeight is a server's weight for a key: the server with the largest is its first.
+func rendezvousWeight(server, key uint64) uint64 {
+	h := (server ^ key) * hashMultiplier
 	return h ^ h>>29
 }
 
-// homes ranks the first candidates by rendezvous hashing.
-func homes(key uint64, candidates []routing.Candidate, r *routing.Request) {
+// rankAffinity ranks the first candidates by rendezvous hashing.
+func rankAffinity(key uint64, candidates []routing.Candidate, r *routing.Request) {
 	var first [routing.FarHome]int
 	var weights [routing.FarHome]uint64
 	found := 0
 	for i := range candidates {
 		r.Home[i] = routing.FarHome
-		weight := rendezvous(candidates[i].Hash, key)
+		weight := rendezvousWeight(candidates[i].Hash, key)
 		place := found
 		for place > 0 && weights[place-1] < weight {
 			place--
@@ -48,13 +48,13 @@
 	for place, i := range first[:found] {
 		r.Home[i] = uint8(place)
 	}
-	nearHome(key, candidates, r)
+	rankLocalAffinity(key, candidates, r)
 }
 
-// nearHome counts the candidates of the daemon's own failure domain, and gives the first of them
+// rankLocalAffinity counts the candidates of the daemon's own failure domain, and gives the first of them
 // the second place at least: the daemons of a domain keep to one of their own where none of the
 // first is near.
-func nearHome(key uint64, candidates []routing.Candidate, r *routing.Request) {
+func rankLocalAffinity(key uint64, candidates []routing.Candidate, r *routing.Request) {
 	best, most := -1, uint64(0)
 	r.Near = 0
 	for i := range candidates {
@@ -62,7 +62,7 @@
 			continue
 		}
 		r.Near++
-		if weight := rendezvous(candidates[i].Hash, key); best < 0 || weight > most {
+		if weight := rendezvousWeight(candidates[i].Hash, key); best < 0 || weight > most {
 			best, most = i, weight
 		}
 	}
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -15,92 +15,94 @@
 	scope tally.Scope
 	// Requests counts calls of callers.
 	Requests tally.Counter
-	// Repeats counts sends after the first of a call.
-	Repeats tally.Counter
+	// Retries counts sends after the first of a call.
+	Retries tally.Counter
 	// Escalations counts answers dropped for a larger model's.
 	Escalations tally.Counter
 	// SendsFailed counts sends without an answer.
 	SendsFailed tally.Counter
-	// Cut counts answers that ended before their end.
-	Cut tally.Counter
-	// CallersLeft counts callers that left before their answer.
-	CallersLeft tally.Counter
-	// AliveChecks counts signs of life asked of silent servers.
-	AliveChecks tally.Counter
-	// Moved counts sends given up for another server because they were stuck.
-	Moved tally.Counter
+	// ResponsesAborted counts answers that ended before their end.
+	ResponsesAborted tally.Counter
+	// ClientsDisconnected counts callers that left before their answer.
+	ClientsDisconnected tally.Counter
+	// Probes counts signs of life asked of silent servers.
+	Probes tally.Counter
+	// SendsRerouted counts sends given up for another server because they were stuck.
+	SendsRerouted tally.Counter
 	// ServersEnded counts servers that ended with requests of this daemon.
 	ServersEnded tally.Counter
-	// Held is how many requests are kept from servers.
-	Held tally.Gauge
-	// Evacuated is how many failure domains get nothing new, and Warming how many servers
+	// RequestsHeld is how many requests are kept from servers.
+	RequestsHeld tally.Gauge
+	// DomainsEvacuated is how many failure domains get nothing new, and Warming how many servers
 	// warm up.
-	Evacuated, Warming tally.Gauge
+	DomainsEvacuated, ServersWarming tally.Gauge
 	// WarmingSends counts sends to servers that warm up.
 	WarmingSends tally.Counter
 	// Panics counts panics of handlers.
 	Panics tally.Counter
-	// Restarts counts servers that started again under their name.
-	Restarts tally.Counter
-	// Latency is the time to a plain answer.
-	Latency tally.Histogram
-	// FirstEvent is the time to the first event of a stream.
-	FirstEvent tally.Histogram
+	// ServerRestarts counts servers that started again under their name.
+	ServerRestarts tally.Counter
+	// ResponseLatency is the time to a plain answer.
+	ResponseLatency tally.Histogram
+	// FirstEventLatency is the time to the first event of a stream.
+	FirstEventLatency tally.Histogram
 
-	ages     [freshness.Subjects]tally.Gauge
-	lateness [freshness.Subjects]tally.Histogram
+	confirmationAges [freshness.Subjects]tally.Gauge
+	readDelays       [freshness.Subjects]tally.Histogram
 }
 
 // NewMetrics registers the metrics.
 func NewMetrics(s tally.Scope) *Metrics {
 	buckets := tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, latencyBuckets)
 	m := &Metrics{
-		scope: s, Requests: s.Counter("requests"), Repeats: s.Counter("repeats"),
+		scope: s, Requests: s.Counter("requests"), Retries: s.Counter("repeats"),
 		Escalations: s.Counter("escalations"), SendsFailed: s.Counter("sends_failed"),
-		Cut: s.Counter("answers_cut"), CallersLeft: s.Counter("callers_left"),
-		AliveChecks: s.Counter("alive_checks"), Moved: s.Counter("sends_moved"), Restarts: s.Counter("server_restarts"),
-		ServersEnded: s.Counter("servers_ended"), Held: s.Gauge("requests_held"),
-		Evacuated: s.Gauge("domains_evacuated"), Warming: s.Gauge("servers_warming"), WarmingSends: s.Counter("warming_sends"),
-		Panics:  s.Counter("panics"),
-		Latency: s.Histogram("answer_seconds", buckets), FirstEvent: s.Histogram("first_event_seconds", buckets),
+		ResponsesAborted: s.Counter("answers_cut"), ClientsDisconnected: s.Counter("callers_left"),
+		Probes: s.Counter("alive_checks"), SendsRerouted: s.Counter("sends_moved"), ServerRestarts: s.Counter("server_restarts"),
+		ServersEnded: s.Counter("servers_ended"), RequestsHeld: s.Gauge("requests_held"),
+		DomainsEvacuated: s.Gauge("domains_evacuated"), ServersWarming: s.Gauge("servers_warming"), WarmingSends: s.Counter("warming_sends"),
+		Panics:          s.Counter("panics"),
+		ResponseLatency: s.Histogram("answer_seconds", buckets), FirstEventLatency: s.Histogram("first_event_seconds", buckets),
 	}
-	for about := range freshness.Subjects {
-		tagged := s.Tagged(map[string]string{"subject": about.String()})
-		m.ages[about] = tagged.Gauge("confirmed_age_seconds")
-		m.lateness[about] = tagged.Histogram("learned_late_seconds", buckets)
+	for subject := range freshness.Subjects {
+		tagged := s.Tagged(map[string]string{"subject": subject.String()})
+		m.confirmationAges[subject] = tagged.Gauge("confirmed_age_seconds")
+		m.readDelays[subject] = tagged.Histogram("learned_late_seconds", buckets)
 	}
 	return m
 }
 
-// Age shows how old, in seconds, the newest confirmation of a subject is.
-func (m *Metrics) Age(about freshness.Subject) tally.Gauge { return m.ages[about] }
+// ConfirmationAge shows how old, in seconds, the newest confirmation of a subject is.
+func (m *Metrics) ConfirmationAge(subject freshness.Subject) tally.Gauge {
+	return m.confirmationAges[subject]
+}
 
-// Lateness counts how late, at most, records of a subject were read.
-func (m *Metrics) Lateness(about freshness.Subject) tally.Histogram { return m.lateness[about] }
+// ReadDelay counts how late, at most, records of a subject were read.
+func (m *Metrics) ReadDelay(subject freshness.Subject) tally.Histogram { return m.readDelays[subject] }
 
 // latencyBuckets reach from 5 ms to 20 s by doubling.
 const latencyBuckets = 13
 
-// Refused counts refusals of a kind.
-func (m *Metrics) Refused(k fault.Kind) tally.Counter {
+// Refusals counts refusals of a kind.
+func (m *Metrics) Refusals(k fault.Kind) tally.Counter {
 	return m.scope.Tagged(map[string]string{"kind": string(k)}).Counter("refusals")
 }
 
-// BadEntry counts entries of servers that name none to use, by fault.
-func (m *Metrics) BadEntry(f backend.Fault) tally.Counter {
+// BadServerEntries counts entries of servers that name none to use, by fault.
+func (m *Metrics) BadServerEntries(f backend.Fault) tally.Counter {
 	return m.scope.Tagged(map[string]string{"fault": string(f)}).Counter("server_entries_bad")
 }
 
-// Answered counts whole answers, by whether the server succeeded.
-func (m *Metrics) Answered(ok bool) tally.Counter {
+// Responses counts whole answers, by whether the server succeeded.
+func (m *Metrics) Responses(ok bool) tally.Counter {
 	if ok {
 		return m.scope.Counter("answers_ok")
 	}
 	return m.scope.Counter("answers_failed")
 }
 
-// MetricNames lists every metric with its meaning, for the page of metrics.
-func MetricNames() map[string]string {
+// MetricDescriptions lists every metric with its meaning, for the page of metrics.
+func MetricDescriptions() map[string]string {
 	return map[string]string{
 		"requests":              "Requests of callers.",
 		"repeats":               "Sends after the first of a request.",
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -6,39 +6,39 @@
 	"github.com/damaskrudder/damaskrudder/internal/cascade"
 )
 
-// opinion is what a model said of its own answer.
-type opinion struct {
-	model      int
+// modelConfidence is what a model said of its own answer.
+type modelConfidence struct {
+	modelIndex int
 	confidence float64
 }
 
-// noOpinion is the confidence of a model that states none.
-const noOpinion = -1
+// noConfidence is the confidence of a model that states none.
+const noConfidence = -1
 
-// cascades reports whether the daemon chooses the model.
-func (x *exchange) cascades() bool { return x.call.Model == AnyModel && len(x.route.Models) > 0 }
+// choosesModel reports whether the daemon chooses the model.
+func (x *exchange) choosesModel() bool { return x.call.Model == AnyModel && len(x.route.Models) > 0 }
 
 // models returns the route's models with their prices.
 func (x *exchange) models() []cascade.Model {
 	out := make([]cascade.Model, len(x.route.Models))
-	dearest := 0.0
+	highest := 0.0
 	for i, name := range x.route.Models {
 		out[i].Name = name
 		if x.service.Engine != nil {
 			out[i].Price = x.service.Engine.Cost[name]
 		}
-		dearest = max(dearest, out[i].Price)
+		highest = max(highest, out[i].Price)
 	}
 	for i := range out {
-		out[i].Dearest = dearest
+		out[i].Dearest = highest
 	}
 	return out
 }
 
-// asked is the request as a decision on models sees it.
-func (x *exchange) asked() cascade.Request {
+// cascadeRequest is the request as a decision on models sees it.
+func (x *exchange) cascadeRequest() cascade.Request {
 	r := cascade.Request{
-		Route: x.route.Name, Prompt: x.call.Prompt.Tokens, Answer: x.call.Prompt.Answer(),
+		Route: x.route.Name, Prompt: x.call.Prompt.Tokens, Answer: x.call.Prompt.ExpectedAnswerTokens(),
 		Left: time.Until(x.deadline),
 	}
 	if target := x.route.LatencyTarget; target > 0 {
@@ -48,95 +48,95 @@
 	return r
 }
 
-// events is the expected number of events of the answer.
-func (x *exchange) events() float64 {
+// expectedEvents is the expected number of events of the answer.
+func (x *exchange) expectedEvents() float64 {
 	perEvent := 1
 	if e := x.service.Engine; e != nil {
 		perEvent = max(e.EventTokens, 1)
 	}
-	return float64(x.call.Prompt.Answer()) / float64(perEvent)
+	return float64(x.call.Prompt.ExpectedAnswerTokens()) / float64(perEvent)
 }
 
-// offers asks what is expected of each model from an index on.
-func (x *exchange) offers(from int) []cascade.Offer {
+// modelOffers asks what is expected of each model from an index on.
+func (x *exchange) modelOffers(from int) []cascade.Offer {
 	out := make([]cascade.Offer, len(x.route.Models))
 	for i := range out {
 		if i < from {
 			out[i].None = true
 			continue
 		}
-		w := x.want(x.route.Models[i])
-		w.tried = nil
-		out[i] = x.relay.State.outlook(&w, x.events())
+		req := x.requirements(x.route.Models[i])
+		req.tried = nil
+		out[i] = x.relay.State.estimate(&req, x.expectedEvents())
 	}
 	return out
 }
 
-// learnArrived tells that the request came.
-func (x *exchange) learnArrived() {
-	x.opinion = opinion{confidence: noOpinion}
-	if x.cascades() {
-		r := x.asked()
-		x.relay.valuer(x.service.Name, func(v *cascade.Valuer) { v.Arrived(r) })
+// recordArrival tells that the request came.
+func (x *exchange) recordArrival() {
+	x.lastConfidence = modelConfidence{confidence: noConfidence}
+	if x.choosesModel() {
+		r := x.cascadeRequest()
+		x.relay.withValuer(x.service.Name, func(v *cascade.Valuer) { v.Arrived(r) })
 	}
 }
 
-// escalates decides whether a larger model is asked instead, and changes to it.
-func (x *exchange) escalates(t *target, confidence float64, began time.Time) bool {
-	if !x.cascades() || x.headed {
+// escalate decides whether a larger model is asked instead, and changes to it.
+func (x *exchange) escalate(t *target, confidence float64, sentAt time.Time) bool {
+	if !x.choosesModel() || x.headerSent {
 		return false
 	}
-	var v cascade.Verdict
-	r, models, offers := x.asked(), x.models(), x.offers(x.model+1)
-	standing := cascade.Offer{Rest: x.relay.State.rest(t, x.events())}
+	var verdict cascade.Verdict
+	r, models, offers := x.cascadeRequest(), x.models(), x.modelOffers(x.modelIndex+1)
+	current := cascade.Offer{Rest: x.relay.State.remainingStreamTime(t, x.expectedEvents())}
 	delay := 0.0
-	before := x.opinion
-	x.opinion = opinion{x.model, confidence}
-	x.relay.valuer(x.service.Name, func(l *cascade.Valuer) {
-		if before.model < x.model {
-			l.Asked(models[before.model], models[x.model], before.confidence, confidence)
+	previous := x.lastConfidence
+	x.lastConfidence = modelConfidence{x.modelIndex, confidence}
+	x.relay.withValuer(x.service.Name, func(v *cascade.Valuer) {
+		if previous.modelIndex < x.modelIndex {
+			v.Asked(models[previous.modelIndex], models[x.modelIndex], previous.confidence, confidence)
 		}
-		v = l.Next(r, models, offers, x.model, confidence, standing, x.journey.RunsLeft())
-		delay = l.Delay(models[len(models)-1])
+		verdict = v.Next(r, models, offers, x.modelIndex, confidence, current, x.journey.RunsLeft())
+		delay = v.Delay(models[len(models)-1])
 	})
-	if v.Model == x.model {
-		x.note("answer stands", t, "confidence", confidence, "right", v.Right, "worth", v.Stand, "worth_of_asking", v.Ask, "delay_price", delay)
+	if verdict.Model == x.modelIndex {
+		x.logEvent("answer stands", t, "confidence", confidence, "right", verdict.Right, "worth", verdict.Stand, "worth_of_asking", verdict.Ask, "delay_price", delay)
 		return false
 	}
-	if !x.relay.mayRepeat(x.service.Name, keepForLoss) {
-		x.note("keeps a doubtful answer", t, "confidence", confidence, "right", v.Right, "why", "no budget left")
+	if !x.relay.takeRetry(x.service.Name, failoverReserveFraction) {
+		x.logEvent("keeps a doubtful answer", t, "confidence", confidence, "right", verdict.Right, "why", "no budget left")
 		return false
 	}
-	x.note("asks a larger model", t, "confidence", confidence, "right", v.Right, "worth", v.Stand, "worth_of_asking", v.Ask, "delay_price", delay, "next", x.route.Models[v.Model])
+	x.logEvent("asks a larger model", t, "confidence", confidence, "right", verdict.Right, "worth", verdict.Stand, "worth_of_asking", verdict.Ask, "delay_price", delay, "next", x.route.Models[verdict.Model])
 	x.relay.Metrics.Escalations.Inc(1)
-	x.relay.Rollouts.observe(t, false, x.ratio(t, time.Since(began), 0))
-	x.model = v.Model
+	x.relay.Rollouts.recordResponse(t, false, x.latencyRatio(t, time.Since(sentAt), 0))
+	x.modelIndex = verdict.Model
 	x.tried = nil
 	return true
 }
 
-// learnSent tells what was sent, for the price of a delay.
-func (x *exchange) learnSent(t *target) {
-	if !x.cascades() {
+// recordSend tells what was sent, for the price of a delay.
+func (x *exchange) recordSend(t *target) {
+	if !x.choosesModel() {
 		return
 	}
-	r, models := x.asked(), x.models()
-	o := cascade.Offer{First: t.expected, Rest: x.relay.State.rest(t, x.events())}
-	x.relay.valuer(x.service.Name, func(v *cascade.Valuer) { v.Sent(r, models, x.model, o) })
+	r, models := x.cascadeRequest(), x.models()
+	o := cascade.Offer{First: t.expectedLatency, Rest: x.relay.State.remainingStreamTime(t, x.expectedEvents())}
+	x.relay.withValuer(x.service.Name, func(v *cascade.Valuer) { v.Sent(r, models, x.modelIndex, o) })
 }
 
-// learnBegan tells how long a first event took.
-func (x *exchange) learnBegan(t *target, took time.Duration) {
-	if x.cascades() {
-		x.relay.valuer(x.service.Name, func(v *cascade.Valuer) { v.Began(t.expected, took) })
+// recordFirstEvent tells how long a first event took.
+func (x *exchange) recordFirstEvent(t *target, elapsed time.Duration) {
+	if x.choosesModel() {
+		x.relay.withValuer(x.service.Name, func(v *cascade.Valuer) { v.Began(t.expectedLatency, elapsed) })
 	}
 }
 
-// learnEnded tells how long a stream took from its first event to the last.
-func (x *exchange) learnEnded(t *target, took time.Duration) {
-	if !x.cascades() {
+// recordStreamEnd tells how long a stream took from its first event to the last.
+func (x *exchange) recordStreamEnd(t *target, elapsed time.Duration) {
+	if !x.choosesModel() {
 		return
 	}
-	expected := x.relay.State.rest(t, x.events())
-	x.relay.valuer(x.service.Name, func(v *cascade.Valuer) { v.Ended(expected, took) })
+	expected := x.relay.State.remainingStreamTime(t, x.expectedEvents())
+	x.relay.withValuer(x.service.Name, func(v *cascade.Valuer) { v.Ended(expected, elapsed) })
 }
--- a/internal/relay/others.go
+++ b/internal/relay/others.go
@@ -7,31 +7,31 @@
 // asked, which is less often: each of 195 daemons hears 64 pulses a second, and makes some
 // four choices.
 type peerWork struct {
-	sum map[ServerKey]Work
-	// changes counts them.
-	changes uint64
+	byServer map[ServerKey]ServerWork
+	// version counts them.
+	version uint64
 }
 
 // add takes changes.
-func (p *peerWork) add(changes []Work) {
-	p.changes++
+func (p *peerWork) add(changes []ServerWork) {
+	p.version++
 	for _, c := range changes {
-		w := p.sum[c.Server]
-		w = Work{Server: c.Server, Running: w.Running + c.Running, Pending: w.Pending + c.Pending}
-		if w.Running == 0 && w.Pending == 0 {
-			delete(p.sum, c.Server)
+		w := p.byServer[c.Server]
+		w = ServerWork{Server: c.Server, InFlight: w.InFlight + c.InFlight, PendingPrefill: w.PendingPrefill + c.PendingPrefill}
+		if w.InFlight == 0 && w.PendingPrefill == 0 {
+			delete(p.byServer, c.Server)
 			continue
 		}
-		p.sum[c.Server] = w
+		p.byServer[c.Server] = w
 	}
 }
 
-// show brings a service's picture to the sum.
-func (p *peerWork) show(sv *service) {
-	sv.othersAt = p.changes
+// apply brings a service's picture to the sum.
+func (p *peerWork) apply(sv *service) {
+	sv.peerWorkVersion = p.version
 	now := time.Now()
-	for key, id := range sv.ids {
-		w := p.sum[key]
-		sv.picture.Peers(id, float64(w.Running), float64(w.Pending), now)
+	for key, id := range sv.idByKey {
+		w := p.byServer[key]
+		sv.tracker.Peers(id, float64(w.InFlight), float64(w.PendingPrefill), now)
 	}
 }
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -16,44 +16,44 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// want is what a request needs of a server.
-type want struct {
+// requirements is what a request needs of a server.
+type requirements struct {
 	service   string
 	engine    *route.Engine
 	model     string
 	prompt    Prompt
 	bodyBytes int
 	urgent    bool
-	budget    time.Duration
+	timeLeft  time.Duration
 	tried     []string
 	// fingerprint and standing say whether servers have ended that ran the request.
 	fingerprint quarantine.Fingerprint
 	standing    quarantine.Standing
-	// choice says which versions of servers may get the request.
-	choice Choice
-	// gated is the request as the gate sees it, and limit what a warming server bears.
-	gated gate.Request
-	limit slowstart.Limit
+	// versions says which versions of servers may get the request.
+	versions VersionChoice
+	// gateRequest is the request as the gate sees it, and limit what a warming server bears.
+	gateRequest gate.Request
+	slowStart   slowstart.Limit
 }
 
 // target is a chosen server and what is expected of it.
 type target struct {
-	server   backend.Server
-	service  string
-	model    string
-	uncached int
-	pending  float64
-	expected time.Duration
+	server          backend.Server
+	service         string
+	model           string
+	uncached        int
+	pendingPrefill  float64
+	expectedLatency time.Duration
 	// idle says that the server had no prompt to read.
 	idle bool
-	// ahead is the backlog that was expected there.
-	ahead time.Duration
+	// backlog is the backlog that was expected there.
+	backlog time.Duration
 	// warming says that the server warms up after its start, and limit what it then bears.
-	warming bool
-	limit   slowstart.Limit
-	// connections is this daemon's part of the server's connections.
-	connections int
-	urgent      bool
+	warming   bool
+	slowStart slowstart.Limit
+	// maxConnections is this daemon's part of the server's connections.
+	maxConnections int
+	urgent         bool
 }
 
 // selection is the choice of a server for a want, with what it was made from.
@@ -62,64 +62,64 @@
 	request    routing.Request
 	candidates []routing.Candidate
 	decision   routing.Decision
-	// refused says why the gate refused servers.
-	refused gate.Tally
+	// refusals says why the gate refused servers.
+	refusals gate.Tally
 }
 
-// choose runs the pipeline. Callers hold mu.
-func (s *State) choose(w *want, now time.Time) selection {
-	s.expire()
-	boot := s.boot()
-	sv := s.serviceOf(w.service)
-	pc := sv.pace.of(w.model, w.engine)
-	if w.engine != nil {
-		sv.picture.ReadAt(referenceToken)
+// selectServer runs the pipeline. Callers hold mu.
+func (s *State) selectServer(req *requirements, now time.Time) selection {
+	s.dropExpired()
+	uptime := s.bootTime()
+	sv := s.serviceFor(req.service)
+	latency := sv.models.get(req.model, req.engine)
+	if req.engine != nil {
+		sv.tracker.ReadAt(referenceTokenTime)
 	}
-	out := selection{service: sv, candidates: sv.picture.Snapshot(s.room[:0], now)}
-	s.room = out.candidates
-	r := &out.request
-	*r = routing.Request{PromptTokens: w.prompt.Tokens, Urgent: w.urgent, PrefillScale: pc.scale(), Budget: w.budget, FailureDomain: s.failureDomain, BodyBytes: w.bodyBytes}
+	sel := selection{service: sv, candidates: sv.tracker.Snapshot(s.candidateBuf[:0], now)}
+	s.candidateBuf = sel.candidates
+	r := &sel.request
+	*r = routing.Request{PromptTokens: req.prompt.Tokens, Urgent: req.urgent, PrefillScale: latency.prefillScale(), Budget: req.timeLeft, FailureDomain: s.failureDomain, BodyBytes: req.bodyBytes}
 	pipeline := routing.Default()
-	if w.engine != nil {
+	if req.engine != nil {
 		pipeline = routing.Engines()
-		r.Blocks, r.BlockEnds = blocks(w.model, w.prompt.Parts)
+		r.Blocks, r.BlockEnds = prefixHashes(req.model, req.prompt.Parts)
 		if n := len(r.BlockEnds); n > 1 {
 			r.SharedTokens = r.BlockEnds[n-2]
 		}
-		sv.picture.Prefix.Age(now)
-		sv.picture.Prefix.Fill(r)
-		homes(homeKey(w.model, w.prompt), out.candidates, r)
-		r.Foreign = sv.lanesOf(w.engine).Foreign(w.model, sv.picture.Order())
+		sv.tracker.Prefix.Age(now)
+		sv.tracker.Prefix.Fill(r)
+		rankAffinity(affinityKey(req.model, req.prompt), sel.candidates, r)
+		r.Foreign = sv.lanesFor(req.engine).Foreign(req.model, sv.tracker.Order())
 	}
-	s.mark(&out, w, w.choice.Prefer, boot)
-	limit(r, out.candidates, sv.picture.Order(), w.choice.Part)
-	if w.standing.Ends > 0 {
-		out.decision = s.pickApart(pipeline, *r, &out, w)
-		if out.decision.Index >= 0 {
-			return out
+	s.applyExclusions(&sel, req, req.versions.Preferred, uptime)
+	limitToFraction(r, sel.candidates, sv.tracker.Order(), req.versions.Fraction)
+	if req.standing.Ends > 0 {
+		sel.decision = s.pickByFingerprint(pipeline, *r, &sel, req)
+		if sel.decision.Index >= 0 {
+			return sel
 		}
 	}
-	out.decision = pipeline.Pick(r, out.candidates, s.rng)
-	if out.decision.Refusal == routing.NoCandidate {
-		s.mark(&out, w, w.choice.Else, boot)
-		out.decision = pipeline.Pick(r, out.candidates, s.rng)
+	sel.decision = pipeline.Pick(r, sel.candidates, s.rng)
+	if sel.decision.Refusal == routing.NoCandidate {
+		s.applyExclusions(&sel, req, req.versions.Fallback, uptime)
+		sel.decision = pipeline.Pick(r, sel.candidates, s.rng)
 	}
-	if out.decision.Refusal == routing.NoCandidate && unsuspect(out.candidates) {
+	if sel.decision.Refusal == routing.NoCandidate && clearSuspicion(sel.candidates) {
 		// Every server that is left is suspect. A suspicion may be wrong, and
 		// refusing is certain to fail the request.
-		out.decision = pipeline.Pick(r, out.candidates, s.rng)
+		sel.decision = pipeline.Pick(r, sel.candidates, s.rng)
 	}
-	return out
+	return sel
 }
 
-// pickApart chooses the server of a request that was at servers which ended, out of those
+// pickByFingerprint chooses the server of a request that was at servers which ended, out of those
 // that may get it: the first by a hash of the request. So those that were at one server together go apart, of which one ended
 // it and the others will be answered; and all repeats of that one, from whatever daemon, go to
 // one server and end no other meanwhile.
-func (s *State) pickApart(p routing.Pipeline, r routing.Request, o *selection, w *want) routing.Decision {
+func (s *State) pickByFingerprint(p routing.Pipeline, r routing.Request, sel *selection, req *requirements) routing.Decision {
 	var usable []int
-	for _, i := range o.service.picture.Order() {
-		if c := &o.candidates[i]; c.ID != "" && !c.Suspect && !c.Leaving && !r.Tried.Has(i) {
+	for _, i := range sel.service.tracker.Order() {
+		if c := &sel.candidates[i]; c.ID != "" && !c.Suspect && !c.Leaving && !r.Tried.Has(i) {
 			usable = append(usable, i)
 		}
 	}
@@ -127,106 +127,106 @@
 		return routing.Decision{Index: -1, Refusal: routing.NoCandidate}
 	}
 	chosen := slices.MaxFunc(usable, func(a, b int) int {
-		return cmp.Compare(rendezvous(o.candidates[a].Hash, uint64(w.fingerprint)), rendezvous(o.candidates[b].Hash, uint64(w.fingerprint)))
+		return cmp.Compare(rendezvousWeight(sel.candidates[a].Hash, uint64(req.fingerprint)), rendezvousWeight(sel.candidates[b].Hash, uint64(req.fingerprint)))
 	})
-	for i := range o.candidates {
+	for i := range sel.candidates {
 		if i != chosen {
 			r.Tried.Add(i)
 		}
 	}
-	return p.Pick(&r, o.candidates, s.rng)
+	return p.Pick(&r, sel.candidates, s.rng)
 }
 
-// outlook returns what is expected of an answer of some events from the server that
+// estimate returns what is expected of an answer of some events from the server that
 // would be chosen.
-func (s *State) outlook(w *want, events float64) cascade.Offer {
+func (s *State) estimate(req *requirements, events float64) cascade.Offer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	out := s.choose(w, now)
-	if out.decision.Index < 0 {
+	sel := s.selectServer(req, now)
+	if sel.decision.Index < 0 {
 		return cascade.Offer{None: true}
 	}
-	work := out.work()
+	prefillTime := sel.prefillTime()
 	return cascade.Offer{
-		First: out.decision.Expected, Rest: out.service.pace.rest(w.model, events),
-		Work: work, Delayed: out.service.pace.of(w.model, w.engine).load.Delayed(out.ahead(), work, s.daemons, out.lane(), now),
+		First: sel.decision.Expected, Rest: sel.service.models.streamTime(req.model, events),
+		Work: prefillTime, Delayed: sel.service.models.get(req.model, req.engine).load.Delayed(sel.backlog(), prefillTime, s.daemons, sel.laneSize(), now),
 	}
 }
 
-// work is the time to read the prompt at the chosen server.
-func (o *selection) work() time.Duration {
-	return time.Duration(float64(o.request.Uncached(o.decision.Index)) * o.request.PrefillScale * float64(referenceToken))
+// prefillTime is the time to read the prompt at the chosen server.
+func (o *selection) prefillTime() time.Duration {
+	return time.Duration(float64(o.request.Uncached(o.decision.Index)) * o.request.PrefillScale * float64(referenceTokenTime))
 }
 
-// lane is the number of engines that the model's requests go to.
-func (o *selection) lane() int {
+// laneSize is the number of engines that the model's requests go to.
+func (o *selection) laneSize() int {
 	n := 0
-	out := o.request.Foreign.With(o.request.Tried)
+	excluded := o.request.Foreign.With(o.request.Tried)
 	for i := range o.candidates {
-		if o.candidates[i].ID != "" && !out.Has(i) {
+		if o.candidates[i].ID != "" && !excluded.Has(i) {
 			n++
 		}
 	}
 	return n
 }
 
-// ahead is the time to read what waits at the chosen server.
-func (o *selection) ahead() time.Duration {
+// backlog is the time to read what waits at the chosen server.
+func (o *selection) backlog() time.Duration {
 	c := &o.candidates[o.decision.Index]
-	return time.Duration((c.PendingPrefill + c.OthersPending) * float64(referenceToken))
+	return time.Duration((c.PendingPrefill + c.OthersPending) * float64(referenceTokenTime))
 }
 
 // pick chooses a server and books the work there.
-func (s *State) pick(w *want, maxConns int) (*target, *fault.Error) {
+func (s *State) pick(req *requirements, maxConns int) (*target, *fault.Error) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.choose(w, now)
-	if out.decision.Refusal == routing.TooLate {
-		return nil, fault.New(fault.Overloaded, "the first server of %s would begin after %s", w.service, out.decision.Expected.Round(time.Millisecond))
+	sel := s.selectServer(req, now)
+	if sel.decision.Refusal == routing.TooLate {
+		return nil, fault.New(fault.Overloaded, "the first server of %s would begin after %s", req.service, sel.decision.Expected.Round(time.Millisecond))
 	}
-	if out.decision.Index < 0 {
-		return nil, noServer(&out, w)
+	if sel.decision.Index < 0 {
+		return nil, noServerError(&sel, req)
 	}
-	c := out.candidates[out.decision.Index]
-	picture, blocks := out.service.picture, out.request.Blocks
-	picture.Dispatched(c.ID, blocks, w.urgent, now)
+	c := sel.candidates[sel.decision.Index]
+	tracker, blocks := sel.service.tracker, sel.request.Blocks
+	tracker.Dispatched(c.ID, blocks, req.urgent, now)
 	t := &target{
-		server: out.service.servers[c.ID], service: w.service, model: w.model, urgent: w.urgent, limit: w.limit,
-		expected:    out.decision.Expected,
-		uncached:    out.request.Uncached(out.decision.Index),
-		idle:        c.PendingPrefill+c.OthersPending == 0,
-		ahead:       out.ahead(),
-		connections: max(leastConnections, maxConns/(s.daemons+1)),
+		server: sel.service.servers[c.ID], service: req.service, model: req.model, urgent: req.urgent, slowStart: req.slowStart,
+		expectedLatency: sel.decision.Expected,
+		uncached:        sel.request.Uncached(sel.decision.Index),
+		idle:            c.PendingPrefill+c.OthersPending == 0,
+		backlog:         sel.backlog(),
+		maxConnections:  max(minConnections, maxConns/(s.daemons+1)),
 	}
-	t.warming = s.pass(&out, w, s.boot())
-	t.pending = float64(t.uncached) * out.request.PrefillScale
-	picture.Pending(c.ID, t.pending)
-	if w.engine != nil {
-		out.service.pace.of(w.model, w.engine).load.Sent(now)
+	t.warming = s.recordSend(&sel, req, s.bootTime())
+	t.pendingPrefill = float64(t.uncached) * sel.request.PrefillScale
+	tracker.Pending(c.ID, t.pendingPrefill)
+	if req.engine != nil {
+		sel.service.models.get(req.model, req.engine).load.Sent(now)
 	}
-	if out.service.lanes != nil {
-		out.service.lanes.Work(w.model, out.work(), now)
+	if sel.service.lanes != nil {
+		sel.service.lanes.Work(req.model, sel.prefillTime(), now)
 	}
-	if shared := len(blocks) - 1; shared > 0 && len(s.placed) < maxPlaced {
+	if shared := len(blocks) - 1; shared > 0 && len(s.pendingPlacements) < maxPendingPlacements {
 		// The last part is the request's own; no other daemon meets it.
-		s.placed = append(s.placed, Placed{Server: KeyOf(c.ID), Blocks: blocks[:shared]})
+		s.pendingPlacements = append(s.pendingPlacements, Placement{Server: ServerKeyOf(c.ID), Blocks: blocks[:shared]})
 	}
 	return t, nil
 }
 
-// lanesOf returns the division of the service's engines between its models.
-func (sv *service) lanesOf(e *route.Engine) *routing.Lanes {
+// lanesFor returns the division of the service's engines between its models.
+func (sv *service) lanesFor(e *route.Engine) *routing.Lanes {
 	if sv.lanes == nil {
 		sv.lanes = routing.NewLanes(expectedWork(e))
 	}
 	return sv.lanes
 }
 
-// escalatedPart is the part of the requests that the largest model is expected to
+// escalatedFraction is the part of the requests that the largest model is expected to
 // get, before any has been seen.
-const escalatedPart = 0.4
+const escalatedFraction = 0.4
 
 // expectedWork relates the work of the smallest and the largest model.
 func expectedWork(e *route.Engine) map[string]float64 {
@@ -242,52 +242,52 @@
 	if small == large {
 		return nil
 	}
-	return map[string]float64{small: 1, large: escalatedPart * costRatio(large, e)}
+	return map[string]float64{small: 1, large: escalatedFraction * relativeCost(large, e)}
 }
 
-// leastConnections to one server are always allowed to a daemon.
-const leastConnections = 6
+// minConnections to one server are always allowed to a daemon.
+const minConnections = 6
 
-// mark excludes servers that were tried or whose version may not be used.
-func mark(r *routing.Request, candidates []routing.Candidate, sv *service, w *want, admits func(string) bool) {
+// excludeUnsuitable excludes servers that were tried or whose version may not be used.
+func excludeUnsuitable(r *routing.Request, candidates []routing.Candidate, sv *service, req *requirements, admits func(string) bool) {
 	r.Tried = routing.Set{}
 	for i := range candidates {
 		id := candidates[i].ID
 		server, known := sv.servers[id]
-		if !known || slices.Contains(w.tried, id) || !admits(server.Version) || !holds(server, w.model) {
+		if !known || slices.Contains(req.tried, id) || !admits(server.Version) || !hasModel(server, req.model) {
 			r.Tried.Add(i)
 		}
 	}
 }
 
-// fewestInPart is the least number of servers that a part is limited to: with one
+// minCanaryServers is the least number of servers that a part is limited to: with one
 // alone, a bad server could not be told from a bad version.
-const fewestInPart = 3
+const minCanaryServers = 3
 
-// limit excludes all but a part of the servers that are left, the first in the order that
+// limitToFraction excludes all but a part of the servers that are left, the first in the order that
 // all daemons agree on.
-func limit(r *routing.Request, candidates []routing.Candidate, order []int, part float64) {
-	if part <= 0 || part >= 1 {
+func limitToFraction(r *routing.Request, candidates []routing.Candidate, order []int, fraction float64) {
+	if fraction <= 0 || fraction >= 1 {
 		return
 	}
-	var left []int
+	var remaining []int
 	for _, i := range order {
 		if !r.Tried.Has(i) && !candidates[i].Suspect {
-			left = append(left, i)
+			remaining = append(remaining, i)
 		}
 	}
-	keep := max(fewestInPart, int(math.Ceil(part*float64(len(left)))))
-	for _, i := range left[min(keep, len(left)):] {
+	keep := max(minCanaryServers, int(math.Ceil(fraction*float64(len(remaining)))))
+	for _, i := range remaining[min(keep, len(remaining)):] {
 		r.Tried.Add(i)
 	}
 }
 
-// holds reports whether an engine has a model; one that lists none is tried.
-func holds(s backend.Server, model string) bool {
+// hasModel reports whether an engine has a model; one that lists none is tried.
+func hasModel(s backend.Server, model string) bool {
 	return model == "" || len(s.Models) == 0 || slices.Contains(s.Models, model)
 }
 
-func unsuspect(candidates []routing.Candidate) bool {
+func clearSuspicion(candidates []routing.Candidate) bool {
 	changed := false
 	for i := range candidates {
 		changed = changed || candidates[i].Suspect
@@ -296,40 +296,40 @@
 	return changed
 }
 
-// began books the first event or the answer of a send.
-func (s *State) began(t *target, took time.Duration, engine bool) {
-	s.with(t.service, func(sv *service) {
-		s.read(sv, t)
-		s.gate.Answered(t.server.ID, t.limit, s.boot())
-		p := sv.pace.of(t.model, nil)
+// recordResponse books the first event or the answer of a send.
+func (s *State) recordResponse(t *target, elapsed time.Duration, engine bool) {
+	s.withService(t.service, func(sv *service) {
+		s.removePending(sv, t)
+		s.gate.Answered(t.server.ID, t.slowStart, s.bootTime())
+		p := sv.models.get(t.model, nil)
 		if !engine {
 			// An answer is the whole work, of which no part tells of a queue.
-			sv.picture.Late(t.server.ID, 0, time.Now())
-			mean(&p.first, took.Seconds())
+			sv.tracker.Late(t.server.ID, 0, time.Now())
+			updateMean(&p.responseTime, elapsed.Seconds())
 			return
 		}
-		sv.picture.Late(t.server.ID, took-t.ahead-p.line.At(t.uncached), time.Now())
+		sv.tracker.Late(t.server.ID, elapsed-t.backlog-p.prefill.At(t.uncached), time.Now())
 		if t.idle {
-			p.line.Sample(t.uncached, took)
+			p.prefill.Sample(t.uncached, elapsed)
 		}
 	})
 }
 
-// read takes a prompt off the backlog of its server.
-func (s *State) read(sv *service, t *target) {
-	sv.picture.Pending(t.server.ID, -t.pending)
-	t.pending = 0
+// removePending takes a prompt off the backlog of its server.
+func (s *State) removePending(sv *service, t *target) {
+	sv.tracker.Pending(t.server.ID, -t.pendingPrefill)
+	t.pendingPrefill = 0
 }
 
-// ended books the end of a send.
-func (s *State) ended(t *target, held time.Duration, failed bool) {
-	s.with(t.service, func(sv *service) {
-		s.read(sv, t)
-		sv.picture.Completed(t.server.ID, held, failed, t.urgent, time.Now())
+// recordSendEnd books the end of a send.
+func (s *State) recordSendEnd(t *target, elapsed time.Duration, failed bool) {
+	s.withService(t.service, func(sv *service) {
+		s.removePending(sv, t)
+		sv.tracker.Completed(t.server.ID, elapsed, failed, t.urgent, time.Now())
 	})
 }
 
-// unreachable books a server that takes no connection or answers nothing.
-func (s *State) unreachable(t *target) {
-	s.with(t.service, func(sv *service) { sv.picture.Unreachable(t.server.ID, time.Now()) })
+// markUnreachable books a server that takes no connection or answers nothing.
+func (s *State) markUnreachable(t *target) {
+	s.withService(t.service, func(sv *service) { sv.tracker.Unreachable(t.server.ID, time.Now()) })
 }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -14,26 +14,28 @@
 // newGuard returns what keeps requests from servers that end when they run them.
 func newGuard(r *Relay) *containment.Guard {
 	return containment.New(containment.Ports{
-		Boot: r.State.boot, Logger: r.log, Ended: r.Metrics.ServersEnded, Held: r.Metrics.Held,
-		Refuses: func(ctx context.Context, s containment.Server) bool { return r.backend.Refuses(ctx, s.Address) },
-		Leaving: func(s containment.Server) bool { return r.State.leaving(s.ID) },
-		Lost:    r.State.lost,
+		Boot: r.State.bootTime, Logger: r.log, Ended: r.Metrics.ServersEnded, Held: r.Metrics.RequestsHeld,
+		Refuses: func(ctx context.Context, s containment.Server) bool {
+			return r.backend.RefusesConnections(ctx, s.Address)
+		},
+		Leaving: func(s containment.Server) bool { return r.State.isLeaving(s.ID) },
+		Lost:    r.State.recordLostServer,
 	})
 }
 
-// guarded names a server to the guard.
-func guarded(b backend.Server) containment.Server {
+// containmentServer names a server to the guard.
+func containmentServer(b backend.Server) containment.Server {
 	return containment.Server{ID: b.ID, Address: b.Address}
 }
 
-// held returns the refusal of a request that is kept from servers, or nil. Every way to a
+// checkHold returns the refusal of a request that is kept from servers, or nil. Every way to a
 // server leads past it: first sends, repeats, larger models, and streams that go on.
-func (x *exchange) held() *fault.Error {
+func (x *exchange) checkHold() *fault.Error {
 	x.standing = x.relay.Guard.Check(x.fingerprint)
 	if !x.standing.Held {
 		return nil
 	}
-	x.note("held", nil, "fingerprint", x.fingerprint, "left_ms", x.standing.Left.Milliseconds(), "sends", x.journey.Sends())
+	x.logEvent("held", nil, "fingerprint", x.fingerprint, "left_ms", x.standing.Left.Milliseconds(), "sends", x.journey.Sends())
 	return x.journey.Refuse(fault.Quarantined, "servers ended that ran this request").After(containment.Advice(x.standing))
 }
 
@@ -50,21 +52,21 @@
 	return containment.Finished
 }
 
-// lost books a server that has ended, under the key by which daemons tell of it.
-func (s *State) lost(run quarantine.RunKey) {
+// recordLostServer books a server that has ended, under the key by which daemons tell of it.
+func (s *State) recordLostServer(run quarantine.RunKey) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
-		if id, known := sv.ids[ServerKey(run)]; known {
-			sv.picture.Unreachable(id, now)
-			s.gate.Ended(id, s.boot())
+		if id, known := sv.idByKey[ServerKey(run)]; known {
+			sv.tracker.Unreachable(id, now)
+			s.gate.Ended(id, s.bootTime())
 		}
 	}
 }
 
-// leaving reports whether a server has said that it leaves, or its entry has gone.
-func (s *State) leaving(id string) bool {
+// isLeaving reports whether a server has said that it leaves, or its entry has gone.
+func (s *State) isLeaving(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -16,39 +16,39 @@
 	"github.com/damaskrudder/damaskrudder/internal/upstream"
 )
 
-// ask sends a request with a body.
-func (w *world) ask(path, body string) *fakeCaller {
-	out := &fakeCaller{}
-	w.relay.Serve(context.Background(), requestTo(path, body), out)
+// callWithBody sends a request with a body.
+func (w *harness) callWithBody(path, body string) *fakeResponseWriter {
+	out := &fakeResponseWriter{}
+	w.relay.Serve(context.Background(), newCall(path, body), out)
 	return out
 }
 
-func requestTo(path, body string) *Call {
+func newCall(path, body string) *Call {
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Body: []byte(body), Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
-		c.Model, c.Prompt = AnyModel, Prompt{Tokens: 100, AnswerTokens: 20, Parts: []Part{{1, 50}, {2, 50}}}
+		c.Model, c.Prompt = AnyModel, Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
 	return c
 }
 
-// printOf is the fingerprint of a request that ask sends.
-func printOf(path, body string) quarantine.Fingerprint {
+// fingerprintOf is the fingerprint of a request that ask sends.
+func fingerprintOf(path, body string) quarantine.Fingerprint {
 	return quarantine.Of("w", "h", "POST", path, []byte(body))
 }
 
-// refusing is a backend whose servers have ended for whoever asks.
-type refusing struct{ *fakeBackend }
+// refusingBackend is a backend whose servers have ended for whoever asks.
+type refusingBackend struct{ *fakeBackend }
 
-func (refusing) Refuses(context.Context, string) bool { return true }
+func (refusingBackend) RefusesConnections(context.Context, string) bool { return true }
 
-func brokenStream(Send) (*Reply, error) {
-	return &Reply{Status: 200, Sealed: true, Confidence: -1, Length: -1, Body: io.NopCloser(failing{io.ErrUnexpectedEOF})}, nil
+func brokenStream(BackendRequest) (*BackendResponse, error) {
+	return &BackendResponse{Status: 200, Authenticated: true, Confidence: -1, ContentLength: -1, Body: io.NopCloser(failingReader{io.ErrUnexpectedEOF})}, nil
 }
 
-func TestHeldRequestReachesNoServer(t *testing.T) {
-	w := newWorld(t, brokenStream)
-	w.relay.backend = refusing{w.backend}
-	first := w.ask("/s/1", "x")
+func TestHeldRequestIsNotSent(t *testing.T) {
+	w := newHarness(t, brokenStream)
+	w.relay.backend = refusingBackend{w.backend}
+	first := w.callWithBody("/s/1", "x")
 	if first.refusal == nil || first.refusal.State() == fault.NotRun || fault.Lookup(first.refusal.Kind).Run == fault.NotRun {
 		t.Errorf("a request that ran was refused with %v", first.refusal)
 	}
@@ -56,7 +56,7 @@
 	if sent != 3 {
 		t.Fatalf("sent %d times", sent)
 	}
-	second := w.ask("/s/1", "x")
+	second := w.callWithBody("/s/1", "x")
 	if r := second.refusal; r == nil || r.Kind != fault.Quarantined || r.State() != fault.NotRun || r.Advice() < time.Second {
 		t.Errorf("refused with %v", r)
 	}
@@ -64,39 +64,39 @@
 		t.Error("a held request was sent")
 	}
 	w.relay.backend = w.backend
-	w.backend.script = []func(Send) (*Reply, error){streamingFrom(90, nil, 1, 2)}
-	if other := w.ask("/s/1", "y"); other.status != 200 {
+	w.backend.script = []func(BackendRequest) (*BackendResponse, error){respondStream(90, nil, 1, 2)}
+	if other := w.callWithBody("/s/1", "y"); other.status != 200 {
 		t.Errorf("another body was refused with %v", other.refusal)
 	}
 }
 
 // What is held by the word of another daemon while a request is between two servers stops it
 // there too, whether it was lost, goes to a larger model or goes on in the middle.
-func TestEveryWayToAServerLeadsPastTheCheck(t *testing.T) {
-	for name, first := range map[string]func(Send) (*Reply, error){
+func TestHoldIsCheckedBeforeEverySend(t *testing.T) {
+	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
 		"first send":   nil,
-		"repeat":       failed(upstream.Broken, true),
-		"larger model": streamingFrom(0, nil, 1, 2),
-		"stream":       streamingFrom(90, errors.New("reset"), 1, 2),
-		"not run":      notRun,
+		"repeat":       failSend(upstream.Broken, true),
+		"larger model": respondStream(0, nil, 1, 2),
+		"stream":       respondStream(90, errors.New("reset"), 1, 2),
+		"not run":      respondNotRun,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
-			hold := func() { w.relay.Guard.ApplyHold(printOf("/s/1", "x"), time.Minute) }
-			w.backend.script = []func(Send) (*Reply, error){func(s Send) (*Reply, error) {
+			w := newHarness(t, nil)
+			hold := func() { w.relay.Guard.ApplyHold(fingerprintOf("/s/1", "x"), time.Minute) }
+			w.backend.script = []func(BackendRequest) (*BackendResponse, error){func(s BackendRequest) (*BackendResponse, error) {
 				hold()
 				return first(s)
-			}, answering(200, "")}
+			}, respond(200, "")}
 			if first == nil {
 				hold()
 			}
-			out := w.ask("/s/1", "x")
+			out := w.callWithBody("/s/1", "x")
 			sends := 1
 			if first == nil {
 				sends = 0
 			}
-			if len(w.backend.sends) != sends || !out.cut && out.refusal == nil {
-				t.Errorf("sent %d times, refused with %v, cut %t", len(w.backend.sends), out.refusal, out.cut)
+			if len(w.backend.sends) != sends || !out.aborted && out.refusal == nil {
+				t.Errorf("sent %d times, refused with %v, cut %t", len(w.backend.sends), out.refusal, out.aborted)
 			}
 		})
 	}
@@ -106,18 +106,18 @@
 // Sequence: the small model's answer is dropped and its run cancelled; the server ends by it
 // a tenth of a second later.
 // Cause: only what ran at the moment of the end was looked at.
-func TestRunThatWasCancelledJustBeforeTheEndIsSuspected(t *testing.T) {
+func TestRunCancelledJustBeforeServerEndIsSuspected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, streamingFrom(0, nil, 1, 2), streamingFrom(90, nil, 1, 2, 3))
-		w.ask("/s/1", "x")
-		f := printOf("/s/1", "x")
+		w := newHarness(t, respondStream(0, nil, 1, 2), respondStream(90, nil, 1, 2, 3))
+		w.callWithBody("/s/1", "x")
+		f := fingerprintOf("/s/1", "x")
 		server := w.backend.sends[0].Server
 		ended := func(age time.Duration) {
 			w.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
 				Run: containment.RunKey(server.ID), AgeMs: age.Milliseconds(), Suspects: []quarantine.Fingerprint{1},
 			}}})
 		}
-		*w.clock = clock{now: w.clock.now + 2*time.Second}
+		*w.clock = fakeClock{now: w.clock.now + 2*time.Second}
 		time.Sleep(2 * time.Second)
 		ended(1900 * time.Millisecond)
 		if n := w.relay.Guard.Check(f).Ends; n != 0 {
@@ -125,13 +125,13 @@
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, streamingFrom(0, nil, 1, 2), brokenStream)
-		w.ask("/s/1", "x")
+		w := newHarness(t, respondStream(0, nil, 1, 2), brokenStream)
+		w.callWithBody("/s/1", "x")
 		time.Sleep(100 * time.Millisecond)
 		w.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
 			Run: containment.RunKey(w.backend.sends[0].Server.ID), Suspects: []quarantine.Fingerprint{1},
 		}}})
-		if n := w.relay.Guard.Check(printOf("/s/1", "x")).Ends; n != 1 {
+		if n := w.relay.Guard.Check(fingerprintOf("/s/1", "x")).Ends; n != 1 {
 			t.Errorf("suspected for %d ends", n)
 		}
 	})
@@ -142,17 +142,17 @@
 // Sequence: connections break, answers are lost, and the servers are well; or a server that
 // had said that it leaves is gone.
 // Cause: a broken connection looks the same.
-func TestBrokenConnectionAloneIsNoEnd(t *testing.T) {
-	w := newWorld(t, failed(upstream.Broken, true))
+func TestBrokenConnectionIsNotAServerEnd(t *testing.T) {
+	w := newHarness(t, failSend(upstream.Broken, true))
 	for range 4 {
-		w.ask("/s/1", "x")
+		w.callWithBody("/s/1", "x")
 	}
-	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Ends != 0 {
+	if s := w.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Ends != 0 {
 		t.Errorf("servers that are well: %+v", s)
 	}
-	w = newWorld(t, failed(upstream.Broken, true))
-	w.relay.backend = refusing{w.backend}
-	w.relay.State.Servers(func(r *backend.Registry, _ time.Duration) {
+	w = newHarness(t, failSend(upstream.Broken, true))
+	w.relay.backend = refusingBackend{w.backend}
+	w.relay.State.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for _, id := range []string{"e0", "e1", "e2"} {
 			s, _, _ := r.Get(id, 0)
 			s.Leaving = true
@@ -172,22 +172,22 @@
 // Sequence: a server ends by it and is back within milliseconds, so that its VM refuses no
 // connection; its entry tells later that it has started again.
 // Cause: only refused connections told of an end.
-func TestServerThatIsBackAtOnceHasEnded(t *testing.T) {
-	w := newWorld(t, failed(upstream.Broken, true))
-	w.ask("/s/1", "x")
+func TestImmediateRestartCountsAsServerEnd(t *testing.T) {
+	w := newHarness(t, failSend(upstream.Broken, true))
+	w.callWithBody("/s/1", "x")
 	for _, s := range w.backend.sends {
-		w.relay.Ended(s.Server)
-		w.relay.Ended(s.Server)
+		w.relay.ServerRestarted(s.Server)
+		w.relay.ServerRestarted(s.Server)
 	}
-	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Ends != 3 || !s.Held {
+	if s := w.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Ends != 3 || !s.Held {
 		t.Errorf("stands %+v", s)
 	}
 }
 
 // A send that waits at a server is ended when its request is held: it has not harmed that one
 // yet. One whose answer is passed on already is not.
-func TestSendsThatWaitEndWhenTheirRequestIsHeld(t *testing.T) {
-	w := newWorld(t, answering(200, ""))
+func TestHoldCancelsWaitingSends(t *testing.T) {
+	w := newHarness(t, respond(200, ""))
 	var causes []error
 	enter := func(server string) *containment.Run {
 		return w.relay.Guard.Enter(containment.Server{ID: server}, 7, func(err error) { causes = append(causes, err) })
@@ -203,11 +203,11 @@
 
 // Of two requests that were on one server that ended, each goes to a server of its own as a
 // rule, and always to the same one.
-func TestSuspectsGoApart(t *testing.T) {
-	w := newWorld(t, answering(200, ""))
+func TestSuspectRequestsAreSpreadOverServers(t *testing.T) {
+	w := newHarness(t, respond(200, ""))
 	to := map[string]int{}
 	for f := quarantine.Fingerprint(1); f <= 60; f++ {
-		x := &want{service: "app", fingerprint: f, standing: quarantine.Standing{Ends: 1}, choice: Choice{Prefer: everyVersion, Else: everyVersion}}
+		x := &requirements{service: "app", fingerprint: f, standing: quarantine.Standing{Ends: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
 		first := ""
 		for range 3 {
 			got, err := w.relay.State.pick(x, 100)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,38 +18,38 @@
 	"github.com/damaskrudder/damaskrudder/internal/route"
 )
 
-// Rules are the limits that the deployment sets.
-type Rules struct {
-	// KeyFreshness is how old the newest confirmation of the configuration may be
+// Options are the limits that the deployment sets.
+type Options struct {
+	// MaxKeyStaleness is how old the newest confirmation of the configuration may be
 	// for a request with an API key to be sent to a server. A key that was taken
 	// away longer ago than the deployment allows must open nothing, so this lies
 	// under that bound. Zero does not limit it.
-	KeyFreshness time.Duration
-	// BudgetWindow, BudgetRatio and BudgetReserve limit the repeats of all
+	MaxKeyStaleness time.Duration
+	// RetryBudgetWindow, BudgetRatio and BudgetReserve limit the repeats of all
 	// daemons for one service: see request.Share.
-	BudgetWindow  time.Duration
-	BudgetRatio   float64
-	BudgetReserve float64
-	// SessionSpan is how long after each other requests of a session belong
+	RetryBudgetWindow  time.Duration
+	RetryBudgetRatio   float64
+	RetryBudgetReserve float64
+	// SessionIdleTimeout is how long after each other requests of a session belong
 	// together.
-	SessionSpan time.Duration
-	// WarmUpExcess and WarmUpSlack bound what a warming server gets in any second: its
+	SessionIdleTimeout time.Duration
+	// WarmUpRateFactor and WarmUpSlack bound what a warming server gets in any second: its
 	// stated rate times the first, plus the second.
-	WarmUpExcess, WarmUpSlack float64
+	WarmUpRateFactor, WarmUpBurst float64
 }
 
 const (
-	// defaultWait bounds a request whose caller and route state no limit.
-	defaultWait = 30 * time.Second
+	// defaultTimeout bounds a request whose caller and route state no limit.
+	defaultTimeout = 30 * time.Second
 	// deadlineMargin is taken off the time a server is given: an answer that
 	// arrives as the caller leaves is of no use, and a server that works longer
 	// than the caller waits works in vain.
 	deadlineMargin = 5 * time.Millisecond
-	// keepForLoss is the part of a daemon's reserve of repeats that larger models may
+	// failoverReserveFraction is the part of a daemon's reserve of repeats that larger models may
 	// not use: it is left for requests whose server was lost. A fixed count of 3 was more
 	// than the whole reserve of one daemon of sixty, so that each let its first doubtful
 	// answers stand: of a deployment's first requests 0.85 of the worth was earned.
-	keepForLoss = 0.5
+	failoverReserveFraction = 0.5
 )
 
 // Relay serves calls.
@@ -58,112 +58,112 @@
 	Rollouts *Rollouts
 	Metrics  *Metrics
 	backend  Backend
-	rules    Rules
+	options  Options
 	log      *log.Logger
-	watch    *watch
+	liveness *livenessMonitor
 	// Guard keeps requests from servers that end when they run them.
 	Guard *containment.Guard
-	// Outdated reports whether other daemons have a newer configuration than the store.
-	Outdated func() bool
+	// ConfigOutdated reports whether other daemons have a newer configuration than the store.
+	ConfigOutdated func() bool
 	// started is where the steady clock of the retry budget begins.
 	started time.Time
 
-	mu      sync.Mutex
-	shares  map[string]*request.Share
-	valuers map[string]*cascade.Valuer
-	active  int
-	// end is when the daemon stops; zero while it does not leave.
-	end time.Time
-	// admitted is when the last request was admitted.
-	admitted time.Time
+	mu             sync.Mutex
+	retryBudgets   map[string]*request.Share
+	valuers        map[string]*cascade.Valuer
+	activeRequests int
+	// shutdownAt is when the daemon stops; zero while it does not leave.
+	shutdownAt time.Time
+	// lastAdmitted is when the last request was admitted.
+	lastAdmitted time.Time
 }
 
 // New returns a relay.
-func New(s *State, b Backend, rules Rules, m *Metrics, l *log.Logger) *Relay {
+func New(state *State, b Backend, options Options, m *Metrics, logger *log.Logger) *Relay {
 	r := &Relay{
-		State: s, Rollouts: NewRollouts(rules.SessionSpan, time.Now, l), Metrics: m, backend: b, rules: rules, log: l, started: time.Now(), Outdated: func() bool { return false },
-		shares: map[string]*request.Share{}, valuers: map[string]*cascade.Valuer{},
+		State: state, Rollouts: NewRollouts(options.SessionIdleTimeout, time.Now, logger), Metrics: m, backend: b, options: options, log: logger, started: time.Now(), ConfigOutdated: func() bool { return false },
+		retryBudgets: map[string]*request.Share{}, valuers: map[string]*cascade.Valuer{},
 	}
-	r.watch = newWatch(s, b, l, m)
+	r.liveness = newLivenessMonitor(state, b, logger, m)
 	r.Guard = newGuard(r)
 	return r
 }
 
 // Run watches over servers until the context ends.
-func (r *Relay) Run(ctx context.Context) { r.watch.run(ctx) }
+func (r *Relay) Run(ctx context.Context) { r.liveness.run(ctx) }
 
-// Ended tells that a run of a server has ended because the server has started again. What
+// ServerRestarted tells that a run of a server has ended because the server has started again. What
 // is known of a run is kept by its id, so that nothing of it counts for the next one; what
 // waits for it, and connections to it, are ended here.
-func (r *Relay) Ended(run backend.Server) {
-	r.Guard.Restarted(guarded(run))
-	moved := r.watch.ended(run.ID, time.Now())
-	r.backend.Forget(run.Address)
-	r.Metrics.Restarts.Inc(1)
-	r.Metrics.Moved.Inc(int64(moved))
+func (r *Relay) ServerRestarted(run backend.Server) {
+	r.Guard.Restarted(containmentServer(run))
+	moved := r.liveness.rerouteWaiting(run.ID, time.Now())
+	r.backend.CloseIdleConnections(run.Address)
+	r.Metrics.ServerRestarts.Inc(1)
+	r.Metrics.SendsRerouted.Inc(int64(moved))
 	r.log.Info("server started again", "server", run.ID, "address", run.Address, "moved", moved)
 }
 
-// Heard records that bytes came from a server's address.
-func (r *Relay) Heard(address string) { r.watch.heard(address) }
+// RecordActivity records that bytes came from a server's address.
+func (r *Relay) RecordActivity(address string) { r.liveness.recordActivity(address) }
 
-// Leave makes the relay refuse requests that might not be answered by the end of
+// Drain makes the relay refuse requests that might not be answered by the end of
 // the daemon: a request that is read and then cut may have run, and its caller
 // cannot know.
-func (r *Relay) Leave(end time.Time) {
+func (r *Relay) Drain(end time.Time) {
 	r.mu.Lock()
-	r.end = end
+	r.shutdownAt = end
 	r.mu.Unlock()
 }
 
-// Active returns the number of requests being served.
-func (r *Relay) Active() int {
+// ActiveRequests returns the number of requests being served.
+func (r *Relay) ActiveRequests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.active
+	return r.activeRequests
 }
 
-// Idle returns how long no request was admitted.
-func (r *Relay) Idle() time.Duration {
+// IdleTime returns how long no request was admitted.
+func (r *Relay) IdleTime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.admitted)
+	return time.Since(r.lastAdmitted)
 }
 
-// share returns a service's part of the retry budget. Callers hold mu.
-func (r *Relay) share(service string, daemons int) *request.Share {
-	s := r.shares[service]
-	if s == nil {
-		s = &request.Share{Window: r.rules.BudgetWindow, Ratio: r.rules.BudgetRatio}
-		r.shares[service] = s
+// retryBudget returns a service's part of the retry budget. Callers hold mu.
+func (r *Relay) retryBudget(service string, daemons int) *request.Share {
+	budget := r.retryBudgets[service]
+	if budget == nil {
+		budget = &request.Share{Window: r.options.RetryBudgetWindow, Ratio: r.options.RetryBudgetRatio}
+		r.retryBudgets[service] = budget
 	}
-	s.Reserve = reservePart * r.rules.BudgetReserve / float64(daemons)
-	return s
+	budget.Reserve = usableReserveFraction * r.options.RetryBudgetReserve / float64(daemons)
+	return budget
 }
 
-// reservePart is the part of the reserve that is used: daemons that just came
+// usableReserveFraction is the part of the reserve that is used: daemons that just came
 // are not counted by all others yet.
-const reservePart = 0.6
+const usableReserveFraction = 0.6
 
-// mayRepeat takes a repeat out of the budget of a service, leaving a part of the
+// takeRetry takes a repeat out of the budget of a service, leaving a part of the
 // reserve.
-func (r *Relay) mayRepeat(service string, keep float64) bool {
+func (r *Relay) takeRetry(service string, reserveFraction float64) bool {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.share(service, daemons)
-	return s.Take(time.Since(r.started), keep*s.Reserve)
+	budget := r.retryBudget(service, daemons)
+	return budget.Take(time.Since(r.started), reserveFraction*budget.Reserve)
 }
 
-func (r *Relay) firstSend(service string) {
+func (r *Relay) recordFirstSend(service string) {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.share(service, daemons).First(time.Since(r.started))
+	r.retryBudget(service, daemons).First(time.Since(r.started))
 }
 
-// valuer runs f on what a service's answers taught.
-func (r *Relay) valuer(service string, f func(v *cascade.Valuer)) {
+// withValuer runs f on what a service's answers taught.
+func (r *Relay) withValuer(service string, f func(v *cascade.Valuer)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.valuers[service]
@@ -175,35 +175,35 @@
 }
 
 // Serve answers one call.
-func (r *Relay) Serve(ctx context.Context, c *Call, out Caller) {
+func (r *Relay) Serve(ctx context.Context, c *Call, out ResponseWriter) {
 	r.mu.Lock()
-	r.active++
-	end := r.end
+	r.activeRequests++
+	shutdownAt := r.shutdownAt
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
-		r.active--
+		r.activeRequests--
 		r.mu.Unlock()
 	}()
 	r.Metrics.Requests.Inc(1)
-	if !r.State.Known() {
-		r.State.Await(ctx, startWait)
+	if !r.State.Ready() {
+		r.State.WaitReady(ctx, startupWait)
 	}
-	x, refusal := r.admit(c, end)
+	x, refusal := r.admit(c, shutdownAt)
 	if refusal != nil {
-		r.refused(c, out, refusal)
+		r.refuse(c, out, refusal)
 		return
 	}
 	r.mu.Lock()
-	r.admitted = time.Now()
+	r.lastAdmitted = time.Now()
 	r.mu.Unlock()
 	x.out = out
 	x.serve(ctx)
 }
 
-func (r *Relay) refused(c *Call, out Caller, e *fault.Error) {
-	r.Metrics.Refused(e.Kind).Inc(1)
-	age, known := r.State.Age(freshness.Configuration)
+func (r *Relay) refuse(c *Call, out ResponseWriter, e *fault.Error) {
+	r.Metrics.Refusals(e.Kind).Inc(1)
+	age, known := r.State.ConfirmationAge(freshness.Configuration)
 	version := int64(0)
 	if t := r.State.Table(); t != nil {
 		version = t.Version
@@ -215,25 +215,25 @@
 }
 
 // admit finds what a call may use, or says why it may not.
-func (r *Relay) admit(c *Call, end time.Time) (*exchange, *fault.Error) {
+func (r *Relay) admit(c *Call, shutdownAt time.Time) (*exchange, *fault.Error) {
 	t := r.State.Table()
-	if t == nil || !r.State.Known() {
-		return nil, fault.New(fault.ConfigurationStale, "no configuration is known yet").After(staleRetry)
+	if t == nil || !r.State.Ready() {
+		return nil, fault.New(fault.ConfigurationStale, "no configuration is known yet").After(staleRetryAfter)
 	}
-	if r.Outdated() {
-		return nil, fault.New(fault.ConfigurationStale, "other daemons have a newer configuration than the store").After(staleRetry)
+	if r.ConfigOutdated() {
+		return nil, fault.New(fault.ConfigurationStale, "other daemons have a newer configuration than the store").After(staleRetryAfter)
 	}
 	rt := t.Match(c.Host, c.Path)
 	if rt == nil {
 		return nil, fault.New(fault.NotFound, "no route leads to this host and path")
 	}
-	x := &exchange{relay: r, call: c, route: rt, last: c.LastEvent}
-	x.draw = xxhash.Sum64String(c.ID)
+	x := &exchange{relay: r, call: c, route: rt, lastEvent: c.LastEvent}
+	x.hash = xxhash.Sum64String(c.ID)
 	w, known := t.Workspace(c.Key)
 	keyed := t.Keyed() && !rt.Public
 	switch {
 	case keyed && !r.keysFresh():
-		return nil, fault.New(fault.ConfigurationStale, "the list of keys was not confirmed lately").After(staleRetry)
+		return nil, fault.New(fault.ConfigurationStale, "the list of keys was not confirmed lately").After(staleRetryAfter)
 	case keyed && !known:
 		return nil, fault.New(fault.Unauthorized, "no workspace owns the presented key")
 	}
@@ -241,57 +241,57 @@
 		x.workspace = w.Name
 	}
 	x.fingerprint = quarantine.Of(x.workspace, c.Host, c.Method, c.Target, c.Body)
-	x.urgency = urgency(rt, w)
+	x.priority = enginePriority(rt, w)
 	if limit := t.Limits.BodyBytes; limit > 0 && int64(len(c.Body)) > limit {
 		return nil, fault.New(fault.TooLarge, "the body is longer than %d bytes", limit)
 	}
-	x.service = t.Services[rt.Service(x.draw)]
-	x.deadline = deadline(c, rt)
-	if !end.IsZero() && x.deadline.After(end) {
-		return nil, fault.New(fault.ShuttingDown, "this daemon is leaving").After(leavingRetry)
+	x.service = t.Services[rt.Service(x.hash)]
+	x.deadline = requestDeadline(c, rt)
+	if !shutdownAt.IsZero() && x.deadline.After(shutdownAt) {
+		return nil, fault.New(fault.ShuttingDown, "this daemon is leaving").After(drainRetryAfter)
 	}
 	x.journey = request.Journey{Repeatable: rt.Repeatable(), MaxRuns: rt.Attempts, Deadline: x.deadline}
 	return x, nil
 }
 
-// startWait bounds the wait for the first configuration: a store that does not
+// startupWait bounds the wait for the first configuration: a store that does not
 // answer by then is away, and another daemon may know more.
-const startWait = 400 * time.Millisecond
+const startupWait = 400 * time.Millisecond
 
 const (
-	// staleRetry and leavingRetry are when to come back to another daemon.
-	staleRetry   = 100 * time.Millisecond
-	leavingRetry = 10 * time.Millisecond
+	// staleRetryAfter and leavingRetry are when to come back to another daemon.
+	staleRetryAfter = 100 * time.Millisecond
+	drainRetryAfter = 10 * time.Millisecond
 )
 
 func (r *Relay) keysFresh() bool {
-	return r.rules.KeyFreshness == 0 || r.State.Fresh(freshness.Configuration, r.rules.KeyFreshness)
+	return r.options.MaxKeyStaleness == 0 || r.State.ConfirmedWithin(freshness.Configuration, r.options.MaxKeyStaleness)
 }
 
-// deadline is when the caller leaves or the route's limit ends the wait.
-func deadline(c *Call, rt *route.Route) time.Time {
-	wait := defaultWait
-	if c.Wait > 0 {
-		wait = c.Wait
+// requestDeadline is when the caller leaves or the route's limit ends the wait.
+func requestDeadline(c *Call, rt *route.Route) time.Time {
+	timeout := defaultTimeout
+	if c.Timeout > 0 {
+		timeout = c.Timeout
 	}
-	if rt.Timeout > 0 && rt.Timeout < wait {
-		wait = rt.Timeout
+	if rt.Timeout > 0 && rt.Timeout < timeout {
+		timeout = rt.Timeout
 	}
-	return c.Received.Add(wait)
+	return c.Received.Add(timeout)
 }
 
-// urgency maps priorities, 0 first, to what engines take: 0 to 9, 5 by default.
-func urgency(rt *route.Route, w route.Workspace) int {
+// enginePriority maps priorities, 0 first, to what engines take: 0 to 9, 5 by default.
+func enginePriority(rt *route.Route, workspace route.Workspace) int {
 	p := rt.Priority
-	if w.Ranked {
-		p = w.Priority
+	if workspace.Ranked {
+		p = workspace.Priority
 	}
-	return min(max(p, 0)+firstUrgency, lastUrgency)
+	return min(max(p, 0)+basePriority, lowestPriority)
 }
 
 const (
-	// firstUrgency leaves the two most urgent ranks to requests that an earlier
+	// basePriority leaves the two most urgent ranks to requests that an earlier
 	// server or model has already cost time.
-	firstUrgency = 2
-	lastUrgency  = 9
+	basePriority   = 2
+	lowestPriority = 9
 )
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,13 +25,13 @@
 // fakeBackend answers sends by a script, in turn; the last line repeats.
 type fakeBackend struct {
 	mu     sync.Mutex
-	script []func(s Send) (*Reply, error)
-	sends  []Send
-	// forgotten are the addresses whose connections were closed.
-	forgotten []string
+	script []func(s BackendRequest) (*BackendResponse, error)
+	sends  []BackendRequest
+	// closed are the addresses whose connections were closed.
+	closed []string
 }
 
-func (f *fakeBackend) Send(_ context.Context, s Send) (*Reply, error) {
+func (f *fakeBackend) Send(_ context.Context, s BackendRequest) (*BackendResponse, error) {
 	f.mu.Lock()
 	at := min(len(f.sends), len(f.script)-1)
 	f.sends = append(f.sends, s)
@@ -39,69 +39,69 @@
 	return f.script[at](s)
 }
 
-func (f *fakeBackend) Alive(context.Context, backend.Server, bool) error { return nil }
-func (f *fakeBackend) Refuses(context.Context, string) bool              { return false }
-func (f *fakeBackend) Forget(address string)                             { f.forgotten = append(f.forgotten, address) }
+func (f *fakeBackend) Probe(context.Context, backend.Server, bool) error { return nil }
+func (f *fakeBackend) RefusesConnections(context.Context, string) bool   { return false }
+func (f *fakeBackend) CloseIdleConnections(address string)               { f.closed = append(f.closed, address) }
 
-// answering returns a whole answer.
-func answering(status int, body string) func(Send) (*Reply, error) {
-	return func(Send) (*Reply, error) {
-		return &Reply{Status: status, Header: http.Header{}, Sealed: true, Confidence: -1, Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
+// respond returns a whole answer.
+func respond(status int, body string) func(BackendRequest) (*BackendResponse, error) {
+	return func(BackendRequest) (*BackendResponse, error) {
+		return &BackendResponse{Status: status, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
 }
 
-// streamingFrom returns a stream of events, ended by err or properly if it is nil.
-func streamingFrom(confidence float64, err error, ids ...int) func(Send) (*Reply, error) {
-	return func(Send) (*Reply, error) {
+// respondStream returns a stream of events, ended by err or properly if it is nil.
+func respondStream(confidence float64, err error, ids ...int) func(BackendRequest) (*BackendResponse, error) {
+	return func(BackendRequest) (*BackendResponse, error) {
 		var b strings.Builder
 		for _, id := range ids {
 			fmt.Fprintf(&b, "id: %d\ndata: x%d\n\n", id, id)
 		}
 		var r io.Reader = strings.NewReader(b.String())
 		if err != nil {
-			r = io.MultiReader(r, failing{err})
+			r = io.MultiReader(r, failingReader{err})
 		}
-		return &Reply{Status: 200, Header: http.Header{}, Sealed: true, Confidence: confidence, Length: -1, Body: io.NopCloser(r)}, nil
+		return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: confidence, ContentLength: -1, Body: io.NopCloser(r)}, nil
 	}
 }
 
-type failing struct{ err error }
+type failingReader struct{ err error }
 
-func (f failing) Read([]byte) (int, error) { return 0, f.err }
+func (f failingReader) Read([]byte) (int, error) { return 0, f.err }
 
-func failed(reason upstream.Reason, sent bool) func(Send) (*Reply, error) {
-	return func(Send) (*Reply, error) {
+func failSend(reason upstream.Reason, sent bool) func(BackendRequest) (*BackendResponse, error) {
+	return func(BackendRequest) (*BackendResponse, error) {
 		return nil, &upstream.Error{Reason: reason, Sent: sent, Err: errors.New("test")}
 	}
 }
 
-func notRun(Send) (*Reply, error) {
-	return &Reply{Status: 503, NotRun: true, Confidence: -1, Body: io.NopCloser(strings.NewReader(""))}, nil
+func respondNotRun(BackendRequest) (*BackendResponse, error) {
+	return &BackendResponse{Status: 503, NotRun: true, Confidence: -1, Body: io.NopCloser(strings.NewReader(""))}, nil
 }
 
-// fakeCaller records the answer.
-type fakeCaller struct {
+// fakeResponseWriter records the answer.
+type fakeResponseWriter struct {
 	status  int
 	body    strings.Builder
 	refusal *fault.Error
-	cut     bool
+	aborted bool
 }
 
-func (c *fakeCaller) Refuse(e *fault.Error)                   { c.refusal = e }
-func (c *fakeCaller) Head(status int, _ http.Header, _ int64) { c.status = status }
-func (c *fakeCaller) Pass(p []byte) error                     { c.body.Write(p); return nil }
-func (c *fakeCaller) Cut()                                    { c.cut = true }
+func (c *fakeResponseWriter) Refuse(e *fault.Error)                          { c.refusal = e }
+func (c *fakeResponseWriter) WriteHeader(status int, _ http.Header, _ int64) { c.status = status }
+func (c *fakeResponseWriter) WriteBody(p []byte) error                       { c.body.Write(p); return nil }
+func (c *fakeResponseWriter) Abort()                                         { c.aborted = true }
 
-// world is a relay before three engines and three plain servers.
-type world struct {
+// harness is a relay before three engines and three plain servers.
+type harness struct {
 	relay   *Relay
 	backend *fakeBackend
-	clock   *clock
+	clock   *fakeClock
 }
 
-func newWorld(t *testing.T, script ...func(Send) (*Reply, error)) *world {
+func newHarness(t *testing.T, script ...func(BackendRequest) (*BackendResponse, error)) *harness {
 	t.Helper()
-	c := &clock{now: time.Minute}
+	c := &fakeClock{now: time.Minute}
 	s := NewState("d1", "", c.read)
 	b := &fakeBackend{script: script}
 	models := []string{"small", "middle", "large"}
@@ -121,32 +121,32 @@
 		t.Fatal(err)
 	}
 	s.SetTable(table)
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for i := range 3 {
 			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.0.%d:1", i), Slots: 8, Version: "v1"})
 			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: fmt.Sprint("a", i)}, Service: "app", Address: fmt.Sprintf("10.0.1.%d:1", i), Slots: 4, Version: "v1"})
 		}
 	})
 	s.Confirm(freshness.Configuration, freshness.Confirmation{At: c.now, By: freshness.Own})
-	rules := Rules{KeyFreshness: 4 * time.Second, BudgetWindow: 10 * time.Second, BudgetRatio: 0.9, BudgetReserve: 50}
-	return &world{New(s, b, rules, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
+	rules := Options{MaxKeyStaleness: 4 * time.Second, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50}
+	return &harness{New(s, b, rules, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
 }
 
-func (w *world) call(path string) *fakeCaller {
-	out := &fakeCaller{}
+func (w *harness) call(path string) *fakeResponseWriter {
+	out := &fakeResponseWriter{}
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
 		c.Model = AnyModel
-		c.Prompt = Prompt{Tokens: 100, AnswerTokens: 20, Parts: []Part{{1, 50}, {2, 50}}}
+		c.Prompt = Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
 	w.relay.Serve(context.Background(), c, out)
 	return out
 }
 
-func (w *world) inFlight() int {
+func (w *harness) inFlight() int {
 	n := 0
-	for _, v := range w.relay.State.Work() {
-		n += v.Running
+	for _, v := range w.relay.State.OwnWork() {
+		n += v.InFlight
 	}
 	return n
 }
@@ -159,8 +159,8 @@
 	return b.String()
 }
 
-func TestPlainAnswerIsPassedOnWhole(t *testing.T) {
-	w := newWorld(t, answering(200, "paid"))
+func TestBufferedResponseIsForwarded(t *testing.T) {
+	w := newHarness(t, respond(200, "paid"))
 	if out := w.call("/p/1"); out.status != 200 || out.body.String() != "paid" {
 		t.Fatalf("got %d %q", out.status, out.body.String())
 	}
@@ -170,12 +170,12 @@
 // plain request was refused as too late.
 // Sequence: a request is answered; its work stays booked on the server.
 // Cause: only failed sends were taken off.
-func TestAnsweredWorkIsTakenOffTheServer(t *testing.T) {
-	w := newWorld(t, answering(200, "x"))
+func TestCompletedRequestsAreNotInFlight(t *testing.T) {
+	w := newHarness(t, respond(200, "x"))
 	for range 50 {
 		w.call("/l/1")
 	}
-	w.backend.script = []func(Send) (*Reply, error){streamingFrom(90, nil, 1, 2)}
+	w.backend.script = []func(BackendRequest) (*BackendResponse, error){respondStream(90, nil, 1, 2)}
 	w.call("/s/1")
 	if n := w.inFlight(); n != 0 {
 		t.Fatalf("%d requests still count as running", n)
@@ -186,8 +186,8 @@
 // Sequence: the connection breaks after the request was sent; it is sent to
 // another server.
 // Cause: a broken connection proves nothing.
-func TestLostPaymentIsNotSentAgain(t *testing.T) {
-	w := newWorld(t, failed(upstream.Broken, true), answering(200, "paid"))
+func TestNonIdempotentRequestIsNotRetriedAfterLoss(t *testing.T) {
+	w := newHarness(t, failSend(upstream.Broken, true), respond(200, "paid"))
 	out := w.call("/p/1")
 	if len(w.backend.sends) != 1 {
 		t.Fatalf("sent %d times", len(w.backend.sends))
@@ -200,11 +200,11 @@
 	}
 }
 
-func TestPaymentThatDidNotRunGoesElsewhere(t *testing.T) {
-	for name, first := range map[string]func(Send) (*Reply, error){
-		"server says so": notRun, "no connection": failed(upstream.Unreachable, false),
+func TestNonIdempotentRequestIsRetriedIfNotRun(t *testing.T) {
+	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
+		"server says so": respondNotRun, "no connection": failSend(upstream.Unreachable, false),
 	} {
-		w := newWorld(t, first, answering(200, "paid"))
+		w := newHarness(t, first, respond(200, "paid"))
 		out := w.call("/p/1")
 		if out.status != 200 || len(w.backend.sends) != 2 {
 			t.Errorf("%s: got %d after %d sends", name, out.status, len(w.backend.sends))
@@ -215,16 +215,16 @@
 	}
 }
 
-func TestRefusedByAllIsRefusedAsNotRun(t *testing.T) {
-	w := newWorld(t, notRun)
+func TestRefusalByAllServersReportsNotRun(t *testing.T) {
+	w := newHarness(t, respondNotRun)
 	out := w.call("/p/1")
 	if out.refusal == nil || out.refusal.State() != fault.NotRun || out.refusal.Advice() <= 0 {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
 
-func TestFailedLookupGoesElsewhereOnce(t *testing.T) {
-	w := newWorld(t, answering(500, "a"), answering(500, "b"), answering(200, "c"))
+func TestRetriesStopAtRouteAttempts(t *testing.T) {
+	w := newHarness(t, respond(500, "a"), respond(500, "b"), respond(200, "c"))
 	out := w.call("/l/1")
 	if out.status != 500 || out.body.String() != "b" || len(w.backend.sends) != 2 {
 		t.Fatalf("got %d %q after %d sends; the route allows two", out.status, out.body.String(), len(w.backend.sends))
@@ -235,8 +235,8 @@
 // Sequence: a server stops in the middle of an event; the stream goes on at
 // another server, which begins one event too early.
 // Cause: bytes were passed on as they came.
-func TestStreamGoesOnElsewhereWithoutGapOrRepeat(t *testing.T) {
-	w := newWorld(t, streamingFrom(90, errors.New("reset"), 1, 2), streamingFrom(90, nil, 2, 3, 4))
+func TestResumedStreamHasNoGapOrDuplicate(t *testing.T) {
+	w := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 2, 3, 4))
 	out := w.call("/s/1")
 	if got := out.body.String(); got != events(1, 2, 3, 4) {
 		t.Fatalf("got %q", got)
@@ -246,16 +246,16 @@
 	}
 }
 
-func TestStreamWithAGapIsCut(t *testing.T) {
-	w := newWorld(t, streamingFrom(90, errors.New("reset"), 1, 2), streamingFrom(90, nil, 4, 5))
+func TestStreamWithMissingEventIsAborted(t *testing.T) {
+	w := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 4, 5))
 	out := w.call("/s/1")
-	if !out.cut || out.body.String() != events(1, 2) {
-		t.Fatalf("cut %t, got %q", out.cut, out.body.String())
+	if !out.aborted || out.body.String() != events(1, 2) {
+		t.Fatalf("cut %t, got %q", out.aborted, out.body.String())
 	}
 }
 
-func TestDoubtfulAnswerIsAskedOfTheLargestModel(t *testing.T) {
-	w := newWorld(t, streamingFrom(10, nil, 1), streamingFrom(95, nil, 1, 2))
+func TestLowConfidenceEscalatesToLargestModel(t *testing.T) {
+	w := newHarness(t, respondStream(10, nil, 1), respondStream(95, nil, 1, 2))
 	out := w.call("/s/1")
 	if out.body.String() != events(1, 2) {
 		t.Fatalf("got %q", out.body.String())
@@ -271,14 +271,14 @@
 // that they have; all are sent to the largest model within a second.
 // Cause: nobody knows which model made the beginning, so the largest was taken. The
 // smallest model's opinion of the request tells as well whether it is too hard for it.
-func TestContinuedStreamIsJudgedLikeOthers(t *testing.T) {
+func TestResumedStreamStartsWithSmallestModel(t *testing.T) {
 	for _, tt := range []struct {
 		confidence float64
 		want       []string
 	}{{95, []string{"small"}}, {10, []string{"small", "large"}}} {
-		w := newWorld(t, streamingFrom(tt.confidence, nil, 8, 9), streamingFrom(95, nil, 8, 9))
-		out := &fakeCaller{}
-		prompt := Prompt{Tokens: 100, AnswerTokens: 20, Parts: []Part{{1, 50}, {2, 50}}}
+		w := newHarness(t, respondStream(tt.confidence, nil, 8, 9), respondStream(95, nil, 8, 9))
+		out := &fakeResponseWriter{}
+		prompt := Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 		w.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/s/1", Key: "k", Model: AnyModel, Prompt: prompt, LastEvent: 7, Received: time.Now()}, out)
 		var asked []string
 		for _, s := range w.backend.sends {
@@ -297,8 +297,8 @@
 // Sequence: a daemon is cut off from the store; a key is taken away; a request
 // comes with it.
 // Cause: the daemon went on by its last configuration.
-func TestKeysAreNotTrustedWithoutRecentConfirmation(t *testing.T) {
-	w := newWorld(t, answering(200, "x"))
+func TestStaleConfigurationRefusesKeys(t *testing.T) {
+	w := newHarness(t, respond(200, "x"))
 	w.clock.now += 4 * time.Second
 	out := w.call("/l/1")
 	if out.refusal == nil || out.refusal.Kind != fault.ConfigurationStale || len(w.backend.sends) != 0 {
@@ -311,11 +311,11 @@
 }
 
 func TestUnknownKeyAndRoute(t *testing.T) {
-	w := newWorld(t, answering(200, "x"))
+	w := newHarness(t, respond(200, "x"))
 	if out := w.call("/none/"); out.refusal == nil || out.refusal.Kind != fault.NotFound {
 		t.Errorf("no route: %+v", out.refusal)
 	}
-	out := &fakeCaller{}
+	out := &fakeResponseWriter{}
 	w.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/l/1", Key: "other", Received: time.Now()}, out)
 	if out.refusal == nil || out.refusal.Kind != fault.Unauthorized {
 		t.Errorf("no key: %+v", out.refusal)
@@ -325,28 +325,28 @@
 // Symptom: a request was read by a daemon that ended before it was answered.
 // Sequence: a daemon is about to end; a request with some seconds to live arrives.
 // Cause: it was taken though it could outlast the daemon.
-func TestLeavingDaemonTakesNothingThatCouldOutlastIt(t *testing.T) {
-	w := newWorld(t, answering(200, "x"))
-	w.relay.Leave(time.Now().Add(500 * time.Millisecond))
+func TestDrainingRefusesRequestsThatMayOutlastDaemon(t *testing.T) {
+	w := newHarness(t, respond(200, "x"))
+	w.relay.Drain(time.Now().Add(500 * time.Millisecond))
 	if out := w.call("/l/1"); out.refusal == nil || out.refusal.Kind != fault.ShuttingDown || out.refusal.State() != fault.NotRun {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
 
-func TestUnsealedAnswerIsNotPassedOn(t *testing.T) {
-	w := newWorld(t, func(Send) (*Reply, error) {
-		return &Reply{Status: 200, Header: http.Header{}, Confidence: -1, Length: 1, Body: io.NopCloser(strings.NewReader("x"))}, nil
+func TestUnauthenticatedResponseIsNotForwarded(t *testing.T) {
+	w := newHarness(t, func(BackendRequest) (*BackendResponse, error) {
+		return &BackendResponse{Status: 200, Header: http.Header{}, Confidence: -1, ContentLength: 1, Body: io.NopCloser(strings.NewReader("x"))}, nil
 	})
 	if out := w.call("/p/1"); out.status != 0 || out.refusal == nil {
 		t.Fatalf("passed on %d %q", out.status, out.body.String())
 	}
 }
 
-func TestShortAnswerIsNotTakenForTheWhole(t *testing.T) {
-	short := func(Send) (*Reply, error) {
-		return &Reply{Status: 200, Header: http.Header{}, Sealed: true, Confidence: -1, Length: 9, Body: io.NopCloser(strings.NewReader("x"))}, nil
+func TestTruncatedResponseIsRetried(t *testing.T) {
+	short := func(BackendRequest) (*BackendResponse, error) {
+		return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: 9, Body: io.NopCloser(strings.NewReader("x"))}, nil
 	}
-	w := newWorld(t, short, answering(200, "whole"))
+	w := newHarness(t, short, respond(200, "whole"))
 	if out := w.call("/l/1"); out.body.String() != "whole" {
 		t.Fatalf("got %q", out.body.String())
 	}
@@ -356,21 +356,21 @@
 // Sequence: a stream runs; its key is taken away; its server fails; the stream is to
 // go on at another server.
 // Cause: the key was asked for again at every send.
-func TestKeyTakenAwayLaterDoesNotCutAStream(t *testing.T) {
-	w := newWorld(t, nil)
-	w.backend.script = []func(Send) (*Reply, error){
-		func(s Send) (*Reply, error) {
+func TestRevokedKeyDoesNotAbortStream(t *testing.T) {
+	w := newHarness(t, nil)
+	w.backend.script = []func(BackendRequest) (*BackendResponse, error){
+		func(s BackendRequest) (*BackendResponse, error) {
 			table, err := route.New(route.Document{Version: 2, Keyed: true, Keys: map[string]route.Workspace{}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			w.relay.State.SetTable(table)
-			return streamingFrom(90, errors.New("reset"), 1)(s)
+			return respondStream(90, errors.New("reset"), 1)(s)
 		},
-		streamingFrom(90, nil, 2, 3),
+		respondStream(90, nil, 2, 3),
 	}
-	if out := w.call("/s/1"); out.cut || out.body.String() != events(1, 2, 3) {
-		t.Fatalf("cut %t, got %q", out.cut, out.body.String())
+	if out := w.call("/s/1"); out.aborted || out.body.String() != events(1, 2, 3) {
+		t.Fatalf("cut %t, got %q", out.aborted, out.body.String())
 	}
 }
 
@@ -378,19 +378,19 @@
 // Sequence: a server sends an answer without a stated length that is longer than what
 // is held; it ends well, or it breaks off.
 // Cause: reading stopped at the bound, and the bound was taken for the end.
-func TestLongAnswerIsPassedOnWholeOrCut(t *testing.T) {
-	long := strings.Repeat("x", maxPlain+10)
+func TestUnbufferedResponseIsCompleteOrAborted(t *testing.T) {
+	long := strings.Repeat("x", maxBufferedBody+10)
 	for _, broken := range []error{nil, io.ErrUnexpectedEOF} {
-		w := newWorld(t, func(Send) (*Reply, error) {
+		w := newHarness(t, func(BackendRequest) (*BackendResponse, error) {
 			var r io.Reader = strings.NewReader(long)
 			if broken != nil {
-				r = io.MultiReader(r, failing{broken})
+				r = io.MultiReader(r, failingReader{broken})
 			}
-			return &Reply{Status: 200, Header: http.Header{}, Sealed: true, Confidence: -1, Length: -1, Body: io.NopCloser(r)}, nil
+			return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: -1, Body: io.NopCloser(r)}, nil
 		})
 		out := w.call("/l/x")
-		if out.body.Len() != len(long) || out.cut != (broken != nil) {
-			t.Errorf("ended by %v: %d of %d bytes, cut %t", broken, out.body.Len(), len(long), out.cut)
+		if out.body.Len() != len(long) || out.aborted != (broken != nil) {
+			t.Errorf("ended by %v: %d of %d bytes, cut %t", broken, out.body.Len(), len(long), out.aborted)
 		}
 		if n := w.inFlight(); n != 0 {
 			t.Errorf("%d requests are still booked", n)
@@ -404,8 +404,8 @@
 // doubts the first answer of each.
 // Cause: a fixed count of repeats was kept for lost requests, more than the whole
 // reserve of one daemon.
-func TestFirstDoubtfulAnswerOfOneDaemonOfManyIsEscalated(t *testing.T) {
-	w := newWorld(t, streamingFrom(10, nil, 0, 1), streamingFrom(90, nil, 0, 1))
+func TestEscalationWithinSmallReserve(t *testing.T) {
+	w := newHarness(t, respondStream(10, nil, 0, 1), respondStream(90, nil, 0, 1))
 	w.relay.State.SetDaemons(30)
 	w.call("/s/x")
 	if n := len(w.backend.sends); n != 2 || w.backend.sends[1].Model != "large" {
@@ -416,15 +416,15 @@
 // Symptom: servers worked on requests for longer than their callers waited.
 // Sequence: a look-up fails at one server and goes to a second one.
 // Cause: each send stated the time that the caller had given at first.
-func TestEachSendStatesWhatIsLeft(t *testing.T) {
-	w := newWorld(t, answering(500, "x"), answering(200, "y"))
-	out := &fakeCaller{}
-	c := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Wait: time.Second}
+func TestSendTimeoutIsTimeLeft(t *testing.T) {
+	w := newHarness(t, respond(500, "x"), respond(200, "y"))
+	out := &fakeResponseWriter{}
+	c := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Timeout: time.Second}
 	w.relay.Serve(context.Background(), c, out)
 	if len(w.backend.sends) != 2 {
 		t.Fatalf("%d sends", len(w.backend.sends))
 	}
-	first, second := w.backend.sends[0].Left, w.backend.sends[1].Left
+	first, second := w.backend.sends[0].Timeout, w.backend.sends[1].Timeout
 	if first > 500*time.Millisecond || second > first {
 		t.Errorf("sends state %s and %s of 0.5 s that are left", first, second)
 	}
@@ -433,13 +433,13 @@
 // Symptom: callers waited for a lost answer longer than the operator allows.
 // Sequence: a server takes a request and never answers.
 // Cause: nothing but the caller's own patience ended the wait.
-func TestRouteLimitEndsTheWait(t *testing.T) {
-	w := newWorld(t, nil)
-	w.backend.script[0] = func(Send) (*Reply, error) {
+func TestRouteTimeoutEndsRequest(t *testing.T) {
+	w := newHarness(t, nil)
+	w.backend.script[0] = func(BackendRequest) (*BackendResponse, error) {
 		return nil, &upstream.Error{Reason: upstream.Canceled, Sent: true, Err: context.DeadlineExceeded}
 	}
-	out := &fakeCaller{}
-	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Wait: time.Minute}
+	out := &fakeResponseWriter{}
+	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Timeout: time.Minute}
 	w.relay.Serve(context.Background(), c, out)
 	if out.refusal == nil || out.refusal.Kind != fault.DeadlineExceeded || out.refusal.State() == fault.NotRun {
 		t.Errorf("answered %+v after the route's two seconds", out.refusal)
--- a/internal/relay/rollouts_bench_test.go
+++ b/internal/relay/rollouts_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/rollout"
 )
 
-// judged has a daemon hear the evidence of others, each on a sixth of 126 servers.
-func judged(daemons int) *Rollouts {
+// rolloutsWithEvidence has a daemon hear the evidence of others, each on a sixth of 126 servers.
+func rolloutsWithEvidence(daemons int) *Rollouts {
 	r := testRollouts()
 	for d := range daemons - 1 {
 		var cells rollout.Evidence
@@ -16,20 +16,20 @@
 			server := (d + 6*i) % 126
 			cells = append(cells, rollout.Cell{Server: fmt.Sprintf("i-%08x", server), FailureDomain: "d", New: server%2 == 0, Counts: rollout.Counts{Requests: 3}})
 		}
-		r.Heard(fmt.Sprint("d", d), []OrderReport{{Service: "s", Offset: 7, Cells: cells}})
+		r.ApplyReports(fmt.Sprint("d", d), []OrderReport{{Service: "s", Offset: 7, Evidence: cells}})
 	}
 	return r
 }
 
 // One judgement of an order, beside other load: 0.18, 1.3, 4.4 and 8.7 ms when evidence was
 // added one daemon after the other, 0.08, 0.14, 0.31 and 0.68 ms in one sum.
-func BenchmarkDue(b *testing.B) {
+func BenchmarkNextPhases(b *testing.B) {
 	for _, daemons := range []int{6, 60, 195, 520} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
-			r := judged(daemons)
+			r := rolloutsWithEvidence(daemons)
 			b.ReportAllocs()
 			for b.Loop() {
-				r.Due(func(string) bool { return true })
+				r.NextPhases(func(string) bool { return true })
 			}
 		})
 	}
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -18,56 +18,56 @@
 
 // State is what a daemon knows: the configuration, the servers and their load.
 type State struct {
-	table atomic.Pointer[route.Table]
-	boot  func() time.Duration
-
-	mu       sync.Mutex
-	fresh    freshness.Ledger
-	registry *backend.Registry
-	listed   bool
-	// known is closed when the configuration and the servers are known.
-	known    chan struct{}
-	told     bool
-	services map[string]*service
-	rng      *rand.Rand
-	// room holds the candidates of one choice: they are 20 KB at 126 servers, and made
+	table    atomic.Pointer[route.Table]
+	bootTime func() time.Duration
+
+	mu            sync.Mutex
+	confirmations freshness.Ledger
+	registry      *backend.Registry
+	serversLoaded bool
+	// ready is closed when the configuration and the servers are known.
+	ready         chan struct{}
+	readySignaled bool
+	services      map[string]*service
+	rng           *rand.Rand
+	// candidateBuf holds the candidates of one choice: they are 20 KB at 126 servers, and made
 	// anew for each choice they were most of what a daemon allocated.
-	room   []routing.Candidate
-	daemon string
+	candidateBuf []routing.Candidate
+	daemon       string
 	// failureDomain is where this daemon runs.
 	failureDomain string
 	// daemons is how many daemons share the servers' connections.
 	daemons int
-	// others is the work of the other daemons.
-	others peerWork
-	// placed are placements not yet told to the other daemons.
-	placed []Placed
-	// expiry is when a lapsed server is to be taken as gone; zero if none is.
-	expiry time.Duration
+	// peerWork is the work of the other daemons.
+	peerWork peerWork
+	// pendingPlacements are placements not yet told to the other daemons.
+	pendingPlacements []Placement
+	// nextExpiry is when a lapsed server is to be taken as gone; zero if none is.
+	nextExpiry time.Duration
 	// gate is what every choice of a server passes.
 	gate *gate.Gate
 }
 
 // service is the picture of one service's servers.
 type service struct {
-	picture *routing.Picture
+	tracker *routing.Picture
 	members []routing.Member
 	servers map[string]backend.Server
-	// ids names the members by the keys under which daemons tell of them.
-	ids  map[ServerKey]string
-	pace paces
-	// othersAt is the change of the others' work that the picture shows.
-	othersAt uint64
+	// idByKey names the members by the keys under which daemons tell of them.
+	idByKey map[ServerKey]string
+	models  modelLatencies
+	// peerWorkVersion is the change of the others' work that the picture shows.
+	peerWorkVersion uint64
 	// lanes divides engines between models; nil until the first choice.
 	lanes *routing.Lanes
 }
 
 // NewState returns an empty state. Boot reads a clock that counts while the
 // VM is suspended.
-func NewState(daemon, failureDomain string, boot func() time.Duration) *State {
+func NewState(daemon, failureDomain string, bootTime func() time.Duration) *State {
 	return &State{
-		boot: boot, known: make(chan struct{}), registry: backend.NewRegistry(), gate: gate.New(), services: map[string]*service{}, daemon: daemon, failureDomain: failureDomain, daemons: 1,
-		others: peerWork{sum: map[ServerKey]Work{}}, rng: rand.New(rand.NewPCG(xxhash.Sum64String(daemon), uint64(boot()))),
+		bootTime: bootTime, ready: make(chan struct{}), registry: backend.NewRegistry(), gate: gate.New(), services: map[string]*service{}, daemon: daemon, failureDomain: failureDomain, daemons: 1,
+		peerWork: peerWork{byServer: map[ServerKey]ServerWork{}}, rng: rand.New(rand.NewPCG(xxhash.Sum64String(daemon), uint64(bootTime()))),
 	}
 }
 
@@ -84,7 +84,7 @@
 		}
 		if s.table.CompareAndSwap(old, t) {
 			s.mu.Lock()
-			s.announce()
+			s.signalReady()
 			s.mu.Unlock()
 			return true
 		}
@@ -93,71 +93,71 @@
 
 // Confirm records that what is known of a subject was complete, and returns the time since
 // it was last confirmed.
-func (s *State) Confirm(about freshness.Subject, c freshness.Confirmation) (gap time.Duration) {
+func (s *State) Confirm(subject freshness.Subject, c freshness.Confirmation) (gap time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fresh.Confirm(about, c)
+	return s.confirmations.Confirm(subject, c)
 }
 
-// Fresh reports whether a subject was confirmed within a limit.
-func (s *State) Fresh(about freshness.Subject, limit time.Duration) bool {
-	now := s.boot()
+// ConfirmedWithin reports whether a subject was confirmed within a limit.
+func (s *State) ConfirmedWithin(subject freshness.Subject, limit time.Duration) bool {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fresh.Within(about, now, limit)
+	return s.confirmations.Within(subject, now, limit)
 }
 
-// Age returns the age of the newest confirmation of a subject; false if there is none.
-func (s *State) Age(about freshness.Subject) (time.Duration, bool) {
-	now := s.boot()
+// ConfirmationAge returns the age of the newest confirmation of a subject; false if there is none.
+func (s *State) ConfirmationAge(subject freshness.Subject) (time.Duration, bool) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fresh.Age(about, now)
+	return s.confirmations.Age(subject, now)
 }
 
-// NextLook returns which subject is to be looked at next and the time until then; own is
+// NextCheck returns which subject is to be looked at next and the time until then; own is
 // the time until this daemon must hear from the store itself.
-func (s *State) NextLook(p freshness.Plan, rank int, own time.Duration) (about freshness.Subject, due time.Duration, any bool) {
-	now := s.boot()
+func (s *State) NextCheck(p freshness.Plan, rank int, own time.Duration) (subject freshness.Subject, due time.Duration, any bool) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return p.Next(&s.fresh, now, rank, own)
+	return p.Next(&s.confirmations, now, rank, own)
 }
 
-// Confirmed returns who confirmed a subject last, and its age.
-func (s *State) Confirmed(about freshness.Subject) (by string, age time.Duration) {
-	now := s.boot()
+// LastConfirmation returns who confirmed a subject last, and its age.
+func (s *State) LastConfirmation(subject freshness.Subject) (by string, age time.Duration) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c, _ := s.fresh.Newest(about)
+	c, _ := s.confirmations.Newest(subject)
 	return c.By, now - c.At
 }
 
-// Known reports whether a configuration and the servers are known.
-func (s *State) Known() bool {
+// Ready reports whether a configuration and the servers are known.
+func (s *State) Ready() bool {
 	s.mu.Lock()
-	listed := s.listed
+	listed := s.serversLoaded
 	s.mu.Unlock()
 	return listed && s.Table() != nil
 }
 
-// announce lets those go on that wait for the daemon to know something. Callers
+// signalReady lets those go on that wait for the daemon to know something. Callers
 // hold mu.
-func (s *State) announce() {
-	if s.listed && s.Table() != nil && !s.told {
-		s.told = true
-		close(s.known)
+func (s *State) signalReady() {
+	if s.serversLoaded && s.Table() != nil && !s.readySignaled {
+		s.readySignaled = true
+		close(s.ready)
 	}
 }
 
-// Await waits until the configuration and the servers are known, for a limited
+// WaitReady waits until the configuration and the servers are known, for a limited
 // time. A daemon that just started knows them within some ten milliseconds;
 // refusing meanwhile would use up the caller's only retry.
-func (s *State) Await(ctx context.Context, limit time.Duration) {
+func (s *State) WaitReady(ctx context.Context, limit time.Duration) {
 	t := time.NewTimer(limit)
 	defer t.Stop()
 	select {
-	case <-s.known:
+	case <-s.ready:
 	case <-t.C:
 	case <-ctx.Done():
 	}
@@ -170,14 +170,14 @@
 	s.mu.Unlock()
 }
 
-// Servers changes the registry.
-func (s *State) Servers(change func(r *backend.Registry, now time.Duration)) {
-	now := s.boot()
+// UpdateServers changes the registry.
+func (s *State) UpdateServers(change func(r *backend.Registry, now time.Duration)) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.registry, now)
-	s.listed = true
-	s.announce()
+	s.serversLoaded = true
+	s.signalReady()
 	s.refreshAll(now)
 }
 
@@ -185,21 +185,21 @@
 	for name := range s.services {
 		s.refresh(name, now)
 	}
-	s.expiry = 0
+	s.nextExpiry = 0
 	if next, any := s.registry.NextExpiry(); any {
-		s.expiry = next
+		s.nextExpiry = next
 	}
 }
 
-// expire drops servers that lapsed and did not come back in time. No record tells
+// dropExpired drops servers that lapsed and did not come back in time. No record tells
 // of that moment, so it is looked for before each choice of a server: a server
 // that left without a word would else get requests until the next record comes.
 // Callers hold mu.
-func (s *State) expire() {
-	if s.expiry == 0 {
+func (s *State) dropExpired() {
+	if s.nextExpiry == 0 {
 		return
 	}
-	if now := s.boot(); now >= s.expiry {
+	if now := s.bootTime(); now >= s.nextExpiry {
 		s.refreshAll(now)
 	}
 }
@@ -208,9 +208,9 @@
 func (s *State) refresh(name string, now time.Duration) *service {
 	sv := s.services[name]
 	if sv == nil {
-		sv = &service{picture: routing.NewPicture(), pace: paces{}}
-		sv.picture.Exact = true
-		sv.picture.Prefix.SetCapacity(prefixCapacity)
+		sv = &service{tracker: routing.NewPicture(), models: modelLatencies{}}
+		sv.tracker.Exact = true
+		sv.tracker.Prefix.SetCapacity(prefixCapacity)
 		s.services[name] = sv
 	}
 	all := s.registry.Of(name, now)
@@ -223,92 +223,92 @@
 		}
 	}
 	sv.members = routing.Shard(s.daemon, members)
-	sv.picture.Update(sv.members)
-	sv.ids = make(map[ServerKey]string, len(sv.members))
+	sv.tracker.Update(sv.members)
+	sv.idByKey = make(map[ServerKey]string, len(sv.members))
 	for _, m := range sv.members {
-		sv.ids[KeyOf(m.ID)] = m.ID
+		sv.idByKey[ServerKeyOf(m.ID)] = m.ID
 	}
-	s.others.show(sv)
+	s.peerWork.apply(sv)
 	return sv
 }
 
-// serviceOf returns a service's picture. Callers hold mu.
-func (s *State) serviceOf(name string) *service {
+// serviceFor returns a service's picture. Callers hold mu.
+func (s *State) serviceFor(name string) *service {
 	sv := s.services[name]
 	if sv == nil {
-		return s.refresh(name, s.boot())
+		return s.refresh(name, s.bootTime())
 	}
-	if sv.othersAt != s.others.changes {
-		s.others.show(sv)
+	if sv.peerWorkVersion != s.peerWork.version {
+		s.peerWork.apply(sv)
 	}
 	return sv
 }
 
-// with runs f on a service's picture under the lock.
-func (s *State) with(name string, f func(sv *service)) {
+// withService runs f on a service's picture under the lock.
+func (s *State) withService(name string, f func(sv *service)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(s.serviceOf(name))
+	f(s.serviceFor(name))
 }
 
 // ServerKey names a server among daemons in four bytes: what they tell each other
 // four times a second names every server.
 type ServerKey uint32
 
-// KeyOf returns the key of a server's id.
-func KeyOf(id string) ServerKey { return ServerKey(xxhash.Sum64String(id)) }
+// ServerKeyOf returns the key of a server's id.
+func ServerKeyOf(id string) ServerKey { return ServerKey(xxhash.Sum64String(id)) }
 
-// Placed is a prompt's shared beginning that a daemon sent to a server: the
+// Placement is a prompt's shared beginning that a daemon sent to a server: the
 // chained hashes of its parts.
-type Placed struct {
+type Placement struct {
 	_      struct{} `cbor:",toarray"`
 	Server ServerKey
 	Blocks []uint64
 }
 
-// maxPlaced bounds the placements kept for one round of telling the others.
-const maxPlaced = 256
+// maxPendingPlacements bounds the placements kept for one round of telling the others.
+const maxPendingPlacements = 256
 
-// Placements returns what this daemon placed since it was last asked.
-func (s *State) Placements() []Placed {
+// DrainPlacements returns what this daemon placed since it was last asked.
+func (s *State) DrainPlacements() []Placement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.placed
-	s.placed = nil
+	out := s.pendingPlacements
+	s.pendingPlacements = nil
 	return out
 }
 
-// TakePlacements books what other daemons placed. Without it each daemon knows a
+// ApplyPlacements books what other daemons placed. Without it each daemon knows a
 // sixth of what is cached where, and begins caches of its own.
-func (s *State) TakePlacements(list []Placed) {
+func (s *State) ApplyPlacements(list []Placement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
 		for _, p := range list {
-			if id, known := sv.ids[p.Server]; known {
-				sv.picture.Cached(id, p.Blocks)
+			if id, known := sv.idByKey[p.Server]; known {
+				sv.tracker.Cached(id, p.Blocks)
 			}
 		}
 	}
 }
 
-// Work is this daemon's unfinished work on one server.
-type Work struct {
-	_       struct{} `cbor:",toarray"`
-	Server  ServerKey
-	Running int
-	// Pending is the prompt tokens that wait to be read, scaled by their models.
-	Pending int
+// ServerWork is this daemon's unfinished work on one server.
+type ServerWork struct {
+	_        struct{} `cbor:",toarray"`
+	Server   ServerKey
+	InFlight int
+	// PendingPrefill is the prompt tokens that wait to be read, scaled by their models.
+	PendingPrefill int
 }
 
-// Work lists this daemon's unfinished work, for the other daemons.
-func (s *State) Work() []Work {
+// OwnWork lists this daemon's unfinished work, for the other daemons.
+func (s *State) OwnWork() []ServerWork {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []Work
+	var out []ServerWork
 	for _, sv := range s.services {
-		sv.picture.EachBusy(func(c *routing.Candidate) {
-			out = append(out, Work{Server: ServerKey(c.Hash), Running: c.InFlight, Pending: int(c.PendingPrefill)})
+		sv.tracker.EachBusy(func(c *routing.Candidate) {
+			out = append(out, ServerWork{Server: ServerKey(c.Hash), InFlight: c.InFlight, PendingPrefill: int(c.PendingPrefill)})
 		})
 	}
 	return out
@@ -316,25 +316,25 @@
 
 // AddPeerWork takes changes of the other daemons' work. They are changes and not sums, so
 // that their order does not matter: pulses are taken at the same time.
-func (s *State) AddPeerWork(changes []Work) {
+func (s *State) AddPeerWork(changes []ServerWork) {
 	if len(changes) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.others.add(changes)
+	s.peerWork.add(changes)
 }
 
-// maxParts bounds the parts of a prompt that are told apart.
-const maxParts = 16
+// maxPromptParts bounds the parts of a prompt that are told apart.
+const maxPromptParts = 16
 
-// blocks returns the chained hashes of a prompt's parts, and the tokens up to
+// prefixHashes returns the chained hashes of a prompt's parts, and the tokens up to
 // the end of each. A part is cached only behind all parts before it.
-func blocks(model string, parts []Part) (hashes []uint64, ends []int) {
+func prefixHashes(model string, parts []PromptPart) (hashes []uint64, ends []int) {
 	chain := xxhash.Sum64String(model)
 	tokens := 0
-	for _, part := range parts[:min(len(parts), maxParts)] {
-		chain = chain*prime + part.ID
+	for _, part := range parts[:min(len(parts), maxPromptParts)] {
+		chain = chain*hashMultiplier + part.ID
 		tokens += part.Tokens
 		hashes = append(hashes, chain)
 		ends = append(ends, tokens)
@@ -346,8 +346,8 @@
 // seconds of the placements of a thousand requests a second, about 3 MB.
 const prefixCapacity = 1 << 16
 
-// prime spreads the ids of parts over the chain; it is the odd golden ratio.
-const prime = 0x9E3779B97F4A7C15
+// hashMultiplier spreads the ids of parts over the chain; it is the odd golden ratio.
+const hashMultiplier = 0x9E3779B97F4A7C15
 
 func (s *State) daemonCount() int {
 	s.mu.Lock()
@@ -355,14 +355,14 @@
 	return s.daemons
 }
 
-// RunningBut counts this daemon's unfinished requests on servers of a service
+// InFlightOnOtherVersions counts this daemon's unfinished requests on servers of a service
 // that have another version than the one given.
-func (s *State) RunningBut(name, version string) int {
+func (s *State) InFlightOnOtherVersions(name, version string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sv := s.serviceOf(name)
+	sv := s.serviceFor(name)
 	n := 0
-	sv.picture.EachBusy(func(c *routing.Candidate) {
+	sv.tracker.EachBusy(func(c *routing.Candidate) {
 		if b, known := sv.servers[c.ID]; known && b.Version != version {
 			n += c.InFlight
 		}
@@ -370,9 +370,9 @@
 	return n
 }
 
-// Healed records that the store answers again after an outage.
-func (s *State) Healed() {
-	now := s.boot()
+// StoreRecovered records that the store answers again after an outage.
+func (s *State) StoreRecovered() {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.registry.Healed(now)
@@ -382,8 +382,8 @@
 func (s *State) EachServer(service string, f func(id string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	for _, m := range s.serviceOf(service).members {
+	s.dropExpired()
+	for _, m := range s.serviceFor(service).members {
 		f(m.ID)
 	}
 }
--- a/internal/relay/state_test.go
+++ b/internal/relay/state_test.go
@@ -8,12 +8,14 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// clock is a boot clock that the test moves.
-type clock struct{ now time.Duration }
+// fakeClock is a boot clock that the test moves.
+type fakeClock struct{ now time.Duration }
 
-func (c *clock) read() time.Duration { return c.now }
+func (c *fakeClock) read() time.Duration { return c.now }
 
-func everyVersionChoice() Choice { return Choice{Prefer: everyVersion, Else: everyVersion} }
+func anyVersionChoice() VersionChoice {
+	return VersionChoice{Preferred: anyVersion, Fallback: anyVersion}
+}
 
 // Symptom: a server that left without a word got requests for more than three
 // seconds after its entry was gone.
@@ -21,15 +23,15 @@
 // removed; the store answers again, and the removal is read within the window in
 // which lapsed entries may return; no further record of a server comes.
 // Cause: the end of the window was noticed with the next record only.
-func TestLapsedServerIsGoneAtTheEndOfTheWindow(t *testing.T) {
-	c := &clock{now: time.Minute}
+func TestLapsedServerIsDroppedAtExpiry(t *testing.T) {
+	c := &fakeClock{now: time.Minute}
 	s := NewState("d1", "", c.read)
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
 	})
-	s.Healed()
-	s.Servers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
-	w := want{service: "s", choice: everyVersionChoice()}
+	s.StoreRecovered()
+	s.UpdateServers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
+	w := requirements{service: "s", versions: anyVersionChoice()}
 	if _, err := s.pick(&w, 10); err != nil {
 		t.Fatalf("a server whose entry lapsed in an outage was taken as gone at once: %v", err)
 	}
@@ -43,19 +45,19 @@
 // Sequence: the store is away; servers cannot renew their entries; it returns and
 // drops them all; they write them again within two seconds.
 // Cause: removals were taken at their word.
-func TestServersThatComeBackAfterAnOutageStay(t *testing.T) {
-	c := &clock{now: time.Minute}
+func TestServersReregisteredAfterOutageAreKept(t *testing.T) {
+	c := &fakeClock{now: time.Minute}
 	s := NewState("d1", "", c.read)
 	put := func(r *backend.Registry, _ time.Duration) {
 		_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
 	}
-	s.Servers(put)
-	s.Healed()
-	s.Servers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
+	s.UpdateServers(put)
+	s.StoreRecovered()
+	s.UpdateServers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
 	c.now += time.Second
-	s.Servers(put)
+	s.UpdateServers(put)
 	c.now += time.Hour
-	w := want{service: "s", choice: everyVersionChoice()}
+	w := requirements{service: "s", versions: anyVersionChoice()}
 	if _, err := s.pick(&w, 10); err != nil {
 		t.Fatalf("the server came back: %v", err)
 	}
@@ -66,23 +68,23 @@
 // Sequence: an engine starts again under its id. Another daemon, which does not know yet,
 // tells what it had placed there and what it had running.
 // Cause: what was known and told went by the id alone.
-func TestWordOfAnEarlierRunFindsNobody(t *testing.T) {
-	w := newWorld(t, answering(200, ""))
+func TestReportsAboutEarlierRunAreIgnored(t *testing.T) {
+	w := newHarness(t, respond(200, ""))
 	s := w.relay.State
 	put := func(born int64) {
-		s.Servers(func(r *backend.Registry, _ time.Duration) {
+		s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "e0", Born: born}, Service: "lm", Address: "10.0.0.0:1", Slots: 8, Version: "v1"})
 		})
 	}
 	held := func() (n int) {
-		s.with("lm", func(sv *service) {
+		s.withService("lm", func(sv *service) {
 			r := routing.Request{Blocks: []uint64{7}, BlockEnds: []int{50}}
-			for _, c := range sv.picture.Snapshot(nil, time.Now()) {
+			for _, c := range sv.tracker.Snapshot(nil, time.Now()) {
 				if c.InFlight > 0 || c.OthersInFlight > 0 {
 					n++
 				}
 			}
-			sv.picture.Prefix.Fill(&r)
+			sv.tracker.Prefix.Fill(&r)
 			for _, blocks := range r.CachedBlocks {
 				if blocks > 0 {
 					n++
@@ -91,12 +93,12 @@
 		})
 		return n
 	}
-	s.with("lm", func(*service) {}) // somebody has asked for the service
+	s.withService("lm", func(*service) {}) // somebody has asked for the service
 	put(100)
 	before := backend.Incarnation{Name: "e0", Born: 100}.ID()
 	tell := func(id string) {
-		s.TakePlacements([]Placed{{Server: KeyOf(id), Blocks: []uint64{7}}})
-		s.AddPeerWork([]Work{{Server: KeyOf(id), Running: 3}})
+		s.ApplyPlacements([]Placement{{Server: ServerKeyOf(id), Blocks: []uint64{7}}})
+		s.AddPeerWork([]ServerWork{{Server: ServerKeyOf(id), InFlight: 3}})
 	}
 	tell(before)
 	if held() != 2 {
