--- a/internal/relay/affinity.go
+++ b/internal/relay/affinity.go
@@ -6,8 +6,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// affinityKey is what decides where a prompt that nobody has cached goes: all parts
-// but the last, which is the request's own.
+// affinityKey hashes all parts of a prompt but the last, which is unique to the
+// request. It determines the server of a prompt that no server has cached.
 func affinityKey(model string, p Prompt) uint64 {
 	chain := xxhash.Sum64String(model)
 	for i, part := range p.Parts {
@@ -19,13 +19,13 @@
 	return chain
 }
 
-// rendezvousWeight is a server's weight for a key: the server with the largest is its first.
+// rendezvousWeight is a server's weight for a key; the highest weight ranks first.
 func rendezvousWeight(server, key uint64) uint64 {
 	h := (server ^ key) * hashMultiplier
 	return h ^ h>>29
 }
 
-// rankAffinity ranks the first candidates by rendezvous hashing.
+// rankAffinity ranks the candidates for a key by rendezvous hashing.
 func rankAffinity(key uint64, candidates []routing.Candidate, r *routing.Request) {
 	var first [routing.FarHome]int
 	var weights [routing.FarHome]uint64
@@ -51,9 +51,9 @@
 	rankLocalAffinity(key, candidates, r)
 }
 
-// rankLocalAffinity counts the candidates of the daemon's own failure domain, and gives the first of them
-// the second place at least: the daemons of a domain keep to one of their own where none of the
-// first is near.
+// rankLocalAffinity counts the candidates in the daemon's own failure domain, and
+// ranks the first of them second or better, so that the daemons of a domain prefer
+// the same local server.
 func rankLocalAffinity(key uint64, candidates []routing.Candidate, r *routing.Request) {
 	best, most := -1, uint64(0)
 	r.Near = 0
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -1,6 +1,6 @@
-// Package relay serves opaque requests: it finds the route and workspace of a
-// request, has a server chosen, sends it, and passes the answer on whole. The
-// decisions are made by the pure packages; relay carries them out.
+// Package relay forwards opaque requests: it matches the route and workspace of a
+// request, selects a backend server, sends the request and forwards the response.
+// Decisions are made by side-effect-free packages; relay executes them.
 package relay
 
 import (
@@ -13,48 +13,48 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// AnyModel as a request's model lets the route's models be chosen from.
+// AnyModel as a call's model selects among the models of the route.
 const AnyModel = "*"
 
 // NoEvent is the LastEvent of a stream that begins at its first event.
 const NoEvent int64 = -1
 
-// Call is one request of a caller. Its meaning is in these fields; method,
-// target, header and body are passed on as they are.
+// Call is one request of a client. Method, target, header and body are forwarded
+// unchanged.
 type Call struct {
-	// ID is the caller's name for this attempt; every attempt has its own.
+	// ID is the client's identifier of this attempt; every attempt has its own.
 	ID     string
 	Host   string
 	Method string
-	// Target is the path and query as sent; Path is the path alone.
+	// Target is the path and query as received; Path is the path alone.
 	Target string
 	Path   string
-	// Header holds what is passed on to servers.
+	// Header holds the fields forwarded to servers.
 	Header http.Header
 	Body   []byte
 	// Key is the API key, empty if none was sent.
 	Key string
-	// Model is the model asked for, AnyModel, or empty for plain services.
+	// Model is the requested model, AnyModel, or empty for plain services.
 	Model  string
 	Prompt Prompt
-	// LastEvent is the number of the last event that the caller has, or NoEvent.
+	// LastEvent is the number of the last event the client has received, or NoEvent.
 	LastEvent int64
-	// Session names requests that belong together; may be empty.
+	// Session groups related requests; may be empty.
 	Session string
-	// Timeout is how long the caller waits from Received on; zero is unbounded.
+	// Timeout is how long the client waits, counted from Received; zero is unbounded.
 	Timeout  time.Duration
 	Received time.Time
 }
 
-// Prompt describes what an engine has to read and make.
+// Prompt describes the input and output sizes of an engine request.
 type Prompt struct {
-	// Tokens is the prompt's length and AnswerTokens the most to be generated.
+	// Tokens is the prompt's length, MaxAnswerTokens the limit on generated tokens.
 	Tokens          int
 	MaxAnswerTokens int
-	// AnswerTokensHint is the caller's estimate of the answer's length, right at the
-	// median and often far off; zero is none.
+	// AnswerTokensHint is the client's estimate of the answer's length, correct at
+	// the median with a large variance; zero means no estimate.
 	AnswerTokensHint int
-	// Parts are the prompt's parts in order; requests share leading ones.
+	// Parts are the prompt's parts in order; requests share leading parts.
 	Parts []PromptPart
 }
 
@@ -69,67 +69,67 @@
 	return min(p.AnswerTokensHint, p.MaxAnswerTokens)
 }
 
-// PromptPart is one part of a prompt.
+// PromptPart is one part of a prompt, identified by a hash.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// BackendRequest is one sending of a call to a server.
+// BackendRequest is one attempt to run a call on a server.
 type BackendRequest struct {
 	Call      *Call
 	Server    backend.Server
 	Workspace string
-	// Model replaces the call's model if it is not empty.
+	// Model overrides the call's model if it is not empty.
 	Model string
-	// LastEvent is the number of the event after which to begin, or NoEvent.
+	// LastEvent is the number of the event to resume after, or NoEvent.
 	LastEvent int64
-	// Timeout is how long the answer is of use.
+	// Timeout is the remaining time in which a response is useful.
 	Timeout time.Duration
-	// Priority goes from 0, first, to 9.
+	// Priority ranges from 0, the highest, to 9.
 	Priority int
-	// MaxConnections bounds the connections to the server; zero is unbounded.
+	// MaxConnections limits the connections to the server; zero is unlimited.
 	MaxConnections int
 }
 
-// BackendResponse is the head of a server's answer and its body. Closing the body before
-// its end cancels the run.
+// BackendResponse is the head of a server's response and its body. Closing the
+// body before its end cancels the run.
 type BackendResponse struct {
 	Status int
-	// Header holds what is passed on to the caller.
+	// Header holds the fields forwarded to the client.
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun is the server's word that it did not run the request.
+	// NotRun is set if the server states that it did not run the request.
 	NotRun bool
-	// Authenticated answers bear the proof that a server made them.
+	// Authenticated is set if the response carries the proof that a server made it.
 	Authenticated bool
-	// Confidence is the model's own opinion of its answer, 0 to 100; negative
-	// if none is stated.
+	// Confidence is the model's own rating of its answer, 0 to 100; negative if
+	// none is given.
 	Confidence float64
 	// ContentLength is the body's length in bytes, or -1.
 	ContentLength int64
 }
 
-// Backend sends to backend servers. Its errors are *upstream.Error.
+// Backend sends requests to backend servers. Its errors are *upstream.Error.
 type Backend interface {
 	Send(ctx context.Context, s BackendRequest) (*BackendResponse, error)
-	// Probe asks whether a server answers at all, not whether it is well.
+	// Probe checks that a server responds at all; it does not check its health.
 	Probe(ctx context.Context, s backend.Server, engine bool) error
-	// RefusesConnections reports whether the VM at an address refuses connections: what listened there
-	// has ended.
+	// RefusesConnections reports whether the VM at an address refuses connections,
+	// which means that the process that listened there has ended.
 	RefusesConnections(ctx context.Context, address string) bool
 	// CloseIdleConnections closes the idle connections to an address.
 	CloseIdleConnections(address string)
 }
 
-// ResponseWriter takes the answer.
+// ResponseWriter sends the response to the client.
 type ResponseWriter interface {
-	// Refuse ends the request with a refusal. Nothing has been passed on yet.
+	// Refuse ends the request with an error. Nothing has been written before.
 	Refuse(e *fault.Error)
-	// WriteHeader passes on the head of an answer.
+	// WriteHeader sends the head of a response; length is in bytes, or -1.
 	WriteHeader(status int, h http.Header, length int64)
-	// WriteBody passes bytes on at once.
+	// WriteBody sends bytes without buffering them.
 	WriteBody(p []byte) error
-	// Abort ends an answer that has begun so that it does not look complete.
+	// Abort ends a started response in a way that the client recognizes as incomplete.
 	Abort()
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// maxEventBytes bounds one event in bytes.
+// maxEventBytes is the largest size of one event in bytes.
 const maxEventBytes = 1 << 20
 
-var errEventTooLong = errors.New("an event is longer than allowed")
+var errEventTooLong = errors.New("event exceeds the size limit")
 
 // event is one complete event of a stream, as the server sent it.
 type event struct {
@@ -18,15 +18,14 @@
 	id int64
 }
 
-// eventReader splits a stream into events. A server may stop in the middle of
-// one; what is left of it then is never passed on, or the event that another
-// server sends next would be joined to it.
+// eventReader splits a stream into events. An incomplete event at the end is not
+// returned, as it would be joined with the first event of the next server.
 type eventReader struct {
 	buf     []byte
 	scanned int
 }
 
-// feed adds bytes.
+// feed appends bytes to the buffer.
 func (e *eventReader) feed(p []byte) error {
 	e.buf = append(e.buf, p...)
 	if len(e.buf) > maxEventBytes {
@@ -35,7 +34,7 @@
 	return nil
 }
 
-// partial reports whether an incomplete event is held.
+// partial reports whether the buffer holds an incomplete event.
 func (e *eventReader) partial() bool { return len(bytes.TrimSpace(e.buf)) > 0 }
 
 // next returns the next complete event. Its bytes are valid until the next feed.
@@ -51,7 +50,7 @@
 	return event{raw: raw, id: eventID(raw)}, true
 }
 
-// blankLineEnd returns the place after the first blank line, or -1.
+// blankLineEnd returns the index after the first blank line, or -1.
 func blankLineEnd(b []byte) int {
 	plain := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -34,7 +34,7 @@
 func TestEventReaderRejectsOversizedEvent(t *testing.T) {
 	var r eventReader
 	if err := r.feed(make([]byte, maxEventBytes+1)); err == nil {
-		t.Fatal("taken")
+		t.Fatal("oversized event accepted")
 	}
 }
 
@@ -54,7 +54,7 @@
 			}
 		}
 		if !bytes.HasPrefix(data, out) || len(out)+len(r.buf) != len(data) {
-			t.Fatalf("bytes are lost or changed: %q of %q", out, data)
+			t.Fatalf("bytes lost or changed: %q of %q", out, data)
 		}
 	})
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -18,7 +18,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/upstream"
 )
 
-// exchange is one call on its way.
+// exchange is the processing of one call.
 type exchange struct {
 	relay     *Relay
 	call      *Call
@@ -28,39 +28,39 @@
 	workspace string
 	priority  int
 	deadline  time.Time
-	// hash is uniform and the same for every send of the call.
+	// hash is uniformly distributed and the same for every send of the call.
 	hash    uint64
 	journey request.Journey
 	tried   []string
-	// fingerprint is the same for every repeat of the request by its caller.
+	// fingerprint is the same for every retry of the request by its client.
 	fingerprint quarantine.Fingerprint
-	// standing is what was known of the request before the last send.
+	// standing is the request's quarantine state before the last send.
 	standing quarantine.Standing
-	// run is the last send.
+	// run is the run of the last send.
 	run *containment.Run
-	// succeeded says that a server answered in full, and not with a failure.
+	// succeeded is set once a server has sent a complete, successful response.
 	succeeded bool
-	// modelIndex indexes the route's models.
+	// modelIndex is the index of the current model in the route's models.
 	modelIndex int
-	// lastConfidence is what the last model asked said of its answer.
+	// lastConfidence is the confidence of the last model that responded.
 	lastConfidence modelConfidence
-	// lastEvent is the number of the last event passed on, or NoEvent.
+	// lastEvent is the number of the last event forwarded, or NoEvent.
 	lastEvent int64
-	// headerSent says that the head of an answer was passed on.
+	// headerSent is set once the head of a response has been sent to the client.
 	headerSent bool
-	// serverFailure is a server's own failure, passed on if nothing better comes.
+	// serverFailure is a server's error response, forwarded if no attempt succeeds.
 	serverFailure *bufferedResponse
-	// firstEventAt is when the first event was passed on.
+	// firstEventAt is when the first event was forwarded.
 	firstEventAt time.Time
-	// retryTaken says that the repeat which follows a move was taken out of the
-	// budget when the request was moved.
+	// retryTaken is set if the retry after a reroute has been taken from the budget
+	// already.
 	retryTaken atomic.Bool
 }
 
-// errRerouted ends a send whose request goes on elsewhere.
-var errRerouted = errors.New("the server went silent")
+// errRerouted cancels a send whose request continues on another server.
+var errRerouted = errors.New("request rerouted to another server")
 
-// serve sends the call until it is answered or given up.
+// serve sends the call until it is answered or fails.
 func (x *exchange) serve(ctx context.Context) {
 	x.recordArrival()
 	for {
@@ -86,12 +86,12 @@
 			return
 		}
 		if ctx.Err() != nil {
-			x.logEvent("caller left", t)
+			x.logEvent("client disconnected", t)
 			x.relay.Metrics.ClientsDisconnected.Inc(1)
 			return
 		}
-		// One that servers may end by asks the larger model of the same server: its cancelled
-		// run may end that one all the same, and a second would end with it.
+		// A request that may end servers asks the larger model of the same server:
+		// its cancelled run may still end that one, and should not end a second.
 		if outcome != request.Unconvincing || x.standing.Ends == 0 {
 			x.tried = append(x.tried, t.server.ID)
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-// modelOverride is the model to name to the server, empty to leave the call's.
+// modelOverride is the model to request from the server; empty keeps the call's.
 func (x *exchange) modelOverride() string {
 	if x.choosesModel() {
 		return x.route.Models[x.modelIndex]
@@ -114,7 +114,7 @@
 	return ""
 }
 
-// effectiveModel is the model that will answer.
+// effectiveModel is the model that will run.
 func (x *exchange) effectiveModel() string {
 	if m := x.modelOverride(); m != "" {
 		return m
@@ -122,14 +122,13 @@
 	return x.call.Model
 }
 
-// selectServer picks a server. A key that is taken away after the call was admitted does
-// not end it: the caller sent it while the key was good, and an answer that has begun
-// would be cut.
+// selectServer picks a server. It does not check the key again: revoking a key
+// does not abort requests that were admitted before.
 func (x *exchange) selectServer() (*target, *fault.Error) {
 	req := x.requirements(x.effectiveModel())
 	t, err := x.relay.State.pick(&req, x.service.MaxConns)
 	if err != nil && len(x.tried) > 0 && x.journey.Repeatable {
-		// Every server had its turn. One that was lost may answer again.
+		// All servers were tried. One that was lost may respond again.
 		req.tried = nil
 		t, err = x.relay.State.pick(&req, x.service.MaxConns)
 	}
@@ -139,7 +138,7 @@
 	return t, nil
 }
 
-// requirements is what the call needs of a server that runs a model.
+// requirements returns the call's requirements on a server that runs a model.
 func (x *exchange) requirements(model string) requirements {
 	if x.service.Engine == nil {
 		model = ""
@@ -153,7 +152,7 @@
 	}
 }
 
-// attempt sends the request to a server and books what became of it there.
+// attempt sends the request to a server and reports the result to the guard.
 func (x *exchange) attempt(ctx context.Context, t *target) (request.Outcome, bool) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -166,7 +165,7 @@
 	return outcome, done
 }
 
-// send makes one attempt. Done says that the caller has the final answer.
+// send makes one attempt. It returns true if the client has the final response.
 func (x *exchange) send(ctx context.Context, cancel context.CancelCauseFunc, t *target) (request.Outcome, bool) {
 	by, age := x.relay.State.LastConfirmation(freshness.Servers)
 	x.logEvent("send", t, "entries_age_ms", age.Milliseconds(), "entries_by", by, "expected_ms", t.expectedLatency.Milliseconds(), "uncached", t.uncached, "warming", t.warming, "send", x.journey.Sends(), "session", x.call.Session, "fingerprint", x.fingerprint)
@@ -196,11 +195,9 @@
 	return outcome, done
 }
 
-// mayReroute reports whether the request may leave its server for another one, and takes
-// the repeat that this costs. From a server that still answers others it only moves if
-// it may be sent again: without that, a stream whose events merely came slowly was
-// ended, and cut in the middle because the budget was used up. From a server that is
-// lost it moves in any case, since its caller may come back by itself.
+// mayReroute reports whether the request may continue on another server, and
+// takes the retry from the budget. Without budget, it only leaves a lost server:
+// a stream whose server is merely slow would be aborted.
 func (x *exchange) mayReroute(lost bool) bool {
 	if !x.journey.Repeatable || x.journey.RunsLeft() <= 0 {
 		return false
@@ -212,7 +209,8 @@
 	return lost
 }
 
-// sendPriority raises requests that have already lost time to a server or model.
+// sendPriority raises the priority of requests that have lost time to an earlier
+// server or model.
 func (x *exchange) sendPriority() int {
 	if x.journey.Sends() > 1 {
 		return max(0, x.priority-basePriority)
@@ -220,7 +218,7 @@
 	return x.priority
 }
 
-// handleSendError tells from an error whether the request may have run.
+// handleSendError derives from an error whether the request may have run.
 func (x *exchange) handleSendError(t *target, sentAt time.Time, err error) request.Outcome {
 	var e *upstream.Error
 	if !errors.As(err, &e) {
@@ -242,17 +240,17 @@
 	return request.Lost
 }
 
-// handleReply judges the head of a reply and passes the answer on.
+// handleReply checks the head of a reply and forwards the response.
 func (x *exchange) handleReply(ctx context.Context, t *target, a *attempt, reply *BackendResponse, sentAt time.Time) (request.Outcome, bool) {
-	defer func() { _ = reply.Body.Close() }() // ends the run if it is not over; there is nothing to do about an error
+	defer func() { _ = reply.Body.Close() }() // cancels an unfinished run; an error has no effect on the call
 	if reply.NotRun {
-		x.logEvent("not run", t, "status", reply.Status)
+		x.logEvent("server did not run request", t, "status", reply.Status)
 		return request.NotStarted, false
 	}
 	ok := reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices
 	switch {
 	case !reply.Authenticated:
-		x.logEvent("unproven answer", t, "status", reply.Status)
+		x.logEvent("unauthenticated response", t, "status", reply.Status)
 		return request.Lost, false
 	case ok && x.route.Kind == route.Stream:
 		return x.forwardStream(ctx, t, a, reply, sentAt)
@@ -262,8 +260,8 @@
 	return x.forwardBuffered(t, reply, sentAt, ok)
 }
 
-// fail ends the call: with a server's own failure if there is one, else with a
-// refusal. An answer that has begun is cut so that it does not look complete.
+// fail ends the call with a server's error response if there is one, else with a
+// refusal. A response that has begun is aborted.
 func (x *exchange) fail(e *fault.Error) {
 	switch {
 	case x.headerSent:
@@ -271,7 +269,7 @@
 		x.relay.Metrics.ResponsesAborted.Inc(1)
 		x.out.Abort()
 	case x.serverFailure != nil && e.State() != fault.NotRun:
-		x.logEvent("failed at the server", nil, "status", x.serverFailure.status)
+		x.logEvent("server failure forwarded", nil, "status", x.serverFailure.status)
 		x.serverFailure.writeTo(x.out)
 	default:
 		if e.State() == fault.NotRun && e.Advice() > 0 && e.RetryAfter == 0 {
@@ -281,18 +279,17 @@
 	}
 }
 
-// retryAfter spreads the returns of refused callers over a time in which servers
-// get through some work, by a draw that differs between callers.
+// retryAfter spreads the retries of refused clients over an interval, by the
+// call's hash.
 func (x *exchange) retryAfter() time.Duration {
 	const spread = 400 * time.Millisecond
 	return minRetryAfter + time.Duration(x.hash>>32%uint64(spread))
 }
 
-// minRetryAfter is the least advice: a server that refused needs some requests'
-// time to have room.
+// minRetryAfter is the least Retry-After of a refusal.
 const minRetryAfter = 100 * time.Millisecond
 
-// logEvent writes a line about a decision on the call.
+// logEvent logs a message about the call.
 func (x *exchange) logEvent(message string, t *target, extra ...any) {
 	fields := []any{"request", x.call.ID, "route", x.route.Name, "at_ms", time.Since(x.call.Received).Milliseconds()}
 	if t != nil {
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -9,7 +9,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// Evacuate closes a failure domain and reports whether it was open.
+// Evacuate stops new requests to a failure domain and reports whether it was open.
 func (s *State) Evacuate(domain string) bool {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -17,7 +17,7 @@
 	return s.gate.Evacuate(domain, now)
 }
 
-// Readmit opens a failure domain again and reports whether it was closed.
+// Readmit reopens a failure domain and reports whether it was evacuated.
 func (s *State) Readmit(domain string) bool {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -25,14 +25,14 @@
 	return s.gate.Readmit(domain, now)
 }
 
-// Evacuations lists the failure domains that are closed.
+// Evacuations lists the evacuated failure domains.
 func (s *State) Evacuations() []gate.Evacuation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gate.Evacuations()
 }
 
-// SetSlowStartView takes with whom this daemon shares the limits of warming servers.
+// SetSlowStartView sets the daemons that share the limits of warming servers.
 func (s *State) SetSlowStartView(v slowstart.View) {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -40,12 +40,12 @@
 	s.gate.SetView(v, now)
 }
 
-// gateServer is a server as the gate sees it.
+// gateServer converts a server for the gate.
 func gateServer(b backend.Server, hash uint64, limit slowstart.Limit) gate.Server {
 	return gate.Server{ID: b.ID, Hash: hash, FailureDomain: b.FailureDomain, Leaving: b.Leaving, WarmAt: b.WarmAt, Limit: limit}
 }
 
-// excludeRefused excludes the servers that the request may not be sent to now, and counts why.
+// excludeRefused excludes the servers that the gate refuses, and counts the reasons.
 func (s *State) excludeRefused(sel *selection, req *requirements, now time.Duration) {
 	sel.refusals = gate.Tally{}
 	for i := range sel.candidates {
@@ -59,7 +59,7 @@
 	}
 }
 
-// recordSend records at the gate that a request is sent to the chosen server, and reports whether
+// recordSend records a send to the selected server at the gate, and reports whether
 // that server is warming up.
 func (s *State) recordSend(sel *selection, req *requirements, now time.Duration) (warming bool) {
 	c := &sel.candidates[sel.decision.Index]
@@ -68,7 +68,7 @@
 	return now < s.gate.WarmAt(g, now)
 }
 
-// recordServerEnd books that a run of a server has ended: its VM refuses connections.
+// recordServerEnd records that a server's run has ended, as its VM refuses connections.
 func (s *State) recordServerEnd(id string) {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -76,7 +76,7 @@
 	s.gate.Ended(id, now)
 }
 
-// WarmingServers counts the servers that are warming up by their entries.
+// WarmingServers counts the servers that are warming up according to their entries.
 func (s *State) WarmingServers() (n int) {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -91,7 +91,7 @@
 	return n
 }
 
-// noServerError is the refusal of a request that no server is left for.
+// noServerError returns the refusal for a request that no server can take.
 func noServerError(sel *selection, req *requirements) *fault.Error {
 	switch reason, left := sel.refusals.Main(); reason {
 	case gate.Warming:
@@ -102,19 +102,19 @@
 	return fault.New(fault.NoServer, "no server of %s is left", req.service)
 }
 
-// minWarmingRetryAfter is the least time after which to come back to servers that are warming up: their
-// limit lets further requests through meanwhile.
+// minWarmingRetryAfter is the least Retry-After while servers are warming up: their
+// limit admits further requests meanwhile.
 const minWarmingRetryAfter = 100 * time.Millisecond
 
-// slowStartLimit is what a warming server of a service bears.
+// slowStartLimit returns the limit of a warming server of the call's service.
 func (r *Relay) slowStartLimit(x *exchange) slowstart.Limit {
 	return slowstart.Limit{
 		For: x.service.WarmUp, PerSecond: x.service.WarmUpRate, Excess: r.options.WarmUpRateFactor, Slack: r.options.WarmUpBurst,
 	}
 }
 
-// applyExclusions excludes what a choice may not use: servers that were tried, those whose version may
-// not be used, and those that the gate refuses.
+// applyExclusions excludes servers that were tried, whose version is not admitted,
+// or that the gate refuses.
 func (s *State) applyExclusions(sel *selection, req *requirements, admits func(string) bool, now time.Duration) {
 	excludeUnsuitable(&sel.request, sel.candidates, sel.service, req, admits)
 	s.excludeRefused(sel, req, now)
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -12,7 +12,7 @@
 
 var warmUp = slowstart.Limit{For: 3 * time.Second, PerSecond: 15, Excess: 1.5, Slack: 5}
 
-// gatedState has servers a in "east" and b in "west" and is the only daemon.
+// gatedState returns the state of the only daemon, with servers a in "east" and b in "west".
 func gatedState(t *testing.T, warmAt time.Duration) (*State, *fakeClock) {
 	t.Helper()
 	c := &fakeClock{now: time.Minute}
@@ -30,8 +30,8 @@
 	return requirements{service: "s", versions: anyVersionChoice(), slowStart: warmUp}
 }
 
-// Guards against a way to a server past the gate: with another version preferred, after all
-// were tried, and where every server is suspect.
+// Guards against selections that bypass the gate: with another version preferred, after
+// all servers were tried, and with every server suspect.
 func TestEvacuatedDomainIsNeverPicked(t *testing.T) {
 	s, _ := gatedState(t, 0)
 	s.Evacuate("east")
@@ -52,13 +52,13 @@
 			change(&w)
 			got, err := s.pick(&w, 10)
 			if err == nil && got.server.FailureDomain == "east" {
-				t.Errorf("%s: sent to an evacuated domain", name)
+				t.Errorf("%s: picked a server in an evacuated domain", name)
 			}
 		}
 	}
 }
 
-// Guards against refusals that do not say that all is evacuated.
+// Guards against a refusal with another kind if all domains are evacuated.
 func TestEvacuatingEveryDomainRefusesAsEvacuated(t *testing.T) {
 	s, _ := gatedState(t, 0)
 	s.Evacuate("east")
@@ -69,8 +69,8 @@
 	}
 }
 
-// Guards against sends to warming servers above their limit, and refusals without the time
-// after which they are warm.
+// Guards against exceeding the limit of warming servers, and against refusals without a
+// Retry-After.
 func TestWarmingServersAreRateLimited(t *testing.T) {
 	s, c := gatedState(t, time.Minute+2*time.Second)
 	sent, refused := 0, 0
@@ -88,23 +88,23 @@
 		c.now += 10 * time.Millisecond
 	}
 	if most := 2 * warmUp.Bound() / 2; sent == 0 || sent > most || refused == 0 {
-		t.Errorf("%d sent in a second to two servers, %d refused", sent, refused)
+		t.Errorf("%d requests sent to two servers in one second, %d refused", sent, refused)
 	}
 	c.now = time.Minute + 2*time.Second
 	for range 100 {
 		w := gatedRequirements()
 		if _, err := s.pick(&w, 10); err != nil {
-			t.Fatalf("warm: %v", err)
+			t.Fatalf("refused after the warm-up: %v", err)
 		}
 	}
 }
 
-// Guards against a held request that is sent, whatever else is known of it.
+// Guards against sending a held request.
 func TestGateRefusesHeldRequest(t *testing.T) {
 	s, _ := gatedState(t, 0)
 	w := gatedRequirements()
 	w.gateRequest = gate.Request{Held: true}
 	if _, err := s.pick(&w, 10); err == nil {
-		t.Error("sent")
+		t.Error("held request was sent")
 	}
 }
--- a/internal/relay/latency.go
+++ b/internal/relay/latency.go
@@ -8,34 +8,34 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// modelLatencies learns how fast a service's models are.
+// modelLatencies estimates the latency of a service's models.
 type modelLatencies map[string]*modelLatency
 
 type modelLatency struct {
-	// prefill is the time to the first event by uncached tokens.
+	// prefill estimates the time to the first event from the uncached tokens.
 	prefill *routing.Line
 	// eventInterval is the mean time between events in seconds.
 	eventInterval float64
-	// load is how many of the model's prompts this daemon sends.
+	// load is the rate at which this daemon sends prompts to the model.
 	load routing.Load
-	// responseTime is the mean time to the answer of a plain service in seconds.
+	// responseTime is the mean response time of a plain service in seconds.
 	responseTime float64
 }
 
 const (
-	// initialFixedLatency and firstPerToken are assumed of the cheapest model before the
-	// first sample, the latter times the relation of the models' costs.
+	// initialFixedLatency and initialTokenLatency are the estimate for the cheapest
+	// model before the first sample; the latter scales with the relative cost.
 	initialFixedLatency = 60 * time.Millisecond
 	initialTokenLatency = 5 * time.Microsecond
-	// costExponent turns the relation of costs into one of times: dearer models
-	// cost somewhat more than the time they take.
+	// costExponent converts a cost ratio to a latency ratio: the cost of models grows
+	// faster than their latency.
 	costExponent = 0.85
-	// referenceTokenTime is the time for one token that pending work is counted in:
-	// a model that takes twice as long counts double.
+	// referenceTokenTime is the prefill time per token in which pending work is
+	// measured: a model that takes twice as long counts double.
 	referenceTokenTime = 10 * time.Microsecond
 )
 
-// sampleWeight is the weight of a new sample: about the last 20 count.
+// sampleWeight is the weight of a new sample in a moving average.
 const sampleWeight = 0.05
 
 func (p modelLatencies) get(model string, e *route.Engine) *modelLatency {
@@ -47,7 +47,7 @@
 	return v
 }
 
-// relativeCost relates a model's cost to the cheapest one's.
+// relativeCost returns the latency ratio to the cheapest model, derived from the costs.
 func relativeCost(model string, e *route.Engine) float64 {
 	if e == nil || e.Cost[model] <= 0 {
 		return 1
@@ -61,7 +61,7 @@
 	return math.Pow(e.Cost[model]/least, costExponent)
 }
 
-// prefillScale is how much longer the model takes over a token than the reference.
+// prefillScale is the prefill time per token relative to referenceTokenTime.
 func (p *modelLatency) prefillScale() float64 {
 	return float64(p.prefill.PerToken()) / float64(referenceTokenTime)
 }
@@ -74,7 +74,7 @@
 	*mean += sampleWeight * (sample - *mean)
 }
 
-// streamTime returns the time from the first event of a model's stream to the last.
+// streamTime returns the expected time from the first event of a stream to the last.
 func (p modelLatencies) streamTime(model string, events float64) time.Duration {
 	if v := p[model]; v != nil {
 		return time.Duration(max(events-1, 0) * v.eventInterval * float64(time.Second))
@@ -82,14 +82,15 @@
 	return 0
 }
 
-// remainingStreamTime is that of a stream that has begun.
+// remainingStreamTime returns the streamTime of a stream that has begun.
 func (s *State) remainingStreamTime(t *target, events float64) time.Duration {
 	var rest time.Duration
 	s.withService(t.service, func(sv *service) { rest = sv.models.streamTime(t.model, events) })
 	return rest
 }
 
-// typicalLatency returns the usual time to the first event or answer, in seconds.
+// typicalLatency returns the typical time to the first event or response and the
+// interval between events, in seconds.
 func (s *State) typicalLatency(t *target, engine bool) (first, gap float64) {
 	s.withService(t.service, func(sv *service) {
 		p := sv.models.get(t.model, nil)
@@ -101,7 +102,7 @@
 	return first, gap
 }
 
-// recordEventInterval books the mean time between the events of a stream.
+// recordEventInterval records the mean interval between the events of a stream.
 func (s *State) recordEventInterval(t *target, gap time.Duration) {
 	s.withService(t.service, func(sv *service) { updateMean(&sv.models.get(t.model, nil).eventInterval, gap.Seconds()) })
 }
--- a/internal/relay/liveness.go
+++ b/internal/relay/liveness.go
@@ -13,39 +13,38 @@
 )
 
 const (
-	// checkInterval is how often silent servers are looked for.
+	// checkInterval is the interval between checks for silent servers.
 	checkInterval = 100 * time.Millisecond
-	// silenceTimeout is how long a server that has work of ours may be silent
-	// before it is asked for a sign of life. A dark VM resets nothing, so
-	// without asking every request there would wait for its deadline. Engines
-	// that live send events every few tens of milliseconds under load.
+	// silenceTimeout is how long a server with requests in flight may be silent before
+	// it is probed. A VM that has crashed resets no connections, so without a probe
+	// its requests would wait for their deadlines.
 	silenceTimeout = 500 * time.Millisecond
-	// probeTimeout bounds the wait for the sign: round trips are milliseconds.
+	// probeTimeout limits the wait for the response to a probe.
 	probeTimeout = 300 * time.Millisecond
-	// minOvertaken is how many requests that a server got later it must have begun
-	// to answer before an unanswered one is taken for lost.
+	// minOvertaken is the number of later requests a server must have responded to
+	// before an earlier one without response is considered lost.
 	minOvertaken = 1
-	// minHeaderWait bounds from below how long an answer is waited for before.
+	// minHeaderWait is the least overtakenTimeout.
 	minHeaderWait = 250 * time.Millisecond
-	// engineWaitFactor and plainPatience are that time as multiples of the expected
-	// one. Engines answer in about the order of arrival; plain services take up to
-	// five times as long for one request in a hundred.
+	// engineWaitFactor and plainWaitFactor are the overtakenTimeout as a multiple of
+	// the expected latency. Engines respond roughly in order of arrival; the latency
+	// of plain services varies more.
 	engineWaitFactor = 2
 	plainWaitFactor  = 6
-	// maxWaitFactor is how many times longer still a head is waited for if nothing
-	// overtakes, and headPart the part of the route's latency target that is waited
-	// for at least: a daemon may send a server little, so that nothing can overtake.
+	// maxWaitFactor is the headerTimeout as a multiple of the overtakenTimeout, and
+	// minWaitFraction its least value as a fraction of the route's latency target. It
+	// applies if the daemon sends the server too little for requests to be overtaken.
 	maxWaitFactor   = 2
 	minWaitFraction = 0.6
-	// stallFraction is the part of a route's longest pause after which a stream is
-	// continued elsewhere although its server lives: its connection may have
-	// gone silent for good while new ones work.
+	// stallFraction is the fraction of a route's gap target after which a stalled
+	// stream is resumed elsewhere although its server is alive: its connection may
+	// be dead while new ones work.
 	stallFraction = 0.9
-	// defaultStallTimeout is the longest pause where the route states none.
+	// defaultStallTimeout applies to routes without a gap target.
 	defaultStallTimeout = 2 * time.Second
 )
 
-// livenessMonitor looks for servers and connections that have gone silent.
+// livenessMonitor detects servers and connections that have gone silent.
 type livenessMonitor struct {
 	state   *State
 	backend Backend
@@ -57,38 +56,38 @@
 	lastActivity map[string]time.Time
 }
 
-// monitoredServer is one server with unfinished work.
+// monitoredServer is a server with requests in flight.
 type monitoredServer struct {
 	attempts map[*attempt]bool
-	// lastProbe is the last sign of life that was asked for.
+	// lastProbe is when the last probe ended.
 	lastProbe time.Time
 	probing   bool
 }
 
-// attempt is one send that is waiting for its server.
+// attempt is one send in flight.
 type attempt struct {
 	target *target
 	engine bool
 	sentAt time.Time
-	// reroute ends the send if the request may go on elsewhere. Lost says that the
-	// server shows no sign of life.
+	// reroute cancels the send if the request may continue elsewhere, and reports
+	// whether it did. Lost is set if the server has not responded to a probe.
 	reroute      func(lost bool) bool
 	stallTimeout time.Duration
-	// priority is the rank the server was given; the first goes first.
+	// priority is the priority sent to the server; 0 is the highest.
 	priority int
-	// overtakenTimeout is how long the head is waited for if others overtake, and limit
-	// how long if none do.
+	// overtakenTimeout is how long to wait for the head once overtaken, headerTimeout
+	// how long otherwise.
 	overtakenTimeout, headerTimeout time.Duration
-	// overtaken counts later sends to the server that were answered first.
+	// overtaken counts later sends to the server that were responded to first.
 	overtaken int
-	// progressNanos is when the last bytes of the body came; 0 before the head.
+	// progressNanos is when the last bytes arrived, from sentAt; 0 before the head.
 	progressNanos atomic.Int64
 	rerouted      bool
 }
 
 func (a *attempt) recordProgress() { a.progressNanos.Store(time.Since(a.sentAt).Nanoseconds() + 1) }
 
-// lastProgress returns when the attempt last made progress, and whether it is answered.
+// lastProgress returns when the attempt last made progress, and whether the head has arrived.
 func (a *attempt) lastProgress() (time.Time, bool) {
 	n := a.progressNanos.Load()
 	return a.sentAt.Add(time.Duration(n)), n > 0
@@ -104,9 +103,9 @@
 	w.mu.Unlock()
 }
 
-// recordHeader records the head of an answer. Unanswered requests that the server got
-// before, and that it would not put behind this one, have been overtaken: their
-// answers may be lost on a connection that stays open.
+// recordHeader records the head of a response. Earlier requests of the same or a higher
+// priority without a response have been overtaken: their responses may be lost on a
+// connection that stays open.
 func (w *livenessMonitor) recordHeader(a *attempt) {
 	a.recordProgress()
 	w.mu.Lock()
@@ -160,10 +159,8 @@
 	}
 }
 
-// rerouteWaiting moves what waits for a run of a server that has ended. The server that started
-// again under its name knows nothing of it, so that no answer is coming: without this each
-// request would wait for its sign of life, or its deadline. A stream whose events still
-// come is served by some run, and stays.
+// rerouteWaiting reroutes the requests that wait for a run that has ended, since the
+// restarted server will not respond to them. A stream that still makes progress stays.
 func (w *livenessMonitor) rerouteWaiting(id string, now time.Time) (moved int) {
 	w.mu.Lock()
 	var waiting []*attempt
@@ -185,7 +182,7 @@
 
 func (w *livenessMonitor) run(ctx context.Context) { loop.Every(ctx, checkInterval, w.check) }
 
-// check asks silent servers for a sign of life and moves stalled streams.
+// check probes silent servers and reroutes stuck requests.
 func (w *livenessMonitor) check(ctx context.Context, now time.Time) {
 	var probes, stalled []*attempt
 	w.mu.Lock()
@@ -213,10 +210,9 @@
 	}
 }
 
-// stuck reports whether an attempt is to go on elsewhere although its server
-// lives: its stream has paused for too long while others go on, or its answer is
-// lost. A server on which all streams pause is only busy, and would be as busy with
-// reading them again.
+// stuck reports whether to continue an attempt elsewhere although its server is alive:
+// its stream has stalled while others progress, or its response is lost. If all
+// streams of a server stall, the server is busy and rerouting would only add load.
 func (a *attempt) stuck(now time.Time, othersProgress bool) bool {
 	at, answered := a.lastProgress()
 	switch {
@@ -229,7 +225,7 @@
 	return waited > a.headerTimeout || a.overtaken >= minOvertaken && waited > a.overtakenTimeout
 }
 
-// progressing reports whether any stream of the server has had an event just now.
+// progressing reports whether any stream of the server has made progress recently.
 func (v *monitoredServer) progressing(now time.Time) bool {
 	for a := range v.attempts {
 		if at, answered := a.lastProgress(); answered && now.Sub(at) < recentProgress {
@@ -239,11 +235,11 @@
 	return false
 }
 
-// recentProgress is how recent progress must be: some steps of a busy engine.
+// recentProgress is the maximum age of recent progress.
 const recentProgress = 300 * time.Millisecond
 
-// silentAttempt returns an attempt on a server that has been silent too long, or nil.
-// Callers hold mu.
+// silentAttempt returns the oldest attempt on a server that has been silent too long,
+// or nil. Callers hold mu.
 func (w *livenessMonitor) silentAttempt(v *monitoredServer, now time.Time) *attempt {
 	if v.probing || now.Sub(v.lastProbe) < 2*silenceTimeout {
 		return nil
@@ -263,7 +259,7 @@
 	return oldest
 }
 
-// probe wants a sign of life; without one, every request there goes on elsewhere.
+// probe checks a server; if it does not respond, all its requests are rerouted.
 func (w *livenessMonitor) probe(ctx context.Context, a *attempt) {
 	w.metrics.Probes.Inc(1)
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
--- a/internal/relay/liveness_test.go
+++ b/internal/relay/liveness_test.go
@@ -8,12 +8,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/route"
 )
 
-// Symptom: a stream waited five seconds, until its caller left, on a server that
-// answered all others.
-// Sequence: a server runs a request and its answer is lost; the connection stays
-// open; requests sent to it later are answered.
-// Cause: only servers that are silent as a whole, and streams that had begun, were
-// given up.
+// Guards against waiting until the deadline for a response that was lost on an open
+// connection, while the server responds to later requests.
 func TestOvertakenRequestIsStuck(t *testing.T) {
 	w := newHarness(t, respond(200, "")).relay.liveness
 	rt := &route.Route{LatencyTarget: 10 * time.Second}
@@ -24,14 +20,14 @@
 	first.sentAt = later.sentAt.Add(-time.Second)
 	now := later.sentAt
 	if first.stuck(now, true) {
-		t.Fatal("given up although no later request was answered: the server may only be busy")
+		t.Fatal("stuck although no later request was responded to")
 	}
 	w.recordHeader(later)
 	if !first.stuck(now, true) {
-		t.Fatal("overtaken by a later request and still waited for")
+		t.Fatal("not stuck although overtaken by a later request")
 	}
 	if first.stuck(first.sentAt.Add(first.overtakenTimeout/2), true) {
-		t.Fatal("given up before its time")
+		t.Fatal("stuck before the overtaken timeout")
 	}
 }
 
@@ -45,14 +41,12 @@
 	first.sentAt = urgent.sentAt.Add(-time.Minute)
 	w.recordHeader(urgent)
 	if first.stuck(urgent.sentAt, true) {
-		t.Fatal("a more urgent request goes first; that says nothing")
+		t.Fatal("overtaking by a higher priority counted")
 	}
 }
 
-// Symptom: on a busy day streams were read again on other servers, which made those
-// busy.
-// Sequence: all streams of a server pause while it reads long prompts.
-// Cause: a pause was taken for a connection that had gone silent.
+// Guards against rerouting streams from a busy server, which loads other servers with
+// processing the prompts again.
 func TestStreamStalledWithAllOthersIsNotRerouted(t *testing.T) {
 	w := newHarness(t, respond(200, "")).relay.liveness
 	at := &target{server: backend.Server{ID: "e0", Address: "10.0.0.0:1"}, service: "lm"}
@@ -60,61 +54,53 @@
 	a.recordProgress()
 	late := time.Now().Add(2 * time.Second)
 	if a.stuck(late, false) {
-		t.Fatal("moved off a busy server")
+		t.Fatal("rerouted from a busy server")
 	}
 	if !a.stuck(late, true) {
-		t.Fatal("left on a connection that went silent alone")
+		t.Fatal("not rerouted although only this stream stalled")
 	}
 }
 
-// Symptom: a stream waited five seconds for a lost answer, although its server lived.
-// Sequence: its daemon sends the server nothing else meanwhile.
-// Cause: only overtaken requests were taken for lost.
+// Guards against waiting until the deadline for a lost response if the daemon sends the
+// server no other request that could overtake it.
 func TestHeaderTimeoutReroutes(t *testing.T) {
 	w := newHarness(t, respond(200, "")).relay.liveness
 	at := &target{server: backend.Server{ID: "e0", Address: "10.0.0.0:1"}, service: "lm", expectedLatency: 200 * time.Millisecond}
 	a := w.track(at, true, &route.Route{LatencyTarget: 1500 * time.Millisecond}, 3, func(bool) bool { return true })
 	if a.stuck(a.sentAt.Add(850*time.Millisecond), false) {
-		t.Fatal("given up within the part of the target that an answer may take")
+		t.Fatal("rerouted before the header timeout")
 	}
 	if !a.stuck(a.sentAt.Add(950*time.Millisecond), false) {
-		t.Fatal("waited for beyond that")
+		t.Fatal("not rerouted after the header timeout")
 	}
 }
 
-// Symptom: under overload streams ended in the middle though their servers were making
-// events.
-// Sequence: a stream pauses for longer than usual on a busy server; it is taken off that
-// server to go on elsewhere; the budget of repeats is used up; it is cut.
-// Cause: it was moved before it was known whether it may be sent again.
+// Guards against aborting a slow stream by rerouting it without retry budget.
 func TestStreamIsNotReroutedWithoutRetryBudget(t *testing.T) {
 	w := newHarness(t, respondStream(90, nil, 1))
 	x := &exchange{relay: w.relay, service: w.relay.State.Table().Services["lm"]}
 	x.journey.Repeatable, x.journey.MaxRuns = true, 3
 	if !x.mayReroute(false) || !x.retryTaken.Swap(false) {
-		t.Error("with budget left it does not go on elsewhere")
+		t.Error("not rerouted although the budget allows it")
 	}
 	w.relay.options.RetryBudgetRatio, w.relay.options.RetryBudgetReserve = 0, 0
 	for w.relay.takeRetry("lm", 0) {
 	}
 	if x.mayReroute(false) {
-		t.Error("it leaves a server that answers others, to be cut")
+		t.Error("rerouted from a live server without budget")
 	}
 	if !x.mayReroute(true) || x.retryTaken.Load() {
-		t.Error("it stays with a server that is lost")
+		t.Error("not rerouted from a lost server")
 	}
 	x.journey.MaxRuns = 0
 	x.journey.Sent()
 	if x.mayReroute(true) {
-		t.Error("it leaves a server though no other may run it")
+		t.Error("rerouted although no attempts are left")
 	}
 }
 
-// Symptom: requests waited for their deadline, or for a sign of life, at a server that knew
-// nothing of them.
-// Sequence: a server crashes and starts again under its id; its entry tells of the new run.
-// Cause: only a server that showed no sign of life lost what waited for it, and the later
-// run did show one.
+// Guards against requests that wait for their deadline or a probe on a server that has
+// restarted and does not know them.
 func TestServerRestartReroutesWaitingRequests(t *testing.T) {
 	w := newHarness(t, respond(200, ""))
 	old := backend.Server{ID: "e0", Run: backend.Incarnation{Name: "e0"}, Address: "10.0.0.0:1"}
@@ -126,16 +112,16 @@
 			return true
 		})
 	}
-	enter("waits")
-	enter("streams").recordProgress()
+	enter("waiting")
+	enter("streaming").recordProgress()
 	w.relay.ServerRestarted(old)
-	if lost, told := moved["waits"]; !told || !lost {
-		t.Error("a request that waits is left at a run that has ended")
+	if lost, told := moved["waiting"]; !told || !lost {
+		t.Error("waiting request not rerouted from an ended run")
 	}
-	if _, told := moved["streams"]; told {
-		t.Error("a stream whose events come is cut")
+	if _, told := moved["streaming"]; told {
+		t.Error("progressing stream was rerouted")
 	}
 	if len(w.backend.closed) != 1 || w.backend.closed[0] != old.Address {
-		t.Errorf("connections closed: %v", w.backend.closed)
+		t.Errorf("closed connections of %v", w.backend.closed)
 	}
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -13,36 +13,36 @@
 // Metrics are the counters and histograms of a relay.
 type Metrics struct {
 	scope tally.Scope
-	// Requests counts calls of callers.
+	// Requests counts client requests.
 	Requests tally.Counter
-	// Retries counts sends after the first of a call.
+	// Retries counts sends after the first of a request.
 	Retries tally.Counter
-	// Escalations counts answers dropped for a larger model's.
+	// Escalations counts responses that were replaced by a larger model's.
 	Escalations tally.Counter
-	// SendsFailed counts sends without an answer.
+	// SendsFailed counts sends without a response.
 	SendsFailed tally.Counter
-	// ResponsesAborted counts answers that ended before their end.
+	// ResponsesAborted counts responses that were aborted after their start.
 	ResponsesAborted tally.Counter
-	// ClientsDisconnected counts callers that left before their answer.
+	// ClientsDisconnected counts clients that disconnected before their response.
 	ClientsDisconnected tally.Counter
-	// Probes counts signs of life asked of silent servers.
+	// Probes counts liveness probes of silent servers.
 	Probes tally.Counter
-	// SendsRerouted counts sends given up for another server because they were stuck.
+	// SendsRerouted counts stuck sends that were cancelled in favour of another server.
 	SendsRerouted tally.Counter
-	// ServersEnded counts servers that ended with requests of this daemon.
+	// ServersEnded counts servers that ended while running requests of this daemon.
 	ServersEnded tally.Counter
-	// RequestsHeld is how many requests are kept from servers.
+	// RequestsHeld is the number of quarantined requests.
 	RequestsHeld tally.Gauge
-	// DomainsEvacuated is how many failure domains get nothing new, and Warming how many servers
-	// warm up.
+	// DomainsEvacuated is the number of evacuated failure domains, ServersWarming
+	// the number of servers that are warming up.
 	DomainsEvacuated, ServersWarming tally.Gauge
-	// WarmingSends counts sends to servers that warm up.
+	// WarmingSends counts sends to servers that are warming up.
 	WarmingSends tally.Counter
 	// Panics counts panics of handlers.
 	Panics tally.Counter
-	// ServerRestarts counts servers that started again under their name.
+	// ServerRestarts counts servers that restarted under the same name.
 	ServerRestarts tally.Counter
-	// ResponseLatency is the time to a plain answer.
+	// ResponseLatency is the time to a complete non-streaming response.
 	ResponseLatency tally.Histogram
 	// FirstEventLatency is the time to the first event of a stream.
 	FirstEventLatency tally.Histogram
@@ -72,28 +72,28 @@
 	return m
 }
 
-// ConfirmationAge shows how old, in seconds, the newest confirmation of a subject is.
+// ConfirmationAge is the age of the last confirmation of a subject, in seconds.
 func (m *Metrics) ConfirmationAge(subject freshness.Subject) tally.Gauge {
 	return m.confirmationAges[subject]
 }
 
-// ReadDelay counts how late, at most, records of a subject were read.
+// ReadDelay is the upper bound of the delay with which records of a subject were read.
 func (m *Metrics) ReadDelay(subject freshness.Subject) tally.Histogram { return m.readDelays[subject] }
 
-// latencyBuckets reach from 5 ms to 20 s by doubling.
+// latencyBuckets doubles the bucket limits from 5 ms to 20 s.
 const latencyBuckets = 13
 
-// Refusals counts refusals of a kind.
+// Refusals counts refusals by kind.
 func (m *Metrics) Refusals(k fault.Kind) tally.Counter {
 	return m.scope.Tagged(map[string]string{"kind": string(k)}).Counter("refusals")
 }
 
-// BadServerEntries counts entries of servers that name none to use, by fault.
+// BadServerEntries counts invalid server entries by fault.
 func (m *Metrics) BadServerEntries(f backend.Fault) tally.Counter {
 	return m.scope.Tagged(map[string]string{"fault": string(f)}).Counter("server_entries_bad")
 }
 
-// Responses counts whole answers, by whether the server succeeded.
+// Responses counts complete responses, by whether the server succeeded.
 func (m *Metrics) Responses(ok bool) tally.Counter {
 	if ok {
 		return m.scope.Counter("answers_ok")
@@ -101,31 +101,31 @@
 	return m.scope.Counter("answers_failed")
 }
 
-// MetricDescriptions lists every metric with its meaning, for the page of metrics.
+// MetricDescriptions returns the description of every metric, by name.
 func MetricDescriptions() map[string]string {
 	return map[string]string{
-		"requests":              "Requests of callers.",
+		"requests":              "Client requests.",
 		"repeats":               "Sends after the first of a request.",
-		"escalations":           "Answers of a smaller model dropped for a larger one's.",
-		"sends_failed":          "Sends without an answer.",
-		"sends_moved":           "Sends given up for another server because they were stuck.",
-		"servers_ended":         "Servers that ended with requests of this daemon.",
-		"requests_held":         "Requests that are kept from servers because servers ended that ran them.",
-		"domains_evacuated":     "Failure domains whose servers get nothing new.",
-		"servers_warming":       "Servers that warm up after their start.",
-		"warming_sends":         "Sends to servers that warm up.",
-		"panics":                "Panics of handlers, each a defect; their lines have the stack.",
-		"server_restarts":       "Servers that started again under their name.",
-		"server_entries_bad":    "Entries of servers that name none to use, by fault.",
-		"answers_cut":           "Answers that ended before their end.",
-		"answers_ok":            "Whole answers of servers that succeeded.",
-		"answers_failed":        "Whole answers of servers that failed.",
-		"callers_left":          "Callers that left before their answer.",
-		"alive_checks":          "Signs of life asked of silent servers.",
-		"refusals":              "Refusals of ours, by kind.",
-		"answer_seconds":        "Time to a plain answer.",
+		"escalations":           "Responses replaced by a larger model's.",
+		"sends_failed":          "Sends without a response.",
+		"sends_moved":           "Stuck sends cancelled in favour of another server.",
+		"servers_ended":         "Servers that ended while running requests of this daemon.",
+		"requests_held":         "Quarantined requests: servers ended while running them.",
+		"domains_evacuated":     "Evacuated failure domains.",
+		"servers_warming":       "Servers that are warming up after their start.",
+		"warming_sends":         "Sends to servers that are warming up.",
+		"panics":                "Panics of handlers, each a defect; the log lines have the stack.",
+		"server_restarts":       "Servers that restarted under the same name.",
+		"server_entries_bad":    "Invalid server entries, by fault.",
+		"answers_cut":           "Responses aborted after their start.",
+		"answers_ok":            "Complete responses of servers that succeeded.",
+		"answers_failed":        "Complete responses of servers that failed.",
+		"callers_left":          "Clients that disconnected before their response.",
+		"alive_checks":          "Liveness probes of silent servers.",
+		"refusals":              "Requests refused by the daemon, by kind.",
+		"answer_seconds":        "Time to a complete non-streaming response.",
 		"first_event_seconds":   "Time to the first event of a stream.",
-		"confirmed_age_seconds": "Age of the newest confirmation that what is known is complete, by subject.",
-		"learned_late_seconds":  "How late records were read, at most: the age of the confirmation before them, by subject.",
+		"confirmed_age_seconds": "Age of the last confirmation that the known records are complete, by subject.",
+		"learned_late_seconds":  "Upper bound of the delay with which records were read: the age of the confirmation before them, by subject.",
 	}
 }
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -6,16 +6,16 @@
 	"github.com/damaskrudder/damaskrudder/internal/cascade"
 )
 
-// modelConfidence is what a model said of its own answer.
+// modelConfidence is a model's confidence in its own answer.
 type modelConfidence struct {
 	modelIndex int
 	confidence float64
 }
 
-// noConfidence is the confidence of a model that states none.
+// noConfidence stands for a model that reports none.
 const noConfidence = -1
 
-// choosesModel reports whether the daemon chooses the model.
+// choosesModel reports whether the daemon selects the model.
 func (x *exchange) choosesModel() bool { return x.call.Model == AnyModel && len(x.route.Models) > 0 }
 
 // models returns the route's models with their prices.
@@ -35,14 +35,14 @@
 	return out
 }
 
-// cascadeRequest is the request as a decision on models sees it.
+// cascadeRequest describes the call for model selection.
 func (x *exchange) cascadeRequest() cascade.Request {
 	r := cascade.Request{
 		Route: x.route.Name, Prompt: x.call.Prompt.Tokens, Answer: x.call.Prompt.ExpectedAnswerTokens(),
 		Left: time.Until(x.deadline),
 	}
 	if target := x.route.LatencyTarget; target > 0 {
-		// A target that has passed is not the same as none.
+		// Zero would mean that the route has no target.
 		r.Target = max(target-time.Since(x.call.Received), 1)
 	}
 	return r
@@ -57,7 +57,7 @@
 	return float64(x.call.Prompt.ExpectedAnswerTokens()) / float64(perEvent)
 }
 
-// modelOffers asks what is expected of each model from an index on.
+// modelOffers estimates the latency and cost of each model from an index on.
 func (x *exchange) modelOffers(from int) []cascade.Offer {
 	out := make([]cascade.Offer, len(x.route.Models))
 	for i := range out {
@@ -72,7 +72,7 @@
 	return out
 }
 
-// recordArrival tells that the request came.
+// recordArrival records the arrival of the request.
 func (x *exchange) recordArrival() {
 	x.lastConfidence = modelConfidence{confidence: noConfidence}
 	if x.choosesModel() {
@@ -81,7 +81,7 @@
 	}
 }
 
-// escalate decides whether a larger model is asked instead, and changes to it.
+// escalate decides whether to ask a larger model instead, and switches to it.
 func (x *exchange) escalate(t *target, confidence float64, sentAt time.Time) bool {
 	if !x.choosesModel() || x.headerSent {
 		return false
@@ -100,14 +100,14 @@
 		delay = v.Delay(models[len(models)-1])
 	})
 	if verdict.Model == x.modelIndex {
-		x.logEvent("answer stands", t, "confidence", confidence, "right", verdict.Right, "worth", verdict.Stand, "worth_of_asking", verdict.Ask, "delay_price", delay)
+		x.logEvent("answer accepted", t, "confidence", confidence, "right", verdict.Right, "worth", verdict.Stand, "worth_of_asking", verdict.Ask, "delay_price", delay)
 		return false
 	}
 	if !x.relay.takeRetry(x.service.Name, failoverReserveFraction) {
-		x.logEvent("keeps a doubtful answer", t, "confidence", confidence, "right", verdict.Right, "why", "no budget left")
+		x.logEvent("low-confidence answer kept", t, "confidence", confidence, "right", verdict.Right, "why", "retry budget exhausted")
 		return false
 	}
-	x.logEvent("asks a larger model", t, "confidence", confidence, "right", verdict.Right, "worth", verdict.Stand, "worth_of_asking", verdict.Ask, "delay_price", delay, "next", x.route.Models[verdict.Model])
+	x.logEvent("escalated to larger model", t, "confidence", confidence, "right", verdict.Right, "worth", verdict.Stand, "worth_of_asking", verdict.Ask, "delay_price", delay, "next", x.route.Models[verdict.Model])
 	x.relay.Metrics.Escalations.Inc(1)
 	x.relay.Rollouts.recordResponse(t, false, x.latencyRatio(t, time.Since(sentAt), 0))
 	x.modelIndex = verdict.Model
@@ -115,7 +115,7 @@
 	return true
 }
 
-// recordSend tells what was sent, for the price of a delay.
+// recordSend records a send, from which the price of delay is derived.
 func (x *exchange) recordSend(t *target) {
 	if !x.choosesModel() {
 		return
@@ -125,14 +125,14 @@
 	x.relay.withValuer(x.service.Name, func(v *cascade.Valuer) { v.Sent(r, models, x.modelIndex, o) })
 }
 
-// recordFirstEvent tells how long a first event took.
+// recordFirstEvent records the time to the first event.
 func (x *exchange) recordFirstEvent(t *target, elapsed time.Duration) {
 	if x.choosesModel() {
 		x.relay.withValuer(x.service.Name, func(v *cascade.Valuer) { v.Began(t.expectedLatency, elapsed) })
 	}
 }
 
-// recordStreamEnd tells how long a stream took from its first event to the last.
+// recordStreamEnd records the time from a stream's first event to its last.
 func (x *exchange) recordStreamEnd(t *target, elapsed time.Duration) {
 	if !x.choosesModel() {
 		return
--- a/internal/relay/peerwork.go
+++ b/internal/relay/peerwork.go
@@ -2,17 +2,16 @@
 
 import "time"
 
-// peerWork is the sum of the other daemons' unfinished work by server. A daemon that is
-// heard changes the few servers that it works on. Pictures are brought to it when they are
-// asked, which is less often: each of 195 daemons hears 64 pulses a second, and makes some
-// four choices.
+// peerWork is the sum of the other daemons' unfinished work by server. It is applied
+// to the tracker of a service on use, since reports arrive more often than servers
+// are selected.
 type peerWork struct {
 	byServer map[ServerKey]ServerWork
-	// version counts them.
+	// version counts the calls of add.
 	version uint64
 }
 
-// add takes changes.
+// add applies deltas.
 func (p *peerWork) add(changes []ServerWork) {
 	p.version++
 	for _, c := range changes {
@@ -26,7 +25,7 @@
 	}
 }
 
-// apply brings a service's picture to the sum.
+// apply copies the sums to the tracker of a service.
 func (p *peerWork) apply(sv *service) {
 	sv.peerWorkVersion = p.version
 	now := time.Now()
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -16,7 +16,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// requirements is what a request needs of a server.
+// requirements are a request's requirements on a server.
 type requirements struct {
 	service   string
 	engine    *route.Engine
@@ -26,17 +26,17 @@
 	urgent    bool
 	timeLeft  time.Duration
 	tried     []string
-	// fingerprint and standing say whether servers have ended that ran the request.
+	// fingerprint and standing are the request's identity and state in quarantine.
 	fingerprint quarantine.Fingerprint
 	standing    quarantine.Standing
-	// versions says which versions of servers may get the request.
+	// versions are the server versions that the request may use.
 	versions VersionChoice
-	// gateRequest is the request as the gate sees it, and limit what a warming server bears.
+	// gateRequest is the request for the gate, slowStart the limit of warming servers.
 	gateRequest gate.Request
 	slowStart   slowstart.Limit
 }
 
-// target is a chosen server and what is expected of it.
+// target is a selected server and the expected cost of the request there.
 type target struct {
 	server          backend.Server
 	service         string
@@ -44,29 +44,29 @@
 	uncached        int
 	pendingPrefill  float64
 	expectedLatency time.Duration
-	// idle says that the server had no prompt to read.
+	// idle is set if the server had no pending prefill.
 	idle bool
-	// backlog is the backlog that was expected there.
+	// backlog is the expected prefill time of the requests queued before this one.
 	backlog time.Duration
-	// warming says that the server warms up after its start, and limit what it then bears.
+	// warming is set if the server is warming up, with the limit slowStart.
 	warming   bool
 	slowStart slowstart.Limit
-	// maxConnections is this daemon's part of the server's connections.
+	// maxConnections is this daemon's share of the server's connections.
 	maxConnections int
 	urgent         bool
 }
 
-// selection is the choice of a server for a want, with what it was made from.
+// selection is the choice of a server and its inputs.
 type selection struct {
 	service    *service
 	request    routing.Request
 	candidates []routing.Candidate
 	decision   routing.Decision
-	// refusals says why the gate refused servers.
+	// refusals counts the gate's refusals by reason.
 	refusals gate.Tally
 }
 
-// selectServer runs the pipeline. Callers hold mu.
+// selectServer runs the routing pipeline. Callers hold mu.
 func (s *State) selectServer(req *requirements, now time.Time) selection {
 	s.dropExpired()
 	uptime := s.bootTime()
@@ -105,17 +105,17 @@
 		sel.decision = pipeline.Pick(r, sel.candidates, s.rng)
 	}
 	if sel.decision.Refusal == routing.NoCandidate && clearSuspicion(sel.candidates) {
-		// Every server that is left is suspect. A suspicion may be wrong, and
-		// refusing is certain to fail the request.
+		// All remaining servers are suspect. Suspicion may be wrong, while a
+		// refusal is certain to fail the request.
 		sel.decision = pipeline.Pick(r, sel.candidates, s.rng)
 	}
 	return sel
 }
 
-// pickByFingerprint chooses the server of a request that was at servers which ended, out of those
-// that may get it: the first by a hash of the request. So those that were at one server together go apart, of which one ended
-// it and the others will be answered; and all repeats of that one, from whatever daemon, go to
-// one server and end no other meanwhile.
+// pickByFingerprint selects a server for a request that was running on servers that
+// ended, by rendezvous hashing of its fingerprint. Requests that shared such a server
+// are spread, which isolates the one that ended it, and all daemons send the retries
+// of one request to the same server.
 func (s *State) pickByFingerprint(p routing.Pipeline, r routing.Request, sel *selection, req *requirements) routing.Decision {
 	var usable []int
 	for _, i := range sel.service.tracker.Order() {
@@ -137,8 +137,8 @@
 	return p.Pick(&r, sel.candidates, s.rng)
 }
 
-// estimate returns what is expected of an answer of some events from the server that
-// would be chosen.
+// estimate returns the expected latency of a response with a number of events on the
+// server that would be selected.
 func (s *State) estimate(req *requirements, events float64) cascade.Offer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,12 +154,12 @@
 	}
 }
 
-// prefillTime is the time to read the prompt at the chosen server.
+// prefillTime is the time to process the prompt on the selected server.
 func (o *selection) prefillTime() time.Duration {
 	return time.Duration(float64(o.request.Uncached(o.decision.Index)) * o.request.PrefillScale * float64(referenceTokenTime))
 }
 
-// laneSize is the number of engines that the model's requests go to.
+// laneSize is the number of engines that serve the model's requests.
 func (o *selection) laneSize() int {
 	n := 0
 	excluded := o.request.Foreign.With(o.request.Tried)
@@ -171,13 +171,13 @@
 	return n
 }
 
-// backlog is the time to read what waits at the chosen server.
+// backlog is the prefill time of the requests queued on the selected server.
 func (o *selection) backlog() time.Duration {
 	c := &o.candidates[o.decision.Index]
 	return time.Duration((c.PendingPrefill + c.OthersPending) * float64(referenceTokenTime))
 }
 
-// pick chooses a server and books the work there.
+// pick selects a server and records the work there.
 func (s *State) pick(req *requirements, maxConns int) (*target, *fault.Error) {
 	now := time.Now()
 	s.mu.Lock()
@@ -210,13 +210,13 @@
 		sel.service.lanes.Work(req.model, sel.prefillTime(), now)
 	}
 	if shared := len(blocks) - 1; shared > 0 && len(s.pendingPlacements) < maxPendingPlacements {
-		// The last part is the request's own; no other daemon meets it.
+		// The last part is unique to the request, so peers do not need it.
 		s.pendingPlacements = append(s.pendingPlacements, Placement{Server: ServerKeyOf(c.ID), Blocks: blocks[:shared]})
 	}
 	return t, nil
 }
 
-// lanesFor returns the division of the service's engines between its models.
+// lanesFor returns the assignment of the service's engines to its models.
 func (sv *service) lanesFor(e *route.Engine) *routing.Lanes {
 	if sv.lanes == nil {
 		sv.lanes = routing.NewLanes(expectedWork(e))
@@ -224,11 +224,11 @@
 	return sv.lanes
 }
 
-// escalatedFraction is the part of the requests that the largest model is expected to
-// get, before any has been seen.
+// escalatedFraction is the initial estimate of the fraction of requests that the
+// largest model receives.
 const escalatedFraction = 0.4
 
-// expectedWork relates the work of the smallest and the largest model.
+// expectedWork returns the relative work of the smallest and the largest model.
 func expectedWork(e *route.Engine) map[string]float64 {
 	var small, large string
 	for m, c := range e.Cost {
@@ -245,10 +245,11 @@
 	return map[string]float64{small: 1, large: escalatedFraction * relativeCost(large, e)}
 }
 
-// minConnections to one server are always allowed to a daemon.
+// minConnections is a daemon's least share of the connections to one server.
 const minConnections = 6
 
-// excludeUnsuitable excludes servers that were tried or whose version may not be used.
+// excludeUnsuitable excludes servers that were tried, whose version is not admitted,
+// or that lack the model.
 func excludeUnsuitable(r *routing.Request, candidates []routing.Candidate, sv *service, req *requirements, admits func(string) bool) {
 	r.Tried = routing.Set{}
 	for i := range candidates {
@@ -260,12 +261,12 @@
 	}
 }
 
-// minCanaryServers is the least number of servers that a part is limited to: with one
-// alone, a bad server could not be told from a bad version.
+// minCanaryServers is the least number of servers of a canary: with one alone, a bad
+// server could not be distinguished from a bad version.
 const minCanaryServers = 3
 
-// limitToFraction excludes all but a part of the servers that are left, the first in the order that
-// all daemons agree on.
+// limitToFraction excludes all but a fraction of the remaining servers, the first in
+// the order that all daemons share.
 func limitToFraction(r *routing.Request, candidates []routing.Candidate, order []int, fraction float64) {
 	if fraction <= 0 || fraction >= 1 {
 		return
@@ -282,7 +283,7 @@
 	}
 }
 
-// hasModel reports whether an engine has a model; one that lists none is tried.
+// hasModel reports whether an engine has a model. An engine that lists none may have any.
 func hasModel(s backend.Server, model string) bool {
 	return model == "" || len(s.Models) == 0 || slices.Contains(s.Models, model)
 }
@@ -296,14 +297,14 @@
 	return changed
 }
 
-// recordResponse books the first event or the answer of a send.
+// recordResponse records the first event or the response of a send.
 func (s *State) recordResponse(t *target, elapsed time.Duration, engine bool) {
 	s.withService(t.service, func(sv *service) {
 		s.removePending(sv, t)
 		s.gate.Answered(t.server.ID, t.slowStart, s.bootTime())
 		p := sv.models.get(t.model, nil)
 		if !engine {
-			// An answer is the whole work, of which no part tells of a queue.
+			// A plain response time does not show the queueing delay.
 			sv.tracker.Late(t.server.ID, 0, time.Now())
 			updateMean(&p.responseTime, elapsed.Seconds())
 			return
@@ -315,13 +316,13 @@
 	})
 }
 
-// removePending takes a prompt off the backlog of its server.
+// removePending removes a prompt from the backlog of its server.
 func (s *State) removePending(sv *service, t *target) {
 	sv.tracker.Pending(t.server.ID, -t.pendingPrefill)
 	t.pendingPrefill = 0
 }
 
-// recordSendEnd books the end of a send.
+// recordSendEnd records the end of a send.
 func (s *State) recordSendEnd(t *target, elapsed time.Duration, failed bool) {
 	s.withService(t.service, func(sv *service) {
 		s.removePending(sv, t)
@@ -329,7 +330,7 @@
 	})
 }
 
-// markUnreachable books a server that takes no connection or answers nothing.
+// markUnreachable records a server that accepts no connection or does not respond.
 func (s *State) markUnreachable(t *target) {
 	s.withService(t.service, func(sv *service) { sv.tracker.Unreachable(t.server.ID, time.Now()) })
 }
--- a/internal/relay/pick_test.go
+++ b/internal/relay/pick_test.go
@@ -10,7 +10,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/route"
 )
 
-// engineState is a daemon that knows engines of two versions.
+// engineState is the state of a daemon with engines of two versions.
 func engineState(daemon string, engines int) *State {
 	boot := time.Duration(0)
 	s := NewState(daemon, "", func() time.Duration { boot += time.Microsecond; return boot })
@@ -31,9 +31,7 @@
 	return &requirements{service: "lm", engine: e, model: "m0", prompt: Prompt{Tokens: 9200, Parts: parts}, timeLeft: 8 * time.Second, versions: anyVersionChoice()}
 }
 
-// One choice of an engine with its booking, beside other work on the machine: 66 us and 23 KB
-// at 64 engines before candidates had room of their own and one order, 17 us and 1.3 KB
-// with it; 33 us at 160.
+// Measures one selection of an engine, including its bookkeeping.
 func BenchmarkPick(b *testing.B) {
 	for _, engines := range []int{64, 160, 1600} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -54,10 +52,8 @@
 	}
 }
 
-// Symptom: during a roll-out a canary got several times its part of the servers.
-// Sequence: 63 engines run a version and 63 the next; each daemon limits the next one to
-// an eighth of its servers.
-// Cause: each daemon worked with 64 servers of its own choice, and took an eighth of these.
+// Guards against daemons that choose different servers for a canary, which then exceeds
+// its fraction of the servers.
 func TestCanaryServersAreTheSameForAllDaemons(t *testing.T) {
 	for _, engines := range []int{12, 63, 126, 240} {
 		used := map[string]bool{}
@@ -74,7 +70,7 @@
 			}
 		}
 		if most := max(minCanaryServers, (engines/2+7)/8); len(used) > most {
-			t.Errorf("%d engines: the canary uses %d, its part is %d", engines, len(used), most)
+			t.Errorf("%d engines: the canary uses %d, want at most %d", engines, len(used), most)
 		}
 	}
 }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -11,7 +11,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/request"
 )
 
-// newGuard returns what keeps requests from servers that end when they run them.
+// newGuard returns the guard that keeps requests away from servers if servers ended
+// while running them.
 func newGuard(r *Relay) *containment.Guard {
 	return containment.New(containment.Ports{
 		Boot: r.State.bootTime, Logger: r.log, Ended: r.Metrics.ServersEnded, Held: r.Metrics.RequestsHeld,
@@ -23,13 +24,13 @@
 	})
 }
 
-// containmentServer names a server to the guard.
+// containmentServer converts a server for the guard.
 func containmentServer(b backend.Server) containment.Server {
 	return containment.Server{ID: b.ID, Address: b.Address}
 }
 
-// checkHold returns the refusal of a request that is kept from servers, or nil. Every way to a
-// server leads past it: first sends, repeats, larger models, and streams that go on.
+// checkHold returns the refusal of a quarantined request, or nil. It runs before
+// every send: first sends, retries, escalations and resumed streams.
 func (x *exchange) checkHold() *fault.Error {
 	x.standing = x.relay.Guard.Check(x.fingerprint)
 	if !x.standing.Held {
@@ -39,7 +40,7 @@
 	return x.journey.Refuse(fault.Quarantined, "servers ended that ran this request").After(containment.Advice(x.standing))
 }
 
-// fateOf tells what became of a send from its outcome.
+// fateOf maps the outcome of a send to the fate of its run.
 func fateOf(ctx context.Context, o request.Outcome, done bool) containment.Fate {
 	switch {
 	case done, o == request.NotStarted:
@@ -52,7 +53,7 @@
 	return containment.Finished
 }
 
-// recordLostServer books a server that has ended, under the key by which daemons tell of it.
+// recordLostServer records the end of a server that another daemon reported.
 func (s *State) recordLostServer(run quarantine.RunKey) {
 	now := time.Now()
 	s.mu.Lock()
@@ -65,7 +66,7 @@
 	}
 }
 
-// isLeaving reports whether a server has said that it leaves, or its entry has gone.
+// isLeaving reports whether a server has announced its shutdown or has no entry.
 func (s *State) isLeaving(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -31,12 +31,12 @@
 	return c
 }
 
-// fingerprintOf is the fingerprint of a request that ask sends.
+// fingerprintOf is the fingerprint of a request that callWithBody sends.
 func fingerprintOf(path, body string) quarantine.Fingerprint {
 	return quarantine.Of("w", "h", "POST", path, []byte(body))
 }
 
-// refusingBackend is a backend whose servers have ended for whoever asks.
+// refusingBackend is a backend whose servers refuse connections, as if they had ended.
 type refusingBackend struct{ *fakeBackend }
 
 func (refusingBackend) RefusesConnections(context.Context, string) bool { return true }
@@ -50,7 +50,7 @@
 	w.relay.backend = refusingBackend{w.backend}
 	first := w.callWithBody("/s/1", "x")
 	if first.refusal == nil || first.refusal.State() == fault.NotRun || fault.Lookup(first.refusal.Kind).Run == fault.NotRun {
-		t.Errorf("a request that ran was refused with %v", first.refusal)
+		t.Errorf("request that ran was refused with %v", first.refusal)
 	}
 	sent := len(w.backend.sends)
 	if sent != 3 {
@@ -61,17 +61,17 @@
 		t.Errorf("refused with %v", r)
 	}
 	if len(w.backend.sends) != sent {
-		t.Error("a held request was sent")
+		t.Error("held request was sent")
 	}
 	w.relay.backend = w.backend
 	w.backend.script = []func(BackendRequest) (*BackendResponse, error){respondStream(90, nil, 1, 2)}
 	if other := w.callWithBody("/s/1", "y"); other.status != 200 {
-		t.Errorf("another body was refused with %v", other.refusal)
+		t.Errorf("request with another body was refused with %v", other.refusal)
 	}
 }
 
-// What is held by the word of another daemon while a request is between two servers stops it
-// there too, whether it was lost, goes to a larger model or goes on in the middle.
+// Guards against sending a request that another daemon put on hold between two sends:
+// retries, escalations and resumed streams included.
 func TestHoldIsCheckedBeforeEverySend(t *testing.T) {
 	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
 		"first send":   nil,
@@ -96,16 +96,14 @@
 				sends = 0
 			}
 			if len(w.backend.sends) != sends || !out.aborted && out.refusal == nil {
-				t.Errorf("sent %d times, refused with %v, cut %t", len(w.backend.sends), out.refusal, out.aborted)
+				t.Errorf("sent %d times, refused with %v, aborted %t", len(w.backend.sends), out.refusal, out.aborted)
 			}
 		})
 	}
 }
 
-// Symptom: a server ended and the request that had ended it was not suspected.
-// Sequence: the small model's answer is dropped and its run cancelled; the server ends by it
-// a tenth of a second later.
-// Cause: only what ran at the moment of the end was looked at.
+// Guards against missing the request that ended a server because its run was cancelled
+// shortly before the end, as by an escalation.
 func TestRunCancelledJustBeforeServerEndIsSuspected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newHarness(t, respondStream(0, nil, 1, 2), respondStream(90, nil, 1, 2, 3))
@@ -121,7 +119,7 @@
 		time.Sleep(2 * time.Second)
 		ended(1900 * time.Millisecond)
 		if n := w.relay.Guard.Check(f).Ends; n != 0 {
-			t.Fatalf("answered in full, and suspected for %d ends", n)
+			t.Fatalf("completed request is suspected for %d ends", n)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -137,18 +135,15 @@
 	})
 }
 
-// Symptom: requests that were sent on as often as allowed were held although no server had
-// ended.
-// Sequence: connections break, answers are lost, and the servers are well; or a server that
-// had said that it leaves is gone.
-// Cause: a broken connection looks the same.
+// Guards against counting broken connections to healthy servers, or the end of servers
+// that had announced it, as ends caused by the request.
 func TestBrokenConnectionIsNotAServerEnd(t *testing.T) {
 	w := newHarness(t, failSend(upstream.Broken, true))
 	for range 4 {
 		w.callWithBody("/s/1", "x")
 	}
 	if s := w.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Ends != 0 {
-		t.Errorf("servers that are well: %+v", s)
+		t.Errorf("healthy servers: %+v", s)
 	}
 	w = newHarness(t, failSend(upstream.Broken, true))
 	w.relay.backend = refusingBackend{w.backend}
@@ -164,14 +159,12 @@
 		w.relay.Guard.Leave(t.Context(), u, containment.Server{ID: id}, containment.Broke)
 	}
 	if s := w.relay.Guard.Check(7); s.Ends != 0 {
-		t.Errorf("servers that leave: %+v", s)
+		t.Errorf("leaving servers: %+v", s)
 	}
 }
 
-// Symptom: a request went on ending servers that were back at once.
-// Sequence: a server ends by it and is back within milliseconds, so that its VM refuses no
-// connection; its entry tells later that it has started again.
-// Cause: only refused connections told of an end.
+// Guards against missing the end of a server that is back before its VM refuses a
+// connection; only its entry shows the restart.
 func TestImmediateRestartCountsAsServerEnd(t *testing.T) {
 	w := newHarness(t, failSend(upstream.Broken, true))
 	w.callWithBody("/s/1", "x")
@@ -180,12 +173,12 @@
 		w.relay.ServerRestarted(s.Server)
 	}
 	if s := w.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Ends != 3 || !s.Held {
-		t.Errorf("stands %+v", s)
+		t.Errorf("standing %+v", s)
 	}
 }
 
-// A send that waits at a server is ended when its request is held: it has not harmed that one
-// yet. One whose answer is passed on already is not.
+// Guards against leaving a request on a server after it was put on hold. Responses that
+// are being forwarded are not cancelled.
 func TestHoldCancelsWaitingSends(t *testing.T) {
 	w := newHarness(t, respond(200, ""))
 	var causes []error
@@ -197,12 +190,12 @@
 	w.relay.Guard.Leave(t.Context(), enter("e2"), containment.Server{ID: "e2"}, containment.Finished)
 	w.relay.Guard.ApplyHold(7, time.Minute)
 	if len(causes) != 1 || !errors.Is(causes[0], containment.ErrHeld) {
-		t.Errorf("ended with %v", causes)
+		t.Errorf("cancelled with %v", causes)
 	}
 }
 
-// Of two requests that were on one server that ended, each goes to a server of its own as a
-// rule, and always to the same one.
+// Guards against sending suspects to the same server again, and against sending the
+// retries of one suspect to different servers.
 func TestSuspectRequestsAreSpreadOverServers(t *testing.T) {
 	w := newHarness(t, respond(200, ""))
 	to := map[string]int{}
@@ -215,7 +208,7 @@
 				t.Fatal(err)
 			}
 			if first != "" && got.server.ID != first {
-				t.Fatalf("request %d goes to %s and %s", f, first, got.server.ID)
+				t.Fatalf("request %d is sent to %s and %s", f, first, got.server.ID)
 			}
 			first = got.server.ID
 		}
@@ -223,7 +216,7 @@
 	}
 	for id, n := range to {
 		if n > 40 || len(to) < 3 {
-			t.Errorf("%d of 60 go to %s", n, id)
+			t.Errorf("%d of 60 requests are sent to %s", n, id)
 		}
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,41 +18,37 @@
 	"github.com/damaskrudder/damaskrudder/internal/route"
 )
 
-// Options are the limits that the deployment sets.
+// Options are the deployment's limits.
 type Options struct {
-	// MaxKeyStaleness is how old the newest confirmation of the configuration may be
-	// for a request with an API key to be sent to a server. A key that was taken
-	// away longer ago than the deployment allows must open nothing, so this lies
-	// under that bound. Zero does not limit it.
+	// MaxKeyStaleness is the maximum age of the last confirmation of the
+	// configuration at which requests with an API key are accepted. It is below the
+	// bound for key revocation. Zero means no limit.
 	MaxKeyStaleness time.Duration
-	// RetryBudgetWindow, BudgetRatio and BudgetReserve limit the repeats of all
-	// daemons for one service: see request.Share.
+	// RetryBudgetWindow, RetryBudgetRatio and RetryBudgetReserve limit the retries
+	// of all daemons for one service: see request.Share.
 	RetryBudgetWindow  time.Duration
 	RetryBudgetRatio   float64
 	RetryBudgetReserve float64
-	// SessionIdleTimeout is how long after each other requests of a session belong
-	// together.
+	// SessionIdleTimeout is the maximum time between two requests of a session.
 	SessionIdleTimeout time.Duration
-	// WarmUpRateFactor and WarmUpSlack bound what a warming server gets in any second: its
-	// stated rate times the first, plus the second.
+	// WarmUpRateFactor and WarmUpBurst limit the requests to a warming server in any
+	// second: its configured rate times the factor, plus the burst.
 	WarmUpRateFactor, WarmUpBurst float64
 }
 
 const (
-	// defaultTimeout bounds a request whose caller and route state no limit.
+	// defaultTimeout applies if neither the client nor the route sets a timeout.
 	defaultTimeout = 30 * time.Second
-	// deadlineMargin is taken off the time a server is given: an answer that
-	// arrives as the caller leaves is of no use, and a server that works longer
-	// than the caller waits works in vain.
+	// deadlineMargin is subtracted from a server's timeout, so that the response
+	// arrives before the client gives up.
 	deadlineMargin = 5 * time.Millisecond
-	// failoverReserveFraction is the part of a daemon's reserve of repeats that larger models may
-	// not use: it is left for requests whose server was lost. A fixed count of 3 was more
-	// than the whole reserve of one daemon of sixty, so that each let its first doubtful
-	// answers stand: of a deployment's first requests 0.85 of the worth was earned.
+	// failoverReserveFraction is the part of the retry reserve that escalations to
+	// larger models leave to requests whose server was lost. It is a fraction, as a
+	// fixed count can exceed the reserve of one daemon of many.
 	failoverReserveFraction = 0.5
 )
 
-// Relay serves calls.
+// Relay forwards calls to backend servers.
 type Relay struct {
 	State    *State
 	Rollouts *Rollouts
@@ -61,18 +57,18 @@
 	options  Options
 	log      *log.Logger
 	liveness *livenessMonitor
-	// Guard keeps requests from servers that end when they run them.
+	// Guard keeps requests away from servers if servers ended while running them.
 	Guard *containment.Guard
 	// ConfigOutdated reports whether other daemons have a newer configuration than the store.
 	ConfigOutdated func() bool
-	// started is where the steady clock of the retry budget begins.
+	// started is the origin of the retry budget's monotonic time.
 	started time.Time
 
 	mu             sync.Mutex
 	retryBudgets   map[string]*request.Share
 	valuers        map[string]*cascade.Valuer
 	activeRequests int
-	// shutdownAt is when the daemon stops; zero while it does not leave.
+	// shutdownAt is when the daemon stops; zero unless it is draining.
 	shutdownAt time.Time
 	// lastAdmitted is when the last request was admitted.
 	lastAdmitted time.Time
@@ -89,27 +85,26 @@
 	return r
 }
 
-// Run watches over servers until the context ends.
+// Run monitors the liveness of servers until the context ends.
 func (r *Relay) Run(ctx context.Context) { r.liveness.run(ctx) }
 
-// ServerRestarted tells that a run of a server has ended because the server has started again. What
-// is known of a run is kept by its id, so that nothing of it counts for the next one; what
-// waits for it, and connections to it, are ended here.
+// ServerRestarted handles the end of a server's run, known from its restart.
+// Requests that wait for the run are rerouted and its connections are closed.
+// State is keyed by the run's id, so that nothing carries over to the new run.
 func (r *Relay) ServerRestarted(run backend.Server) {
 	r.Guard.Restarted(containmentServer(run))
 	moved := r.liveness.rerouteWaiting(run.ID, time.Now())
 	r.backend.CloseIdleConnections(run.Address)
 	r.Metrics.ServerRestarts.Inc(1)
 	r.Metrics.SendsRerouted.Inc(int64(moved))
-	r.log.Info("server started again", "server", run.ID, "address", run.Address, "moved", moved)
+	r.log.Info("server restarted", "server", run.ID, "address", run.Address, "moved", moved)
 }
 
-// RecordActivity records that bytes came from a server's address.
+// RecordActivity records that bytes arrived from a server's address.
 func (r *Relay) RecordActivity(address string) { r.liveness.recordActivity(address) }
 
-// Drain makes the relay refuse requests that might not be answered by the end of
-// the daemon: a request that is read and then cut may have run, and its caller
-// cannot know.
+// Drain makes the relay refuse requests whose deadline is after end: a client
+// cannot tell whether a request that is aborted by the shutdown has run.
 func (r *Relay) Drain(end time.Time) {
 	r.mu.Lock()
 	r.shutdownAt = end
@@ -123,14 +118,14 @@
 	return r.activeRequests
 }
 
-// IdleTime returns how long no request was admitted.
+// IdleTime returns the time since the last request was admitted.
 func (r *Relay) IdleTime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Since(r.lastAdmitted)
 }
 
-// retryBudget returns a service's part of the retry budget. Callers hold mu.
+// retryBudget returns a service's share of the retry budget. Callers hold mu.
 func (r *Relay) retryBudget(service string, daemons int) *request.Share {
 	budget := r.retryBudgets[service]
 	if budget == nil {
@@ -141,12 +136,12 @@
 	return budget
 }
 
-// usableReserveFraction is the part of the reserve that is used: daemons that just came
-// are not counted by all others yet.
+// usableReserveFraction keeps a margin for daemons that have joined and are not
+// counted by all others yet.
 const usableReserveFraction = 0.6
 
-// takeRetry takes a repeat out of the budget of a service, leaving a part of the
-// reserve.
+// takeRetry takes a retry out of the budget of a service. It leaves
+// reserveFraction of the reserve.
 func (r *Relay) takeRetry(service string, reserveFraction float64) bool {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
@@ -162,7 +157,7 @@
 	r.retryBudget(service, daemons).First(time.Since(r.started))
 }
 
-// withValuer runs f on what a service's answers taught.
+// withValuer runs f on the model estimates of a service, under the lock.
 func (r *Relay) withValuer(service string, f func(v *cascade.Valuer)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,7 +169,7 @@
 	f(v)
 }
 
-// Serve answers one call.
+// Serve forwards one call and writes its response.
 func (r *Relay) Serve(ctx context.Context, c *Call, out ResponseWriter) {
 	r.mu.Lock()
 	r.activeRequests++
@@ -214,7 +209,7 @@
 	out.Refuse(e)
 }
 
-// admit finds what a call may use, or says why it may not.
+// admit resolves the route, workspace and service of a call, or returns the refusal.
 func (r *Relay) admit(c *Call, shutdownAt time.Time) (*exchange, *fault.Error) {
 	t := r.State.Table()
 	if t == nil || !r.State.Ready() {
@@ -254,12 +249,12 @@
 	return x, nil
 }
 
-// startupWait bounds the wait for the first configuration: a store that does not
-// answer by then is away, and another daemon may know more.
+// startupWait limits the wait for the first configuration. A store that has not
+// responded by then is unreachable, and another daemon may have the configuration.
 const startupWait = 400 * time.Millisecond
 
 const (
-	// staleRetryAfter and leavingRetry are when to come back to another daemon.
+	// staleRetryAfter and drainRetryAfter are the Retry-After of such refusals.
 	staleRetryAfter = 100 * time.Millisecond
 	drainRetryAfter = 10 * time.Millisecond
 )
@@ -268,7 +263,7 @@
 	return r.options.MaxKeyStaleness == 0 || r.State.ConfirmedWithin(freshness.Configuration, r.options.MaxKeyStaleness)
 }
 
-// requestDeadline is when the caller leaves or the route's limit ends the wait.
+// requestDeadline is the earlier of the client's and the route's timeout.
 func requestDeadline(c *Call, rt *route.Route) time.Time {
 	timeout := defaultTimeout
 	if c.Timeout > 0 {
@@ -280,7 +275,7 @@
 	return c.Received.Add(timeout)
 }
 
-// enginePriority maps priorities, 0 first, to what engines take: 0 to 9, 5 by default.
+// enginePriority maps configured priorities, 0 the highest, to those of engines, 0 to 9.
 func enginePriority(rt *route.Route, workspace route.Workspace) int {
 	p := rt.Priority
 	if workspace.Ranked {
@@ -290,8 +285,8 @@
 }
 
 const (
-	// basePriority leaves the two most urgent ranks to requests that an earlier
-	// server or model has already cost time.
+	// basePriority leaves the two highest priorities to requests that have lost time
+	// to an earlier server or model.
 	basePriority   = 2
 	lowestPriority = 9
 )
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,7 +22,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/upstream"
 )
 
-// fakeBackend answers sends by a script, in turn; the last line repeats.
+// fakeBackend responds with the script's entries in order; the last one repeats.
 type fakeBackend struct {
 	mu     sync.Mutex
 	script []func(s BackendRequest) (*BackendResponse, error)
@@ -43,14 +43,14 @@
 func (f *fakeBackend) RefusesConnections(context.Context, string) bool   { return false }
 func (f *fakeBackend) CloseIdleConnections(address string)               { f.closed = append(f.closed, address) }
 
-// respond returns a whole answer.
+// respond returns a complete response.
 func respond(status int, body string) func(BackendRequest) (*BackendResponse, error) {
 	return func(BackendRequest) (*BackendResponse, error) {
 		return &BackendResponse{Status: status, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
 }
 
-// respondStream returns a stream of events, ended by err or properly if it is nil.
+// respondStream returns a stream of events that ends with err, or properly if it is nil.
 func respondStream(confidence float64, err error, ids ...int) func(BackendRequest) (*BackendResponse, error) {
 	return func(BackendRequest) (*BackendResponse, error) {
 		var b strings.Builder
@@ -79,7 +79,7 @@
 	return &BackendResponse{Status: 503, NotRun: true, Confidence: -1, Body: io.NopCloser(strings.NewReader(""))}, nil
 }
 
-// fakeResponseWriter records the answer.
+// fakeResponseWriter records the response.
 type fakeResponseWriter struct {
 	status  int
 	body    strings.Builder
@@ -92,7 +92,7 @@
 func (c *fakeResponseWriter) WriteBody(p []byte) error                       { c.body.Write(p); return nil }
 func (c *fakeResponseWriter) Abort()                                         { c.aborted = true }
 
-// harness is a relay before three engines and three plain servers.
+// harness is a relay with three engines and three plain servers.
 type harness struct {
 	relay   *Relay
 	backend *fakeBackend
@@ -166,10 +166,7 @@
 	}
 }
 
-// Symptom: placing went by all that had been sent since the start, and later every
-// plain request was refused as too late.
-// Sequence: a request is answered; its work stays booked on the server.
-// Cause: only failed sends were taken off.
+// Guards against completed requests that still count as load on their server.
 func TestCompletedRequestsAreNotInFlight(t *testing.T) {
 	w := newHarness(t, respond(200, "x"))
 	for range 50 {
@@ -178,14 +175,11 @@
 	w.backend.script = []func(BackendRequest) (*BackendResponse, error){respondStream(90, nil, 1, 2)}
 	w.call("/s/1")
 	if n := w.inFlight(); n != 0 {
-		t.Fatalf("%d requests still count as running", n)
+		t.Fatalf("%d requests still in flight", n)
 	}
 }
 
-// Symptom: a payment ran twice.
-// Sequence: the connection breaks after the request was sent; it is sent to
-// another server.
-// Cause: a broken connection proves nothing.
+// Guards against running a payment twice after a connection broke.
 func TestNonIdempotentRequestIsNotRetriedAfterLoss(t *testing.T) {
 	w := newHarness(t, failSend(upstream.Broken, true), respond(200, "paid"))
 	out := w.call("/p/1")
@@ -193,16 +187,16 @@
 		t.Fatalf("sent %d times", len(w.backend.sends))
 	}
 	if out.refusal == nil || out.refusal.State() == fault.NotRun {
-		t.Fatalf("refused with %v, which says that it did not run", out.refusal)
+		t.Fatalf("refused with %v, which states that it did not run", out.refusal)
 	}
 	if status := fault.Lookup(out.refusal.Kind).Status; status == 503 || status == 429 {
-		t.Fatalf("answered %d, which promises that it did not run", status)
+		t.Fatalf("status %d states that it did not run", status)
 	}
 }
 
 func TestNonIdempotentRequestIsRetriedIfNotRun(t *testing.T) {
 	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
-		"server says so": respondNotRun, "no connection": failSend(upstream.Unreachable, false),
+		"refused by server": respondNotRun, "no connection": failSend(upstream.Unreachable, false),
 	} {
 		w := newHarness(t, first, respond(200, "paid"))
 		out := w.call("/p/1")
@@ -210,7 +204,7 @@
 			t.Errorf("%s: got %d after %d sends", name, out.status, len(w.backend.sends))
 		}
 		if w.backend.sends[0].Server.ID == w.backend.sends[1].Server.ID {
-			t.Errorf("%s: the same server was asked again", name)
+			t.Errorf("%s: retried on the same server", name)
 		}
 	}
 }
@@ -227,14 +221,11 @@
 	w := newHarness(t, respond(500, "a"), respond(500, "b"), respond(200, "c"))
 	out := w.call("/l/1")
 	if out.status != 500 || out.body.String() != "b" || len(w.backend.sends) != 2 {
-		t.Fatalf("got %d %q after %d sends; the route allows two", out.status, out.body.String(), len(w.backend.sends))
+		t.Fatalf("got %d %q after %d sends, want 2", out.status, out.body.String(), len(w.backend.sends))
 	}
 }
 
-// Symptom: a stream had an event twice, or one was missing.
-// Sequence: a server stops in the middle of an event; the stream goes on at
-// another server, which begins one event too early.
-// Cause: bytes were passed on as they came.
+// Guards against duplicate or missing events after a failover in the middle of an event.
 func TestResumedStreamHasNoGapOrDuplicate(t *testing.T) {
 	w := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 2, 3, 4))
 	out := w.call("/s/1")
@@ -242,7 +233,7 @@
 		t.Fatalf("got %q", got)
 	}
 	if second := w.backend.sends[1]; second.LastEvent != 2 || second.Model != w.backend.sends[0].Model {
-		t.Fatalf("went on after %d with %s", second.LastEvent, second.Model)
+		t.Fatalf("resumed after %d with %s", second.LastEvent, second.Model)
 	}
 }
 
@@ -250,7 +241,7 @@
 	w := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 4, 5))
 	out := w.call("/s/1")
 	if !out.aborted || out.body.String() != events(1, 2) {
-		t.Fatalf("cut %t, got %q", out.aborted, out.body.String())
+		t.Fatalf("aborted %t, got %q", out.aborted, out.body.String())
 	}
 }
 
@@ -261,16 +252,12 @@
 		t.Fatalf("got %q", out.body.String())
 	}
 	if w.backend.sends[0].Model != "small" || w.backend.sends[1].Model != "large" {
-		t.Fatalf("asked %s, then %s", w.backend.sends[0].Model, w.backend.sends[1].Model)
+		t.Fatalf("sent to %s, then %s", w.backend.sends[0].Model, w.backend.sends[1].Model)
 	}
 }
 
-// Symptom: after all daemons had been lost at once, first events took three seconds for
-// half a minute.
-// Sequence: the callers of two hundred streams come back and go on after the events
-// that they have; all are sent to the largest model within a second.
-// Cause: nobody knows which model made the beginning, so the largest was taken. The
-// smallest model's opinion of the request tells as well whether it is too hard for it.
+// Guards against sending resumed streams to the largest model at once, which overloads
+// it after the loss of many daemons.
 func TestResumedStreamStartsWithSmallestModel(t *testing.T) {
 	for _, tt := range []struct {
 		confidence float64
@@ -284,7 +271,7 @@
 		for _, s := range w.backend.sends {
 			asked = append(asked, s.Model)
 			if s.LastEvent != 7 {
-				t.Errorf("%s was asked to go on after %d", s.Model, s.LastEvent)
+				t.Errorf("%s was asked to resume after %d", s.Model, s.LastEvent)
 			}
 		}
 		if out.body.String() != events(8, 9) || !slices.Equal(asked, tt.want) {
@@ -293,10 +280,7 @@
 	}
 }
 
-// Symptom: a key that was taken away six seconds ago still opened.
-// Sequence: a daemon is cut off from the store; a key is taken away; a request
-// comes with it.
-// Cause: the daemon went on by its last configuration.
+// Guards against accepting a revoked key while the daemon is cut off from the store.
 func TestStaleConfigurationRefusesKeys(t *testing.T) {
 	w := newHarness(t, respond(200, "x"))
 	w.clock.now += 4 * time.Second
@@ -322,9 +306,7 @@
 	}
 }
 
-// Symptom: a request was read by a daemon that ended before it was answered.
-// Sequence: a daemon is about to end; a request with some seconds to live arrives.
-// Cause: it was taken though it could outlast the daemon.
+// Guards against admitting a request that may outlast the daemon.
 func TestDrainingRefusesRequestsThatMayOutlastDaemon(t *testing.T) {
 	w := newHarness(t, respond(200, "x"))
 	w.relay.Drain(time.Now().Add(500 * time.Millisecond))
@@ -338,7 +320,7 @@
 		return &BackendResponse{Status: 200, Header: http.Header{}, Confidence: -1, ContentLength: 1, Body: io.NopCloser(strings.NewReader("x"))}, nil
 	})
 	if out := w.call("/p/1"); out.status != 0 || out.refusal == nil {
-		t.Fatalf("passed on %d %q", out.status, out.body.String())
+		t.Fatalf("forwarded %d %q", out.status, out.body.String())
 	}
 }
 
@@ -352,10 +334,7 @@
 	}
 }
 
-// Symptom: a stream was cut in its middle though nothing failed for good.
-// Sequence: a stream runs; its key is taken away; its server fails; the stream is to
-// go on at another server.
-// Cause: the key was asked for again at every send.
+// Guards against aborting a stream at failover because its key was revoked meanwhile.
 func TestRevokedKeyDoesNotAbortStream(t *testing.T) {
 	w := newHarness(t, nil)
 	w.backend.script = []func(BackendRequest) (*BackendResponse, error){
@@ -370,14 +349,11 @@
 		respondStream(90, nil, 2, 3),
 	}
 	if out := w.call("/s/1"); out.aborted || out.body.String() != events(1, 2, 3) {
-		t.Fatalf("cut %t, got %q", out.aborted, out.body.String())
+		t.Fatalf("aborted %t, got %q", out.aborted, out.body.String())
 	}
 }
 
-// Symptom: a caller got the first 8 MB of a longer answer, which looked whole.
-// Sequence: a server sends an answer without a stated length that is longer than what
-// is held; it ends well, or it breaks off.
-// Cause: reading stopped at the bound, and the bound was taken for the end.
+// Guards against truncating a response of unknown length at the buffer limit.
 func TestUnbufferedResponseIsCompleteOrAborted(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBody+10)
 	for _, broken := range []error{nil, io.ErrUnexpectedEOF} {
@@ -390,20 +366,16 @@
 		})
 		out := w.call("/l/x")
 		if out.body.Len() != len(long) || out.aborted != (broken != nil) {
-			t.Errorf("ended by %v: %d of %d bytes, cut %t", broken, out.body.Len(), len(long), out.aborted)
+			t.Errorf("ended by %v: %d of %d bytes, aborted %t", broken, out.body.Len(), len(long), out.aborted)
 		}
 		if n := w.inFlight(); n != 0 {
-			t.Errorf("%d requests are still booked", n)
+			t.Errorf("%d requests still in flight", n)
 		}
 	}
 }
 
-// Symptom: at the start of a day a deployment of sixty daemons let a third of its first
-// doubtful answers stand.
-// Sequence: the reserve of repeats is divided between sixty daemons; the smallest model
-// doubts the first answer of each.
-// Cause: a fixed count of repeats was kept for lost requests, more than the whole
-// reserve of one daemon.
+// Guards against a reserve for failovers that exceeds the budget of one daemon of many,
+// so that no answer is escalated.
 func TestEscalationWithinSmallReserve(t *testing.T) {
 	w := newHarness(t, respondStream(10, nil, 0, 1), respondStream(90, nil, 0, 1))
 	w.relay.State.SetDaemons(30)
@@ -413,9 +385,7 @@
 	}
 }
 
-// Symptom: servers worked on requests for longer than their callers waited.
-// Sequence: a look-up fails at one server and goes to a second one.
-// Cause: each send stated the time that the caller had given at first.
+// Guards against retries with the original timeout instead of the time left.
 func TestSendTimeoutIsTimeLeft(t *testing.T) {
 	w := newHarness(t, respond(500, "x"), respond(200, "y"))
 	out := &fakeResponseWriter{}
@@ -426,13 +396,11 @@
 	}
 	first, second := w.backend.sends[0].Timeout, w.backend.sends[1].Timeout
 	if first > 500*time.Millisecond || second > first {
-		t.Errorf("sends state %s and %s of 0.5 s that are left", first, second)
+		t.Errorf("timeouts are %s and %s with 0.5 s left", first, second)
 	}
 }
 
-// Symptom: callers waited for a lost answer longer than the operator allows.
-// Sequence: a server takes a request and never answers.
-// Cause: nothing but the caller's own patience ended the wait.
+// Guards against waiting for a lost response beyond the route's timeout.
 func TestRouteTimeoutEndsRequest(t *testing.T) {
 	w := newHarness(t, nil)
 	w.backend.script[0] = func(BackendRequest) (*BackendResponse, error) {
@@ -442,6 +410,6 @@
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Timeout: time.Minute}
 	w.relay.Serve(context.Background(), c, out)
 	if out.refusal == nil || out.refusal.Kind != fault.DeadlineExceeded || out.refusal.State() == fault.NotRun {
-		t.Errorf("answered %+v after the route's two seconds", out.refusal)
+		t.Errorf("refused with %+v after the route timeout", out.refusal)
 	}
 }
--- a/internal/relay/response.go
+++ b/internal/relay/response.go
@@ -11,11 +11,11 @@
 	"github.com/damaskrudder/damaskrudder/internal/request"
 )
 
-// maxBufferedBody bounds a plain answer that is held until it is whole, in bytes: a
-// thirtieth of a daemon's memory on the smallest VMs.
+// maxBufferedBody is the largest response body, in bytes, that is buffered before
+// it is forwarded.
 const maxBufferedBody = 8 << 20
 
-// bufferedResponse is a whole plain answer.
+// bufferedResponse is a complete non-streaming response.
 type bufferedResponse struct {
 	status int
 	header http.Header
@@ -24,19 +24,19 @@
 
 func (a *bufferedResponse) writeTo(out ResponseWriter) {
 	out.WriteHeader(a.status, a.header, int64(len(a.body)))
-	_ = out.WriteBody(a.body) // a caller that left is noticed by its context
+	_ = out.WriteBody(a.body) // a disconnected client is detected by its context
 }
 
-// forwardBuffered reads an answer whole before it passes on any of it. A server may break
-// off or be reset in the middle; then the request can still go elsewhere, and a
-// part is never taken for the whole.
+// forwardBuffered reads a response completely before it forwards any of it. If the
+// server fails meanwhile, the request can be retried, and the client never
+// receives a truncated response.
 func (x *exchange) forwardBuffered(t *target, reply *BackendResponse, sentAt time.Time, ok bool) (request.Outcome, bool) {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBody+1))
 	if err == nil && len(body) > maxBufferedBody {
 		return x.forwardUnbuffered(t, reply, body)
 	}
 	if err != nil || reply.ContentLength >= 0 && int64(len(body)) != reply.ContentLength {
-		x.logEvent("answer broke off", t, "status", reply.Status, "bytes", len(body), "err", err)
+		x.logEvent("response truncated", t, "status", reply.Status, "bytes", len(body), "err", err)
 		return request.Lost, false
 	}
 	elapsed := time.Since(sentAt)
@@ -61,8 +61,8 @@
 	return request.Failed, true
 }
 
-// forwardUnbuffered passes an answer on that is too long to be held: what came so far, and the
-// rest as it comes. One that breaks off is cut, or its beginning would look whole.
+// forwardUnbuffered forwards a response that exceeds the buffer limit. It aborts
+// the response if the server fails.
 func (x *exchange) forwardUnbuffered(t *target, reply *BackendResponse, prefix []byte) (request.Outcome, bool) {
 	x.headerSent = true
 	x.out.WriteHeader(reply.Status, reply.Header, reply.ContentLength)
@@ -71,8 +71,8 @@
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
-		x.logEvent("long answer broke off", t, "status", reply.Status, "bytes", n, "err", err)
-		x.journey.Repeatable = false // no other answer fits what the caller has of this one
+		x.logEvent("unbuffered response truncated", t, "status", reply.Status, "bytes", n, "err", err)
+		x.journey.Repeatable = false // the client already has part of this response
 		return request.Lost, false
 	}
 	x.succeeded = true
@@ -81,7 +81,7 @@
 	return request.Failed, true
 }
 
-// bodyWriter writes to a caller.
+// bodyWriter implements io.Writer on a ResponseWriter.
 type bodyWriter struct{ out ResponseWriter }
 
 // Write implements io.Writer.
@@ -92,8 +92,8 @@
 	return len(b), nil
 }
 
-// latencyRatio relates the time to an answer, with a number of pauses between events, to
-// what is usual; 0 if that is not known yet.
+// latencyRatio returns the ratio of the response time, with a number of intervals
+// between events, to the typical one; 0 if that is unknown.
 func (x *exchange) latencyRatio(t *target, elapsed time.Duration, intervals int) float64 {
 	first, interval := x.relay.State.typicalLatency(t, x.service.Engine != nil)
 	expected := first + float64(intervals)*interval
@@ -103,7 +103,7 @@
 	return elapsed.Seconds() / expected
 }
 
-// forwardStream passes the events of an answer on as they come.
+// forwardStream forwards the events of a response as they arrive.
 func (x *exchange) forwardStream(ctx context.Context, t *target, a *attempt, reply *BackendResponse, sentAt time.Time) (request.Outcome, bool) {
 	if x.escalate(t, reply.Confidence, sentAt) {
 		return request.Unconvincing, false
@@ -118,11 +118,11 @@
 		return request.Lost, false
 	}
 	x.relay.Rollouts.recordResponse(t, ctx.Err() == nil, 0)
-	x.logEvent("stream broke off", t, "last_event", x.lastEvent, "err", err, "cause", context.Cause(ctx))
+	x.logEvent("stream interrupted", t, "last_event", x.lastEvent, "err", err, "cause", context.Cause(ctx))
 	return request.CutShort, false
 }
 
-// recordStream books a complete stream.
+// recordStream records a complete stream.
 func (x *exchange) recordStream(s *streamForwarder) {
 	x.succeeded = true
 	x.relay.Metrics.Responses(true).Inc(1)
@@ -134,7 +134,7 @@
 	}
 }
 
-// streamForwarder is the passing on of one server's stream.
+// streamForwarder forwards one server's stream.
 type streamForwarder struct {
 	x            *exchange
 	t            *target
@@ -148,17 +148,17 @@
 }
 
 var (
-	errClientDisconnected = errors.New("the caller left")
-	errMissingEvent       = errors.New("an event is missing")
-	errTruncatedEvent     = errors.New("the stream ended inside an event")
-	errEmptyStream        = errors.New("the stream ended without an event")
+	errClientDisconnected = errors.New("client disconnected")
+	errMissingEvent       = errors.New("event missing from stream")
+	errTruncatedEvent     = errors.New("stream ended within an event")
+	errEmptyStream        = errors.New("stream ended without an event")
 )
 
-// streamBufferSize is the size of a stream's read buffer in bytes: some events.
+// streamBufferSize is the size of a stream's read buffer in bytes.
 const streamBufferSize = 1024
 
-// copy passes whole events on until the stream ends. A nil error means that it
-// ended properly.
+// copy forwards complete events until the stream ends. It returns nil if the
+// stream ended properly.
 func (s *streamForwarder) copy() error {
 	buf := make([]byte, streamBufferSize)
 	for {
@@ -183,7 +183,7 @@
 	}
 }
 
-// process passes on the events that some bytes complete, in one write.
+// process forwards the events that a chunk completes, in one write.
 func (s *streamForwarder) process(p []byte) error {
 	if err := s.reader.feed(p); err != nil {
 		return err
@@ -201,8 +201,8 @@
 	return s.flush()
 }
 
-// accept takes the event that follows the last one. After a change of servers the
-// new one may begin too early, which would double events, or too late.
+// accept adds the event that follows the last one. After a failover the new server
+// may start too early, which would duplicate events, or too late.
 func (s *streamForwarder) accept(e event) error {
 	if e.id != NoEvent && s.x.lastEvent != NoEvent {
 		if e.id <= s.x.lastEvent {
@@ -237,7 +237,7 @@
 	return nil
 }
 
-// recordFirstEvent books the first event of this server.
+// recordFirstEvent records the first event of this server.
 func (s *streamForwarder) recordFirstEvent() {
 	s.firstEventAt = time.Now()
 	s.x.relay.Guard.Pass(s.x.run)
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -12,24 +12,25 @@
 	"github.com/damaskrudder/damaskrudder/internal/rollout"
 )
 
-// Rollouts keeps the orders to move services to new versions of their servers,
-// what this daemon saw of both versions, and what the others tell.
+// Rollouts holds the rollout orders of services, this daemon's evidence on both
+// versions, and the reports of other daemons.
 type Rollouts struct {
 	log *log.Logger
 	now func() time.Time
 
 	mu     sync.Mutex
 	orders map[string]*orderState
-	// sessions remembers sessions for as long as their requests belong together.
+	// sessions holds the sessions seen within the idle timeout.
 	sessions sessionTracker
-	// baselines is how long answers of a service usually take, on the version that
-	// carries the traffic.
+	// baselines are the typical response times of services on the version that carries
+	// the traffic.
 	baselines map[string]*rollout.Usual
-	// storedPhases is what the store says of orders, by service. It may be read
-	// before the order itself.
+	// storedPhases are the phases in the store, by service. A phase may be read before
+	// its order.
 	storedPhases map[string]datedPhase
-	// lostPhases are the services of whose order a store that came back from an older copy says
-	// less than is known, since when. restored says that one has come back.
+	// lostPhases holds the services whose phase is missing from a store that was
+	// restored from an older copy, with the time at which this was found.
+	// storeRestored is set once the store was restored.
 	lostPhases    map[string]time.Time
 	storeRestored bool
 }
@@ -37,30 +38,30 @@
 type orderState struct {
 	rollout.Order
 	phase rollout.Phase
-	// suspended says that this daemon stopped using the new version by itself. The
-	// store's word goes before it: two daemons may judge the same moment
-	// differently, and a completed order leaves no old server to go back to.
+	// suspended is set if this daemon has stopped using the new version. A phase in
+	// the store overrides it: daemons may decide differently, and a completed order
+	// leaves no old server to return to.
 	suspended bool
 	// orderedAt is when the order was given, by this daemon's clock.
 	orderedAt   time.Time
 	ownEvidence map[string]*rollout.Cell
 	peerReports map[string]OrderReport
-	// oldInFlight counts own requests on old servers.
+	// oldInFlight counts this daemon's requests on old servers.
 	oldInFlight int
-	// pinnedSessions are those that this daemon saw shortly before the canary began
-	// and that its share would move.
+	// pinnedSessions are the sessions that this daemon saw before the canary began and
+	// that the canary share would move.
 	pinnedSessions map[uint64]bool
 }
 
-// sessionTracker remembers when the sessions of a service were last seen.
+// sessionTracker records when the sessions of a service were last seen.
 type sessionTracker struct {
-	// idleTimeout is how long requests of a session belong together.
+	// idleTimeout is the maximum time between two requests of a session.
 	idleTimeout time.Duration
 	lastSeen    map[string]map[uint64]time.Time
 	nextSweep   time.Time
 }
 
-// add remembers a session, and now and then forgets old ones.
+// add records a session, and periodically removes expired ones.
 func (s *sessionTracker) add(service string, session uint64, now time.Time) {
 	if s.lastSeen[service] == nil {
 		s.lastSeen[service] = map[uint64]time.Time{}
@@ -79,7 +80,7 @@
 	}
 }
 
-// canarySessions lists the sessions of a service that a share of the canary's size moves.
+// canarySessions lists the recent sessions of a service that fall into the canary share.
 func (s *sessionTracker) canarySessions(service string, now time.Time) map[uint64]bool {
 	out := map[uint64]bool{}
 	share := rollout.DefaultCourse().Share(rollout.Canary) * shareResolution
@@ -91,7 +92,7 @@
 	return out
 }
 
-// OrderReport is what one daemon tells the others of an order.
+// OrderReport is a daemon's report on an order to its peers.
 type OrderReport struct {
 	Service     string           `cbor:"1,keyasint"`
 	Offset      uint64           `cbor:"2,keyasint"`
@@ -99,15 +100,15 @@
 	AgeMs       int64            `cbor:"4,keyasint"`
 	OldInFlight int              `cbor:"5,keyasint"`
 	Evidence    rollout.Evidence `cbor:"6,keyasint,omitempty"`
-	// Suspended says that a daemon that judges by the evidence of all has stopped the new
-	// version. Others stop it too: the store may be away, and hold no word of it.
+	// Suspended is set if a daemon that evaluates the evidence of all has suspended the
+	// new version. Peers suspend it too, since the store may be unreachable.
 	Suspended bool `cbor:"8,keyasint,omitempty"`
-	// PinnedSessions are those that were on the old version when the canary began.
+	// PinnedSessions were on the old version when the canary began.
 	PinnedSessions []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// NewRollouts returns a keeper without orders. Requests of a session that follow
-// each other within the span belong together. Now reads the clock.
+// NewRollouts returns Rollouts without orders. The session idle timeout is the maximum
+// time between two requests of a session; now reads the clock.
 func NewRollouts(sessionSpan time.Duration, now func() time.Time, l *log.Logger) *Rollouts {
 	return &Rollouts{
 		log: l, now: now, orders: map[string]*orderState{}, baselines: map[string]*rollout.Usual{}, storedPhases: map[string]datedPhase{}, lostPhases: map[string]time.Time{},
@@ -115,8 +116,7 @@
 	}
 }
 
-// AddOrder takes an order. One that is known or older than a known one changes
-// nothing.
+// AddOrder adds an order. A known or older order is ignored.
 func (r *Rollouts) AddOrder(o rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,8 +125,8 @@
 		return
 	}
 	if old != nil && laterEra(o.Offset, old.Offset) && o.Target == old.Target {
-		// The store came back from an older copy. This is the order that is known, read or
-		// written again: one that is over would else begin anew.
+		// The store was restored from an older copy. This is the known order, read or
+		// written again; a finished one must not restart.
 		old.Offset = o.Offset
 		r.reconcile(o.Service)
 		return
@@ -140,7 +140,7 @@
 	r.reconcile(o.Service)
 }
 
-// advance moves an order on. Callers hold mu.
+// advance moves an order to a later phase. Callers hold mu.
 func (r *Rollouts) advance(o *orderState, p rollout.Phase, reason string) {
 	if p <= o.phase || o.phase.Over() {
 		return
@@ -150,26 +150,26 @@
 	o.phase = p
 }
 
-// VersionChoice is which versions of a service's servers a request may use.
+// VersionChoice is the set of server versions that a request may use.
 type VersionChoice struct {
-	// Preferred admits the versions that the request should use.
+	// Preferred admits the preferred versions.
 	Preferred func(version string) bool
-	// Fallback admits those it may use if no server of a preferred one is there.
+	// Fallback admits the versions to use if no server of a preferred one is available.
 	Fallback func(version string) bool
-	// Fraction limits the preferred servers to a part of them, so that those which a
-	// small share of the requests goes to carry as much as any other; 0 is all. A
-	// version that fails under load would else show it only when it is too late.
+	// Fraction limits the request to a fraction of the preferred servers; 0 means all. A
+	// small share of the requests then loads these servers as much as any other, which
+	// exposes a version that fails under load.
 	Fraction float64
 }
 
 func anyVersion(string) bool { return true }
 
-// ChooseVersion chooses between the versions of a service's servers.
+// ChooseVersion selects the server versions for a request.
 //
-// A session must not be moved to the new version before the half of an order's
-// time. So sessions seen shortly before stay on the old version in the canary
-// phase, and those that begin in it go by their hash, which every daemon computes
-// alike. The share only grows, so no session goes back.
+// A session must not move to the new version in the first half of an order's duration.
+// Sessions seen shortly before the canary stay on the old version during it; new
+// sessions are assigned by their hash, which is the same on every daemon. The share
+// never shrinks, so no session moves back.
 func (r *Rollouts) ChooseVersion(service, session string, hash uint64) VersionChoice {
 	now := r.now()
 	r.mu.Lock()
@@ -204,8 +204,8 @@
 	return VersionChoice{Preferred: onNew, Fallback: anyVersion, Fraction: share}
 }
 
-// canaryDelay is the time before the first request goes to a new version. In it
-// the daemons tell each other which sessions they saw, and new servers register.
+// canaryDelay is the time before the first request uses a new version. Meanwhile the
+// daemons exchange their sessions and new servers register.
 const canaryDelay = 1200 * time.Millisecond
 
 // pinned reports whether a session was on the old version before the canary began.
@@ -221,15 +221,15 @@
 	return false
 }
 
-// versionHashShift takes other bits of the draw than the choice of the service does,
-// so that the two do not depend on each other.
+// versionHashShift selects hash bits that are independent of those for the choice of
+// the service.
 const versionHashShift = 16
 
-// shareResolution is the number of parts that requests are dealt in.
+// shareResolution is the number of buckets that hashes are assigned to.
 const shareResolution = 1000
 
-// recordResponse books an answer as evidence for or against a version. Ratio is the time
-// it took over the time expected of it, or 0 if that is not known.
+// recordResponse adds a response to the evidence on a version. Ratio is the response
+// time relative to the expected one, or 0 if that is unknown.
 func (r *Rollouts) recordResponse(t *target, failed bool, ratio float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -264,9 +264,9 @@
 	}
 }
 
-// Reports lists what this daemon tells another, with its evidence or without. Running
-// counts a service's own requests on servers of other versions than the target. Judge says
-// that this daemon judges by the evidence of all.
+// Reports returns this daemon's reports for a peer, with or without its evidence.
+// OldInFlight counts a service's own requests on servers of other versions than the
+// target. Evaluates is set if this daemon evaluates the evidence of all.
 func (r *Rollouts) Reports(oldInFlight func(service, target string) int, evidence, evaluates bool) []OrderReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -277,7 +277,7 @@
 		}
 		o.oldInFlight = oldInFlight(o.Service, o.Target)
 		if o.phase == rollout.Canary && r.now().Sub(o.orderedAt) < canaryDelay {
-			// Until the canary begins every session is on the old version.
+			// Until the canary begins, every session is on the old version.
 			o.pinnedSessions = r.sessions.canarySessions(o.Service, r.now())
 		}
 		p := OrderReport{
@@ -300,8 +300,8 @@
 	return e
 }
 
-// ApplyReports takes another daemon's reports. A report of one that ended since is kept:
-// what it saw stays true.
+// ApplyReports applies another daemon's reports. Reports of daemons that have ended
+// remain valid.
 func (r *Rollouts) ApplyReports(incarnation string, reports []OrderReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -311,23 +311,23 @@
 			continue
 		}
 		if p.Evidence == nil {
-			// It was told without evidence: what it saw before stays true.
+			// A report without evidence keeps the evidence reported before.
 			p.Evidence = o.peerReports[incarnation].Evidence
 		}
 		o.peerReports[incarnation] = p
 		if p.Suspended {
-			r.suspend(o, "a daemon that judges says so")
+			r.suspend(o, "suspended by an evaluating daemon")
 		}
 		if age := time.Duration(p.AgeMs) * time.Millisecond; age > r.now().Sub(o.orderedAt) {
 			o.orderedAt = r.now().Add(-age)
 		}
 		if !p.Phase.Over() {
-			r.advance(o, p.Phase, "another daemon says so")
+			r.advance(o, p.Phase, "reported by another daemon")
 		}
 	}
 }
 
-// PhaseChange is a phase that an order should go on to.
+// PhaseChange is a transition of an order to a phase.
 type PhaseChange struct {
 	Order  rollout.Order
 	Phase  rollout.Phase
@@ -335,8 +335,8 @@
 	Reason string
 }
 
-// NextPhases lists the orders that should go on, by the evidence of all daemons. Alive
-// tells whether an incarnation still runs, since only then does its work count.
+// NextPhases lists the due phase changes, by the evidence of all daemons. Alive reports
+// whether an incarnation is running; only then its requests in flight count.
 func (r *Rollouts) NextPhases(alive func(incarnation string) bool) []PhaseChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -361,8 +361,8 @@
 	return out
 }
 
-// Suspend stops this daemon's use of a new version at once, before the store says
-// so: writing there takes time, and fails while it is away.
+// Suspend stops this daemon's use of a new version at once, before the phase is
+// written to the store, which takes time and fails while the store is unreachable.
 func (r *Rollouts) Suspend(service string, offset uint64, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -371,7 +371,7 @@
 	}
 }
 
-// suspend stops this daemon's use of an order's version. Callers hold mu.
+// suspend stops this daemon's use of an order's target version. Callers hold mu.
 func (r *Rollouts) suspend(o *orderState, reason string) {
 	if o.phase.Over() || o.suspended {
 		return
--- a/internal/relay/rollouts_bench_test.go
+++ b/internal/relay/rollouts_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/rollout"
 )
 
-// rolloutsWithEvidence has a daemon hear the evidence of others, each on a sixth of 126 servers.
+// rolloutsWithEvidence has the evidence of other daemons, each on a sixth of 126 servers.
 func rolloutsWithEvidence(daemons int) *Rollouts {
 	r := testRollouts()
 	for d := range daemons - 1 {
@@ -21,8 +21,7 @@
 	return r
 }
 
-// One judgement of an order, beside other load: 0.18, 1.3, 4.4 and 8.7 ms when evidence was
-// added one daemon after the other, 0.08, 0.14, 0.31 and 0.68 ms in one sum.
+// Measures one evaluation of an order, by the number of daemons.
 func BenchmarkNextPhases(b *testing.B) {
 	for _, daemons := range []int{6, 60, 195, 520} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -20,32 +20,27 @@
 	return r
 }
 
-// Symptom: one daemon refused every request of a service until its end, while the
-// others served.
-// Sequence: a daemon's own judgement stops the new version; at the same moment the
-// daemon that writes decides that the order is completed; the old servers stop.
-// Cause: a daemon's own stop outranked the store's word.
+// Guards against a local suspension that outlasts the order's completion in the store: the
+// daemon would refuse every request once the old servers have stopped.
 func TestStoredPhaseOverridesLocalSuspension(t *testing.T) {
 	r := testRollouts()
 	r.ApplyStoredPhase(StoredPhase{Service: "s", OrderOffset: 7, Phase: rollout.Whole, OrderAge: 15 * time.Second})
 	r.Suspend("s", 7, "slow")
 	if c := r.ChooseVersion("s", "", 1); !c.Preferred("v1") || c.Preferred("v2") {
-		t.Fatal("a braked version is still preferred")
+		t.Fatal("suspended version is preferred")
 	}
 	r.ApplyStoredPhase(StoredPhase{Service: "s", OrderOffset: 7, Phase: rollout.Completed, OrderAge: 20 * time.Second})
 	if c := r.ChooseVersion("s", "", 1); !c.Preferred("v2") || c.Preferred("v1") {
-		t.Fatal("after the store's word the old version is still preferred")
+		t.Fatal("old version is preferred after completion")
 	}
 	r.Suspend("s", 7, "slow")
 	if c := r.ChooseVersion("s", "", 1); !c.Preferred("v2") {
-		t.Fatal("an order that is over was braked")
+		t.Fatal("finished order was suspended")
 	}
 }
 
-// Symptom: a good version was rolled back at its deadline for want of evidence.
-// Sequence: every request carries a session; sessions were held on the old version
-// for as long as the canary lasted.
-// Cause: sessions that began after the order were held, too.
+// Guards against pinning new sessions to the old version, which leaves the canary without
+// evidence.
 func TestNewSessionsUseTheCanary(t *testing.T) {
 	r := testRollouts()
 	r.orders["s"].orderedAt = time.Now().Add(-2 * canaryDelay)
@@ -60,11 +55,8 @@
 	}
 }
 
-// Symptom: sessions ran on the old version and seconds later on the new one, in
-// the first half of an order.
-// Sequence: a session is served by one daemon; the order comes; the session's next
-// request comes to another daemon.
-// Cause: the second daemon did not know that the session had begun before.
+// Guards against moving a session to the new version in the first half of an order, when
+// its next request arrives at another daemon.
 func TestSessionsSeenByPeersStayOnOldVersion(t *testing.T) {
 	one, other := testRollouts(), testRollouts()
 	name := canarySession(t)
@@ -74,12 +66,12 @@
 	for _, r := range []*Rollouts{one, other} {
 		r.orders["s"].orderedAt = time.Now().Add(-2 * canaryDelay)
 		if r.ChooseVersion("s", name, 0).Preferred("v2") {
-			t.Fatal("a session that began on the old version was moved")
+			t.Fatal("session of the old version was moved")
 		}
 	}
 }
 
-// canarySession returns the name of a session that the canary's share moves.
+// canarySession returns the name of a session in the canary share.
 func canarySession(t *testing.T) string {
 	t.Helper()
 	for i := range 10000 {
@@ -92,8 +84,7 @@
 	return ""
 }
 
-// Evidence is told to a daemon that judges, and to no other; what it was told once holds
-// when a report without it comes.
+// Guards against losing a peer's evidence when it sends a report without evidence.
 func TestReportWithoutEvidenceKeepsEarlierEvidence(t *testing.T) {
 	one, judge := testRollouts(), testRollouts()
 	none := func(string, string) int { return 0 }
@@ -105,37 +96,33 @@
 	judge.ApplyReports("one/1", with)
 	judge.ApplyReports("one/1", without)
 	if got := judge.orders["s"].peerReports["one/1"].Evidence; len(got) != 1 {
-		t.Errorf("the evidence is gone: %v", got)
+		t.Errorf("evidence lost: %v", got)
 	}
 }
 
-// Symptom: daemons that do not judge by the evidence of all would send to a bad version for
-// as long as the store is away.
-// Sequence: one that judges stops the version, and cannot write that.
-// Cause: only the store's word reached the others.
+// Guards against using a bad version while the store is unreachable: the suspension must
+// reach peers without it.
 func TestSuspensionByEvaluatorAppliesToPeers(t *testing.T) {
 	judge, other, third := testRollouts(), testRollouts(), testRollouts()
 	none := func(string, string) int { return 0 }
 	judge.Suspend("s", 7, "errors")
 	other.ApplyReports("judge/1", judge.Reports(none, false, true))
 	if c := other.ChooseVersion("s", "", 1); c.Preferred("v2") {
-		t.Error("the version is preferred still")
+		t.Error("suspended version is preferred")
 	}
 	third.ApplyReports("other/1", other.Reports(none, false, false))
 	if third.orders["s"].suspended {
-		t.Error("the stop of a daemon that does not judge was told on")
+		t.Error("suspension was relayed by a daemon that does not evaluate")
 	}
 }
 
-// Symptom: a roll-out that had been completed began anew.
-// Sequence: the store comes back from an older copy; the order is read again, or written again,
-// at a later position; the copy holds an earlier phase of it, or none.
-// Cause: an order was known by its offset, and its phase by the store's last word.
+// Guards against restarting a completed order after the store was restored from an older
+// copy, in which the order has a later position and an earlier phase, or none.
 func TestFinishedOrderStaysFinishedAfterStoreRestore(t *testing.T) {
 	later := uint64(feed.At(1, 9))
 	for name, said := range map[string]*StoredPhase{
-		"nothing said":          nil,
-		"an earlier phase said": {Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Whole},
+		"no phase stored":      nil,
+		"earlier phase stored": {Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Whole},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRollouts(0, time.Now, log.New(io.Discard))
@@ -149,33 +136,33 @@
 			order.Offset = later
 			r.AddOrder(order)
 			if due := r.NextPhases(func(string) bool { return true }); len(due) != 0 {
-				t.Fatalf("goes on: %+v", due)
+				t.Fatalf("finished order advances: %+v", due)
 			}
 			again := r.LostPhases(0)
 			if len(again) != 1 || again[0].Phase != rollout.Completed || again[0].Order.Offset != later {
-				t.Fatalf("to be written again: %+v", again)
+				t.Fatalf("phases to rewrite: %+v", again)
 			}
 			r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: later, Phase: rollout.Completed})
 			if again := r.LostPhases(0); len(again) != 0 {
-				t.Errorf("still to be written: %+v", again)
+				t.Errorf("phases still to rewrite: %+v", again)
 			}
 		})
 	}
 }
 
-// A daemon that starts after the return knows the order at its later position, and the phase
-// that was written of the earlier one.
+// Guards against ignoring a phase that was written for the order's position in the
+// earlier era, when a daemon starts after the restore.
 func TestPhaseFromEarlierEraAppliesToSameOrder(t *testing.T) {
 	r := NewRollouts(0, time.Now, log.New(io.Discard))
 	r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Completed})
 	r.AddOrder(rollout.Order{Service: "s", Target: "v2", Offset: uint64(feed.At(1, 9))})
 	if due := r.NextPhases(func(string) bool { return true }); len(due) != 0 {
-		t.Errorf("goes on: %+v", due)
+		t.Errorf("finished order advances: %+v", due)
 	}
 	r.AddOrder(rollout.Order{Service: "s", Target: "v3", Offset: uint64(feed.At(1, 12))})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o := r.orders["s"]; o.Target != "v3" || o.phase.Over() {
-		t.Errorf("another target is the same order: %+v", o)
+		t.Errorf("order with another target was matched: %+v", o)
 	}
 }
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -16,7 +16,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// State is what a daemon knows: the configuration, the servers and their load.
+// State is a daemon's view of the configuration, the servers and their load.
 type State struct {
 	table    atomic.Pointer[route.Table]
 	bootTime func() time.Duration
@@ -25,44 +25,44 @@
 	confirmations freshness.Ledger
 	registry      *backend.Registry
 	serversLoaded bool
-	// ready is closed when the configuration and the servers are known.
+	// ready is closed when the configuration and the servers have been loaded.
 	ready         chan struct{}
 	readySignaled bool
 	services      map[string]*service
 	rng           *rand.Rand
-	// candidateBuf holds the candidates of one choice: they are 20 KB at 126 servers, and made
-	// anew for each choice they were most of what a daemon allocated.
+	// candidateBuf is reused for the candidates of each selection, which saves most of
+	// a daemon's allocations.
 	candidateBuf []routing.Candidate
 	daemon       string
-	// failureDomain is where this daemon runs.
+	// failureDomain is the failure domain of this daemon.
 	failureDomain string
 	// daemons is how many daemons share the servers' connections.
 	daemons int
 	// peerWork is the work of the other daemons.
 	peerWork peerWork
-	// pendingPlacements are placements not yet told to the other daemons.
+	// pendingPlacements are the placements not yet sent to the other daemons.
 	pendingPlacements []Placement
-	// nextExpiry is when a lapsed server is to be taken as gone; zero if none is.
+	// nextExpiry is when the next lapsed server is dropped; zero if there is none.
 	nextExpiry time.Duration
-	// gate is what every choice of a server passes.
+	// gate filters every selection of a server.
 	gate *gate.Gate
 }
 
-// service is the picture of one service's servers.
+// service is the state of one service's servers.
 type service struct {
 	tracker *routing.Picture
 	members []routing.Member
 	servers map[string]backend.Server
-	// idByKey names the members by the keys under which daemons tell of them.
+	// idByKey maps the keys in peers' reports to the members' ids.
 	idByKey map[ServerKey]string
 	models  modelLatencies
-	// peerWorkVersion is the change of the others' work that the picture shows.
+	// peerWorkVersion is the version of the peer work that the tracker shows.
 	peerWorkVersion uint64
-	// lanes divides engines between models; nil until the first choice.
+	// lanes assigns engines to models; nil until the first selection.
 	lanes *routing.Lanes
 }
 
-// NewState returns an empty state. Boot reads a clock that counts while the
+// NewState returns an empty state. BootTime reads a clock that also counts while the
 // VM is suspended.
 func NewState(daemon, failureDomain string, bootTime func() time.Duration) *State {
 	return &State{
@@ -74,8 +74,8 @@
 // Table returns the configuration in force, or nil.
 func (s *State) Table() *route.Table { return s.table.Load() }
 
-// SetTable puts a configuration into force unless a newer one is. It reports
-// whether it did: a daemon never goes back within its life.
+// SetTable activates a configuration and reports true, unless an equal or newer one is
+// active.
 func (s *State) SetTable(t *route.Table) bool {
 	for {
 		old := s.table.Load()
@@ -91,8 +91,8 @@
 	}
 }
 
-// Confirm records that what is known of a subject was complete, and returns the time since
-// it was last confirmed.
+// Confirm records a confirmation that the known records of a subject are complete, and
+// returns the time since the previous one.
 func (s *State) Confirm(subject freshness.Subject, c freshness.Confirmation) (gap time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +107,7 @@
 	return s.confirmations.Within(subject, now, limit)
 }
 
-// ConfirmationAge returns the age of the newest confirmation of a subject; false if there is none.
+// ConfirmationAge returns the age of the last confirmation of a subject; false if there is none.
 func (s *State) ConfirmationAge(subject freshness.Subject) (time.Duration, bool) {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -115,8 +115,8 @@
 	return s.confirmations.Age(subject, now)
 }
 
-// NextCheck returns which subject is to be looked at next and the time until then; own is
-// the time until this daemon must hear from the store itself.
+// NextCheck returns the subject to check next and the time until then. Own is the time
+// until this daemon must read the store itself.
 func (s *State) NextCheck(p freshness.Plan, rank int, own time.Duration) (subject freshness.Subject, due time.Duration, any bool) {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -124,7 +124,7 @@
 	return p.Next(&s.confirmations, now, rank, own)
 }
 
-// LastConfirmation returns who confirmed a subject last, and its age.
+// LastConfirmation returns the source of a subject's last confirmation, and its age.
 func (s *State) LastConfirmation(subject freshness.Subject) (by string, age time.Duration) {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -133,7 +133,7 @@
 	return c.By, now - c.At
 }
 
-// Ready reports whether a configuration and the servers are known.
+// Ready reports whether a configuration and the servers have been loaded.
 func (s *State) Ready() bool {
 	s.mu.Lock()
 	listed := s.serversLoaded
@@ -141,8 +141,7 @@
 	return listed && s.Table() != nil
 }
 
-// signalReady lets those go on that wait for the daemon to know something. Callers
-// hold mu.
+// signalReady closes ready once the state is complete. Callers hold mu.
 func (s *State) signalReady() {
 	if s.serversLoaded && s.Table() != nil && !s.readySignaled {
 		s.readySignaled = true
@@ -150,9 +149,9 @@
 	}
 }
 
-// WaitReady waits until the configuration and the servers are known, for a limited
-// time. A daemon that just started knows them within some ten milliseconds;
-// refusing meanwhile would use up the caller's only retry.
+// WaitReady waits until the configuration and the servers have been loaded, up to a
+// limit. A daemon that has just started loads them soon, while a refusal would use
+// up a retry of the client.
 func (s *State) WaitReady(ctx context.Context, limit time.Duration) {
 	t := time.NewTimer(limit)
 	defer t.Stop()
@@ -163,14 +162,14 @@
 	}
 }
 
-// SetDaemons tells how many daemons live, this one included.
+// SetDaemons sets the number of live daemons, including this one.
 func (s *State) SetDaemons(n int) {
 	s.mu.Lock()
 	s.daemons = max(1, n)
 	s.mu.Unlock()
 }
 
-// UpdateServers changes the registry.
+// UpdateServers applies a change to the registry.
 func (s *State) UpdateServers(change func(r *backend.Registry, now time.Duration)) {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -191,10 +190,8 @@
 	}
 }
 
-// dropExpired drops servers that lapsed and did not come back in time. No record tells
-// of that moment, so it is looked for before each choice of a server: a server
-// that left without a word would else get requests until the next record comes.
-// Callers hold mu.
+// dropExpired drops lapsed servers whose grace period is over. It runs before each
+// selection, because no record announces the end of the period. Callers hold mu.
 func (s *State) dropExpired() {
 	if s.nextExpiry == 0 {
 		return
@@ -204,7 +201,7 @@
 	}
 }
 
-// refresh brings a service's picture to the registry. Callers hold mu.
+// refresh updates a service's members and tracker from the registry. Callers hold mu.
 func (s *State) refresh(name string, now time.Duration) *service {
 	sv := s.services[name]
 	if sv == nil {
@@ -232,7 +229,7 @@
 	return sv
 }
 
-// serviceFor returns a service's picture. Callers hold mu.
+// serviceFor returns a service's state. Callers hold mu.
 func (s *State) serviceFor(name string) *service {
 	sv := s.services[name]
 	if sv == nil {
@@ -244,32 +241,32 @@
 	return sv
 }
 
-// withService runs f on a service's picture under the lock.
+// withService runs f on a service's state under the lock.
 func (s *State) withService(name string, f func(sv *service)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.serviceFor(name))
 }
 
-// ServerKey names a server among daemons in four bytes: what they tell each other
-// four times a second names every server.
+// ServerKey is a four-byte hash that identifies a server between daemons. It keeps the
+// frequent reports small.
 type ServerKey uint32
 
 // ServerKeyOf returns the key of a server's id.
 func ServerKeyOf(id string) ServerKey { return ServerKey(xxhash.Sum64String(id)) }
 
-// Placement is a prompt's shared beginning that a daemon sent to a server: the
-// chained hashes of its parts.
+// Placement reports a prompt prefix that a daemon sent to a server: the chained hashes
+// of its parts.
 type Placement struct {
 	_      struct{} `cbor:",toarray"`
 	Server ServerKey
 	Blocks []uint64
 }
 
-// maxPendingPlacements bounds the placements kept for one round of telling the others.
+// maxPendingPlacements limits the placements kept for one report to the other daemons.
 const maxPendingPlacements = 256
 
-// DrainPlacements returns what this daemon placed since it was last asked.
+// DrainPlacements returns this daemon's placements since the previous call.
 func (s *State) DrainPlacements() []Placement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -278,8 +275,8 @@
 	return out
 }
 
-// ApplyPlacements books what other daemons placed. Without it each daemon knows a
-// sixth of what is cached where, and begins caches of its own.
+// ApplyPlacements records the placements of other daemons, so that requests are routed
+// to prefixes that those have cached.
 func (s *State) ApplyPlacements(list []Placement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -292,12 +289,12 @@
 	}
 }
 
-// ServerWork is this daemon's unfinished work on one server.
+// ServerWork is a daemon's unfinished work on one server.
 type ServerWork struct {
 	_        struct{} `cbor:",toarray"`
 	Server   ServerKey
 	InFlight int
-	// PendingPrefill is the prompt tokens that wait to be read, scaled by their models.
+	// PendingPrefill is the prompt tokens to be processed, scaled by their models.
 	PendingPrefill int
 }
 
@@ -314,8 +311,8 @@
 	return out
 }
 
-// AddPeerWork takes changes of the other daemons' work. They are changes and not sums, so
-// that their order does not matter: pulses are taken at the same time.
+// AddPeerWork adds deltas of other daemons' work. Deltas commute, so concurrent reports
+// can be applied in any order.
 func (s *State) AddPeerWork(changes []ServerWork) {
 	if len(changes) == 0 {
 		return
@@ -325,11 +322,11 @@
 	s.peerWork.add(changes)
 }
 
-// maxPromptParts bounds the parts of a prompt that are told apart.
+// maxPromptParts is the number of a prompt's parts that are distinguished.
 const maxPromptParts = 16
 
-// prefixHashes returns the chained hashes of a prompt's parts, and the tokens up to
-// the end of each. A part is cached only behind all parts before it.
+// prefixHashes returns the chained hashes of a prompt's parts, and the tokens up to the
+// end of each. A part is cached only together with all parts before it.
 func prefixHashes(model string, parts []PromptPart) (hashes []uint64, ends []int) {
 	chain := xxhash.Sum64String(model)
 	tokens := 0
@@ -342,11 +339,10 @@
 	return hashes, ends
 }
 
-// prefixCapacity bounds what is remembered of where shared beginnings are: some ten
-// seconds of the placements of a thousand requests a second, about 3 MB.
+// prefixCapacity limits the number of prefix hashes remembered per service.
 const prefixCapacity = 1 << 16
 
-// hashMultiplier spreads the ids of parts over the chain; it is the odd golden ratio.
+// hashMultiplier distributes the part ids over the hash; it is derived from the golden ratio.
 const hashMultiplier = 0x9E3779B97F4A7C15
 
 func (s *State) daemonCount() int {
@@ -355,8 +351,8 @@
 	return s.daemons
 }
 
-// InFlightOnOtherVersions counts this daemon's unfinished requests on servers of a service
-// that have another version than the one given.
+// InFlightOnOtherVersions counts this daemon's requests in flight on servers of a
+// service whose version differs from the given one.
 func (s *State) InFlightOnOtherVersions(name, version string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -370,7 +366,7 @@
 	return n
 }
 
-// StoreRecovered records that the store answers again after an outage.
+// StoreRecovered records that the store is reachable again after an outage.
 func (s *State) StoreRecovered() {
 	now := s.bootTime()
 	s.mu.Lock()
@@ -378,7 +374,7 @@
 	s.registry.Healed(now)
 }
 
-// EachServer calls f for every server of a service that may get requests.
+// EachServer calls f for every eligible server of a service.
 func (s *State) EachServer(service string, f func(id string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/state_test.go
+++ b/internal/relay/state_test.go
@@ -8,7 +8,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// fakeClock is a boot clock that the test moves.
+// fakeClock is a boot clock that the test advances.
 type fakeClock struct{ now time.Duration }
 
 func (c *fakeClock) read() time.Duration { return c.now }
@@ -17,12 +17,8 @@
 	return VersionChoice{Preferred: anyVersion, Fallback: anyVersion}
 }
 
-// Symptom: a server that left without a word got requests for more than three
-// seconds after its entry was gone.
-// Sequence: the store is away for one daemon; a server leaves and its entry is
-// removed; the store answers again, and the removal is read within the window in
-// which lapsed entries may return; no further record of a server comes.
-// Cause: the end of the window was noticed with the next record only.
+// Guards against keeping a lapsed server until the next record: its grace period ends
+// without one.
 func TestLapsedServerIsDroppedAtExpiry(t *testing.T) {
 	c := &fakeClock{now: time.Minute}
 	s := NewState("d1", "", c.read)
@@ -33,18 +29,16 @@
 	s.UpdateServers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
 	w := requirements{service: "s", versions: anyVersionChoice()}
 	if _, err := s.pick(&w, 10); err != nil {
-		t.Fatalf("a server whose entry lapsed in an outage was taken as gone at once: %v", err)
+		t.Fatalf("server that lapsed in an outage was dropped at once: %v", err)
 	}
 	c.now += 2400 * time.Millisecond
 	if _, err := s.pick(&w, 10); err == nil {
-		t.Fatal("a lapsed server that did not come back was chosen")
+		t.Fatal("picked a lapsed server")
 	}
 }
 
-// Symptom: after an outage of the store, a service had no server for seconds.
-// Sequence: the store is away; servers cannot renew their entries; it returns and
-// drops them all; they write them again within two seconds.
-// Cause: removals were taken at their word.
+// Guards against dropping all servers whose entries expired during an outage of the store,
+// before they can register again.
 func TestServersReregisteredAfterOutageAreKept(t *testing.T) {
 	c := &fakeClock{now: time.Minute}
 	s := NewState("d1", "", c.read)
@@ -59,15 +53,12 @@
 	c.now += time.Hour
 	w := requirements{service: "s", versions: anyVersionChoice()}
 	if _, err := s.pick(&w, 10); err != nil {
-		t.Fatalf("the server came back: %v", err)
+		t.Fatalf("reregistered server was dropped: %v", err)
 	}
 }
 
-// Symptom: prompts went to an engine that had forgotten them, and its load was counted
-// twice.
-// Sequence: an engine starts again under its id. Another daemon, which does not know yet,
-// tells what it had placed there and what it had running.
-// Cause: what was known and told went by the id alone.
+// Guards against applying reports about an earlier run of an engine to its new run: it has
+// an empty cache and none of that load.
 func TestReportsAboutEarlierRunAreIgnored(t *testing.T) {
 	w := newHarness(t, respond(200, ""))
 	s := w.relay.State
@@ -102,14 +93,14 @@
 	}
 	tell(before)
 	if held() != 2 {
-		t.Fatalf("of a run that lives %d of two are known", held())
+		t.Fatalf("%d of 2 reports about the current run were applied", held())
 	}
 	put(200)
 	if held() != 0 {
-		t.Error("the new run begins with what the earlier one held")
+		t.Error("the new run inherits state of the earlier one")
 	}
 	tell(before)
 	if held() != 0 {
-		t.Error("late word of the earlier run counts for the new one")
+		t.Error("late reports about the earlier run were applied to the new one")
 	}
 }
--- a/internal/relay/storedphases.go
+++ b/internal/relay/storedphases.go
@@ -7,35 +7,35 @@
 	"github.com/damaskrudder/damaskrudder/internal/rollout"
 )
 
-// StoredPhase is how far an order had come when the store took it.
+// StoredPhase is the phase of an order in the store.
 type StoredPhase struct {
 	Service string
-	// Target is the version that the order names, and Order the order's position.
+	// Target is the version that the order names, OrderOffset the order's position.
 	Target      string
 	OrderOffset uint64
 	Phase       rollout.Phase
-	// OrderAge is how long before the order was given.
+	// OrderAge is the order's age when the phase was written.
 	OrderAge time.Duration
 }
 
 type datedPhase struct {
 	StoredPhase
-	// orderedAt is when the order was given, as far as the store tells.
+	// orderedAt is when the order was given, according to the store.
 	orderedAt time.Time
 }
 
-// appliesTo reports whether a settlement is of an order. In a store that has come back from an
-// older copy the order has a later position: it was written again, or read again.
+// appliesTo reports whether the phase belongs to an order. In a store that was restored
+// from an older copy, the order has a later position.
 func (s datedPhase) appliesTo(o rollout.Order) bool {
 	return o.Offset == s.OrderOffset || laterEra(o.Offset, s.OrderOffset) && o.Target == s.Target
 }
 
-// laterEra reports whether a position is of a later era of the store than another.
+// laterEra reports whether a position belongs to a later era of the store than another.
 func laterEra(position, other uint64) bool {
 	return feed.Position(position).Era() > feed.Position(other).Era()
 }
 
-// ApplyStoredPhase takes a phase that the store holds for an order. Phases only go on.
+// ApplyStoredPhase applies the phase that the store holds for an order. Phases only advance.
 func (r *Rollouts) ApplyStoredPhase(s StoredPhase) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,8 +44,8 @@
 	r.reconcile(s.Service)
 }
 
-// StoreRestored takes it that the store has come back from an older copy, whose settlements are told
-// next: what it has lost is to be written again.
+// StoreRestored records that the store was restored from an older copy. Its phases are
+// read again, and those it has lost must be rewritten.
 func (r *Rollouts) StoreRestored() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,20 +57,20 @@
 	}
 }
 
-// LostPhases lists the phases that a store which came back from an older copy does not hold, and
-// that were known for some time since.
+// LostPhases lists the phases that are missing from a restored store for at least the
+// given time.
 func (r *Rollouts) LostPhases(since time.Duration) (out []PhaseChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for service, at := range r.lostPhases {
 		if o := r.orders[service]; o != nil && r.now().Sub(at) >= since {
-			out = append(out, PhaseChange{o.Order, o.phase, r.now().Sub(o.orderedAt), "the store has lost it"})
+			out = append(out, PhaseChange{o.Order, o.phase, r.now().Sub(o.orderedAt), "phase missing from the restored store"})
 		}
 	}
 	return out
 }
 
-// reconcile applies what the store says. Callers hold mu.
+// reconcile applies the phase in the store to an order. Callers hold mu.
 func (r *Rollouts) reconcile(service string) {
 	o, s := r.orders[service], r.storedPhases[service]
 	if o == nil || !s.appliesTo(o.Order) {
@@ -80,7 +80,7 @@
 		o.orderedAt = s.orderedAt
 	}
 	if o.phase > s.Phase && r.storeRestored {
-		r.lostPhases[service] = r.now() // the copy says less than is known
+		r.lostPhases[service] = r.now() // the restored copy is older
 	}
-	r.advance(o, s.Phase, "the store says so")
+	r.advance(o, s.Phase, "phase in the store")
 }
