--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -180,11 +180,11 @@
 		return true
 	})
 	defer x.relay.liveness.untrack(a)
-	s := BackendRequest{
+	req := BackendRequest{
 		Call: x.call, Server: t.server, Workspace: x.workspace, Model: x.modelOverride(), LastEvent: x.lastEvent,
 		Timeout: time.Until(x.deadline) - deadlineMargin, Priority: x.sendPriority(), MaxConnections: t.maxConnections,
 	}
-	reply, err := x.relay.backend.Send(ctx, s)
+	reply, err := x.relay.backend.Send(ctx, req)
 	if err != nil {
 		return x.handleSendError(t, sentAt, err), false
 	}
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -10,7 +10,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-var warmUp = slowstart.Limit{For: 3 * time.Second, PerSecond: 15, Excess: 1.5, Slack: 5}
+var warmUpLimit = slowstart.Limit{For: 3 * time.Second, PerSecond: 15, Excess: 1.5, Slack: 5}
 
 // gatedState returns the state of the only daemon, with servers a in "east" and b in "west".
 func gatedState(t *testing.T, warmAt time.Duration) (*State, *fakeClock) {
@@ -27,7 +27,7 @@
 }
 
 func gatedRequirements() requirements {
-	return requirements{service: "s", versions: anyVersionChoice(), slowStart: warmUp}
+	return requirements{service: "s", versions: anyVersionChoice(), slowStart: warmUpLimit}
 }
 
 // Guards against selections that bypass the gate: with another version preferred, after
@@ -87,7 +87,7 @@
 		}
 		c.now += 10 * time.Millisecond
 	}
-	if most := 2 * warmUp.Bound() / 2; sent == 0 || sent > most || refused == 0 {
+	if most := 2 * warmUpLimit.Bound() / 2; sent == 0 || sent > most || refused == 0 {
 		t.Errorf("%d requests sent to two servers in one second, %d refused", sent, refused)
 	}
 	c.now = time.Minute + 2*time.Second
--- a/internal/relay/latency.go
+++ b/internal/relay/latency.go
@@ -24,7 +24,7 @@
 
 const (
 	// initialFixedLatency and initialTokenLatency are the estimate for the cheapest
-	// model before the first sample; the latter scales with the relative cost.
+	// model before the first sample; the latter scales with relativeLatency.
 	initialFixedLatency = 60 * time.Millisecond
 	initialTokenLatency = 5 * time.Microsecond
 	// costExponent converts a cost ratio to a latency ratio: the cost of models grows
@@ -38,32 +38,33 @@
 // sampleWeight is the weight of a new sample in a moving average.
 const sampleWeight = 0.05
 
-func (p modelLatencies) get(model string, e *route.Engine) *modelLatency {
-	v := p[model]
-	if v == nil {
-		v = &modelLatency{prefill: routing.NewLine(initialFixedLatency, time.Duration(relativeCost(model, e)*float64(initialTokenLatency)))}
-		p[model] = v
+func (l modelLatencies) get(model string, e *route.Engine) *modelLatency {
+	latency := l[model]
+	if latency == nil {
+		latency = &modelLatency{prefill: routing.NewLine(initialFixedLatency, time.Duration(relativeLatency(model, e)*float64(initialTokenLatency)))}
+		l[model] = latency
 	}
-	return v
+	return latency
 }
 
-// relativeCost returns the latency ratio to the cheapest model, derived from the costs.
-func relativeCost(model string, e *route.Engine) float64 {
+// relativeLatency estimates a model's latency relative to the cheapest model's, from the
+// costs.
+func relativeLatency(model string, e *route.Engine) float64 {
 	if e == nil || e.Cost[model] <= 0 {
 		return 1
 	}
-	least := e.Cost[model]
+	lowest := e.Cost[model]
 	for _, c := range e.Cost {
 		if c > 0 {
-			least = min(least, c)
+			lowest = min(lowest, c)
 		}
 	}
-	return math.Pow(e.Cost[model]/least, costExponent)
+	return math.Pow(e.Cost[model]/lowest, costExponent)
 }
 
 // prefillScale is the prefill time per token relative to referenceTokenTime.
-func (p *modelLatency) prefillScale() float64 {
-	return float64(p.prefill.PerToken()) / float64(referenceTokenTime)
+func (l *modelLatency) prefillScale() float64 {
+	return float64(l.prefill.PerToken()) / float64(referenceTokenTime)
 }
 
 func updateMean(mean *float64, sample float64) {
@@ -75,34 +76,34 @@
 }
 
 // streamTime returns the expected time from the first event of a stream to the last.
-func (p modelLatencies) streamTime(model string, events float64) time.Duration {
-	if v := p[model]; v != nil {
-		return time.Duration(max(events-1, 0) * v.eventInterval * float64(time.Second))
+func (l modelLatencies) streamTime(model string, events float64) time.Duration {
+	if latency := l[model]; latency != nil {
+		return time.Duration(max(events-1, 0) * latency.eventInterval * float64(time.Second))
 	}
 	return 0
 }
 
 // remainingStreamTime returns the streamTime of a stream that has begun.
 func (s *State) remainingStreamTime(t *target, events float64) time.Duration {
-	var rest time.Duration
-	s.withService(t.service, func(sv *service) { rest = sv.models.streamTime(t.model, events) })
-	return rest
+	var remaining time.Duration
+	s.withService(t.service, func(sv *service) { remaining = sv.models.streamTime(t.model, events) })
+	return remaining
 }
 
 // typicalLatency returns the typical time to the first event or response and the
 // interval between events, in seconds.
-func (s *State) typicalLatency(t *target, engine bool) (first, gap float64) {
+func (s *State) typicalLatency(t *target, engine bool) (first, interval float64) {
 	s.withService(t.service, func(sv *service) {
-		p := sv.models.get(t.model, nil)
-		first, gap = p.responseTime, p.eventInterval
+		latency := sv.models.get(t.model, nil)
+		first, interval = latency.responseTime, latency.eventInterval
 		if engine {
-			first = (t.backlog + p.prefill.At(t.uncached)).Seconds()
+			first = (t.backlog + latency.prefill.At(t.uncached)).Seconds()
 		}
 	})
-	return first, gap
+	return first, interval
 }
 
 // recordEventInterval records the mean interval between the events of a stream.
-func (s *State) recordEventInterval(t *target, gap time.Duration) {
-	s.withService(t.service, func(sv *service) { updateMean(&sv.models.get(t.model, nil).eventInterval, gap.Seconds()) })
+func (s *State) recordEventInterval(t *target, interval time.Duration) {
+	s.withService(t.service, func(sv *service) { updateMean(&sv.models.get(t.model, nil).eventInterval, interval.Seconds()) })
 }
--- a/internal/relay/liveness.go
+++ b/internal/relay/liveness.go
@@ -97,33 +97,33 @@
 	return &livenessMonitor{state: s, backend: b, log: l, metrics: m, servers: map[string]*monitoredServer{}, lastActivity: map[string]time.Time{}}
 }
 
-func (w *livenessMonitor) recordActivity(address string) {
-	w.mu.Lock()
-	w.lastActivity[address] = time.Now()
-	w.mu.Unlock()
+func (m *livenessMonitor) recordActivity(address string) {
+	m.mu.Lock()
+	m.lastActivity[address] = time.Now()
+	m.mu.Unlock()
 }
 
 // recordHeader records the head of a response. Earlier requests of the same or a higher
 // priority without a response have been overtaken: their responses may be lost on a
 // connection that stays open.
-func (w *livenessMonitor) recordHeader(a *attempt) {
+func (m *livenessMonitor) recordHeader(a *attempt) {
 	a.recordProgress()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	v := w.servers[a.target.server.ID]
-	if v == nil {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	srv := m.servers[a.target.server.ID]
+	if srv == nil {
 		return
 	}
-	for other := range v.attempts {
+	for other := range srv.attempts {
 		if _, done := other.lastProgress(); !done && other.sentAt.Before(a.sentAt) && other.priority <= a.priority {
 			other.overtaken++
 		}
 	}
 }
 
-func (w *livenessMonitor) track(t *target, engine bool, rt *route.Route, urgency int, move func(lost bool) bool) *attempt {
-	a := &attempt{target: t, engine: engine, sentAt: time.Now(), reroute: move, stallTimeout: defaultStallTimeout, priority: urgency}
-	first, _ := w.state.typicalLatency(t, engine)
+func (m *livenessMonitor) track(t *target, engine bool, rt *route.Route, priority int, reroute func(lost bool) bool) *attempt {
+	a := &attempt{target: t, engine: engine, sentAt: time.Now(), reroute: reroute, stallTimeout: defaultStallTimeout, priority: priority}
+	first, _ := m.state.typicalLatency(t, engine)
 	a.overtakenTimeout = time.Duration(plainWaitFactor * first * float64(time.Second))
 	if engine {
 		a.overtakenTimeout = engineWaitFactor * max(t.expectedLatency, time.Duration(first*float64(time.Second)))
@@ -133,79 +133,79 @@
 	if rt.GapTarget > 0 {
 		a.stallTimeout = time.Duration(stallFraction * float64(rt.GapTarget))
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	v := w.servers[t.server.ID]
-	if v == nil {
-		v = &monitoredServer{attempts: map[*attempt]bool{}}
-		w.servers[t.server.ID] = v
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	srv := m.servers[t.server.ID]
+	if srv == nil {
+		srv = &monitoredServer{attempts: map[*attempt]bool{}}
+		m.servers[t.server.ID] = srv
 	}
-	v.attempts[a] = true
+	srv.attempts[a] = true
 	return a
 }
 
-func (w *livenessMonitor) untrack(a *attempt) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (m *livenessMonitor) untrack(a *attempt) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	id := a.target.server.ID
-	v := w.servers[id]
-	if v == nil {
+	srv := m.servers[id]
+	if srv == nil {
 		return
 	}
-	delete(v.attempts, a)
-	if len(v.attempts) == 0 && !v.probing {
-		delete(w.servers, id)
-		delete(w.lastActivity, a.target.server.Address)
+	delete(srv.attempts, a)
+	if len(srv.attempts) == 0 && !srv.probing {
+		delete(m.servers, id)
+		delete(m.lastActivity, a.target.server.Address)
 	}
 }
 
 // rerouteWaiting reroutes the requests that wait for a run that has ended, since the
 // restarted server will not respond to them. A stream that still makes progress stays.
-func (w *livenessMonitor) rerouteWaiting(id string, now time.Time) (moved int) {
-	w.mu.Lock()
+func (m *livenessMonitor) rerouteWaiting(id string, now time.Time) (rerouted int) {
+	m.mu.Lock()
 	var waiting []*attempt
-	if v := w.servers[id]; v != nil {
-		for a := range v.attempts {
+	if srv := m.servers[id]; srv != nil {
+		for a := range srv.attempts {
 			if at, answered := a.lastProgress(); !answered || now.Sub(at) >= recentProgress {
 				waiting = append(waiting, a)
 			}
 		}
 	}
-	w.mu.Unlock()
+	m.mu.Unlock()
 	for _, a := range waiting {
 		if a.reroute(true) {
-			moved++
+			rerouted++
 		}
 	}
-	return moved
+	return rerouted
 }
 
-func (w *livenessMonitor) run(ctx context.Context) { loop.Every(ctx, checkInterval, w.check) }
+func (m *livenessMonitor) run(ctx context.Context) { loop.Every(ctx, checkInterval, m.check) }
 
 // check probes silent servers and reroutes stuck requests.
-func (w *livenessMonitor) check(ctx context.Context, now time.Time) {
-	var probes, stalled []*attempt
-	w.mu.Lock()
-	for _, v := range w.servers {
-		if a := w.silentAttempt(v, now); a != nil {
-			v.probing = true
+func (m *livenessMonitor) check(ctx context.Context, now time.Time) {
+	var probes, stuck []*attempt
+	m.mu.Lock()
+	for _, srv := range m.servers {
+		if a := m.silentAttempt(srv, now); a != nil {
+			srv.probing = true
 			probes = append(probes, a)
 		}
-		for a := range v.attempts {
-			if a.stuck(now, v.progressing(now)) {
-				stalled = append(stalled, a)
+		for a := range srv.attempts {
+			if a.stuck(now, srv.progressing(now)) {
+				stuck = append(stuck, a)
 			}
 		}
 	}
-	w.mu.Unlock()
+	m.mu.Unlock()
 	for _, a := range probes {
-		go w.probe(ctx, a)
+		go m.probe(ctx, a)
 	}
-	for _, a := range stalled {
+	for _, a := range stuck {
 		if a.reroute(false) {
 			a.rerouted = true
-			w.log.Warn("request stuck, moved", "server", a.target.server.ID, "model", a.target.model, "overtaken", a.overtaken, "waited_ms", now.Sub(a.sentAt).Milliseconds(), "expected_ms", a.target.expectedLatency.Milliseconds())
-			w.metrics.SendsRerouted.Inc(1)
+			m.log.Warn("request stuck, moved", "server", a.target.server.ID, "model", a.target.model, "overtaken", a.overtaken, "waited_ms", now.Sub(a.sentAt).Milliseconds(), "expected_ms", a.target.expectedLatency.Milliseconds())
+			m.metrics.SendsRerouted.Inc(1)
 		}
 	}
 }
@@ -214,20 +214,20 @@
 // its stream has stalled while others progress, or its response is lost. If all
 // streams of a server stall, the server is busy and rerouting would only add load.
 func (a *attempt) stuck(now time.Time, othersProgress bool) bool {
-	at, answered := a.lastProgress()
+	progressAt, responded := a.lastProgress()
 	switch {
 	case a.rerouted:
 		return false
-	case answered:
-		return a.engine && othersProgress && now.Sub(at) > a.stallTimeout
+	case responded:
+		return a.engine && othersProgress && now.Sub(progressAt) > a.stallTimeout
 	}
 	waited := now.Sub(a.sentAt)
 	return waited > a.headerTimeout || a.overtaken >= minOvertaken && waited > a.overtakenTimeout
 }
 
 // progressing reports whether any stream of the server has made progress recently.
-func (v *monitoredServer) progressing(now time.Time) bool {
-	for a := range v.attempts {
+func (srv *monitoredServer) progressing(now time.Time) bool {
+	for a := range srv.attempts {
 		if at, answered := a.lastProgress(); answered && now.Sub(at) < recentProgress {
 			return true
 		}
@@ -240,12 +240,12 @@
 
 // silentAttempt returns the oldest attempt on a server that has been silent too long,
 // or nil. Callers hold mu.
-func (w *livenessMonitor) silentAttempt(v *monitoredServer, now time.Time) *attempt {
-	if v.probing || now.Sub(v.lastProbe) < 2*silenceTimeout {
+func (m *livenessMonitor) silentAttempt(srv *monitoredServer, now time.Time) *attempt {
+	if srv.probing || now.Sub(srv.lastProbe) < 2*silenceTimeout {
 		return nil
 	}
 	var oldest *attempt
-	for a := range v.attempts {
+	for a := range srv.attempts {
 		if oldest == nil || a.sentAt.Before(oldest.sentAt) {
 			oldest = a
 		}
@@ -253,38 +253,38 @@
 	if oldest == nil || now.Sub(oldest.sentAt) < silenceTimeout {
 		return nil
 	}
-	if now.Sub(w.lastActivity[oldest.target.server.Address]) < silenceTimeout {
+	if now.Sub(m.lastActivity[oldest.target.server.Address]) < silenceTimeout {
 		return nil
 	}
 	return oldest
 }
 
 // probe checks a server; if it does not respond, all its requests are rerouted.
-func (w *livenessMonitor) probe(ctx context.Context, a *attempt) {
-	w.metrics.Probes.Inc(1)
+func (m *livenessMonitor) probe(ctx context.Context, a *attempt) {
+	m.metrics.Probes.Inc(1)
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
-	err := w.backend.Probe(probeCtx, a.target.server, a.engine)
+	err := m.backend.Probe(probeCtx, a.target.server, a.engine)
 	cancel()
 	id := a.target.server.ID
 	var waiting []*attempt
-	w.mu.Lock()
-	if v := w.servers[id]; v != nil {
-		v.probing, v.lastProbe = false, time.Now()
+	m.mu.Lock()
+	if srv := m.servers[id]; srv != nil {
+		srv.probing, srv.lastProbe = false, time.Now()
 		if err != nil {
-			for other := range v.attempts {
+			for other := range srv.attempts {
 				waiting = append(waiting, other)
 			}
 		}
-		if len(v.attempts) == 0 {
-			delete(w.servers, id)
+		if len(srv.attempts) == 0 {
+			delete(m.servers, id)
 		}
 	}
-	w.mu.Unlock()
+	m.mu.Unlock()
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	w.log.Warn("server silent", "server", id, "requests", len(waiting), "err", err)
-	w.state.markUnreachable(a.target)
+	m.log.Warn("server silent", "server", id, "requests", len(waiting), "err", err)
+	m.state.markUnreachable(a.target)
 	for _, other := range waiting {
 		other.reroute(true)
 	}
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -27,7 +27,7 @@
 	ClientsDisconnected tally.Counter
 	// Probes counts liveness probes of silent servers.
 	Probes tally.Counter
-	// SendsRerouted counts stuck sends that were cancelled in favour of another server.
+	// SendsRerouted counts sends that were cancelled and continued on another server.
 	SendsRerouted tally.Counter
 	// ServersEnded counts servers that ended while running requests of this daemon.
 	ServersEnded tally.Counter
@@ -80,7 +80,7 @@
 // ReadDelay is the upper bound of the delay with which records of a subject were read.
 func (m *Metrics) ReadDelay(subject freshness.Subject) tally.Histogram { return m.readDelays[subject] }
 
-// latencyBuckets doubles the bucket limits from 5 ms to 20 s.
+// latencyBuckets is the number of buckets, whose limits double from 5 ms to 20 s.
 const latencyBuckets = 13
 
 // Refusals counts refusals by kind.
@@ -108,7 +108,7 @@
 		"repeats":               "Sends after the first of a request.",
 		"escalations":           "Responses replaced by a larger model's.",
 		"sends_failed":          "Sends without a response.",
-		"sends_moved":           "Stuck sends cancelled in favour of another server.",
+		"sends_moved":           "Sends cancelled and continued on another server.",
 		"servers_ended":         "Servers that ended while running requests of this daemon.",
 		"requests_held":         "Quarantined requests: servers ended while running them.",
 		"domains_evacuated":     "Evacuated failure domains.",
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -12,7 +12,7 @@
 	confidence float64
 }
 
-// noConfidence stands for a model that reports none.
+// noConfidence is the confidence of a model that reports none.
 const noConfidence = -1
 
 // choosesModel reports whether the daemon selects the model.
@@ -48,7 +48,7 @@
 	return r
 }
 
-// expectedEvents is the expected number of events of the answer.
+// expectedEvents returns the expected number of events of the answer.
 func (x *exchange) expectedEvents() float64 {
 	perEvent := 1
 	if e := x.service.Engine; e != nil {
@@ -115,7 +115,7 @@
 	return true
 }
 
-// recordSend records a send, from which the price of delay is derived.
+// recordSend records a send for the estimate of the cost of delay.
 func (x *exchange) recordSend(t *target) {
 	if !x.choosesModel() {
 		return
--- a/internal/relay/peerwork.go
+++ b/internal/relay/peerwork.go
@@ -12,9 +12,9 @@
 }
 
 // add applies deltas.
-func (p *peerWork) add(changes []ServerWork) {
+func (p *peerWork) add(deltas []ServerWork) {
 	p.version++
-	for _, c := range changes {
+	for _, c := range deltas {
 		w := p.byServer[c.Server]
 		w = ServerWork{Server: c.Server, InFlight: w.InFlight + c.InFlight, PendingPrefill: w.PendingPrefill + c.PendingPrefill}
 		if w.InFlight == 0 && w.PendingPrefill == 0 {
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -117,16 +117,16 @@
 // are spread, which isolates the one that ended it, and all daemons send the retries
 // of one request to the same server.
 func (s *State) pickByFingerprint(p routing.Pipeline, r routing.Request, sel *selection, req *requirements) routing.Decision {
-	var usable []int
+	var eligible []int
 	for _, i := range sel.service.tracker.Order() {
 		if c := &sel.candidates[i]; c.ID != "" && !c.Suspect && !c.Leaving && !r.Tried.Has(i) {
-			usable = append(usable, i)
+			eligible = append(eligible, i)
 		}
 	}
-	if len(usable) == 0 {
+	if len(eligible) == 0 {
 		return routing.Decision{Index: -1, Refusal: routing.NoCandidate}
 	}
-	chosen := slices.MaxFunc(usable, func(a, b int) int {
+	chosen := slices.MaxFunc(eligible, func(a, b int) int {
 		return cmp.Compare(rendezvousWeight(sel.candidates[a].Hash, uint64(req.fingerprint)), rendezvousWeight(sel.candidates[b].Hash, uint64(req.fingerprint)))
 	})
 	for i := range sel.candidates {
@@ -155,16 +155,16 @@
 }
 
 // prefillTime is the time to process the prompt on the selected server.
-func (o *selection) prefillTime() time.Duration {
-	return time.Duration(float64(o.request.Uncached(o.decision.Index)) * o.request.PrefillScale * float64(referenceTokenTime))
+func (sel *selection) prefillTime() time.Duration {
+	return time.Duration(float64(sel.request.Uncached(sel.decision.Index)) * sel.request.PrefillScale * float64(referenceTokenTime))
 }
 
 // laneSize is the number of engines that serve the model's requests.
-func (o *selection) laneSize() int {
+func (sel *selection) laneSize() int {
 	n := 0
-	excluded := o.request.Foreign.With(o.request.Tried)
-	for i := range o.candidates {
-		if o.candidates[i].ID != "" && !excluded.Has(i) {
+	excluded := sel.request.Foreign.With(sel.request.Tried)
+	for i := range sel.candidates {
+		if sel.candidates[i].ID != "" && !excluded.Has(i) {
 			n++
 		}
 	}
@@ -172,8 +172,8 @@
 }
 
 // backlog is the prefill time of the requests queued on the selected server.
-func (o *selection) backlog() time.Duration {
-	c := &o.candidates[o.decision.Index]
+func (sel *selection) backlog() time.Duration {
+	c := &sel.candidates[sel.decision.Index]
 	return time.Duration((c.PendingPrefill + c.OthersPending) * float64(referenceTokenTime))
 }
 
@@ -242,7 +242,7 @@
 	if small == large {
 		return nil
 	}
-	return map[string]float64{small: 1, large: escalatedFraction * relativeCost(large, e)}
+	return map[string]float64{small: 1, large: escalatedFraction * relativeLatency(large, e)}
 }
 
 // minConnections is a daemon's least share of the connections to one server.
@@ -302,16 +302,16 @@
 	s.withService(t.service, func(sv *service) {
 		s.removePending(sv, t)
 		s.gate.Answered(t.server.ID, t.slowStart, s.bootTime())
-		p := sv.models.get(t.model, nil)
+		latency := sv.models.get(t.model, nil)
 		if !engine {
 			// A plain response time does not show the queueing delay.
 			sv.tracker.Late(t.server.ID, 0, time.Now())
-			updateMean(&p.responseTime, elapsed.Seconds())
+			updateMean(&latency.responseTime, elapsed.Seconds())
 			return
 		}
-		sv.tracker.Late(t.server.ID, elapsed-t.backlog-p.prefill.At(t.uncached), time.Now())
+		sv.tracker.Late(t.server.ID, elapsed-t.backlog-latency.prefill.At(t.uncached), time.Now())
 		if t.idle {
-			p.prefill.Sample(t.uncached, elapsed)
+			latency.prefill.Sample(t.uncached, elapsed)
 		}
 	})
 }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -11,8 +11,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/request"
 )
 
-// newGuard returns the guard that keeps requests away from servers if servers ended
-// while running them.
+// newGuard returns the guard that quarantines requests suspected of ending servers.
 func newGuard(r *Relay) *containment.Guard {
 	return containment.New(containment.Ports{
 		Boot: r.State.bootTime, Logger: r.log, Ended: r.Metrics.ServersEnded, Held: r.Metrics.RequestsHeld,
@@ -53,7 +52,7 @@
 	return containment.Finished
 }
 
-// recordLostServer records the end of a server that another daemon reported.
+// recordLostServer records the end of a server, given by its key between daemons.
 func (s *State) recordLostServer(run quarantine.RunKey) {
 	now := time.Now()
 	s.mu.Lock()
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -17,9 +17,9 @@
 )
 
 // callWithBody sends a request with a body.
-func (w *harness) callWithBody(path, body string) *fakeResponseWriter {
+func (h *harness) callWithBody(path, body string) *fakeResponseWriter {
 	out := &fakeResponseWriter{}
-	w.relay.Serve(context.Background(), newCall(path, body), out)
+	h.relay.Serve(context.Background(), newCall(path, body), out)
 	return out
 }
 
@@ -46,26 +46,26 @@
 }
 
 func TestHeldRequestIsNotSent(t *testing.T) {
-	w := newHarness(t, brokenStream)
-	w.relay.backend = refusingBackend{w.backend}
-	first := w.callWithBody("/s/1", "x")
+	h := newHarness(t, brokenStream)
+	h.relay.backend = refusingBackend{h.backend}
+	first := h.callWithBody("/s/1", "x")
 	if first.refusal == nil || first.refusal.State() == fault.NotRun || fault.Lookup(first.refusal.Kind).Run == fault.NotRun {
 		t.Errorf("request that ran was refused with %v", first.refusal)
 	}
-	sent := len(w.backend.sends)
+	sent := len(h.backend.sends)
 	if sent != 3 {
 		t.Fatalf("sent %d times", sent)
 	}
-	second := w.callWithBody("/s/1", "x")
+	second := h.callWithBody("/s/1", "x")
 	if r := second.refusal; r == nil || r.Kind != fault.Quarantined || r.State() != fault.NotRun || r.Advice() < time.Second {
 		t.Errorf("refused with %v", r)
 	}
-	if len(w.backend.sends) != sent {
+	if len(h.backend.sends) != sent {
 		t.Error("held request was sent")
 	}
-	w.relay.backend = w.backend
-	w.backend.script = []func(BackendRequest) (*BackendResponse, error){respondStream(90, nil, 1, 2)}
-	if other := w.callWithBody("/s/1", "y"); other.status != 200 {
+	h.relay.backend = h.backend
+	h.backend.script = []func(BackendRequest) (*BackendResponse, error){respondStream(90, nil, 1, 2)}
+	if other := h.callWithBody("/s/1", "y"); other.status != 200 {
 		t.Errorf("request with another body was refused with %v", other.refusal)
 	}
 }
@@ -81,22 +81,22 @@
 		"not run":      respondNotRun,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newHarness(t, nil)
-			hold := func() { w.relay.Guard.ApplyHold(fingerprintOf("/s/1", "x"), time.Minute) }
-			w.backend.script = []func(BackendRequest) (*BackendResponse, error){func(s BackendRequest) (*BackendResponse, error) {
+			h := newHarness(t, nil)
+			hold := func() { h.relay.Guard.ApplyHold(fingerprintOf("/s/1", "x"), time.Minute) }
+			h.backend.script = []func(BackendRequest) (*BackendResponse, error){func(s BackendRequest) (*BackendResponse, error) {
 				hold()
 				return first(s)
 			}, respond(200, "")}
 			if first == nil {
 				hold()
 			}
-			out := w.callWithBody("/s/1", "x")
+			out := h.callWithBody("/s/1", "x")
 			sends := 1
 			if first == nil {
 				sends = 0
 			}
-			if len(w.backend.sends) != sends || !out.aborted && out.refusal == nil {
-				t.Errorf("sent %d times, refused with %v, aborted %t", len(w.backend.sends), out.refusal, out.aborted)
+			if len(h.backend.sends) != sends || !out.aborted && out.refusal == nil {
+				t.Errorf("sent %d times, refused with %v, aborted %t", len(h.backend.sends), out.refusal, out.aborted)
 			}
 		})
 	}
@@ -106,30 +106,30 @@
 // shortly before the end, as by an escalation.
 func TestRunCancelledJustBeforeServerEndIsSuspected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newHarness(t, respondStream(0, nil, 1, 2), respondStream(90, nil, 1, 2, 3))
-		w.callWithBody("/s/1", "x")
+		h := newHarness(t, respondStream(0, nil, 1, 2), respondStream(90, nil, 1, 2, 3))
+		h.callWithBody("/s/1", "x")
 		f := fingerprintOf("/s/1", "x")
-		server := w.backend.sends[0].Server
-		ended := func(age time.Duration) {
-			w.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
+		server := h.backend.sends[0].Server
+		mergeEnd := func(age time.Duration) {
+			h.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
 				Run: containment.RunKey(server.ID), AgeMs: age.Milliseconds(), Suspects: []quarantine.Fingerprint{1},
 			}}})
 		}
-		*w.clock = fakeClock{now: w.clock.now + 2*time.Second}
+		*h.clock = fakeClock{now: h.clock.now + 2*time.Second}
 		time.Sleep(2 * time.Second)
-		ended(1900 * time.Millisecond)
-		if n := w.relay.Guard.Check(f).Ends; n != 0 {
+		mergeEnd(1900 * time.Millisecond)
+		if n := h.relay.Guard.Check(f).Ends; n != 0 {
 			t.Fatalf("completed request is suspected for %d ends", n)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		w := newHarness(t, respondStream(0, nil, 1, 2), brokenStream)
-		w.callWithBody("/s/1", "x")
+		h := newHarness(t, respondStream(0, nil, 1, 2), brokenStream)
+		h.callWithBody("/s/1", "x")
 		time.Sleep(100 * time.Millisecond)
-		w.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
-			Run: containment.RunKey(w.backend.sends[0].Server.ID), Suspects: []quarantine.Fingerprint{1},
+		h.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
+			Run: containment.RunKey(h.backend.sends[0].Server.ID), Suspects: []quarantine.Fingerprint{1},
 		}}})
-		if n := w.relay.Guard.Check(fingerprintOf("/s/1", "x")).Ends; n != 1 {
+		if n := h.relay.Guard.Check(fingerprintOf("/s/1", "x")).Ends; n != 1 {
 			t.Errorf("suspected for %d ends", n)
 		}
 	})
@@ -138,16 +138,16 @@
 // Guards against counting broken connections to healthy servers, or the end of servers
 // that had announced it, as ends caused by the request.
 func TestBrokenConnectionIsNotAServerEnd(t *testing.T) {
-	w := newHarness(t, failSend(upstream.Broken, true))
+	h := newHarness(t, failSend(upstream.Broken, true))
 	for range 4 {
-		w.callWithBody("/s/1", "x")
+		h.callWithBody("/s/1", "x")
 	}
-	if s := w.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Ends != 0 {
+	if s := h.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Ends != 0 {
 		t.Errorf("healthy servers: %+v", s)
 	}
-	w = newHarness(t, failSend(upstream.Broken, true))
-	w.relay.backend = refusingBackend{w.backend}
-	w.relay.State.UpdateServers(func(r *backend.Registry, _ time.Duration) {
+	h = newHarness(t, failSend(upstream.Broken, true))
+	h.relay.backend = refusingBackend{h.backend}
+	h.relay.State.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for _, id := range []string{"e0", "e1", "e2"} {
 			s, _, _ := r.Get(id, 0)
 			s.Leaving = true
@@ -155,10 +155,10 @@
 		}
 	})
 	for _, id := range []string{"e0", "e1", "e2"} {
-		u := w.relay.Guard.Enter(containment.Server{ID: id}, 7, func(error) {})
-		w.relay.Guard.Leave(t.Context(), u, containment.Server{ID: id}, containment.Broke)
+		u := h.relay.Guard.Enter(containment.Server{ID: id}, 7, func(error) {})
+		h.relay.Guard.Leave(t.Context(), u, containment.Server{ID: id}, containment.Broke)
 	}
-	if s := w.relay.Guard.Check(7); s.Ends != 0 {
+	if s := h.relay.Guard.Check(7); s.Ends != 0 {
 		t.Errorf("leaving servers: %+v", s)
 	}
 }
@@ -166,13 +166,13 @@
 // Guards against missing the end of a server that is back before its VM refuses a
 // connection; only its entry shows the restart.
 func TestImmediateRestartCountsAsServerEnd(t *testing.T) {
-	w := newHarness(t, failSend(upstream.Broken, true))
-	w.callWithBody("/s/1", "x")
-	for _, s := range w.backend.sends {
-		w.relay.ServerRestarted(s.Server)
-		w.relay.ServerRestarted(s.Server)
+	h := newHarness(t, failSend(upstream.Broken, true))
+	h.callWithBody("/s/1", "x")
+	for _, s := range h.backend.sends {
+		h.relay.ServerRestarted(s.Server)
+		h.relay.ServerRestarted(s.Server)
 	}
-	if s := w.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Ends != 3 || !s.Held {
+	if s := h.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Ends != 3 || !s.Held {
 		t.Errorf("standing %+v", s)
 	}
 }
@@ -180,15 +180,15 @@
 // Guards against leaving a request on a server after it was put on hold. Responses that
 // are being forwarded are not cancelled.
 func TestHoldCancelsWaitingSends(t *testing.T) {
-	w := newHarness(t, respond(200, ""))
+	h := newHarness(t, respond(200, ""))
 	var causes []error
-	enter := func(server string) *containment.Run {
-		return w.relay.Guard.Enter(containment.Server{ID: server}, 7, func(err error) { causes = append(causes, err) })
+	enterRun := func(server string) *containment.Run {
+		return h.relay.Guard.Enter(containment.Server{ID: server}, 7, func(err error) { causes = append(causes, err) })
 	}
-	enter("e0")
-	w.relay.Guard.Pass(enter("e1"))
-	w.relay.Guard.Leave(t.Context(), enter("e2"), containment.Server{ID: "e2"}, containment.Finished)
-	w.relay.Guard.ApplyHold(7, time.Minute)
+	enterRun("e0")
+	h.relay.Guard.Pass(enterRun("e1"))
+	h.relay.Guard.Leave(t.Context(), enterRun("e2"), containment.Server{ID: "e2"}, containment.Finished)
+	h.relay.Guard.ApplyHold(7, time.Minute)
 	if len(causes) != 1 || !errors.Is(causes[0], containment.ErrHeld) {
 		t.Errorf("cancelled with %v", causes)
 	}
@@ -197,13 +197,13 @@
 // Guards against sending suspects to the same server again, and against sending the
 // retries of one suspect to different servers.
 func TestSuspectRequestsAreSpreadOverServers(t *testing.T) {
-	w := newHarness(t, respond(200, ""))
-	to := map[string]int{}
+	h := newHarness(t, respond(200, ""))
+	perServer := map[string]int{}
 	for f := quarantine.Fingerprint(1); f <= 60; f++ {
-		x := &requirements{service: "app", fingerprint: f, standing: quarantine.Standing{Ends: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
+		req := &requirements{service: "app", fingerprint: f, standing: quarantine.Standing{Ends: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
 		first := ""
 		for range 3 {
-			got, err := w.relay.State.pick(x, 100)
+			got, err := h.relay.State.pick(req, 100)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -212,10 +212,10 @@
 			}
 			first = got.server.ID
 		}
-		to[first]++
+		perServer[first]++
 	}
-	for id, n := range to {
-		if n > 40 || len(to) < 3 {
+	for id, n := range perServer {
+		if n > 40 || len(perServer) < 3 {
 			t.Errorf("%d of 60 requests are sent to %s", n, id)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -57,7 +57,7 @@
 	options  Options
 	log      *log.Logger
 	liveness *livenessMonitor
-	// Guard keeps requests away from servers if servers ended while running them.
+	// Guard quarantines requests that are suspected of ending servers.
 	Guard *containment.Guard
 	// ConfigOutdated reports whether other daemons have a newer configuration than the store.
 	ConfigOutdated func() bool
@@ -93,21 +93,21 @@
 // State is keyed by the run's id, so that nothing carries over to the new run.
 func (r *Relay) ServerRestarted(run backend.Server) {
 	r.Guard.Restarted(containmentServer(run))
-	moved := r.liveness.rerouteWaiting(run.ID, time.Now())
+	rerouted := r.liveness.rerouteWaiting(run.ID, time.Now())
 	r.backend.CloseIdleConnections(run.Address)
 	r.Metrics.ServerRestarts.Inc(1)
-	r.Metrics.SendsRerouted.Inc(int64(moved))
-	r.log.Info("server restarted", "server", run.ID, "address", run.Address, "moved", moved)
+	r.Metrics.SendsRerouted.Inc(int64(rerouted))
+	r.log.Info("server restarted", "server", run.ID, "address", run.Address, "moved", rerouted)
 }
 
 // RecordActivity records that bytes arrived from a server's address.
 func (r *Relay) RecordActivity(address string) { r.liveness.recordActivity(address) }
 
-// Drain makes the relay refuse requests whose deadline is after end: a client
+// Drain makes the relay refuse requests whose deadline is after shutdownAt: a client
 // cannot tell whether a request that is aborted by the shutdown has run.
-func (r *Relay) Drain(end time.Time) {
+func (r *Relay) Drain(shutdownAt time.Time) {
 	r.mu.Lock()
-	r.shutdownAt = end
+	r.shutdownAt = shutdownAt
 	r.mu.Unlock()
 }
 
@@ -140,8 +140,8 @@
 // counted by all others yet.
 const usableReserveFraction = 0.6
 
-// takeRetry takes a retry out of the budget of a service. It leaves
-// reserveFraction of the reserve.
+// takeRetry takes a retry out of the budget of a service, and leaves reserveFraction of
+// its reserve.
 func (r *Relay) takeRetry(service string, reserveFraction float64) bool {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
@@ -224,7 +224,7 @@
 	}
 	x := &exchange{relay: r, call: c, route: rt, lastEvent: c.LastEvent}
 	x.hash = xxhash.Sum64String(c.ID)
-	w, known := t.Workspace(c.Key)
+	workspace, known := t.Workspace(c.Key)
 	keyed := t.Keyed() && !rt.Public
 	switch {
 	case keyed && !r.keysFresh():
@@ -233,10 +233,10 @@
 		return nil, fault.New(fault.Unauthorized, "no workspace owns the presented key")
 	}
 	if known {
-		x.workspace = w.Name
+		x.workspace = workspace.Name
 	}
 	x.fingerprint = quarantine.Of(x.workspace, c.Host, c.Method, c.Target, c.Body)
-	x.priority = enginePriority(rt, w)
+	x.priority = enginePriority(rt, workspace)
 	if limit := t.Limits.BodyBytes; limit > 0 && int64(len(c.Body)) > limit {
 		return nil, fault.New(fault.TooLarge, "the body is longer than %d bytes", limit)
 	}
@@ -254,7 +254,8 @@
 const startupWait = 400 * time.Millisecond
 
 const (
-	// staleRetryAfter and drainRetryAfter are the Retry-After of such refusals.
+	// staleRetryAfter and drainRetryAfter are the Retry-After of refusals for a stale
+	// configuration and during shutdown, after which to try another daemon.
 	staleRetryAfter = 100 * time.Millisecond
 	drainRetryAfter = 10 * time.Millisecond
 )
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -132,20 +132,20 @@
 	return &harness{New(s, b, rules, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
 }
 
-func (w *harness) call(path string) *fakeResponseWriter {
+func (h *harness) call(path string) *fakeResponseWriter {
 	out := &fakeResponseWriter{}
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
 		c.Model = AnyModel
 		c.Prompt = Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
-	w.relay.Serve(context.Background(), c, out)
+	h.relay.Serve(context.Background(), c, out)
 	return out
 }
 
-func (w *harness) inFlight() int {
+func (h *harness) inFlight() int {
 	n := 0
-	for _, v := range w.relay.State.OwnWork() {
+	for _, v := range h.relay.State.OwnWork() {
 		n += v.InFlight
 	}
 	return n
@@ -160,31 +160,31 @@
 }
 
 func TestBufferedResponseIsForwarded(t *testing.T) {
-	w := newHarness(t, respond(200, "paid"))
-	if out := w.call("/p/1"); out.status != 200 || out.body.String() != "paid" {
+	h := newHarness(t, respond(200, "paid"))
+	if out := h.call("/p/1"); out.status != 200 || out.body.String() != "paid" {
 		t.Fatalf("got %d %q", out.status, out.body.String())
 	}
 }
 
 // Guards against completed requests that still count as load on their server.
 func TestCompletedRequestsAreNotInFlight(t *testing.T) {
-	w := newHarness(t, respond(200, "x"))
+	h := newHarness(t, respond(200, "x"))
 	for range 50 {
-		w.call("/l/1")
+		h.call("/l/1")
 	}
-	w.backend.script = []func(BackendRequest) (*BackendResponse, error){respondStream(90, nil, 1, 2)}
-	w.call("/s/1")
-	if n := w.inFlight(); n != 0 {
+	h.backend.script = []func(BackendRequest) (*BackendResponse, error){respondStream(90, nil, 1, 2)}
+	h.call("/s/1")
+	if n := h.inFlight(); n != 0 {
 		t.Fatalf("%d requests still in flight", n)
 	}
 }
 
 // Guards against running a payment twice after a connection broke.
 func TestNonIdempotentRequestIsNotRetriedAfterLoss(t *testing.T) {
-	w := newHarness(t, failSend(upstream.Broken, true), respond(200, "paid"))
-	out := w.call("/p/1")
-	if len(w.backend.sends) != 1 {
-		t.Fatalf("sent %d times", len(w.backend.sends))
+	h := newHarness(t, failSend(upstream.Broken, true), respond(200, "paid"))
+	out := h.call("/p/1")
+	if len(h.backend.sends) != 1 {
+		t.Fatalf("sent %d times", len(h.backend.sends))
 	}
 	if out.refusal == nil || out.refusal.State() == fault.NotRun {
 		t.Fatalf("refused with %v, which states that it did not run", out.refusal)
@@ -198,61 +198,61 @@
 	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
 		"refused by server": respondNotRun, "no connection": failSend(upstream.Unreachable, false),
 	} {
-		w := newHarness(t, first, respond(200, "paid"))
-		out := w.call("/p/1")
-		if out.status != 200 || len(w.backend.sends) != 2 {
-			t.Errorf("%s: got %d after %d sends", name, out.status, len(w.backend.sends))
+		h := newHarness(t, first, respond(200, "paid"))
+		out := h.call("/p/1")
+		if out.status != 200 || len(h.backend.sends) != 2 {
+			t.Errorf("%s: got %d after %d sends", name, out.status, len(h.backend.sends))
 		}
-		if w.backend.sends[0].Server.ID == w.backend.sends[1].Server.ID {
+		if h.backend.sends[0].Server.ID == h.backend.sends[1].Server.ID {
 			t.Errorf("%s: retried on the same server", name)
 		}
 	}
 }
 
 func TestRefusalByAllServersReportsNotRun(t *testing.T) {
-	w := newHarness(t, respondNotRun)
-	out := w.call("/p/1")
+	h := newHarness(t, respondNotRun)
+	out := h.call("/p/1")
 	if out.refusal == nil || out.refusal.State() != fault.NotRun || out.refusal.Advice() <= 0 {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
 
 func TestRetriesStopAtRouteAttempts(t *testing.T) {
-	w := newHarness(t, respond(500, "a"), respond(500, "b"), respond(200, "c"))
-	out := w.call("/l/1")
-	if out.status != 500 || out.body.String() != "b" || len(w.backend.sends) != 2 {
-		t.Fatalf("got %d %q after %d sends, want 2", out.status, out.body.String(), len(w.backend.sends))
+	h := newHarness(t, respond(500, "a"), respond(500, "b"), respond(200, "c"))
+	out := h.call("/l/1")
+	if out.status != 500 || out.body.String() != "b" || len(h.backend.sends) != 2 {
+		t.Fatalf("got %d %q after %d sends, want 2", out.status, out.body.String(), len(h.backend.sends))
 	}
 }
 
 // Guards against duplicate or missing events after a failover in the middle of an event.
 func TestResumedStreamHasNoGapOrDuplicate(t *testing.T) {
-	w := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 2, 3, 4))
-	out := w.call("/s/1")
+	h := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 2, 3, 4))
+	out := h.call("/s/1")
 	if got := out.body.String(); got != events(1, 2, 3, 4) {
 		t.Fatalf("got %q", got)
 	}
-	if second := w.backend.sends[1]; second.LastEvent != 2 || second.Model != w.backend.sends[0].Model {
+	if second := h.backend.sends[1]; second.LastEvent != 2 || second.Model != h.backend.sends[0].Model {
 		t.Fatalf("resumed after %d with %s", second.LastEvent, second.Model)
 	}
 }
 
 func TestStreamWithMissingEventIsAborted(t *testing.T) {
-	w := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 4, 5))
-	out := w.call("/s/1")
+	h := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 4, 5))
+	out := h.call("/s/1")
 	if !out.aborted || out.body.String() != events(1, 2) {
 		t.Fatalf("aborted %t, got %q", out.aborted, out.body.String())
 	}
 }
 
 func TestLowConfidenceEscalatesToLargestModel(t *testing.T) {
-	w := newHarness(t, respondStream(10, nil, 1), respondStream(95, nil, 1, 2))
-	out := w.call("/s/1")
+	h := newHarness(t, respondStream(10, nil, 1), respondStream(95, nil, 1, 2))
+	out := h.call("/s/1")
 	if out.body.String() != events(1, 2) {
 		t.Fatalf("got %q", out.body.String())
 	}
-	if w.backend.sends[0].Model != "small" || w.backend.sends[1].Model != "large" {
-		t.Fatalf("sent to %s, then %s", w.backend.sends[0].Model, w.backend.sends[1].Model)
+	if h.backend.sends[0].Model != "small" || h.backend.sends[1].Model != "large" {
+		t.Fatalf("sent to %s, then %s", h.backend.sends[0].Model, h.backend.sends[1].Model)
 	}
 }
 
@@ -263,12 +263,12 @@
 		confidence float64
 		want       []string
 	}{{95, []string{"small"}}, {10, []string{"small", "large"}}} {
-		w := newHarness(t, respondStream(tt.confidence, nil, 8, 9), respondStream(95, nil, 8, 9))
+		h := newHarness(t, respondStream(tt.confidence, nil, 8, 9), respondStream(95, nil, 8, 9))
 		out := &fakeResponseWriter{}
 		prompt := Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
-		w.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/s/1", Key: "k", Model: AnyModel, Prompt: prompt, LastEvent: 7, Received: time.Now()}, out)
+		h.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/s/1", Key: "k", Model: AnyModel, Prompt: prompt, LastEvent: 7, Received: time.Now()}, out)
 		var asked []string
-		for _, s := range w.backend.sends {
+		for _, s := range h.backend.sends {
 			asked = append(asked, s.Model)
 			if s.LastEvent != 7 {
 				t.Errorf("%s was asked to resume after %d", s.Model, s.LastEvent)
@@ -282,25 +282,25 @@
 
 // Guards against accepting a revoked key while the daemon is cut off from the store.
 func TestStaleConfigurationRefusesKeys(t *testing.T) {
-	w := newHarness(t, respond(200, "x"))
-	w.clock.now += 4 * time.Second
-	out := w.call("/l/1")
-	if out.refusal == nil || out.refusal.Kind != fault.ConfigurationStale || len(w.backend.sends) != 0 {
-		t.Fatalf("got %+v after %d sends", out.refusal, len(w.backend.sends))
-	}
-	w.relay.State.Confirm(freshness.Configuration, freshness.Confirmation{At: w.clock.now, By: freshness.Own})
-	if out := w.call("/l/1"); out.status != 200 {
+	h := newHarness(t, respond(200, "x"))
+	h.clock.now += 4 * time.Second
+	out := h.call("/l/1")
+	if out.refusal == nil || out.refusal.Kind != fault.ConfigurationStale || len(h.backend.sends) != 0 {
+		t.Fatalf("got %+v after %d sends", out.refusal, len(h.backend.sends))
+	}
+	h.relay.State.Confirm(freshness.Configuration, freshness.Confirmation{At: h.clock.now, By: freshness.Own})
+	if out := h.call("/l/1"); out.status != 200 {
 		t.Fatalf("got %+v after a confirmation", out.refusal)
 	}
 }
 
 func TestUnknownKeyAndRoute(t *testing.T) {
-	w := newHarness(t, respond(200, "x"))
-	if out := w.call("/none/"); out.refusal == nil || out.refusal.Kind != fault.NotFound {
+	h := newHarness(t, respond(200, "x"))
+	if out := h.call("/none/"); out.refusal == nil || out.refusal.Kind != fault.NotFound {
 		t.Errorf("no route: %+v", out.refusal)
 	}
 	out := &fakeResponseWriter{}
-	w.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/l/1", Key: "other", Received: time.Now()}, out)
+	h.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/l/1", Key: "other", Received: time.Now()}, out)
 	if out.refusal == nil || out.refusal.Kind != fault.Unauthorized {
 		t.Errorf("no key: %+v", out.refusal)
 	}
@@ -308,18 +308,18 @@
 
 // Guards against admitting a request that may outlast the daemon.
 func TestDrainingRefusesRequestsThatMayOutlastDaemon(t *testing.T) {
-	w := newHarness(t, respond(200, "x"))
-	w.relay.Drain(time.Now().Add(500 * time.Millisecond))
-	if out := w.call("/l/1"); out.refusal == nil || out.refusal.Kind != fault.ShuttingDown || out.refusal.State() != fault.NotRun {
+	h := newHarness(t, respond(200, "x"))
+	h.relay.Drain(time.Now().Add(500 * time.Millisecond))
+	if out := h.call("/l/1"); out.refusal == nil || out.refusal.Kind != fault.ShuttingDown || out.refusal.State() != fault.NotRun {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
 
 func TestUnauthenticatedResponseIsNotForwarded(t *testing.T) {
-	w := newHarness(t, func(BackendRequest) (*BackendResponse, error) {
+	h := newHarness(t, func(BackendRequest) (*BackendResponse, error) {
 		return &BackendResponse{Status: 200, Header: http.Header{}, Confidence: -1, ContentLength: 1, Body: io.NopCloser(strings.NewReader("x"))}, nil
 	})
-	if out := w.call("/p/1"); out.status != 0 || out.refusal == nil {
+	if out := h.call("/p/1"); out.status != 0 || out.refusal == nil {
 		t.Fatalf("forwarded %d %q", out.status, out.body.String())
 	}
 }
@@ -328,27 +328,27 @@
 	short := func(BackendRequest) (*BackendResponse, error) {
 		return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: 9, Body: io.NopCloser(strings.NewReader("x"))}, nil
 	}
-	w := newHarness(t, short, respond(200, "whole"))
-	if out := w.call("/l/1"); out.body.String() != "whole" {
+	h := newHarness(t, short, respond(200, "whole"))
+	if out := h.call("/l/1"); out.body.String() != "whole" {
 		t.Fatalf("got %q", out.body.String())
 	}
 }
 
 // Guards against aborting a stream at failover because its key was revoked meanwhile.
 func TestRevokedKeyDoesNotAbortStream(t *testing.T) {
-	w := newHarness(t, nil)
-	w.backend.script = []func(BackendRequest) (*BackendResponse, error){
+	h := newHarness(t, nil)
+	h.backend.script = []func(BackendRequest) (*BackendResponse, error){
 		func(s BackendRequest) (*BackendResponse, error) {
 			table, err := route.New(route.Document{Version: 2, Keyed: true, Keys: map[string]route.Workspace{}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.relay.State.SetTable(table)
+			h.relay.State.SetTable(table)
 			return respondStream(90, errors.New("reset"), 1)(s)
 		},
 		respondStream(90, nil, 2, 3),
 	}
-	if out := w.call("/s/1"); out.aborted || out.body.String() != events(1, 2, 3) {
+	if out := h.call("/s/1"); out.aborted || out.body.String() != events(1, 2, 3) {
 		t.Fatalf("aborted %t, got %q", out.aborted, out.body.String())
 	}
 }
@@ -357,18 +357,18 @@
 func TestUnbufferedResponseIsCompleteOrAborted(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBody+10)
 	for _, broken := range []error{nil, io.ErrUnexpectedEOF} {
-		w := newHarness(t, func(BackendRequest) (*BackendResponse, error) {
+		h := newHarness(t, func(BackendRequest) (*BackendResponse, error) {
 			var r io.Reader = strings.NewReader(long)
 			if broken != nil {
 				r = io.MultiReader(r, failingReader{broken})
 			}
 			return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: -1, Body: io.NopCloser(r)}, nil
 		})
-		out := w.call("/l/x")
+		out := h.call("/l/x")
 		if out.body.Len() != len(long) || out.aborted != (broken != nil) {
 			t.Errorf("ended by %v: %d of %d bytes, aborted %t", broken, out.body.Len(), len(long), out.aborted)
 		}
-		if n := w.inFlight(); n != 0 {
+		if n := h.inFlight(); n != 0 {
 			t.Errorf("%d requests still in flight", n)
 		}
 	}
@@ -377,24 +377,24 @@
 // Guards against a reserve for failovers that exceeds the budget of one daemon of many,
 // so that no answer is escalated.
 func TestEscalationWithinSmallReserve(t *testing.T) {
-	w := newHarness(t, respondStream(10, nil, 0, 1), respondStream(90, nil, 0, 1))
-	w.relay.State.SetDaemons(30)
-	w.call("/s/x")
-	if n := len(w.backend.sends); n != 2 || w.backend.sends[1].Model != "large" {
+	h := newHarness(t, respondStream(10, nil, 0, 1), respondStream(90, nil, 0, 1))
+	h.relay.State.SetDaemons(30)
+	h.call("/s/x")
+	if n := len(h.backend.sends); n != 2 || h.backend.sends[1].Model != "large" {
 		t.Errorf("%d sends", n)
 	}
 }
 
 // Guards against retries with the original timeout instead of the time left.
 func TestSendTimeoutIsTimeLeft(t *testing.T) {
-	w := newHarness(t, respond(500, "x"), respond(200, "y"))
+	h := newHarness(t, respond(500, "x"), respond(200, "y"))
 	out := &fakeResponseWriter{}
 	c := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Timeout: time.Second}
-	w.relay.Serve(context.Background(), c, out)
-	if len(w.backend.sends) != 2 {
-		t.Fatalf("%d sends", len(w.backend.sends))
+	h.relay.Serve(context.Background(), c, out)
+	if len(h.backend.sends) != 2 {
+		t.Fatalf("%d sends", len(h.backend.sends))
 	}
-	first, second := w.backend.sends[0].Timeout, w.backend.sends[1].Timeout
+	first, second := h.backend.sends[0].Timeout, h.backend.sends[1].Timeout
 	if first > 500*time.Millisecond || second > first {
 		t.Errorf("timeouts are %s and %s with 0.5 s left", first, second)
 	}
@@ -402,13 +402,13 @@
 
 // Guards against waiting for a lost response beyond the route's timeout.
 func TestRouteTimeoutEndsRequest(t *testing.T) {
-	w := newHarness(t, nil)
-	w.backend.script[0] = func(BackendRequest) (*BackendResponse, error) {
+	h := newHarness(t, nil)
+	h.backend.script[0] = func(BackendRequest) (*BackendResponse, error) {
 		return nil, &upstream.Error{Reason: upstream.Canceled, Sent: true, Err: context.DeadlineExceeded}
 	}
 	out := &fakeResponseWriter{}
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Timeout: time.Minute}
-	w.relay.Serve(context.Background(), c, out)
+	h.relay.Serve(context.Background(), c, out)
 	if out.refusal == nil || out.refusal.Kind != fault.DeadlineExceeded || out.refusal.State() == fault.NotRun {
 		t.Errorf("refused with %+v after the route timeout", out.refusal)
 	}
--- a/internal/relay/response.go
+++ b/internal/relay/response.go
@@ -22,9 +22,9 @@
 	body   []byte
 }
 
-func (a *bufferedResponse) writeTo(out ResponseWriter) {
-	out.WriteHeader(a.status, a.header, int64(len(a.body)))
-	_ = out.WriteBody(a.body) // a disconnected client is detected by its context
+func (r *bufferedResponse) writeTo(out ResponseWriter) {
+	out.WriteHeader(r.status, r.header, int64(len(r.body)))
+	_ = out.WriteBody(r.body) // a disconnected client is detected by its context
 }
 
 // forwardBuffered reads a response completely before it forwards any of it. If the
@@ -40,14 +40,14 @@
 		return request.Lost, false
 	}
 	elapsed := time.Since(sentAt)
-	a := &bufferedResponse{reply.Status, reply.Header, body}
+	resp := &bufferedResponse{reply.Status, reply.Header, body}
 	failed := reply.Status >= http.StatusInternalServerError
 	x.relay.Rollouts.recordResponse(t, failed, x.latencyRatio(t, elapsed, 0))
 	if !failed {
 		x.relay.State.recordResponse(t, elapsed, x.service.Engine != nil)
 	}
 	if failed {
-		x.serverFailure = a
+		x.serverFailure = resp
 		if x.journey.Repeatable {
 			x.logEvent("server failed", t, "status", reply.Status)
 			return request.Failed, false
@@ -57,7 +57,7 @@
 	x.relay.Metrics.Responses(ok).Inc(1)
 	x.relay.Metrics.ResponseLatency.RecordDuration(time.Since(x.call.Received))
 	x.logEvent("answered", t, "status", reply.Status, "bytes", len(body))
-	a.writeTo(x.out)
+	resp.writeTo(x.out)
 	return request.Failed, true
 }
 
@@ -85,11 +85,11 @@
 type bodyWriter struct{ out ResponseWriter }
 
 // Write implements io.Writer.
-func (p bodyWriter) Write(b []byte) (int, error) {
-	if err := p.out.WriteBody(b); err != nil {
+func (w bodyWriter) Write(p []byte) (int, error) {
+	if err := w.out.WriteBody(p); err != nil {
 		return 0, err
 	}
-	return len(b), nil
+	return len(p), nil
 }
 
 // latencyRatio returns the ratio of the response time, with a number of intervals
@@ -184,8 +184,8 @@
 }
 
 // process forwards the events that a chunk completes, in one write.
-func (s *streamForwarder) process(p []byte) error {
-	if err := s.reader.feed(p); err != nil {
+func (s *streamForwarder) process(chunk []byte) error {
+	if err := s.reader.feed(chunk); err != nil {
 		return err
 	}
 	s.batch = s.batch[:0]
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -22,7 +22,7 @@
 	orders map[string]*orderState
 	// sessions holds the sessions seen within the idle timeout.
 	sessions sessionTracker
-	// baselines are the typical response times of services on the version that carries
+	// baselines are the typical latency ratios of services on the version that carries
 	// the traffic.
 	baselines map[string]*rollout.Usual
 	// storedPhases are the phases in the store, by service. A phase may be read before
@@ -71,10 +71,10 @@
 		return
 	}
 	s.nextSweep = now.Add(s.idleTimeout)
-	for _, of := range s.lastSeen {
-		for id, at := range of {
+	for _, sessions := range s.lastSeen {
+		for id, at := range sessions {
 			if now.Sub(at) > s.idleTimeout {
-				delete(of, id)
+				delete(sessions, id)
 			}
 		}
 	}
@@ -107,12 +107,12 @@
 	PinnedSessions []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// NewRollouts returns Rollouts without orders. The session idle timeout is the maximum
-// time between two requests of a session; now reads the clock.
-func NewRollouts(sessionSpan time.Duration, now func() time.Time, l *log.Logger) *Rollouts {
+// NewRollouts returns Rollouts without orders. SessionIdleTimeout is the maximum time
+// between two requests of a session; now reads the clock.
+func NewRollouts(sessionIdleTimeout time.Duration, now func() time.Time, logger *log.Logger) *Rollouts {
 	return &Rollouts{
-		log: l, now: now, orders: map[string]*orderState{}, baselines: map[string]*rollout.Usual{}, storedPhases: map[string]datedPhase{}, lostPhases: map[string]time.Time{},
-		sessions: sessionTracker{idleTimeout: sessionSpan, lastSeen: map[string]map[uint64]time.Time{}},
+		log: logger, now: now, orders: map[string]*orderState{}, baselines: map[string]*rollout.Usual{}, storedPhases: map[string]datedPhase{}, lostPhases: map[string]time.Time{},
+		sessions: sessionTracker{idleTimeout: sessionIdleTimeout, lastSeen: map[string]map[uint64]time.Time{}},
 	}
 }
 
@@ -120,14 +120,14 @@
 func (r *Rollouts) AddOrder(o rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	old := r.orders[o.Service]
-	if old != nil && old.Offset >= o.Offset {
+	known := r.orders[o.Service]
+	if known != nil && known.Offset >= o.Offset {
 		return
 	}
-	if old != nil && laterEra(o.Offset, old.Offset) && o.Target == old.Target {
+	if known != nil && laterEra(o.Offset, known.Offset) && o.Target == known.Target {
 		// The store was restored from an older copy. This is the known order, read or
 		// written again; a finished one must not restart.
-		old.Offset = o.Offset
+		known.Offset = o.Offset
 		r.reconcile(o.Service)
 		return
 	}
@@ -327,7 +327,7 @@
 	}
 }
 
-// PhaseChange is a transition of an order to a phase.
+// PhaseChange is a transition of an order to a phase. Age is the time since the order.
 type PhaseChange struct {
 	Order  rollout.Order
 	Phase  rollout.Phase
@@ -345,16 +345,16 @@
 		if o.phase.Over() {
 			continue
 		}
-		parts, oldInFlight := []rollout.Evidence{o.evidence()}, o.oldInFlight
+		allEvidence, oldInFlight := []rollout.Evidence{o.evidence()}, o.oldInFlight
 		for incarnation, p := range o.peerReports {
-			parts = append(parts, p.Evidence)
+			allEvidence = append(allEvidence, p.Evidence)
 			if alive(incarnation) {
 				oldInFlight += p.OldInFlight
 			}
 		}
-		all := rollout.Sum(parts...)
+		total := rollout.Sum(allEvidence...)
 		age := r.now().Sub(o.orderedAt)
-		if p, reason := rollout.DefaultCourse().Next(o.Order, o.phase, age, all, oldInFlight); p != o.phase {
+		if p, reason := rollout.DefaultCourse().Next(o.Order, o.phase, age, total, oldInFlight); p != o.phase {
 			out = append(out, PhaseChange{o.Order, p, age, reason})
 		}
 	}
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -86,16 +86,16 @@
 
 // Guards against losing a peer's evidence when it sends a report without evidence.
 func TestReportWithoutEvidenceKeepsEarlierEvidence(t *testing.T) {
-	one, judge := testRollouts(), testRollouts()
+	one, evaluator := testRollouts(), testRollouts()
 	none := func(string, string) int { return 0 }
 	one.recordResponse(&target{service: "s", server: backend.Server{ID: "a", Version: "v2"}}, true, 0)
 	with, without := one.Reports(none, true, false), one.Reports(none, false, false)
 	if len(with[0].Evidence) != 1 || without[0].Evidence != nil {
 		t.Fatalf("with evidence %+v, without %+v", with[0].Evidence, without[0].Evidence)
 	}
-	judge.ApplyReports("one/1", with)
-	judge.ApplyReports("one/1", without)
-	if got := judge.orders["s"].peerReports["one/1"].Evidence; len(got) != 1 {
+	evaluator.ApplyReports("one/1", with)
+	evaluator.ApplyReports("one/1", without)
+	if got := evaluator.orders["s"].peerReports["one/1"].Evidence; len(got) != 1 {
 		t.Errorf("evidence lost: %v", got)
 	}
 }
@@ -103,10 +103,10 @@
 // Guards against using a bad version while the store is unreachable: the suspension must
 // reach peers without it.
 func TestSuspensionByEvaluatorAppliesToPeers(t *testing.T) {
-	judge, other, third := testRollouts(), testRollouts(), testRollouts()
+	evaluator, other, third := testRollouts(), testRollouts(), testRollouts()
 	none := func(string, string) int { return 0 }
-	judge.Suspend("s", 7, "errors")
-	other.ApplyReports("judge/1", judge.Reports(none, false, true))
+	evaluator.Suspend("s", 7, "errors")
+	other.ApplyReports("judge/1", evaluator.Reports(none, false, true))
 	if c := other.ChooseVersion("s", "", 1); c.Preferred("v2") {
 		t.Error("suspended version is preferred")
 	}
@@ -120,7 +120,7 @@
 // copy, in which the order has a later position and an earlier phase, or none.
 func TestFinishedOrderStaysFinishedAfterStoreRestore(t *testing.T) {
 	later := uint64(feed.At(1, 9))
-	for name, said := range map[string]*StoredPhase{
+	for name, stored := range map[string]*StoredPhase{
 		"no phase stored":      nil,
 		"earlier phase stored": {Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Whole},
 	} {
@@ -130,21 +130,21 @@
 			r.AddOrder(order)
 			r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Completed})
 			r.StoreRestored()
-			if said != nil {
-				r.ApplyStoredPhase(*said)
+			if stored != nil {
+				r.ApplyStoredPhase(*stored)
 			}
 			order.Offset = later
 			r.AddOrder(order)
 			if due := r.NextPhases(func(string) bool { return true }); len(due) != 0 {
 				t.Fatalf("finished order advances: %+v", due)
 			}
-			again := r.LostPhases(0)
-			if len(again) != 1 || again[0].Phase != rollout.Completed || again[0].Order.Offset != later {
-				t.Fatalf("phases to rewrite: %+v", again)
+			lost := r.LostPhases(0)
+			if len(lost) != 1 || lost[0].Phase != rollout.Completed || lost[0].Order.Offset != later {
+				t.Fatalf("phases to rewrite: %+v", lost)
 			}
 			r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: later, Phase: rollout.Completed})
-			if again := r.LostPhases(0); len(again) != 0 {
-				t.Errorf("phases still to rewrite: %+v", again)
+			if lost := r.LostPhases(0); len(lost) != 0 {
+				t.Errorf("phases still to rewrite: %+v", lost)
 			}
 		})
 	}
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -115,13 +115,13 @@
 	return s.confirmations.Age(subject, now)
 }
 
-// NextCheck returns the subject to check next and the time until then. Own is the time
-// until this daemon must read the store itself.
-func (s *State) NextCheck(p freshness.Plan, rank int, own time.Duration) (subject freshness.Subject, due time.Duration, any bool) {
+// NextCheck returns the subject to check next and the time until then. OwnDue is the
+// time until this daemon must read the store itself.
+func (s *State) NextCheck(p freshness.Plan, rank int, ownDue time.Duration) (subject freshness.Subject, due time.Duration, any bool) {
 	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return p.Next(&s.confirmations, now, rank, own)
+	return p.Next(&s.confirmations, now, rank, ownDue)
 }
 
 // LastConfirmation returns the source of a subject's last confirmation, and its age.
@@ -136,9 +136,9 @@
 // Ready reports whether a configuration and the servers have been loaded.
 func (s *State) Ready() bool {
 	s.mu.Lock()
-	listed := s.serversLoaded
+	loaded := s.serversLoaded
 	s.mu.Unlock()
-	return listed && s.Table() != nil
+	return loaded && s.Table() != nil
 }
 
 // signalReady closes ready once the state is complete. Callers hold mu.
@@ -313,13 +313,13 @@
 
 // AddPeerWork adds deltas of other daemons' work. Deltas commute, so concurrent reports
 // can be applied in any order.
-func (s *State) AddPeerWork(changes []ServerWork) {
-	if len(changes) == 0 {
+func (s *State) AddPeerWork(deltas []ServerWork) {
+	if len(deltas) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.peerWork.add(changes)
+	s.peerWork.add(deltas)
 }
 
 // maxPromptParts is the number of a prompt's parts that are distinguished.
--- a/internal/relay/state_test.go
+++ b/internal/relay/state_test.go
@@ -60,14 +60,14 @@
 // Guards against applying reports about an earlier run of an engine to its new run: it has
 // an empty cache and none of that load.
 func TestReportsAboutEarlierRunAreIgnored(t *testing.T) {
-	w := newHarness(t, respond(200, ""))
-	s := w.relay.State
+	h := newHarness(t, respond(200, ""))
+	s := h.relay.State
 	put := func(born int64) {
 		s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "e0", Born: born}, Service: "lm", Address: "10.0.0.0:1", Slots: 8, Version: "v1"})
 		})
 	}
-	held := func() (n int) {
+	applied := func() (n int) {
 		s.withService("lm", func(sv *service) {
 			r := routing.Request{Blocks: []uint64{7}, BlockEnds: []int{50}}
 			for _, c := range sv.tracker.Snapshot(nil, time.Now()) {
@@ -86,21 +86,21 @@
 	}
 	s.withService("lm", func(*service) {}) // somebody has asked for the service
 	put(100)
-	before := backend.Incarnation{Name: "e0", Born: 100}.ID()
-	tell := func(id string) {
+	earlier := backend.Incarnation{Name: "e0", Born: 100}.ID()
+	report := func(id string) {
 		s.ApplyPlacements([]Placement{{Server: ServerKeyOf(id), Blocks: []uint64{7}}})
 		s.AddPeerWork([]ServerWork{{Server: ServerKeyOf(id), InFlight: 3}})
 	}
-	tell(before)
-	if held() != 2 {
-		t.Fatalf("%d of 2 reports about the current run were applied", held())
+	report(earlier)
+	if applied() != 2 {
+		t.Fatalf("%d of 2 reports about the current run were applied", applied())
 	}
 	put(200)
-	if held() != 0 {
+	if applied() != 0 {
 		t.Error("the new run inherits state of the earlier one")
 	}
-	tell(before)
-	if held() != 0 {
+	report(earlier)
+	if applied() != 0 {
 		t.Error("late reports about the earlier run were applied to the new one")
 	}
 }
--- a/internal/relay/storedphases.go
+++ b/internal/relay/storedphases.go
@@ -57,13 +57,12 @@
 	}
 }
 
-// LostPhases lists the phases that are missing from a restored store for at least the
-// given time.
-func (r *Rollouts) LostPhases(since time.Duration) (out []PhaseChange) {
+// LostPhases lists the phases that a restored store has been missing for at least minAge.
+func (r *Rollouts) LostPhases(minAge time.Duration) (out []PhaseChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for service, at := range r.lostPhases {
-		if o := r.orders[service]; o != nil && r.now().Sub(at) >= since {
+	for service, lostAt := range r.lostPhases {
+		if o := r.orders[service]; o != nil && r.now().Sub(lostAt) >= minAge {
 			out = append(out, PhaseChange{o.Order, o.phase, r.now().Sub(o.orderedAt), "phase missing from the restored store"})
 		}
 	}
