--- a/internal/relay/affinity.go
+++ b/internal/relay/affinity.go
@@ -9,14 +9,14 @@
 // affinityKey hashes all parts of a prompt but the last, which is unique to the
 // request. It determines the server of a prompt that no server has cached.
 func affinityKey(model string, p Prompt) uint64 {
-	chain := xxhash.Sum64String(model)
+	key := xxhash.Sum64String(model)
 	for i, part := range p.Parts {
 		if i == len(p.Parts)-1 && i > 0 {
 			break
 		}
-		chain = chain*hashMultiplier + part.ID
+		key = key*hashMultiplier + part.ID
 	}
-	return chain
+	return key
 }
 
 // rendezvousWeight is a server's weight for a key; the highest weight ranks first.
@@ -27,26 +27,26 @@
 
 // rankAffinity ranks the candidates for a key by rendezvous hashing.
 func rankAffinity(key uint64, candidates []routing.Candidate, r *routing.Request) {
-	var first [routing.FarHome]int
+	var ranked [routing.FarHome]int
 	var weights [routing.FarHome]uint64
-	found := 0
+	count := 0
 	for i := range candidates {
 		r.Home[i] = routing.FarHome
 		weight := rendezvousWeight(candidates[i].Hash, key)
-		place := found
-		for place > 0 && weights[place-1] < weight {
-			place--
+		rank := count
+		for rank > 0 && weights[rank-1] < weight {
+			rank--
 		}
-		if place == routing.FarHome {
+		if rank == routing.FarHome {
 			continue
 		}
-		copy(first[place+1:], first[place:])
-		copy(weights[place+1:], weights[place:])
-		first[place], weights[place] = i, weight
-		found = min(found+1, routing.FarHome)
+		copy(ranked[rank+1:], ranked[rank:])
+		copy(weights[rank+1:], weights[rank:])
+		ranked[rank], weights[rank] = i, weight
+		count = min(count+1, routing.FarHome)
 	}
-	for place, i := range first[:found] {
-		r.Home[i] = uint8(place)
+	for rank, i := range ranked[:count] {
+		r.Home[i] = uint8(rank)
 	}
 	rankLocalAffinity(key, candidates, r)
 }
@@ -55,15 +55,15 @@
 // ranks the first of them second or better, so that the daemons of a domain prefer
 // the same local server.
 func rankLocalAffinity(key uint64, candidates []routing.Candidate, r *routing.Request) {
-	best, most := -1, uint64(0)
+	best, bestWeight := -1, uint64(0)
 	r.Near = 0
 	for i := range candidates {
 		if candidates[i].ID == "" || candidates[i].FailureDomain != r.FailureDomain {
 			continue
 		}
 		r.Near++
-		if weight := rendezvousWeight(candidates[i].Hash, key); best < 0 || weight > most {
-			best, most = i, weight
+		if weight := rendezvousWeight(candidates[i].Hash, key); best < 0 || weight > bestWeight {
+			best, bestWeight = i, weight
 		}
 	}
 	if best >= 0 {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -52,13 +52,13 @@
 
 // blankLineEnd returns the index after the first blank line, or -1.
 func blankLineEnd(b []byte) int {
-	plain := bytes.Index(b, []byte("\n\n"))
+	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
-	case crlf >= 0 && (plain < 0 || crlf < plain):
+	case crlf >= 0 && (lf < 0 || crlf < lf):
 		return crlf + len("\r\n\r\n")
-	case plain >= 0:
-		return plain + len("\n\n")
+	case lf >= 0:
+		return lf + len("\n\n")
 	}
 	return -1
 }
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -35,12 +35,12 @@
 func TestEvacuatedDomainIsNeverPicked(t *testing.T) {
 	s, _ := gatedState(t, 0)
 	s.Evacuate("east")
-	for name, change := range map[string]func(w *requirements){
+	for name, change := range map[string]func(req *requirements){
 		"first send":    func(*requirements) {},
-		"repeat":        func(w *requirements) { w.tried = []string{"b"} },
-		"other version": func(w *requirements) { w.versions.Preferred = func(string) bool { return false } },
-		"part":          func(w *requirements) { w.versions.Fraction = 0.1 },
-		"ended servers": func(w *requirements) { w.standing.Ends = 1; w.fingerprint = 7 },
+		"repeat":        func(req *requirements) { req.tried = []string{"b"} },
+		"other version": func(req *requirements) { req.versions.Preferred = func(string) bool { return false } },
+		"part":          func(req *requirements) { req.versions.Fraction = 0.1 },
+		"ended servers": func(req *requirements) { req.standing.Ends = 1; req.fingerprint = 7 },
 		"all suspect": func(*requirements) {
 			for _, id := range []string{"a", "b"} {
 				s.markUnreachable(&target{service: "s", server: backend.Server{ID: id}})
@@ -48,9 +48,9 @@
 		},
 	} {
 		for range 20 {
-			w := gatedRequirements()
-			change(&w)
-			got, err := s.pick(&w, 10)
+			req := gatedRequirements()
+			change(&req)
+			got, err := s.pick(&req, 10)
 			if err == nil && got.server.FailureDomain == "east" {
 				t.Errorf("%s: picked a server in an evacuated domain", name)
 			}
@@ -63,8 +63,8 @@
 	s, _ := gatedState(t, 0)
 	s.Evacuate("east")
 	s.Evacuate("west")
-	w := gatedRequirements()
-	if _, err := s.pick(&w, 10); err == nil || err.Kind != fault.Evacuated || err.State() != fault.NotRun {
+	req := gatedRequirements()
+	if _, err := s.pick(&req, 10); err == nil || err.Kind != fault.Evacuated || err.State() != fault.NotRun {
 		t.Errorf("got %v", err)
 	}
 }
@@ -75,8 +75,8 @@
 	s, c := gatedState(t, time.Minute+2*time.Second)
 	sent, refused := 0, 0
 	for range 100 {
-		w := gatedRequirements()
-		_, err := s.pick(&w, 10)
+		req := gatedRequirements()
+		_, err := s.pick(&req, 10)
 		switch {
 		case err == nil:
 			sent++
@@ -92,8 +92,8 @@
 	}
 	c.now = time.Minute + 2*time.Second
 	for range 100 {
-		w := gatedRequirements()
-		if _, err := s.pick(&w, 10); err != nil {
+		req := gatedRequirements()
+		if _, err := s.pick(&req, 10); err != nil {
 			t.Fatalf("refused after the warm-up: %v", err)
 		}
 	}
@@ -102,9 +102,9 @@
 // Guards against sending a held request.
 func TestGateRefusesHeldRequest(t *testing.T) {
 	s, _ := gatedState(t, 0)
-	w := gatedRequirements()
-	w.gateRequest = gate.Request{Held: true}
-	if _, err := s.pick(&w, 10); err == nil {
+	req := gatedRequirements()
+	req.gateRequest = gate.Request{Held: true}
+	if _, err := s.pick(&req, 10); err == nil {
 		t.Error("held request was sent")
 	}
 }
--- a/internal/relay/pick_test.go
+++ b/internal/relay/pick_test.go
@@ -12,8 +12,8 @@
 
 // engineState is the state of a daemon with engines of two versions.
 func engineState(daemon string, engines int) *State {
-	boot := time.Duration(0)
-	s := NewState(daemon, "", func() time.Duration { boot += time.Microsecond; return boot })
+	now := time.Duration(0)
+	s := NewState(daemon, "", func() time.Duration { now += time.Microsecond; return now })
 	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for i := range engines {
 			_, _ = r.Put(backend.Server{
@@ -36,13 +36,13 @@
 	for _, engines := range []int{64, 160, 1600} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			s, rng := engineState("d1", engines), rand.New(rand.NewPCG(1, 2))
-			wants := make([]*requirements, 512)
-			for i := range wants {
-				wants[i] = engineRequirements(rng)
+			reqs := make([]*requirements, 512)
+			for i := range reqs {
+				reqs[i] = engineRequirements(rng)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				target, err := s.pick(wants[i%len(wants)], 1000)
+				target, err := s.pick(reqs[i%len(reqs)], 1000)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -60,9 +60,9 @@
 		for d := range 195 {
 			s, rng := engineState(fmt.Sprint("d", d), engines), rand.New(rand.NewPCG(uint64(d), 2))
 			for range 40 {
-				w := engineRequirements(rng)
-				w.versions = VersionChoice{Preferred: func(v string) bool { return v == "v2" }, Fallback: anyVersion, Fraction: 0.125}
-				target, err := s.pick(w, 1000)
+				req := engineRequirements(rng)
+				req.versions = VersionChoice{Preferred: func(v string) bool { return v == "v2" }, Fallback: anyVersion, Fraction: 0.125}
+				target, err := s.pick(req, 1000)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -158,7 +158,7 @@
 }
 
 // withValuer runs f on the model estimates of a service, under the lock.
-func (r *Relay) withValuer(service string, f func(v *cascade.Valuer)) {
+func (r *Relay) withValuer(service string, update func(v *cascade.Valuer)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.valuers[service]
@@ -166,7 +166,7 @@
 		v = &cascade.Valuer{}
 		r.valuers[service] = v
 	}
-	f(v)
+	update(v)
 }
 
 // Serve forwards one call and writes its response.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -87,10 +87,10 @@
 	aborted bool
 }
 
-func (c *fakeResponseWriter) Refuse(e *fault.Error)                          { c.refusal = e }
-func (c *fakeResponseWriter) WriteHeader(status int, _ http.Header, _ int64) { c.status = status }
-func (c *fakeResponseWriter) WriteBody(p []byte) error                       { c.body.Write(p); return nil }
-func (c *fakeResponseWriter) Abort()                                         { c.aborted = true }
+func (w *fakeResponseWriter) Refuse(e *fault.Error)                          { w.refusal = e }
+func (w *fakeResponseWriter) WriteHeader(status int, _ http.Header, _ int64) { w.status = status }
+func (w *fakeResponseWriter) WriteBody(p []byte) error                       { w.body.Write(p); return nil }
+func (w *fakeResponseWriter) Abort()                                         { w.aborted = true }
 
 // harness is a relay with three engines and three plain servers.
 type harness struct {
@@ -128,8 +128,8 @@
 		}
 	})
 	s.Confirm(freshness.Configuration, freshness.Confirmation{At: c.now, By: freshness.Own})
-	rules := Options{MaxKeyStaleness: 4 * time.Second, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50}
-	return &harness{New(s, b, rules, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
+	options := Options{MaxKeyStaleness: 4 * time.Second, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50}
+	return &harness{New(s, b, options, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
 }
 
 func (h *harness) call(path string) *fakeResponseWriter {
@@ -267,15 +267,15 @@
 		out := &fakeResponseWriter{}
 		prompt := Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 		h.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/s/1", Key: "k", Model: AnyModel, Prompt: prompt, LastEvent: 7, Received: time.Now()}, out)
-		var asked []string
+		var models []string
 		for _, s := range h.backend.sends {
-			asked = append(asked, s.Model)
+			models = append(models, s.Model)
 			if s.LastEvent != 7 {
 				t.Errorf("%s was asked to resume after %d", s.Model, s.LastEvent)
 			}
 		}
-		if out.body.String() != events(8, 9) || !slices.Equal(asked, tt.want) {
-			t.Errorf("confidence %g: got %q of %v", tt.confidence, out.body.String(), asked)
+		if out.body.String() != events(8, 9) || !slices.Equal(models, tt.want) {
+			t.Errorf("confidence %g: got %q of %v", tt.confidence, out.body.String(), models)
 		}
 	}
 }
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -44,14 +44,14 @@
 func TestNewSessionsUseTheCanary(t *testing.T) {
 	r := testRollouts()
 	r.orders["s"].orderedAt = time.Now().Add(-2 * canaryDelay)
-	fresh := 0
+	onNew := 0
 	for i := range 1000 {
 		if r.ChooseVersion("s", fmt.Sprint("session-", i), 0).Preferred("v2") {
-			fresh++
+			onNew++
 		}
 	}
-	if fresh < 60 || fresh > 140 {
-		t.Fatalf("%d of 1000 new sessions went to the new version, want about 100", fresh)
+	if onNew < 60 || onNew > 140 {
+		t.Fatalf("%d of 1000 new sessions went to the new version, want about 100", onNew)
 	}
 }
 
--- a/internal/relay/state_test.go
+++ b/internal/relay/state_test.go
@@ -27,12 +27,12 @@
 	})
 	s.StoreRecovered()
 	s.UpdateServers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
-	w := requirements{service: "s", versions: anyVersionChoice()}
-	if _, err := s.pick(&w, 10); err != nil {
+	req := requirements{service: "s", versions: anyVersionChoice()}
+	if _, err := s.pick(&req, 10); err != nil {
 		t.Fatalf("server that lapsed in an outage was dropped at once: %v", err)
 	}
 	c.now += 2400 * time.Millisecond
-	if _, err := s.pick(&w, 10); err == nil {
+	if _, err := s.pick(&req, 10); err == nil {
 		t.Fatal("picked a lapsed server")
 	}
 }
@@ -51,8 +51,8 @@
 	c.now += time.Second
 	s.UpdateServers(put)
 	c.now += time.Hour
-	w := requirements{service: "s", versions: anyVersionChoice()}
-	if _, err := s.pick(&w, 10); err != nil {
+	req := requirements{service: "s", versions: anyVersionChoice()}
+	if _, err := s.pick(&req, 10); err != nil {
 		t.Fatalf("reregistered server was dropped: %v", err)
 	}
 }
@@ -84,7 +84,7 @@
 		})
 		return n
 	}
-	s.withService("lm", func(*service) {}) // somebody has asked for the service
+	s.withService("lm", func(*service) {}) // creates the state of the service
 	put(100)
 	earlier := backend.Incarnation{Name: "e0", Born: 100}.ID()
 	report := func(id string) {
