--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -86,7 +86,7 @@
 	// BootTime reads a monotonic clock that includes the time of a suspended VM.
 	BootTime func() time.Duration
 	// OnWorkChanged is called with changes of the other daemons' work at backend servers.
-	OnWorkChanged func(changes []relay.Work)
+	OnWorkChanged func(changes []relay.ServerWork)
 
 	// QuarantineUpdate returns the recent changes of the quarantine, or all of it for a
 	// daemon that just joined.
@@ -103,7 +103,7 @@
 	// firstContact is the time of the first contact with another daemon, or zero.
 	firstContact time.Time
 	// expiredWork is the work of expired daemons, not yet passed to OnWorkChanged.
-	expiredWork []relay.Work
+	expiredWork []relay.ServerWork
 	// incarnation identifies this run, to ignore its own messages.
 	incarnation     string
 	addressesSentAt time.Time
@@ -114,7 +114,7 @@
 func New(name, address, incarnation string, localMessage func(evidence bool) Message, transport Transport, bootTime func() time.Duration, l *log.Logger) *Members {
 	return &Members{
 		localMessage: localMessage, transport: transport, log: l, address: address, incarnation: incarnation, OnMessage: func(Message, time.Duration) {}, BootTime: bootTime,
-		OnWorkChanged: func([]relay.Work) {}, QuarantineUpdate: func(bool) quarantine.Update { return quarantine.Update{} }, members: map[string]*member{}, leavingSince: map[string]time.Time{}, live: membership.NewLivePeers(name),
+		OnWorkChanged: func([]relay.ServerWork) {}, QuarantineUpdate: func(bool) quarantine.Update { return quarantine.Update{} }, members: map[string]*member{}, leavingSince: map[string]time.Time{}, live: membership.NewLivePeers(name),
 	}
 }
 
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -29,14 +29,14 @@
 	// Ages holds, by subject, the time in ms since the daemon's knowledge was last
 	// confirmed to be complete, or AgeUnknown.
 	Ages   []int64             `cbor:"9,keyasint"`
-	Work   []relay.Work        `cbor:"10,keyasint,omitempty"`
+	Work   []relay.ServerWork  `cbor:"10,keyasint,omitempty"`
 	Orders []relay.OrderReport `cbor:"11,keyasint,omitempty"`
 	// KnownAddresses lists addresses of other daemons, for discovery.
 	KnownAddresses []string `cbor:"12,keyasint,omitempty"`
 	// Placed holds the prompts placed in the round PlacedRound. Several messages may
 	// carry the same round.
-	Placed      []relay.Placed `cbor:"13,keyasint,omitempty"`
-	PlacedRound uint64         `cbor:"14,keyasint,omitempty"`
+	Placed      []relay.Placement `cbor:"13,keyasint,omitempty"`
+	PlacedRound uint64            `cbor:"14,keyasint,omitempty"`
 	// Timestamp is the sender's clock in ms at the time of sending. EchoTimestamp is the
 	// newest timestamp that the sender received from the run EchoIncarnation: the
 	// message was sent after that moment of the receiver's own clock.
--- a/internal/gossip/placements.go
+++ b/internal/gossip/placements.go
@@ -13,13 +13,13 @@
 	mu         sync.Mutex
 	round      uint64
 	roundStart time.Time
-	current    []relay.Placed
+	current    []relay.Placement
 	seenRounds map[string]uint64
 }
 
 // CurrentRound returns the placements and the number of the current round. A new round
 // begins after Interval.
-func (p *Placements) CurrentRound(collect func() []relay.Placed, now time.Time) ([]relay.Placed, uint64) {
+func (p *Placements) CurrentRound(collect func() []relay.Placement, now time.Time) ([]relay.Placement, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.roundStart) >= Interval {
--- /dev/null
+++ b/internal/relay/affinity.go
@@ -0,0 +1,72 @@
+package relay
+
+import (
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/damaskrudder/damaskrudder/internal/routing"
+)
+
+// affinityKey hashes all parts of a prompt but the last, which is unique to the
+// request. It determines the server of a prompt that no server has cached.
+func affinityKey(model string, p Prompt) uint64 {
+	key := xxhash.Sum64String(model)
+	for i, part := range p.Parts {
+		if i == len(p.Parts)-1 && i > 0 {
+			break
+		}
+		key = key*hashMultiplier + part.ID
+	}
+	return key
+}
+
+// rendezvousWeight is a server's weight for a key; the highest weight ranks first.
+func rendezvousWeight(server, key uint64) uint64 {
+	h := (server ^ key) * hashMultiplier
+	return h ^ h>>29
+}
+
+// rankAffinity ranks the candidates for a key by rendezvous hashing.
+func rankAffinity(key uint64, candidates []routing.Candidate, r *routing.Request) {
+	var ranked [routing.MaxHomeRank]int
+	var weights [routing.MaxHomeRank]uint64
+	count := 0
+	for i := range candidates {
+		r.HomeRank[i] = routing.MaxHomeRank
+		weight := rendezvousWeight(candidates[i].Hash, key)
+		rank := count
+		for rank > 0 && weights[rank-1] < weight {
+			rank--
+		}
+		if rank == routing.MaxHomeRank {
+			continue
+		}
+		copy(ranked[rank+1:], ranked[rank:])
+		copy(weights[rank+1:], weights[rank:])
+		ranked[rank], weights[rank] = i, weight
+		count = min(count+1, routing.MaxHomeRank)
+	}
+	for rank, i := range ranked[:count] {
+		r.HomeRank[i] = uint8(rank)
+	}
+	rankLocalAffinity(key, candidates, r)
+}
+
+// rankLocalAffinity counts the candidates in the daemon's own failure domain, and
+// ranks the first of them second or better, so that the daemons of a domain prefer
+// the same local server.
+func rankLocalAffinity(key uint64, candidates []routing.Candidate, r *routing.Request) {
+	best, bestWeight := -1, uint64(0)
+	r.LocalCandidates = 0
+	for i := range candidates {
+		if candidates[i].ID == "" || candidates[i].FailureDomain != r.FailureDomain {
+			continue
+		}
+		r.LocalCandidates++
+		if weight := rendezvousWeight(candidates[i].Hash, key); best < 0 || weight > bestWeight {
+			best, bestWeight = i, weight
+		}
+	}
+	if best >= 0 {
+		r.HomeRank[best] = min(r.HomeRank[best], 1)
+	}
+}
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// maxEvent bounds one event in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes is the largest size of one event in bytes.
+const maxEventBytes = 1 << 20
 
-var errEventTooLong = errors.New("an event is longer than allowed")
+var errEventTooLong = errors.New("event exceeds the size limit")
 
 // event is one complete event of a stream, as the server sent it.
 type event struct {
@@ -18,48 +18,47 @@
 	id int64
 }
 
-// eventReader splits a stream into events. A server may stop in the middle of
-// one; what is left of it then is never passed on, or the event that another
-// server sends next would be joined to it.
+// eventReader splits a stream into events. An incomplete event at the end is not
+// returned, as it would be joined with the first event of the next server.
 type eventReader struct {
-	buf  []byte
-	scan int
+	buf     []byte
+	scanned int
 }
 
-// feed adds bytes.
+// feed appends bytes to the buffer.
 func (e *eventReader) feed(p []byte) error {
 	e.buf = append(e.buf, p...)
-	if len(e.buf) > maxEvent {
+	if len(e.buf) > maxEventBytes {
 		return errEventTooLong
 	}
 	return nil
 }
 
-// partial reports whether an incomplete event is held.
+// partial reports whether the buffer holds an incomplete event.
 func (e *eventReader) partial() bool { return len(bytes.TrimSpace(e.buf)) > 0 }
 
 // next returns the next complete event. Its bytes are valid until the next feed.
 func (e *eventReader) next() (event, bool) {
-	end := blankLine(e.buf[e.scan:])
+	end := blankLineEnd(e.buf[e.scanned:])
 	if end < 0 {
-		e.scan = max(0, len(e.buf)-len("\r\n\r"))
+		e.scanned = max(0, len(e.buf)-len("\r\n\r"))
 		return event{}, false
 	}
-	end += e.scan
+	end += e.scanned
 	raw := e.buf[:end]
-	e.buf, e.scan = e.buf[end:], 0
+	e.buf, e.scanned = e.buf[end:], 0
 	return event{raw: raw, id: eventID(raw)}, true
 }
 
-// blankLine returns the place after the first blank line, or -1.
-func blankLine(b []byte) int {
-	plain := bytes.Index(b, []byte("\n\n"))
+// blankLineEnd returns the index after the first blank line, or -1.
+func blankLineEnd(b []byte) int {
+	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
-	case crlf >= 0 && (plain < 0 || crlf < plain):
+	case crlf >= 0 && (lf < 0 || crlf < lf):
 		return crlf + len("\r\n\r\n")
-	case plain >= 0:
-		return plain + len("\n\n")
+	case lf >= 0:
+		return lf + len("\n\n")
 	}
 	return -1
 }
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -9,76 +9,76 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// Evacuate closes a failure domain and reports whether it was open.
+// Evacuate stops new requests to a failure domain and reports whether it was open.
 func (s *State) Evacuate(domain string) bool {
-	now := s.boot()
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gate.Evacuate(domain, now)
 }
 
-// Readmit opens a failure domain again and reports whether it was closed.
+// Readmit reopens a failure domain and reports whether it was evacuated.
 func (s *State) Readmit(domain string) bool {
-	now := s.boot()
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gate.Readmit(domain, now)
 }
 
-// Evacuations lists the failure domains that are closed.
+// Evacuations lists the evacuated failure domains.
 func (s *State) Evacuations() []gate.Evacuation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gate.Evacuations()
 }
 
-// SetView takes with whom this daemon shares the limits of warming servers.
-func (s *State) SetView(v slowstart.View) {
-	now := s.boot()
+// SetSlowStartView sets the daemons that share the limits of warming servers.
+func (s *State) SetSlowStartView(v slowstart.View) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate.SetView(v, now)
 }
 
-// gated is a server as the gate sees it.
-func gated(b backend.Server, hash uint64, limit slowstart.Limit) gate.Server {
+// gateServer converts a server for the gate.
+func gateServer(b backend.Server, hash uint64, limit slowstart.Limit) gate.Server {
 	return gate.Server{ID: b.ID, Hash: hash, FailureDomain: b.FailureDomain, Leaving: b.Leaving, WarmAt: b.WarmAt, Limit: limit}
 }
 
-// bar excludes the servers that the request may not be sent to now, and counts why.
-func (s *State) bar(o *selection, w *want, now time.Duration) {
-	o.refused = gate.Refusals{}
-	for i := range o.candidates {
-		b, known := o.service.servers[o.candidates[i].ID]
+// excludeRefused excludes the servers that the gate refuses, and counts the reasons.
+func (s *State) excludeRefused(sel *selection, req *requirements, now time.Duration) {
+	sel.refusals = gate.Refusals{}
+	for i := range sel.candidates {
+		b, known := sel.service.servers[sel.candidates[i].ID]
 		if !known {
 			continue
 		}
-		if !s.gate.Admit(w.gated, gated(b, o.candidates[i].Hash, w.limit), now, &o.refused) {
-			o.request.Tried.Add(i)
+		if !s.gate.Admit(req.gateRequest, gateServer(b, sel.candidates[i].Hash, req.slowStart), now, &sel.refusals) {
+			sel.request.Tried.Add(i)
 		}
 	}
 }
 
-// pass records at the gate that a request is sent to the chosen server, and reports whether
+// recordSend records a send to the selected server at the gate, and reports whether
 // that server is warming up.
-func (s *State) pass(o *selection, w *want, now time.Duration) (warming bool) {
-	c := &o.candidates[o.decision.Index]
-	g := gated(o.service.servers[c.ID], c.Hash, w.limit)
+func (s *State) recordSend(sel *selection, req *requirements, now time.Duration) (warming bool) {
+	c := &sel.candidates[sel.decision.Index]
+	g := gateServer(sel.service.servers[c.ID], c.Hash, req.slowStart)
 	s.gate.RecordSend(g, now)
 	return now < s.gate.WarmAt(g, now)
 }
 
-// endedRun books that a run of a server has ended: its VM refuses connections.
-func (s *State) endedRun(id string) {
-	now := s.boot()
+// recordServerEnd records that a server's run has ended, as its VM refuses connections.
+func (s *State) recordServerEnd(id string) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate.ServerTerminated(id, now)
 }
 
-// Warming counts the servers that are warming up by their entries.
-func (s *State) Warming() (n int) {
-	now := s.boot()
+// WarmingServers counts the servers that are warming up according to their entries.
+func (s *State) WarmingServers() (n int) {
+	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
@@ -91,31 +91,31 @@
 	return n
 }
 
-// noServer is the refusal of a request that no server is left for.
-func noServer(o *selection, w *want) *fault.Error {
-	switch reason, left := o.refused.Primary(); reason {
+// noServerError returns the refusal for a request that no server can take.
+func noServerError(sel *selection, req *requirements) *fault.Error {
+	switch reason, left := sel.refusals.Primary(); reason {
 	case gate.Warming:
-		return fault.New(fault.Warming, "the servers of %s that are left are warming up", w.service).WithRetryAfter(max(left, warmRetry))
+		return fault.New(fault.Warming, "the servers of %s that are left are warming up", req.service).WithRetryAfter(max(left, minWarmingRetryAfter))
 	case gate.Evacuated:
-		return fault.New(fault.Evacuated, "the servers of %s that are left stand in evacuated failure domains", w.service)
+		return fault.New(fault.Evacuated, "the servers of %s that are left stand in evacuated failure domains", req.service)
 	}
-	return fault.New(fault.NoServer, "no server of %s is left", w.service)
+	return fault.New(fault.NoServer, "no server of %s is left", req.service)
 }
 
-// warmRetry is the least time after which to come back to servers that are warming up: their
-// limit lets further requests through meanwhile.
-const warmRetry = 100 * time.Millisecond
+// minWarmingRetryAfter is the least Retry-After while servers are warming up: their
+// limit admits further requests meanwhile.
+const minWarmingRetryAfter = 100 * time.Millisecond
 
-// limitOf is what a warming server of a service bears.
-func (r *Relay) limitOf(x *exchange) slowstart.Limit {
+// slowStartLimit returns the limit of a warming server of the call's service.
+func (r *Relay) slowStartLimit(x *exchange) slowstart.Limit {
 	return slowstart.Limit{
-		WarmupPeriod: x.service.WarmUp, PerSecond: x.service.WarmUpRate, BurstFactor: r.rules.WarmUpExcess, BurstSlack: r.rules.WarmUpSlack,
+		WarmupPeriod: x.service.WarmUp, PerSecond: x.service.WarmUpRate, BurstFactor: r.options.WarmUpRateFactor, BurstSlack: r.options.WarmUpBurst,
 	}
 }
 
-// mark excludes what a choice may not use: servers that were tried, those whose version may
-// not be used, and those that the gate refuses.
-func (s *State) mark(o *selection, w *want, admits func(string) bool, now time.Duration) {
-	mark(&o.request, o.candidates, o.service, w, admits)
-	s.bar(o, w, now)
+// applyExclusions excludes servers that were tried, whose version is not admitted,
+// or that the gate refuses.
+func (s *State) applyExclusions(sel *selection, req *requirements, admits func(string) bool, now time.Duration) {
+	excludeUnsuitable(&sel.request, sel.candidates, sel.service, req, admits)
+	s.excludeRefused(sel, req, now)
 }
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -10,15 +10,15 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-var warmUp = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
+var warmUpLimit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
 
-// gatedState has servers a in "east" and b in "west" and is the only daemon.
-func gatedState(t *testing.T, warmAt time.Duration) (*State, *clock) {
+// gatedState returns the state of the only daemon, with servers a in "east" and b in "west".
+func gatedState(t *testing.T, warmAt time.Duration) (*State, *fakeClock) {
 	t.Helper()
-	c := &clock{now: time.Minute}
+	c := &fakeClock{now: time.Minute}
 	s := NewState("d1", "", c.read)
-	s.SetView(slowstart.View{Self: 1, Trusted: true})
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
+	s.SetSlowStartView(slowstart.View{Self: 1, Trusted: true})
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for id, domain := range map[string]string{"a": "east", "b": "west"} {
 			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: id}, Service: "s", Address: id, FailureDomain: domain, Slots: 4, WarmAt: warmAt})
 		}
@@ -26,55 +26,57 @@
 	return s, c
 }
 
-func gatedWant() want { return want{service: "s", choice: everyVersionChoice(), limit: warmUp} }
+func gatedRequirements() requirements {
+	return requirements{service: "s", versions: anyVersionChoice(), slowStart: warmUpLimit}
+}
 
-// Guards against a way to a server past the gate: with another version preferred, after all
-// were tried, and where every server is suspect.
-func TestNoSecondChoiceLeadsToAnEvacuatedDomain(t *testing.T) {
+// Guards against selections that bypass the gate: with another version preferred, after
+// all servers were tried, and with every server suspect.
+func TestEvacuatedDomainIsNeverPicked(t *testing.T) {
 	s, _ := gatedState(t, 0)
 	s.Evacuate("east")
-	for name, change := range map[string]func(w *want){
-		"first send":    func(*want) {},
-		"repeat":        func(w *want) { w.tried = []string{"b"} },
-		"other version": func(w *want) { w.choice.Prefer = func(string) bool { return false } },
-		"part":          func(w *want) { w.choice.Part = 0.1 },
-		"ended servers": func(w *want) { w.standing.Crashes = 1; w.fingerprint = 7 },
-		"all suspect": func(*want) {
+	for name, change := range map[string]func(req *requirements){
+		"first send":    func(*requirements) {},
+		"repeat":        func(req *requirements) { req.tried = []string{"b"} },
+		"other version": func(req *requirements) { req.versions.Preferred = func(string) bool { return false } },
+		"part":          func(req *requirements) { req.versions.Fraction = 0.1 },
+		"ended servers": func(req *requirements) { req.standing.Crashes = 1; req.fingerprint = 7 },
+		"all suspect": func(*requirements) {
 			for _, id := range []string{"a", "b"} {
-				s.unreachable(&target{service: "s", server: backend.Server{ID: id}})
+				s.markUnreachable(&target{service: "s", server: backend.Server{ID: id}})
 			}
 		},
 	} {
 		for range 20 {
-			w := gatedWant()
-			change(&w)
-			got, err := s.pick(&w, 10)
+			req := gatedRequirements()
+			change(&req)
+			got, err := s.pick(&req, 10)
 			if err == nil && got.server.FailureDomain == "east" {
-				t.Errorf("%s: sent to an evacuated domain", name)
+				t.Errorf("%s: picked a server in an evacuated domain", name)
 			}
 		}
 	}
 }
 
-// Guards against refusals that do not say that all is evacuated.
-func TestEvacuationOfTheLastDomainIsRefusedAtOnce(t *testing.T) {
+// Guards against a refusal with another kind if all domains are evacuated.
+func TestEvacuatingEveryDomainRefusesAsEvacuated(t *testing.T) {
 	s, _ := gatedState(t, 0)
 	s.Evacuate("east")
 	s.Evacuate("west")
-	w := gatedWant()
-	if _, err := s.pick(&w, 10); err == nil || err.Kind != fault.Evacuated || err.ExecutionState() != fault.NotRun {
+	req := gatedRequirements()
+	if _, err := s.pick(&req, 10); err == nil || err.Kind != fault.Evacuated || err.ExecutionState() != fault.NotRun {
 		t.Errorf("got %v", err)
 	}
 }
 
-// Guards against sends to warming servers above their limit, and refusals without the time
-// after which they are warm.
-func TestWarmingServersGetTheirShareAndTheRestIsRefused(t *testing.T) {
+// Guards against exceeding the limit of warming servers, and against refusals without a
+// Retry-After.
+func TestWarmingServersAreRateLimited(t *testing.T) {
 	s, c := gatedState(t, time.Minute+2*time.Second)
 	sent, refused := 0, 0
 	for range 100 {
-		w := gatedWant()
-		_, err := s.pick(&w, 10)
+		req := gatedRequirements()
+		_, err := s.pick(&req, 10)
 		switch {
 		case err == nil:
 			sent++
@@ -85,24 +87,24 @@
 		}
 		c.now += 10 * time.Millisecond
 	}
-	if most := 2 * warmUp.Bound() / 2; sent == 0 || sent > most || refused == 0 {
-		t.Errorf("%d sent in a second to two servers, %d refused", sent, refused)
+	if most := 2 * warmUpLimit.Bound() / 2; sent == 0 || sent > most || refused == 0 {
+		t.Errorf("%d requests sent to two servers in one second, %d refused", sent, refused)
 	}
 	c.now = time.Minute + 2*time.Second
 	for range 100 {
-		w := gatedWant()
-		if _, err := s.pick(&w, 10); err != nil {
-			t.Fatalf("warm: %v", err)
+		req := gatedRequirements()
+		if _, err := s.pick(&req, 10); err != nil {
+			t.Fatalf("refused after the warm-up: %v", err)
 		}
 	}
 }
 
-// Guards against a held request that is sent, whatever else is known of it.
-func TestHeldRequestPassesNoGate(t *testing.T) {
+// Guards against sending a held request.
+func TestGateRefusesHeldRequest(t *testing.T) {
 	s, _ := gatedState(t, 0)
-	w := gatedWant()
-	w.gated = gate.Request{Held: true}
-	if _, err := s.pick(&w, 10); err == nil {
-		t.Error("sent")
+	req := gatedRequirements()
+	req.gateRequest = gate.Request{Held: true}
+	if _, err := s.pick(&req, 10); err == nil {
+		t.Error("held request was sent")
 	}
 }
--- /dev/null
+++ b/internal/relay/latency.go
@@ -0,0 +1,109 @@
+package relay
+
+import (
+	"math"
+	"time"
+
+	"github.com/damaskrudder/damaskrudder/internal/route"
+	"github.com/damaskrudder/damaskrudder/internal/routing"
+)
+
+// modelLatencies estimates the latency of a service's models.
+type modelLatencies map[string]*modelLatency
+
+type modelLatency struct {
+	// prefill estimates the time to the first event from the uncached tokens.
+	prefill *routing.FirstTokenFit
+	// eventInterval is the mean time between events in seconds.
+	eventInterval float64
+	// load is the rate at which this daemon sends prompts to the model.
+	load routing.PromptRate
+	// responseTime is the mean response time of a plain service in seconds.
+	responseTime float64
+}
+
+const (
+	// initialFixedLatency and initialTokenLatency are the estimate for the cheapest
+	// model before the first sample; the latter scales with relativeLatency.
+	initialFixedLatency = 60 * time.Millisecond
+	initialTokenLatency = 5 * time.Microsecond
+	// costExponent converts a cost ratio to a latency ratio: the cost of models grows
+	// faster than their latency.
+	costExponent = 0.85
+	// referenceTokenTime is the prefill time per token in which pending work is
+	// measured: a model that takes twice as long counts double.
+	referenceTokenTime = 10 * time.Microsecond
+)
+
+// sampleWeight is the weight of a new sample in a moving average.
+const sampleWeight = 0.05
+
+func (l modelLatencies) get(model string, e *route.Engine) *modelLatency {
+	latency := l[model]
+	if latency == nil {
+		latency = &modelLatency{prefill: routing.NewFirstTokenFit(initialFixedLatency, time.Duration(relativeLatency(model, e)*float64(initialTokenLatency)))}
+		l[model] = latency
+	}
+	return latency
+}
+
+// relativeLatency estimates a model's latency relative to the cheapest model's, from the
+// costs.
+func relativeLatency(model string, e *route.Engine) float64 {
+	if e == nil || e.CostPer1kTokens[model] <= 0 {
+		return 1
+	}
+	lowest := e.CostPer1kTokens[model]
+	for _, c := range e.CostPer1kTokens {
+		if c > 0 {
+			lowest = min(lowest, c)
+		}
+	}
+	return math.Pow(e.CostPer1kTokens[model]/lowest, costExponent)
+}
+
+// prefillScale is the prefill time per token relative to referenceTokenTime.
+func (l *modelLatency) prefillScale() float64 {
+	return float64(l.prefill.PerToken()) / float64(referenceTokenTime)
+}
+
+func updateMean(mean *float64, sample float64) {
+	if *mean == 0 {
+		*mean = sample
+		return
+	}
+	*mean += sampleWeight * (sample - *mean)
+}
+
+// streamTime returns the expected time from the first event of a stream to the last.
+func (l modelLatencies) streamTime(model string, events float64) time.Duration {
+	if latency := l[model]; latency != nil {
+		return time.Duration(max(events-1, 0) * latency.eventInterval * float64(time.Second))
+	}
+	return 0
+}
+
+// remainingStreamTime returns the streamTime of a stream that has begun.
+func (s *State) remainingStreamTime(t *target, events float64) time.Duration {
+	var remaining time.Duration
+	s.withService(t.service, func(sv *service) { remaining = sv.models.streamTime(t.model, events) })
+	return remaining
+}
+
+// typicalLatency returns the typical time to the first event or response and the
+// interval between events, in seconds.
+func (s *State) typicalLatency(t *target, engine bool) (first, interval float64) {
+	s.withService(t.service, func(sv *service) {
+		latency := sv.models.get(t.model, nil)
+		first, interval = latency.responseTime, latency.eventInterval
+		if engine {
+			first = (t.backlog + latency.prefill.Predict(t.uncached)).Seconds()
+		}
+	})
+	return first, interval
+}
+
+// recordEventInterval records the mean interval between the events of a stream.
+func (s *State) recordEventInterval(t *target, interval time.Duration) {
+	s.withService(t.service, func(sv *service) { updateMean(&sv.models.get(t.model, nil).eventInterval, interval.Seconds()) })
+}
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -11,33 +11,35 @@
 	"github.com/damaskrudder/damaskrudder/internal/request"
 )
 
-// newGuard returns what keeps requests from servers that end when they run them.
+// newGuard returns the guard that quarantines requests suspected of ending servers.
 func newGuard(r *Relay) *containment.Guard {
 	return containment.New(containment.Options{
-		BootTime: r.State.boot, Logger: r.log, ServersTerminated: r.Metrics.ServersEnded, RequestsHeld: r.Metrics.Held,
-		RefusesConnections: func(ctx context.Context, s containment.Server) bool { return r.backend.Refuses(ctx, s.Address) },
-		Leaving:            func(s containment.Server) bool { return r.State.leaving(s.ID) },
-		OnTerminated:       r.State.lost,
+		BootTime: r.State.bootTime, Logger: r.log, ServersTerminated: r.Metrics.ServersEnded, RequestsHeld: r.Metrics.RequestsHeld,
+		RefusesConnections: func(ctx context.Context, s containment.Server) bool {
+			return r.backend.RefusesConnections(ctx, s.Address)
+		},
+		Leaving:      func(s containment.Server) bool { return r.State.isLeaving(s.ID) },
+		OnTerminated: r.State.recordLostServer,
 	})
 }
 
-// guarded names a server to the guard.
-func guarded(b backend.Server) containment.Server {
+// containmentServer converts a server for the guard.
+func containmentServer(b backend.Server) containment.Server {
 	return containment.Server{ID: b.ID, Address: b.Address}
 }
 
-// held returns the refusal of a request that is kept from servers, or nil. Every way to a
-// server leads past it: first sends, repeats, larger models, and streams that go on.
-func (x *exchange) held() *fault.Error {
+// checkHold returns the refusal of a quarantined request, or nil. It runs before
+// every send: first sends, retries, escalations and resumed streams.
+func (x *exchange) checkHold() *fault.Error {
 	x.standing = x.relay.Guard.Check(x.fingerprint)
 	if !x.standing.Held {
 		return nil
 	}
-	x.note("held", nil, "fingerprint", x.fingerprint, "left_ms", x.standing.Remaining.Milliseconds(), "sends", x.journey.Sends())
+	x.logEvent("held", nil, "fingerprint", x.fingerprint, "left_ms", x.standing.Remaining.Milliseconds(), "sends", x.journey.Sends())
 	return x.journey.Fail(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(x.standing))
 }
 
-// fateOf tells what became of a send from its outcome.
+// fateOf maps the outcome of a send to the fate of its run.
 func fateOf(ctx context.Context, o request.SendOutcome, done bool) containment.Outcome {
 	switch {
 	case done, o == request.NotStarted:
@@ -50,21 +52,21 @@
 	return containment.Completed
 }
 
-// lost books a server that has ended, under the key by which daemons tell of it.
-func (s *State) lost(run quarantine.IncarnationKey) {
+// recordLostServer records the end of a server, given by its key between daemons.
+func (s *State) recordLostServer(run quarantine.IncarnationKey) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
-		if id, known := sv.ids[ServerKey(run)]; known {
-			sv.picture.RecordUnreachable(id, now)
-			s.gate.ServerTerminated(id, s.boot())
+		if id, known := sv.idByKey[ServerKey(run)]; known {
+			sv.tracker.RecordUnreachable(id, now)
+			s.gate.ServerTerminated(id, s.bootTime())
 		}
 	}
 }
 
-// leaving reports whether a server has said that it leaves, or its entry has gone.
-func (s *State) leaving(id string) bool {
+// isLeaving reports whether a server has announced its shutdown or has no entry.
+func (s *State) isLeaving(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,152 +18,147 @@
 	"github.com/damaskrudder/damaskrudder/internal/route"
 )
 
-// Rules are the limits that the deployment sets.
-type Rules struct {
-	// KeyFreshness is how old the newest confirmation of the configuration may be
-	// for a request with an API key to be sent to a server. A key that was taken
-	// away longer ago than the deployment allows must open nothing, so this lies
-	// under that bound. Zero does not limit it.
-	KeyFreshness time.Duration
-	// BudgetWindow, BudgetRatio and BudgetReserve limit the repeats of all
-	// daemons for one service: see request.Share.
-	BudgetWindow  time.Duration
-	BudgetRatio   float64
-	BudgetReserve float64
-	// SessionSpan is how long after each other requests of a session belong
-	// together.
-	SessionSpan time.Duration
-	// WarmUpExcess and WarmUpSlack bound what a warming server gets in any second: its
-	// stated rate times the first, plus the second.
-	WarmUpExcess, WarmUpSlack float64
+// Options are the deployment's limits.
+type Options struct {
+	// MaxKeyStaleness is the maximum age of the last confirmation of the
+	// configuration at which requests with an API key are accepted. It is below the
+	// bound for key revocation. Zero means no limit.
+	MaxKeyStaleness time.Duration
+	// RetryBudgetWindow, RetryBudgetRatio and RetryBudgetReserve limit the retries
+	// of all daemons for one service: see request.Share.
+	RetryBudgetWindow  time.Duration
+	RetryBudgetRatio   float64
+	RetryBudgetReserve float64
+	// SessionIdleTimeout is the maximum time between two requests of a session.
+	SessionIdleTimeout time.Duration
+	// WarmUpRateFactor and WarmUpBurst limit the requests to a warming server in any
+	// second: its configured rate times the factor, plus the burst.
+	WarmUpRateFactor, WarmUpBurst float64
 }
 
 const (
-	// defaultWait bounds a request whose caller and route state no limit.
-	defaultWait = 30 * time.Second
-	// deadlineMargin is taken off the time a server is given: an answer that
-	// arrives as the caller leaves is of no use, and a server that works longer
-	// than the caller waits works in vain.
+	// defaultTimeout applies if neither the client nor the route sets a timeout.
+	defaultTimeout = 30 * time.Second
+	// deadlineMargin is subtracted from a server's timeout, so that the response
+	// arrives before the client gives up.
 	deadlineMargin = 5 * time.Millisecond
-	// keepForLoss is the part of a daemon's reserve of repeats that larger models may
-	// not use: it is left for requests whose server was lost. A fixed count of 3 was more
-	// than the whole reserve of one daemon of sixty, so that each let its first doubtful
-	// answers stand: of a deployment's first requests 0.85 of the worth was earned.
-	keepForLoss = 0.5
+	// failoverReserveFraction is the part of the retry reserve that escalations to
+	// larger models leave to requests whose server was lost. It is a fraction, as a
+	// fixed count can exceed the reserve of one daemon of many.
+	failoverReserveFraction = 0.5
 )
 
-// Relay serves calls.
+// Relay forwards calls to backend servers.
 type Relay struct {
 	State    *State
 	Rollouts *Rollouts
 	Metrics  *Metrics
 	backend  Backend
-	rules    Rules
+	options  Options
 	log      *log.Logger
-	watch    *watch
-	// Guard keeps requests from servers that end when they run them.
+	liveness *livenessMonitor
+	// Guard quarantines requests that are suspected of ending servers.
 	Guard *containment.Guard
-	// Outdated reports whether other daemons have a newer configuration than the store.
-	Outdated func() bool
-	// started is where the steady clock of the retry budget begins.
+	// ConfigOutdated reports whether other daemons have a newer configuration than the store.
+	ConfigOutdated func() bool
+	// started is the origin of the retry budget's monotonic time.
 	started time.Time
 
-	mu      sync.Mutex
-	shares  map[string]*request.WindowedRetryBudget
-	valuers map[string]*cascade.Escalator
-	active  int
-	// end is when the daemon stops; zero while it does not leave.
-	end time.Time
-	// admitted is when the last request was admitted.
-	admitted time.Time
+	mu             sync.Mutex
+	retryBudgets   map[string]*request.WindowedRetryBudget
+	valuers        map[string]*cascade.Escalator
+	activeRequests int
+	// shutdownAt is when the daemon stops; zero unless it is draining.
+	shutdownAt time.Time
+	// lastAdmitted is when the last request was admitted.
+	lastAdmitted time.Time
 }
 
 // New returns a relay.
-func New(s *State, b Backend, rules Rules, m *Metrics, l *log.Logger) *Relay {
+func New(state *State, b Backend, options Options, m *Metrics, logger *log.Logger) *Relay {
 	r := &Relay{
-		State: s, Rollouts: NewRollouts(rules.SessionSpan, time.Now, l), Metrics: m, backend: b, rules: rules, log: l, started: time.Now(), Outdated: func() bool { return false },
-		shares: map[string]*request.WindowedRetryBudget{}, valuers: map[string]*cascade.Escalator{},
+		State: state, Rollouts: NewRollouts(options.SessionIdleTimeout, time.Now, logger), Metrics: m, backend: b, options: options, log: logger, started: time.Now(), ConfigOutdated: func() bool { return false },
+		retryBudgets: map[string]*request.WindowedRetryBudget{}, valuers: map[string]*cascade.Escalator{},
 	}
-	r.watch = newWatch(s, b, l, m)
+	r.liveness = newLivenessMonitor(state, b, logger, m)
 	r.Guard = newGuard(r)
 	return r
 }
 
-// Run watches over servers until the context ends.
-func (r *Relay) Run(ctx context.Context) { r.watch.run(ctx) }
+// Run monitors the liveness of servers until the context ends.
+func (r *Relay) Run(ctx context.Context) { r.liveness.run(ctx) }
 
-// Ended tells that a run of a server has ended because the server has started again. What
-// is known of a run is kept by its id, so that nothing of it counts for the next one; what
-// waits for it, and connections to it, are ended here.
-func (r *Relay) Ended(run backend.Server) {
-	r.Guard.ServerRestarted(guarded(run))
-	moved := r.watch.ended(run.ID, time.Now())
-	r.backend.Forget(run.Address)
-	r.Metrics.Restarts.Inc(1)
-	r.Metrics.Moved.Inc(int64(moved))
-	r.log.Info("server started again", "server", run.ID, "address", run.Address, "moved", moved)
+// ServerRestarted handles the end of a server's run, known from its restart.
+// Requests that wait for the run are rerouted and its connections are closed.
+// State is keyed by the run's id, so that nothing carries over to the new run.
+func (r *Relay) ServerRestarted(run backend.Server) {
+	r.Guard.ServerRestarted(containmentServer(run))
+	rerouted := r.liveness.rerouteWaiting(run.ID, time.Now())
+	r.backend.CloseIdleConnections(run.Address)
+	r.Metrics.ServerRestarts.Inc(1)
+	r.Metrics.SendsRerouted.Inc(int64(rerouted))
+	r.log.Info("server restarted", "server", run.ID, "address", run.Address, "moved", rerouted)
 }
 
-// Heard records that bytes came from a server's address.
-func (r *Relay) Heard(address string) { r.watch.heard(address) }
+// RecordActivity records that bytes arrived from a server's address.
+func (r *Relay) RecordActivity(address string) { r.liveness.recordActivity(address) }
 
-// Leave makes the relay refuse requests that might not be answered by the end of
-// the daemon: a request that is read and then cut may have run, and its caller
-// cannot know.
-func (r *Relay) Leave(end time.Time) {
+// Drain makes the relay refuse requests whose deadline is after shutdownAt: a client
+// cannot tell whether a request that is aborted by the shutdown has run.
+func (r *Relay) Drain(shutdownAt time.Time) {
 	r.mu.Lock()
-	r.end = end
+	r.shutdownAt = shutdownAt
 	r.mu.Unlock()
 }
 
-// Active returns the number of requests being served.
-func (r *Relay) Active() int {
+// ActiveRequests returns the number of requests being served.
+func (r *Relay) ActiveRequests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.active
+	return r.activeRequests
 }
 
-// Idle returns how long no request was admitted.
-func (r *Relay) Idle() time.Duration {
+// IdleTime returns the time since the last request was admitted.
+func (r *Relay) IdleTime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.admitted)
+	return time.Since(r.lastAdmitted)
 }
 
-// share returns a service's part of the retry budget. Callers hold mu.
-func (r *Relay) share(service string, daemons int) *request.WindowedRetryBudget {
-	s := r.shares[service]
-	if s == nil {
-		s = &request.WindowedRetryBudget{Window: r.rules.BudgetWindow, Ratio: r.rules.BudgetRatio}
-		r.shares[service] = s
+// retryBudget returns a service's share of the retry budget. Callers hold mu.
+func (r *Relay) retryBudget(service string, daemons int) *request.WindowedRetryBudget {
+	budget := r.retryBudgets[service]
+	if budget == nil {
+		budget = &request.WindowedRetryBudget{Window: r.options.RetryBudgetWindow, Ratio: r.options.RetryBudgetRatio}
+		r.retryBudgets[service] = budget
 	}
-	s.Reserve = reservePart * r.rules.BudgetReserve / float64(daemons)
-	return s
+	budget.Reserve = usableReserveFraction * r.options.RetryBudgetReserve / float64(daemons)
+	return budget
 }
 
-// reservePart is the part of the reserve that is used: daemons that just came
-// are not counted by all others yet.
-const reservePart = 0.6
+// usableReserveFraction keeps a margin for daemons that have joined and are not
+// counted by all others yet.
+const usableReserveFraction = 0.6
 
-// mayRepeat takes a repeat out of the budget of a service, leaving a part of the
-// reserve.
-func (r *Relay) mayRepeat(service string, keep float64) bool {
+// takeRetry takes a retry out of the budget of a service, and leaves reserveFraction of
+// its reserve.
+func (r *Relay) takeRetry(service string, reserveFraction float64) bool {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.share(service, daemons)
-	return s.TryWithdraw(time.Since(r.started), keep*s.Reserve)
+	budget := r.retryBudget(service, daemons)
+	return budget.TryWithdraw(time.Since(r.started), reserveFraction*budget.Reserve)
 }
 
-func (r *Relay) firstSend(service string) {
+func (r *Relay) recordFirstSend(service string) {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.share(service, daemons).Deposit(time.Since(r.started))
+	r.retryBudget(service, daemons).Deposit(time.Since(r.started))
 }
 
-// valuer runs f on what a service's answers taught.
-func (r *Relay) valuer(service string, f func(v *cascade.Escalator)) {
+// withValuer runs f on the model estimates of a service, under the lock.
+func (r *Relay) withValuer(service string, update func(v *cascade.Escalator)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.valuers[service]
@@ -171,39 +166,39 @@
 		v = &cascade.Escalator{}
 		r.valuers[service] = v
 	}
-	f(v)
+	update(v)
 }
 
-// Serve answers one call.
-func (r *Relay) Serve(ctx context.Context, c *Call, out Caller) {
+// Serve forwards one call and writes its response.
+func (r *Relay) Serve(ctx context.Context, c *Call, out ResponseWriter) {
 	r.mu.Lock()
-	r.active++
-	end := r.end
+	r.activeRequests++
+	shutdownAt := r.shutdownAt
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
-		r.active--
+		r.activeRequests--
 		r.mu.Unlock()
 	}()
 	r.Metrics.Requests.Inc(1)
-	if !r.State.Known() {
-		r.State.Await(ctx, startWait)
+	if !r.State.Ready() {
+		r.State.WaitReady(ctx, startupWait)
 	}
-	x, refusal := r.admit(c, end)
+	x, refusal := r.admit(c, shutdownAt)
 	if refusal != nil {
-		r.refused(c, out, refusal)
+		r.refuse(c, out, refusal)
 		return
 	}
 	r.mu.Lock()
-	r.admitted = time.Now()
+	r.lastAdmitted = time.Now()
 	r.mu.Unlock()
 	x.out = out
 	x.serve(ctx)
 }
 
-func (r *Relay) refused(c *Call, out Caller, e *fault.Error) {
-	r.Metrics.Refused(e.Kind).Inc(1)
-	age, known := r.State.Age(freshness.Configuration)
+func (r *Relay) refuse(c *Call, out ResponseWriter, e *fault.Error) {
+	r.Metrics.Refusals(e.Kind).Inc(1)
+	age, known := r.State.ConfirmationAge(freshness.Configuration)
 	version := int64(0)
 	if t := r.State.Table(); t != nil {
 		version = t.Version
@@ -214,84 +209,85 @@
 	out.Refuse(e)
 }
 
-// admit finds what a call may use, or says why it may not.
-func (r *Relay) admit(c *Call, end time.Time) (*exchange, *fault.Error) {
+// admit resolves the route, workspace and service of a call, or returns the refusal.
+func (r *Relay) admit(c *Call, shutdownAt time.Time) (*exchange, *fault.Error) {
 	t := r.State.Table()
-	if t == nil || !r.State.Known() {
-		return nil, fault.New(fault.ConfigurationStale, "no configuration is known yet").WithRetryAfter(staleRetry)
+	if t == nil || !r.State.Ready() {
+		return nil, fault.New(fault.ConfigurationStale, "no configuration is known yet").WithRetryAfter(staleRetryAfter)
 	}
-	if r.Outdated() {
-		return nil, fault.New(fault.ConfigurationStale, "other daemons have a newer configuration than the store").WithRetryAfter(staleRetry)
+	if r.ConfigOutdated() {
+		return nil, fault.New(fault.ConfigurationStale, "other daemons have a newer configuration than the store").WithRetryAfter(staleRetryAfter)
 	}
 	rt := t.Match(c.Host, c.Path)
 	if rt == nil {
 		return nil, fault.New(fault.NotFound, "no route leads to this host and path")
 	}
-	x := &exchange{relay: r, call: c, route: rt, last: c.LastEvent}
-	x.draw = xxhash.Sum64String(c.ID)
-	w, known := t.WorkspaceByKey(c.Key)
+	x := &exchange{relay: r, call: c, route: rt, lastEvent: c.LastEvent}
+	x.hash = xxhash.Sum64String(c.ID)
+	workspace, known := t.WorkspaceByKey(c.Key)
 	keyed := t.KeyRequired() && !rt.Public
 	switch {
 	case keyed && !r.keysFresh():
-		return nil, fault.New(fault.ConfigurationStale, "the list of keys was not confirmed lately").WithRetryAfter(staleRetry)
+		return nil, fault.New(fault.ConfigurationStale, "the list of keys was not confirmed lately").WithRetryAfter(staleRetryAfter)
 	case keyed && !known:
 		return nil, fault.New(fault.Unauthorized, "no workspace owns the presented key")
 	}
 	if known {
-		x.workspace = w.Name
+		x.workspace = workspace.Name
 	}
 	x.fingerprint = quarantine.FingerprintOf(x.workspace, c.Host, c.Method, c.Target, c.Body)
-	x.urgency = urgency(rt, w)
+	x.priority = enginePriority(rt, workspace)
 	if limit := t.Limits.BodyBytes; limit > 0 && int64(len(c.Body)) > limit {
 		return nil, fault.New(fault.TooLarge, "the body is longer than %d bytes", limit)
 	}
-	x.service = t.Services[rt.SelectService(x.draw)]
-	x.deadline = deadline(c, rt)
-	if !end.IsZero() && x.deadline.After(end) {
-		return nil, fault.New(fault.ShuttingDown, "this daemon is leaving").WithRetryAfter(leavingRetry)
+	x.service = t.Services[rt.SelectService(x.hash)]
+	x.deadline = requestDeadline(c, rt)
+	if !shutdownAt.IsZero() && x.deadline.After(shutdownAt) {
+		return nil, fault.New(fault.ShuttingDown, "this daemon is leaving").WithRetryAfter(drainRetryAfter)
 	}
 	x.journey = request.ProxyRetryState{Repeatable: rt.Repeatable(), MaxRuns: rt.MaxAttempts, Deadline: x.deadline}
 	return x, nil
 }
 
-// startWait bounds the wait for the first configuration: a store that does not
-// answer by then is away, and another daemon may know more.
-const startWait = 400 * time.Millisecond
+// startupWait limits the wait for the first configuration. A store that has not
+// responded by then is unreachable, and another daemon may have the configuration.
+const startupWait = 400 * time.Millisecond
 
 const (
-	// staleRetry and leavingRetry are when to come back to another daemon.
-	staleRetry   = 100 * time.Millisecond
-	leavingRetry = 10 * time.Millisecond
+	// staleRetryAfter and drainRetryAfter are the Retry-After of refusals for a stale
+	// configuration and during shutdown, after which to try another daemon.
+	staleRetryAfter = 100 * time.Millisecond
+	drainRetryAfter = 10 * time.Millisecond
 )
 
 func (r *Relay) keysFresh() bool {
-	return r.rules.KeyFreshness == 0 || r.State.Fresh(freshness.Configuration, r.rules.KeyFreshness)
+	return r.options.MaxKeyStaleness == 0 || r.State.ConfirmedWithin(freshness.Configuration, r.options.MaxKeyStaleness)
 }
 
-// deadline is when the caller leaves or the route's limit ends the wait.
-func deadline(c *Call, rt *route.Route) time.Time {
-	wait := defaultWait
-	if c.Wait > 0 {
-		wait = c.Wait
+// requestDeadline is the earlier of the client's and the route's timeout.
+func requestDeadline(c *Call, rt *route.Route) time.Time {
+	timeout := defaultTimeout
+	if c.Timeout > 0 {
+		timeout = c.Timeout
 	}
-	if rt.Timeout > 0 && rt.Timeout < wait {
-		wait = rt.Timeout
+	if rt.Timeout > 0 && rt.Timeout < timeout {
+		timeout = rt.Timeout
 	}
-	return c.Received.Add(wait)
+	return c.Received.Add(timeout)
 }
 
-// urgency maps priorities, 0 first, to what engines take: 0 to 9, 5 by default.
-func urgency(rt *route.Route, w route.Workspace) int {
+// enginePriority maps configured priorities, 0 the highest, to those of engines, 0 to 9.
+func enginePriority(rt *route.Route, workspace route.Workspace) int {
 	p := rt.Priority
-	if w.HasPriority {
-		p = w.Priority
+	if workspace.HasPriority {
+		p = workspace.Priority
 	}
-	return min(max(p, 0)+firstUrgency, lastUrgency)
+	return min(max(p, 0)+basePriority, lowestPriority)
 }
 
 const (
-	// firstUrgency leaves the two most urgent ranks to requests that an earlier
-	// server or model has already cost time.
-	firstUrgency = 2
-	lastUrgency  = 9
+	// basePriority leaves the two highest priorities to requests that have lost time
+	// to an earlier server or model.
+	basePriority   = 2
+	lowestPriority = 9
 )
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,16 +22,16 @@
 	"github.com/damaskrudder/damaskrudder/internal/upstream"
 )
 
-// fakeBackend answers sends by a script, in turn; the last line repeats.
+// fakeBackend responds with the script's entries in order; the last one repeats.
 type fakeBackend struct {
 	mu     sync.Mutex
-	script []func(s Send) (*Reply, error)
-	sends  []Send
-	// forgotten are the addresses whose connections were closed.
-	forgotten []string
+	script []func(s BackendRequest) (*BackendResponse, error)
+	sends  []BackendRequest
+	// closed are the addresses whose connections were closed.
+	closed []string
 }
 
-func (f *fakeBackend) Send(_ context.Context, s Send) (*Reply, error) {
+func (f *fakeBackend) Send(_ context.Context, s BackendRequest) (*BackendResponse, error) {
 	f.mu.Lock()
 	at := min(len(f.sends), len(f.script)-1)
 	f.sends = append(f.sends, s)
@@ -39,69 +39,69 @@
 	return f.script[at](s)
 }
 
-func (f *fakeBackend) Alive(context.Context, backend.Server, bool) error { return nil }
-func (f *fakeBackend) Refuses(context.Context, string) bool              { return false }
-func (f *fakeBackend) Forget(address string)                             { f.forgotten = append(f.forgotten, address) }
+func (f *fakeBackend) Probe(context.Context, backend.Server, bool) error { return nil }
+func (f *fakeBackend) RefusesConnections(context.Context, string) bool   { return false }
+func (f *fakeBackend) CloseIdleConnections(address string)               { f.closed = append(f.closed, address) }
 
-// answering returns a whole answer.
-func answering(status int, body string) func(Send) (*Reply, error) {
-	return func(Send) (*Reply, error) {
-		return &Reply{Status: status, Header: http.Header{}, Sealed: true, Confidence: -1, Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
+// respond returns a complete response.
+func respond(status int, body string) func(BackendRequest) (*BackendResponse, error) {
+	return func(BackendRequest) (*BackendResponse, error) {
+		return &BackendResponse{Status: status, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
 }
 
-// streamingFrom returns a stream of events, ended by err or properly if it is nil.
-func streamingFrom(confidence float64, err error, ids ...int) func(Send) (*Reply, error) {
-	return func(Send) (*Reply, error) {
+// respondStream returns a stream of events that ends with err, or properly if it is nil.
+func respondStream(confidence float64, err error, ids ...int) func(BackendRequest) (*BackendResponse, error) {
+	return func(BackendRequest) (*BackendResponse, error) {
 		var b strings.Builder
 		for _, id := range ids {
 			fmt.Fprintf(&b, "id: %d\ndata: x%d\n\n", id, id)
 		}
 		var r io.Reader = strings.NewReader(b.String())
 		if err != nil {
-			r = io.MultiReader(r, failing{err})
+			r = io.MultiReader(r, failingReader{err})
 		}
-		return &Reply{Status: 200, Header: http.Header{}, Sealed: true, Confidence: confidence, Length: -1, Body: io.NopCloser(r)}, nil
+		return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: confidence, ContentLength: -1, Body: io.NopCloser(r)}, nil
 	}
 }
 
-type failing struct{ err error }
+type failingReader struct{ err error }
 
-func (f failing) Read([]byte) (int, error) { return 0, f.err }
+func (f failingReader) Read([]byte) (int, error) { return 0, f.err }
 
-func failed(reason upstream.Reason, sent bool) func(Send) (*Reply, error) {
-	return func(Send) (*Reply, error) {
+func failSend(reason upstream.Reason, sent bool) func(BackendRequest) (*BackendResponse, error) {
+	return func(BackendRequest) (*BackendResponse, error) {
 		return nil, &upstream.Error{Reason: reason, Sent: sent, Err: errors.New("test")}
 	}
 }
 
-func notRun(Send) (*Reply, error) {
-	return &Reply{Status: 503, NotRun: true, Confidence: -1, Body: io.NopCloser(strings.NewReader(""))}, nil
+func respondNotRun(BackendRequest) (*BackendResponse, error) {
+	return &BackendResponse{Status: 503, NotRun: true, Confidence: -1, Body: io.NopCloser(strings.NewReader(""))}, nil
 }
 
-// fakeCaller records the answer.
-type fakeCaller struct {
+// fakeResponseWriter records the response.
+type fakeResponseWriter struct {
 	status  int
 	body    strings.Builder
 	refusal *fault.Error
-	cut     bool
+	aborted bool
 }
 
-func (c *fakeCaller) Refuse(e *fault.Error)                   { c.refusal = e }
-func (c *fakeCaller) Head(status int, _ http.Header, _ int64) { c.status = status }
-func (c *fakeCaller) Pass(p []byte) error                     { c.body.Write(p); return nil }
-func (c *fakeCaller) Cut()                                    { c.cut = true }
+func (w *fakeResponseWriter) Refuse(e *fault.Error)                          { w.refusal = e }
+func (w *fakeResponseWriter) WriteHeader(status int, _ http.Header, _ int64) { w.status = status }
+func (w *fakeResponseWriter) WriteBody(p []byte) error                       { w.body.Write(p); return nil }
+func (w *fakeResponseWriter) Abort()                                         { w.aborted = true }
 
-// world is a relay before three engines and three plain servers.
-type world struct {
+// harness is a relay with three engines and three plain servers.
+type harness struct {
 	relay   *Relay
 	backend *fakeBackend
-	clock   *clock
+	clock   *fakeClock
 }
 
-func newWorld(t *testing.T, script ...func(Send) (*Reply, error)) *world {
+func newHarness(t *testing.T, script ...func(BackendRequest) (*BackendResponse, error)) *harness {
 	t.Helper()
-	c := &clock{now: time.Minute}
+	c := &fakeClock{now: time.Minute}
 	s := NewState("d1", "", c.read)
 	b := &fakeBackend{script: script}
 	models := []string{"small", "middle", "large"}
@@ -121,32 +121,32 @@
 		t.Fatal(err)
 	}
 	s.SetTable(table)
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for i := range 3 {
 			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.0.%d:1", i), Slots: 8, Version: "v1"})
 			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: fmt.Sprint("a", i)}, Service: "app", Address: fmt.Sprintf("10.0.1.%d:1", i), Slots: 4, Version: "v1"})
 		}
 	})
 	s.Confirm(freshness.Configuration, freshness.Confirmation{At: c.now, Source: freshness.FromStore})
-	rules := Rules{KeyFreshness: 4 * time.Second, BudgetWindow: 10 * time.Second, BudgetRatio: 0.9, BudgetReserve: 50}
-	return &world{New(s, b, rules, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
+	options := Options{MaxKeyStaleness: 4 * time.Second, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50}
+	return &harness{New(s, b, options, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
 }
 
-func (w *world) call(path string) *fakeCaller {
-	out := &fakeCaller{}
+func (h *harness) call(path string) *fakeResponseWriter {
+	out := &fakeResponseWriter{}
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
 		c.Model = AnyModel
-		c.Prompt = Prompt{Tokens: 100, AnswerTokens: 20, Parts: []Part{{1, 50}, {2, 50}}}
+		c.Prompt = Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
-	w.relay.Serve(context.Background(), c, out)
+	h.relay.Serve(context.Background(), c, out)
 	return out
 }
 
-func (w *world) inFlight() int {
+func (h *harness) inFlight() int {
 	n := 0
-	for _, v := range w.relay.State.Work() {
-		n += v.Running
+	for _, v := range h.relay.State.OwnWork() {
+		n += v.InFlight
 	}
 	return n
 }
@@ -159,289 +159,257 @@
 	return b.String()
 }
 
-func TestPlainAnswerIsPassedOnWhole(t *testing.T) {
-	w := newWorld(t, answering(200, "paid"))
-	if out := w.call("/p/1"); out.status != 200 || out.body.String() != "paid" {
+func TestBufferedResponseIsForwarded(t *testing.T) {
+	h := newHarness(t, respond(200, "paid"))
+	if out := h.call("/p/1"); out.status != 200 || out.body.String() != "paid" {
 		t.Fatalf("got %d %q", out.status, out.body.String())
 	}
 }
 
-// Symptom: placing went by all that had been sent since the start, and later every
-// plain request was refused as too late.
-// Sequence: a request is answered; its work stays booked on the server.
-// Cause: only failed sends were taken off.
-func TestAnsweredWorkIsTakenOffTheServer(t *testing.T) {
-	w := newWorld(t, answering(200, "x"))
+// Guards against completed requests that still count as load on their server.
+func TestCompletedRequestsAreNotInFlight(t *testing.T) {
+	h := newHarness(t, respond(200, "x"))
 	for range 50 {
-		w.call("/l/1")
+		h.call("/l/1")
 	}
-	w.backend.script = []func(Send) (*Reply, error){streamingFrom(90, nil, 1, 2)}
-	w.call("/s/1")
-	if n := w.inFlight(); n != 0 {
-		t.Fatalf("%d requests still count as running", n)
+	h.backend.script = []func(BackendRequest) (*BackendResponse, error){respondStream(90, nil, 1, 2)}
+	h.call("/s/1")
+	if n := h.inFlight(); n != 0 {
+		t.Fatalf("%d requests still in flight", n)
 	}
 }
 
-// Symptom: a payment ran twice.
-// Sequence: the connection breaks after the request was sent; it is sent to
-// another server.
-// Cause: a broken connection proves nothing.
-func TestLostPaymentIsNotSentAgain(t *testing.T) {
-	w := newWorld(t, failed(upstream.Broken, true), answering(200, "paid"))
-	out := w.call("/p/1")
-	if len(w.backend.sends) != 1 {
-		t.Fatalf("sent %d times", len(w.backend.sends))
+// Guards against running a payment twice after a connection broke.
+func TestNonIdempotentRequestIsNotRetriedAfterLoss(t *testing.T) {
+	h := newHarness(t, failSend(upstream.Broken, true), respond(200, "paid"))
+	out := h.call("/p/1")
+	if len(h.backend.sends) != 1 {
+		t.Fatalf("sent %d times", len(h.backend.sends))
 	}
 	if out.refusal == nil || out.refusal.ExecutionState() == fault.NotRun {
-		t.Fatalf("refused with %v, which says that it did not run", out.refusal)
+		t.Fatalf("refused with %v, which states that it did not run", out.refusal)
 	}
 	if status := fault.Lookup(out.refusal.Kind).Status; status == 503 || status == 429 {
-		t.Fatalf("answered %d, which promises that it did not run", status)
+		t.Fatalf("status %d states that it did not run", status)
 	}
 }
 
-func TestPaymentThatDidNotRunGoesElsewhere(t *testing.T) {
-	for name, first := range map[string]func(Send) (*Reply, error){
-		"server says so": notRun, "no connection": failed(upstream.Unreachable, false),
+func TestNonIdempotentRequestIsRetriedIfNotRun(t *testing.T) {
+	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
+		"refused by server": respondNotRun, "no connection": failSend(upstream.Unreachable, false),
 	} {
-		w := newWorld(t, first, answering(200, "paid"))
-		out := w.call("/p/1")
-		if out.status != 200 || len(w.backend.sends) != 2 {
-			t.Errorf("%s: got %d after %d sends", name, out.status, len(w.backend.sends))
+		h := newHarness(t, first, respond(200, "paid"))
+		out := h.call("/p/1")
+		if out.status != 200 || len(h.backend.sends) != 2 {
+			t.Errorf("%s: got %d after %d sends", name, out.status, len(h.backend.sends))
 		}
-		if w.backend.sends[0].Server.ID == w.backend.sends[1].Server.ID {
-			t.Errorf("%s: the same server was asked again", name)
+		if h.backend.sends[0].Server.ID == h.backend.sends[1].Server.ID {
+			t.Errorf("%s: retried on the same server", name)
 		}
 	}
 }
 
-func TestRefusedByAllIsRefusedAsNotRun(t *testing.T) {
-	w := newWorld(t, notRun)
-	out := w.call("/p/1")
+func TestRefusalByAllServersReportsNotRun(t *testing.T) {
+	h := newHarness(t, respondNotRun)
+	out := h.call("/p/1")
 	if out.refusal == nil || out.refusal.ExecutionState() != fault.NotRun || out.refusal.RetryDelay() <= 0 {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
 
-func TestFailedLookupGoesElsewhereOnce(t *testing.T) {
-	w := newWorld(t, answering(500, "a"), answering(500, "b"), answering(200, "c"))
-	out := w.call("/l/1")
-	if out.status != 500 || out.body.String() != "b" || len(w.backend.sends) != 2 {
-		t.Fatalf("got %d %q after %d sends; the route allows two", out.status, out.body.String(), len(w.backend.sends))
+func TestRetriesStopAtRouteAttempts(t *testing.T) {
+	h := newHarness(t, respond(500, "a"), respond(500, "b"), respond(200, "c"))
+	out := h.call("/l/1")
+	if out.status != 500 || out.body.String() != "b" || len(h.backend.sends) != 2 {
+		t.Fatalf("got %d %q after %d sends, want 2", out.status, out.body.String(), len(h.backend.sends))
 	}
 }
 
-// Symptom: a stream had an event twice, or one was missing.
-// Sequence: a server stops in the middle of an event; the stream goes on at
-// another server, which begins one event too early.
-// Cause: bytes were passed on as they came.
-func TestStreamGoesOnElsewhereWithoutGapOrRepeat(t *testing.T) {
-	w := newWorld(t, streamingFrom(90, errors.New("reset"), 1, 2), streamingFrom(90, nil, 2, 3, 4))
-	out := w.call("/s/1")
+// Guards against duplicate or missing events after a failover in the middle of an event.
+func TestResumedStreamHasNoGapOrDuplicate(t *testing.T) {
+	h := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 2, 3, 4))
+	out := h.call("/s/1")
 	if got := out.body.String(); got != events(1, 2, 3, 4) {
 		t.Fatalf("got %q", got)
 	}
-	if second := w.backend.sends[1]; second.LastEvent != 2 || second.Model != w.backend.sends[0].Model {
-		t.Fatalf("went on after %d with %s", second.LastEvent, second.Model)
+	if second := h.backend.sends[1]; second.LastEvent != 2 || second.Model != h.backend.sends[0].Model {
+		t.Fatalf("resumed after %d with %s", second.LastEvent, second.Model)
 	}
 }
 
-func TestStreamWithAGapIsCut(t *testing.T) {
-	w := newWorld(t, streamingFrom(90, errors.New("reset"), 1, 2), streamingFrom(90, nil, 4, 5))
-	out := w.call("/s/1")
-	if !out.cut || out.body.String() != events(1, 2) {
-		t.Fatalf("cut %t, got %q", out.cut, out.body.String())
+func TestStreamWithMissingEventIsAborted(t *testing.T) {
+	h := newHarness(t, respondStream(90, errors.New("reset"), 1, 2), respondStream(90, nil, 4, 5))
+	out := h.call("/s/1")
+	if !out.aborted || out.body.String() != events(1, 2) {
+		t.Fatalf("aborted %t, got %q", out.aborted, out.body.String())
 	}
 }
 
-func TestDoubtfulAnswerIsAskedOfTheLargestModel(t *testing.T) {
-	w := newWorld(t, streamingFrom(10, nil, 1), streamingFrom(95, nil, 1, 2))
-	out := w.call("/s/1")
+func TestLowConfidenceEscalatesToLargestModel(t *testing.T) {
+	h := newHarness(t, respondStream(10, nil, 1), respondStream(95, nil, 1, 2))
+	out := h.call("/s/1")
 	if out.body.String() != events(1, 2) {
 		t.Fatalf("got %q", out.body.String())
 	}
-	if w.backend.sends[0].Model != "small" || w.backend.sends[1].Model != "large" {
-		t.Fatalf("asked %s, then %s", w.backend.sends[0].Model, w.backend.sends[1].Model)
+	if h.backend.sends[0].Model != "small" || h.backend.sends[1].Model != "large" {
+		t.Fatalf("sent to %s, then %s", h.backend.sends[0].Model, h.backend.sends[1].Model)
 	}
 }
 
-// Symptom: after all daemons had been lost at once, first events took three seconds for
-// half a minute.
-// Sequence: the callers of two hundred streams come back and go on after the events
-// that they have; all are sent to the largest model within a second.
-// Cause: nobody knows which model made the beginning, so the largest was taken. The
-// smallest model's opinion of the request tells as well whether it is too hard for it.
-func TestContinuedStreamIsJudgedLikeOthers(t *testing.T) {
+// Guards against sending resumed streams to the largest model at once, which overloads
+// it after the loss of many daemons.
+func TestResumedStreamStartsWithSmallestModel(t *testing.T) {
 	for _, tt := range []struct {
 		confidence float64
 		want       []string
 	}{{95, []string{"small"}}, {10, []string{"small", "large"}}} {
-		w := newWorld(t, streamingFrom(tt.confidence, nil, 8, 9), streamingFrom(95, nil, 8, 9))
-		out := &fakeCaller{}
-		prompt := Prompt{Tokens: 100, AnswerTokens: 20, Parts: []Part{{1, 50}, {2, 50}}}
-		w.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/s/1", Key: "k", Model: AnyModel, Prompt: prompt, LastEvent: 7, Received: time.Now()}, out)
-		var asked []string
-		for _, s := range w.backend.sends {
-			asked = append(asked, s.Model)
+		h := newHarness(t, respondStream(tt.confidence, nil, 8, 9), respondStream(95, nil, 8, 9))
+		out := &fakeResponseWriter{}
+		prompt := Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
+		h.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/s/1", Key: "k", Model: AnyModel, Prompt: prompt, LastEvent: 7, Received: time.Now()}, out)
+		var models []string
+		for _, s := range h.backend.sends {
+			models = append(models, s.Model)
 			if s.LastEvent != 7 {
-				t.Errorf("%s was asked to go on after %d", s.Model, s.LastEvent)
+				t.Errorf("%s was asked to resume after %d", s.Model, s.LastEvent)
 			}
 		}
-		if out.body.String() != events(8, 9) || !slices.Equal(asked, tt.want) {
-			t.Errorf("confidence %g: got %q of %v", tt.confidence, out.body.String(), asked)
+		if out.body.String() != events(8, 9) || !slices.Equal(models, tt.want) {
+			t.Errorf("confidence %g: got %q of %v", tt.confidence, out.body.String(), models)
 		}
 	}
 }
 
-// Symptom: a key that was taken away six seconds ago still opened.
-// Sequence: a daemon is cut off from the store; a key is taken away; a request
-// comes with it.
-// Cause: the daemon went on by its last configuration.
-func TestKeysAreNotTrustedWithoutRecentConfirmation(t *testing.T) {
-	w := newWorld(t, answering(200, "x"))
-	w.clock.now += 4 * time.Second
-	out := w.call("/l/1")
-	if out.refusal == nil || out.refusal.Kind != fault.ConfigurationStale || len(w.backend.sends) != 0 {
-		t.Fatalf("got %+v after %d sends", out.refusal, len(w.backend.sends))
+// Guards against accepting a revoked key while the daemon is cut off from the store.
+func TestStaleConfigurationRefusesKeys(t *testing.T) {
+	h := newHarness(t, respond(200, "x"))
+	h.clock.now += 4 * time.Second
+	out := h.call("/l/1")
+	if out.refusal == nil || out.refusal.Kind != fault.ConfigurationStale || len(h.backend.sends) != 0 {
+		t.Fatalf("got %+v after %d sends", out.refusal, len(h.backend.sends))
 	}
-	w.relay.State.Confirm(freshness.Configuration, freshness.Confirmation{At: w.clock.now, Source: freshness.FromStore})
-	if out := w.call("/l/1"); out.status != 200 {
+	h.relay.State.Confirm(freshness.Configuration, freshness.Confirmation{At: h.clock.now, Source: freshness.FromStore})
+	if out := h.call("/l/1"); out.status != 200 {
 		t.Fatalf("got %+v after a confirmation", out.refusal)
 	}
 }
 
 func TestUnknownKeyAndRoute(t *testing.T) {
-	w := newWorld(t, answering(200, "x"))
-	if out := w.call("/none/"); out.refusal == nil || out.refusal.Kind != fault.NotFound {
+	h := newHarness(t, respond(200, "x"))
+	if out := h.call("/none/"); out.refusal == nil || out.refusal.Kind != fault.NotFound {
 		t.Errorf("no route: %+v", out.refusal)
 	}
-	out := &fakeCaller{}
-	w.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/l/1", Key: "other", Received: time.Now()}, out)
+	out := &fakeResponseWriter{}
+	h.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/l/1", Key: "other", Received: time.Now()}, out)
 	if out.refusal == nil || out.refusal.Kind != fault.Unauthorized {
 		t.Errorf("no key: %+v", out.refusal)
 	}
 }
 
-// Symptom: a request was read by a daemon that ended before it was answered.
-// Sequence: a daemon is about to end; a request with some seconds to live arrives.
-// Cause: it was taken though it could outlast the daemon.
-func TestLeavingDaemonTakesNothingThatCouldOutlastIt(t *testing.T) {
-	w := newWorld(t, answering(200, "x"))
-	w.relay.Leave(time.Now().Add(500 * time.Millisecond))
-	if out := w.call("/l/1"); out.refusal == nil || out.refusal.Kind != fault.ShuttingDown || out.refusal.ExecutionState() != fault.NotRun {
+// Guards against admitting a request that may outlast the daemon.
+func TestDrainingRefusesRequestsThatMayOutlastDaemon(t *testing.T) {
+	h := newHarness(t, respond(200, "x"))
+	h.relay.Drain(time.Now().Add(500 * time.Millisecond))
+	if out := h.call("/l/1"); out.refusal == nil || out.refusal.Kind != fault.ShuttingDown || out.refusal.ExecutionState() != fault.NotRun {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
 
-func TestUnsealedAnswerIsNotPassedOn(t *testing.T) {
-	w := newWorld(t, func(Send) (*Reply, error) {
-		return &Reply{Status: 200, Header: http.Header{}, Confidence: -1, Length: 1, Body: io.NopCloser(strings.NewReader("x"))}, nil
+func TestUnauthenticatedResponseIsNotForwarded(t *testing.T) {
+	h := newHarness(t, func(BackendRequest) (*BackendResponse, error) {
+		return &BackendResponse{Status: 200, Header: http.Header{}, Confidence: -1, ContentLength: 1, Body: io.NopCloser(strings.NewReader("x"))}, nil
 	})
-	if out := w.call("/p/1"); out.status != 0 || out.refusal == nil {
-		t.Fatalf("passed on %d %q", out.status, out.body.String())
+	if out := h.call("/p/1"); out.status != 0 || out.refusal == nil {
+		t.Fatalf("forwarded %d %q", out.status, out.body.String())
 	}
 }
 
-func TestShortAnswerIsNotTakenForTheWhole(t *testing.T) {
-	short := func(Send) (*Reply, error) {
-		return &Reply{Status: 200, Header: http.Header{}, Sealed: true, Confidence: -1, Length: 9, Body: io.NopCloser(strings.NewReader("x"))}, nil
+func TestTruncatedResponseIsRetried(t *testing.T) {
+	short := func(BackendRequest) (*BackendResponse, error) {
+		return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: 9, Body: io.NopCloser(strings.NewReader("x"))}, nil
 	}
-	w := newWorld(t, short, answering(200, "whole"))
-	if out := w.call("/l/1"); out.body.String() != "whole" {
+	h := newHarness(t, short, respond(200, "whole"))
+	if out := h.call("/l/1"); out.body.String() != "whole" {
 		t.Fatalf("got %q", out.body.String())
 	}
 }
 
-// Symptom: a stream was cut in its middle though nothing failed for good.
-// Sequence: a stream runs; its key is taken away; its server fails; the stream is to
-// go on at another server.
-// Cause: the key was asked for again at every send.
-func TestKeyTakenAwayLaterDoesNotCutAStream(t *testing.T) {
-	w := newWorld(t, nil)
-	w.backend.script = []func(Send) (*Reply, error){
-		func(s Send) (*Reply, error) {
+// Guards against aborting a stream at failover because its key was revoked meanwhile.
+func TestRevokedKeyDoesNotAbortStream(t *testing.T) {
+	h := newHarness(t, nil)
+	h.backend.script = []func(BackendRequest) (*BackendResponse, error){
+		func(s BackendRequest) (*BackendResponse, error) {
 			table, err := route.NewTable(route.Document{Version: 2, KeyRequired: true, Keys: map[string]route.Workspace{}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.relay.State.SetTable(table)
-			return streamingFrom(90, errors.New("reset"), 1)(s)
+			h.relay.State.SetTable(table)
+			return respondStream(90, errors.New("reset"), 1)(s)
 		},
-		streamingFrom(90, nil, 2, 3),
+		respondStream(90, nil, 2, 3),
 	}
-	if out := w.call("/s/1"); out.cut || out.body.String() != events(1, 2, 3) {
-		t.Fatalf("cut %t, got %q", out.cut, out.body.String())
+	if out := h.call("/s/1"); out.aborted || out.body.String() != events(1, 2, 3) {
+		t.Fatalf("aborted %t, got %q", out.aborted, out.body.String())
 	}
 }
 
-// Symptom: a caller got the first 8 MB of a longer answer, which looked whole.
-// Sequence: a server sends an answer without a stated length that is longer than what
-// is held; it ends well, or it breaks off.
-// Cause: reading stopped at the bound, and the bound was taken for the end.
-func TestLongAnswerIsPassedOnWholeOrCut(t *testing.T) {
-	long := strings.Repeat("x", maxPlain+10)
+// Guards against truncating a response of unknown length at the buffer limit.
+func TestUnbufferedResponseIsCompleteOrAborted(t *testing.T) {
+	long := strings.Repeat("x", maxBufferedBody+10)
 	for _, broken := range []error{nil, io.ErrUnexpectedEOF} {
-		w := newWorld(t, func(Send) (*Reply, error) {
+		h := newHarness(t, func(BackendRequest) (*BackendResponse, error) {
 			var r io.Reader = strings.NewReader(long)
 			if broken != nil {
-				r = io.MultiReader(r, failing{broken})
+				r = io.MultiReader(r, failingReader{broken})
 			}
-			return &Reply{Status: 200, Header: http.Header{}, Sealed: true, Confidence: -1, Length: -1, Body: io.NopCloser(r)}, nil
+			return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: -1, Body: io.NopCloser(r)}, nil
 		})
-		out := w.call("/l/x")
-		if out.body.Len() != len(long) || out.cut != (broken != nil) {
-			t.Errorf("ended by %v: %d of %d bytes, cut %t", broken, out.body.Len(), len(long), out.cut)
+		out := h.call("/l/x")
+		if out.body.Len() != len(long) || out.aborted != (broken != nil) {
+			t.Errorf("ended by %v: %d of %d bytes, aborted %t", broken, out.body.Len(), len(long), out.aborted)
 		}
-		if n := w.inFlight(); n != 0 {
-			t.Errorf("%d requests are still booked", n)
+		if n := h.inFlight(); n != 0 {
+			t.Errorf("%d requests still in flight", n)
 		}
 	}
 }
 
-// Symptom: at the start of a day a deployment of sixty daemons let a third of its first
-// doubtful answers stand.
-// Sequence: the reserve of repeats is divided between sixty daemons; the smallest model
-// doubts the first answer of each.
-// Cause: a fixed count of repeats was kept for lost requests, more than the whole
-// reserve of one daemon.
-func TestFirstDoubtfulAnswerOfOneDaemonOfManyIsEscalated(t *testing.T) {
-	w := newWorld(t, streamingFrom(10, nil, 0, 1), streamingFrom(90, nil, 0, 1))
-	w.relay.State.SetDaemons(30)
-	w.call("/s/x")
-	if n := len(w.backend.sends); n != 2 || w.backend.sends[1].Model != "large" {
+// Guards against a reserve for failovers that exceeds the budget of one daemon of many,
+// so that no answer is escalated.
+func TestEscalationWithinSmallReserve(t *testing.T) {
+	h := newHarness(t, respondStream(10, nil, 0, 1), respondStream(90, nil, 0, 1))
+	h.relay.State.SetDaemons(30)
+	h.call("/s/x")
+	if n := len(h.backend.sends); n != 2 || h.backend.sends[1].Model != "large" {
 		t.Errorf("%d sends", n)
 	}
 }
 
-// Symptom: servers worked on requests for longer than their callers waited.
-// Sequence: a look-up fails at one server and goes to a second one.
-// Cause: each send stated the time that the caller had given at first.
-func TestEachSendStatesWhatIsLeft(t *testing.T) {
-	w := newWorld(t, answering(500, "x"), answering(200, "y"))
-	out := &fakeCaller{}
-	c := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Wait: time.Second}
-	w.relay.Serve(context.Background(), c, out)
-	if len(w.backend.sends) != 2 {
-		t.Fatalf("%d sends", len(w.backend.sends))
+// Guards against retries with the original timeout instead of the time left.
+func TestSendTimeoutIsTimeLeft(t *testing.T) {
+	h := newHarness(t, respond(500, "x"), respond(200, "y"))
+	out := &fakeResponseWriter{}
+	c := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Timeout: time.Second}
+	h.relay.Serve(context.Background(), c, out)
+	if len(h.backend.sends) != 2 {
+		t.Fatalf("%d sends", len(h.backend.sends))
 	}
-	first, second := w.backend.sends[0].Left, w.backend.sends[1].Left
+	first, second := h.backend.sends[0].Timeout, h.backend.sends[1].Timeout
 	if first > 500*time.Millisecond || second > first {
-		t.Errorf("sends state %s and %s of 0.5 s that are left", first, second)
+		t.Errorf("timeouts are %s and %s with 0.5 s left", first, second)
 	}
 }
 
-// Symptom: callers waited for a lost answer longer than the operator allows.
-// Sequence: a server takes a request and never answers.
-// Cause: nothing but the caller's own patience ended the wait.
-func TestRouteLimitEndsTheWait(t *testing.T) {
-	w := newWorld(t, nil)
-	w.backend.script[0] = func(Send) (*Reply, error) {
+// Guards against waiting for a lost response beyond the route's timeout.
+func TestRouteTimeoutEndsRequest(t *testing.T) {
+	h := newHarness(t, nil)
+	h.backend.script[0] = func(BackendRequest) (*BackendResponse, error) {
 		return nil, &upstream.Error{Reason: upstream.Canceled, Sent: true, Err: context.DeadlineExceeded}
 	}
-	out := &fakeCaller{}
-	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Wait: time.Minute}
-	w.relay.Serve(context.Background(), c, out)
+	out := &fakeResponseWriter{}
+	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Timeout: time.Minute}
+	h.relay.Serve(context.Background(), c, out)
 	if out.refusal == nil || out.refusal.Kind != fault.DeadlineExceeded || out.refusal.ExecutionState() == fault.NotRun {
-		t.Errorf("answered %+v after the route's two seconds", out.refusal)
+		t.Errorf("refused with %+v after the route timeout", out.refusal)
 	}
 }
--- /dev/null
+++ b/internal/relay/response.go
@@ -0,0 +1,253 @@
+package relay
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/damaskrudder/damaskrudder/internal/request"
+)
+
+// maxBufferedBody is the largest response body, in bytes, that is buffered before
+// it is forwarded.
+const maxBufferedBody = 8 << 20
+
+// bufferedResponse is a complete non-streaming response.
+type bufferedResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+func (r *bufferedResponse) writeTo(out ResponseWriter) {
+	out.WriteHeader(r.status, r.header, int64(len(r.body)))
+	_ = out.WriteBody(r.body) // a disconnected client is detected by its context
+}
+
+// forwardBuffered reads a response completely before it forwards any of it. If the
+// server fails meanwhile, the request can be retried, and the client never
+// receives a truncated response.
+func (x *exchange) forwardBuffered(t *target, reply *BackendResponse, sentAt time.Time, ok bool) (request.SendOutcome, bool) {
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBody+1))
+	if err == nil && len(body) > maxBufferedBody {
+		return x.forwardUnbuffered(t, reply, body)
+	}
+	if err != nil || reply.ContentLength >= 0 && int64(len(body)) != reply.ContentLength {
+		x.logEvent("response truncated", t, "status", reply.Status, "bytes", len(body), "err", err)
+		return request.ResponseLost, false
+	}
+	elapsed := time.Since(sentAt)
+	resp := &bufferedResponse{reply.Status, reply.Header, body}
+	failed := reply.Status >= http.StatusInternalServerError
+	x.relay.Rollouts.recordResponse(t, failed, x.latencyRatio(t, elapsed, 0))
+	if !failed {
+		x.relay.State.recordResponse(t, elapsed, x.service.Engine != nil)
+	}
+	if failed {
+		x.serverFailure = resp
+		if x.journey.Repeatable {
+			x.logEvent("server failed", t, "status", reply.Status)
+			return request.ErrorResponse, false
+		}
+	}
+	x.succeeded = ok
+	x.relay.Metrics.Responses(ok).Inc(1)
+	x.relay.Metrics.ResponseLatency.RecordDuration(time.Since(x.call.Received))
+	x.logEvent("answered", t, "status", reply.Status, "bytes", len(body))
+	resp.writeTo(x.out)
+	return request.ErrorResponse, true
+}
+
+// forwardUnbuffered forwards a response that exceeds the buffer limit. It aborts
+// the response if the server fails.
+func (x *exchange) forwardUnbuffered(t *target, reply *BackendResponse, prefix []byte) (request.SendOutcome, bool) {
+	x.headerSent = true
+	x.out.WriteHeader(reply.Status, reply.Header, reply.ContentLength)
+	n, err := io.Copy(bodyWriter{x.out}, io.MultiReader(bytes.NewReader(prefix), reply.Body))
+	if err == nil && reply.ContentLength >= 0 && n != reply.ContentLength {
+		err = io.ErrUnexpectedEOF
+	}
+	if err != nil {
+		x.logEvent("unbuffered response truncated", t, "status", reply.Status, "bytes", n, "err", err)
+		x.journey.Repeatable = false // the client already has part of this response
+		return request.ResponseLost, false
+	}
+	x.succeeded = true
+	x.logEvent("answered", t, "status", reply.Status, "bytes", n)
+	x.relay.Metrics.Responses(true).Inc(1)
+	return request.ErrorResponse, true
+}
+
+// bodyWriter implements io.Writer on a ResponseWriter.
+type bodyWriter struct{ out ResponseWriter }
+
+// Write implements io.Writer.
+func (w bodyWriter) Write(p []byte) (int, error) {
+	if err := w.out.WriteBody(p); err != nil {
+		return 0, err
+	}
+	return len(p), nil
+}
+
+// latencyRatio returns the ratio of the response time, with a number of intervals
+// between events, to the typical one; 0 if that is unknown.
+func (x *exchange) latencyRatio(t *target, elapsed time.Duration, intervals int) float64 {
+	first, interval := x.relay.State.typicalLatency(t, x.service.Engine != nil)
+	expected := first + float64(intervals)*interval
+	if first <= 0 {
+		return 0
+	}
+	return elapsed.Seconds() / expected
+}
+
+// forwardStream forwards the events of a response as they arrive.
+func (x *exchange) forwardStream(ctx context.Context, t *target, a *attempt, reply *BackendResponse, sentAt time.Time) (request.SendOutcome, bool) {
+	if x.escalate(t, reply.Confidence, sentAt) {
+		return request.LowConfidence, false
+	}
+	s := &streamForwarder{x: x, t: t, a: a, reply: reply, sentAt: sentAt}
+	err := s.copy()
+	switch {
+	case err == nil:
+		x.recordStream(s)
+		return request.ErrorResponse, true
+	case errors.Is(err, errClientDisconnected):
+		return request.ResponseLost, false
+	}
+	x.relay.Rollouts.recordResponse(t, ctx.Err() == nil, 0)
+	x.logEvent("stream interrupted", t, "last_event", x.lastEvent, "err", err, "cause", context.Cause(ctx))
+	return request.Truncated, false
+}
+
+// recordStream records a complete stream.
+func (x *exchange) recordStream(s *streamForwarder) {
+	x.succeeded = true
+	x.relay.Metrics.Responses(true).Inc(1)
+	x.logEvent("streamed", s.t, "last_event", x.lastEvent, "events", s.events, "first_ms", x.firstEventAt.Sub(x.call.Received).Milliseconds())
+	x.relay.Rollouts.recordResponse(s.t, false, x.latencyRatio(s.t, time.Since(s.sentAt), s.events-1))
+	if s.events > 1 {
+		x.recordStreamEnd(s.t, time.Since(s.firstEventAt))
+		x.relay.State.recordEventInterval(s.t, time.Since(s.firstEventAt)/time.Duration(s.events-1))
+	}
+}
+
+// streamForwarder forwards one server's stream.
+type streamForwarder struct {
+	x            *exchange
+	t            *target
+	a            *attempt
+	reply        *BackendResponse
+	sentAt       time.Time
+	firstEventAt time.Time
+	events       int
+	reader       eventReader
+	batch        []byte
+}
+
+var (
+	errClientDisconnected = errors.New("client disconnected")
+	errMissingEvent       = errors.New("event missing from stream")
+	errTruncatedEvent     = errors.New("stream ended within an event")
+	errEmptyStream        = errors.New("stream ended without an event")
+)
+
+// streamBufferSize is the size of a stream's read buffer in bytes.
+const streamBufferSize = 1024
+
+// copy forwards complete events until the stream ends. It returns nil if the
+// stream ended properly.
+func (s *streamForwarder) copy() error {
+	buf := make([]byte, streamBufferSize)
+	for {
+		n, err := s.reply.Body.Read(buf)
+		if n > 0 {
+			s.a.recordProgress()
+			if e := s.process(buf[:n]); e != nil {
+				return e
+			}
+		}
+		switch {
+		case err == nil:
+		case err != io.EOF:
+			return err
+		case s.reader.partial():
+			return errTruncatedEvent
+		case s.events == 0 && !s.x.headerSent:
+			return errEmptyStream
+		default:
+			return nil
+		}
+	}
+}
+
+// process forwards the events that a chunk completes, in one write.
+func (s *streamForwarder) process(chunk []byte) error {
+	if err := s.reader.feed(chunk); err != nil {
+		return err
+	}
+	s.batch = s.batch[:0]
+	for {
+		e, ok := s.reader.next()
+		if !ok {
+			break
+		}
+		if err := s.accept(e); err != nil {
+			return err
+		}
+	}
+	return s.flush()
+}
+
+// accept adds the event that follows the last one. After a failover the new server
+// may start too early, which would duplicate events, or too late.
+func (s *streamForwarder) accept(e event) error {
+	if e.id != NoEvent && s.x.lastEvent != NoEvent {
+		if e.id <= s.x.lastEvent {
+			return nil
+		}
+		if e.id != s.x.lastEvent+1 {
+			return errMissingEvent
+		}
+	}
+	if e.id != NoEvent {
+		s.x.lastEvent = e.id
+	}
+	s.events++
+	s.batch = append(s.batch, e.raw...)
+	return nil
+}
+
+func (s *streamForwarder) flush() error {
+	if len(s.batch) == 0 {
+		return nil
+	}
+	if s.firstEventAt.IsZero() {
+		s.recordFirstEvent()
+	}
+	if !s.x.headerSent {
+		s.x.headerSent = true
+		s.x.out.WriteHeader(s.reply.Status, s.reply.Header, -1)
+	}
+	if err := s.x.out.WriteBody(s.batch); err != nil {
+		return errClientDisconnected
+	}
+	return nil
+}
+
+// recordFirstEvent records the first event of this server.
+func (s *streamForwarder) recordFirstEvent() {
+	s.firstEventAt = time.Now()
+	s.x.relay.Guard.MarkForwarded(s.x.run)
+	elapsed := s.firstEventAt.Sub(s.sentAt)
+	s.x.relay.State.recordResponse(s.t, elapsed, true)
+	s.x.recordFirstEvent(s.t, elapsed)
+	if !s.x.firstEventAt.IsZero() {
+		return
+	}
+	s.x.firstEventAt = s.firstEventAt
+	total := s.firstEventAt.Sub(s.x.call.Received)
+	s.x.relay.Metrics.FirstEventLatency.RecordDuration(total)
+}
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -12,244 +12,244 @@
 	"github.com/damaskrudder/damaskrudder/internal/rollout"
 )
 
-// Rollouts keeps the orders to move services to new versions of their servers,
-// what this daemon saw of both versions, and what the others tell.
+// Rollouts holds the rollout orders of services, this daemon's evidence on both
+// versions, and the reports of other daemons.
 type Rollouts struct {
 	log *log.Logger
 	now func() time.Time
 
 	mu     sync.Mutex
-	orders map[string]*order
-	// seen remembers sessions for as long as their requests belong together.
-	seen sessions
-	// usual is how long answers of a service usually take, on the version that
-	// carries the traffic.
-	usual map[string]*rollout.LatencyBaseline
-	// settled is what the store says of orders, by service. It may be read
-	// before the order itself.
-	settled map[string]settled
-	// unsaid are the services of whose order a store that came back from an older copy says
-	// less than is known, since when. restored says that one has come back.
-	unsaid   map[string]time.Time
-	restored bool
+	orders map[string]*orderState
+	// sessions holds the sessions seen within the idle timeout.
+	sessions sessionTracker
+	// baselines are the typical latency ratios of services on the version that carries
+	// the traffic.
+	baselines map[string]*rollout.LatencyBaseline
+	// storedPhases are the phases in the store, by service. A phase may be read before
+	// its order.
+	storedPhases map[string]datedPhase
+	// lostPhases holds the services whose phase is missing from a store that was
+	// restored from an older copy, with the time at which this was found.
+	// storeRestored is set once the store was restored.
+	lostPhases    map[string]time.Time
+	storeRestored bool
 }
 
-type order struct {
+type orderState struct {
 	rollout.Order
 	phase rollout.Phase
-	// braked says that this daemon stopped using the new version by itself. The
-	// store's word goes before it: two daemons may judge the same moment
-	// differently, and a completed order leaves no old server to go back to.
-	braked bool
-	// since is when the order was given, by this daemon's clock.
-	since time.Time
-	own   map[string]*rollout.ServerCounts
-	peers map[string]OrderReport
-	// oldRunning counts own requests on old servers.
-	oldRunning int
-	// sessions are those that this daemon saw shortly before the canary began
-	// and that its share would move.
-	sessions map[uint64]bool
+	// suspended is set if this daemon has stopped using the new version. A phase in
+	// the store overrides it: daemons may decide differently, and a completed order
+	// leaves no old server to return to.
+	suspended bool
+	// orderedAt is when the order was given, by this daemon's clock.
+	orderedAt   time.Time
+	ownEvidence map[string]*rollout.ServerCounts
+	peerReports map[string]OrderReport
+	// oldInFlight counts this daemon's requests on old servers.
+	oldInFlight int
+	// pinnedSessions are the sessions that this daemon saw before the canary began and
+	// that the canary share would move.
+	pinnedSessions map[uint64]bool
 }
 
-// sessions remembers when the sessions of a service were last seen.
-type sessions struct {
-	// span is how long requests of a session belong together.
-	span time.Duration
-	last map[string]map[uint64]time.Time
-	next time.Time
+// sessionTracker records when the sessions of a service were last seen.
+type sessionTracker struct {
+	// idleTimeout is the maximum time between two requests of a session.
+	idleTimeout time.Duration
+	lastSeen    map[string]map[uint64]time.Time
+	nextSweep   time.Time
 }
 
-// add remembers a session, and now and then forgets old ones.
-func (s *sessions) add(service string, session uint64, now time.Time) {
-	if s.last[service] == nil {
-		s.last[service] = map[uint64]time.Time{}
+// add records a session, and periodically removes expired ones.
+func (s *sessionTracker) add(service string, session uint64, now time.Time) {
+	if s.lastSeen[service] == nil {
+		s.lastSeen[service] = map[uint64]time.Time{}
 	}
-	s.last[service][session] = now
-	if now.Before(s.next) {
+	s.lastSeen[service][session] = now
+	if now.Before(s.nextSweep) {
 		return
 	}
-	s.next = now.Add(s.span)
-	for _, of := range s.last {
-		for id, at := range of {
-			if now.Sub(at) > s.span {
-				delete(of, id)
+	s.nextSweep = now.Add(s.idleTimeout)
+	for _, sessions := range s.lastSeen {
+		for id, at := range sessions {
+			if now.Sub(at) > s.idleTimeout {
+				delete(sessions, id)
 			}
 		}
 	}
 }
 
-// recent lists the sessions of a service that a share of the canary's size moves.
-func (s *sessions) recent(service string, now time.Time) map[uint64]bool {
+// canarySessions lists the recent sessions of a service that fall into the canary share.
+func (s *sessionTracker) canarySessions(service string, now time.Time) map[uint64]bool {
 	out := map[uint64]bool{}
-	share := rollout.DefaultOrderPolicy().Share(rollout.Canary) * shareGrain
-	for id, at := range s.last[service] {
-		if now.Sub(at) <= s.span && float64(id>>versionShift%shareGrain) < share {
+	share := rollout.DefaultOrderPolicy().Share(rollout.Canary) * shareResolution
+	for id, at := range s.lastSeen[service] {
+		if now.Sub(at) <= s.idleTimeout && float64(id>>versionHashShift%shareResolution) < share {
 			out[id] = true
 		}
 	}
 	return out
 }
 
-// OrderReport is what one daemon tells the others of an order.
+// OrderReport is a daemon's report on an order to its peers.
 type OrderReport struct {
-	Service    string           `cbor:"1,keyasint"`
-	Offset     uint64           `cbor:"2,keyasint"`
-	Phase      rollout.Phase    `cbor:"3,keyasint"`
-	SinceMs    int64            `cbor:"4,keyasint"`
-	OldRunning int              `cbor:"5,keyasint"`
-	Cells      rollout.Evidence `cbor:"6,keyasint,omitempty"`
-	// Braked says that a daemon that judges by the evidence of all has stopped the new
-	// version. Others stop it too: the store may be away, and hold no word of it.
-	Braked bool `cbor:"8,keyasint,omitempty"`
-	// Sessions are those that were on the old version when the canary began.
-	Sessions []uint64 `cbor:"7,keyasint,omitempty"`
+	Service     string           `cbor:"1,keyasint"`
+	Offset      uint64           `cbor:"2,keyasint"`
+	Phase       rollout.Phase    `cbor:"3,keyasint"`
+	AgeMs       int64            `cbor:"4,keyasint"`
+	OldInFlight int              `cbor:"5,keyasint"`
+	Evidence    rollout.Evidence `cbor:"6,keyasint,omitempty"`
+	// Suspended is set if a daemon that evaluates the evidence of all has suspended the
+	// new version. Peers suspend it too, since the store may be unreachable.
+	Suspended bool `cbor:"8,keyasint,omitempty"`
+	// PinnedSessions were on the old version when the canary began.
+	PinnedSessions []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// NewRollouts returns a keeper without orders. Requests of a session that follow
-// each other within the span belong together. Now reads the clock.
-func NewRollouts(sessionSpan time.Duration, now func() time.Time, l *log.Logger) *Rollouts {
+// NewRollouts returns Rollouts without orders. SessionIdleTimeout is the maximum time
+// between two requests of a session; now reads the clock.
+func NewRollouts(sessionIdleTimeout time.Duration, now func() time.Time, logger *log.Logger) *Rollouts {
 	return &Rollouts{
-		log: l, now: now, orders: map[string]*order{}, usual: map[string]*rollout.LatencyBaseline{}, settled: map[string]settled{}, unsaid: map[string]time.Time{},
-		seen: sessions{span: sessionSpan, last: map[string]map[uint64]time.Time{}},
+		log: logger, now: now, orders: map[string]*orderState{}, baselines: map[string]*rollout.LatencyBaseline{}, storedPhases: map[string]datedPhase{}, lostPhases: map[string]time.Time{},
+		sessions: sessionTracker{idleTimeout: sessionIdleTimeout, lastSeen: map[string]map[uint64]time.Time{}},
 	}
 }
 
-// Ordered takes an order. One that is known or older than a known one changes
-// nothing.
-func (r *Rollouts) Ordered(o rollout.Order) {
+// AddOrder adds an order. A known or older order is ignored.
+func (r *Rollouts) AddOrder(o rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	old := r.orders[o.Service]
-	if old != nil && old.Offset >= o.Offset {
+	known := r.orders[o.Service]
+	if known != nil && known.Offset >= o.Offset {
 		return
 	}
-	if old != nil && laterEra(o.Offset, old.Offset) && o.Target == old.Target {
-		// The store came back from an older copy. This is the order that is known, read or
-		// written again: one that is over would else begin anew.
-		old.Offset = o.Offset
-		r.settle(o.Service)
+	if known != nil && laterEra(o.Offset, known.Offset) && o.Target == known.Target {
+		// The store was restored from an older copy. This is the known order, read or
+		// written again; a finished one must not restart.
+		known.Offset = o.Offset
+		r.reconcile(o.Service)
 		return
 	}
-	o.SessionWindow = r.seen.span
-	r.orders[o.Service] = &order{
-		Order: o, since: r.now(),
-		own: map[string]*rollout.ServerCounts{}, peers: map[string]OrderReport{},
+	o.SessionWindow = r.sessions.idleTimeout
+	r.orders[o.Service] = &orderState{
+		Order: o, orderedAt: r.now(),
+		ownEvidence: map[string]*rollout.ServerCounts{}, peerReports: map[string]OrderReport{},
 	}
 	r.log.Info("roll-out ordered", "service", o.Service, "target", o.Target, "offset", o.Offset, "duration", o.Duration)
-	r.settle(o.Service)
+	r.reconcile(o.Service)
 }
 
-// advance moves an order on. Callers hold mu.
-func (r *Rollouts) advance(o *order, p rollout.Phase, why string) {
+// advance moves an order to a later phase. Callers hold mu.
+func (r *Rollouts) advance(o *orderState, p rollout.Phase, reason string) {
 	if p <= o.phase || o.phase.Final() {
 		return
 	}
-	o.braked = o.braked && !p.Final()
-	r.log.Info("roll-out phase", "service", o.Service, "target", o.Target, "from", o.phase, "to", p, "why", why, "since_ms", r.now().Sub(o.since).Milliseconds())
+	o.suspended = o.suspended && !p.Final()
+	r.log.Info("roll-out phase", "service", o.Service, "target", o.Target, "from", o.phase, "to", p, "why", reason, "since_ms", r.now().Sub(o.orderedAt).Milliseconds())
 	o.phase = p
 }
 
-// Choice is which versions of a service's servers a request may use.
-type Choice struct {
-	// Prefer admits the versions that the request should use.
-	Prefer func(version string) bool
-	// Else admits those it may use if no server of a preferred one is there.
-	Else func(version string) bool
-	// Part limits the preferred servers to a part of them, so that those which a
-	// small share of the requests goes to carry as much as any other; 0 is all. A
-	// version that fails under load would else show it only when it is too late.
-	Part float64
+// VersionChoice is the set of server versions that a request may use.
+type VersionChoice struct {
+	// Preferred admits the preferred versions.
+	Preferred func(version string) bool
+	// Fallback admits the versions to use if no server of a preferred one is available.
+	Fallback func(version string) bool
+	// Fraction limits the request to a fraction of the preferred servers; 0 means all. A
+	// small share of the requests then loads these servers as much as any other, which
+	// exposes a version that fails under load.
+	Fraction float64
 }
 
-func everyVersion(string) bool { return true }
+func anyVersion(string) bool { return true }
 
-// Admits chooses between the versions of a service's servers.
+// ChooseVersion selects the server versions for a request.
 //
-// A session must not be moved to the new version before the half of an order's
-// time. So sessions seen shortly before stay on the old version in the canary
-// phase, and those that begin in it go by their hash, which every daemon computes
-// alike. The share only grows, so no session goes back.
-func (r *Rollouts) Admits(service, session string, draw uint64) Choice {
+// A session must not move to the new version in the first half of an order's duration.
+// Sessions seen shortly before the canary stay on the old version during it; new
+// sessions are assigned by their hash, which is the same on every daemon. The share
+// never shrinks, so no session moves back.
+func (r *Rollouts) ChooseVersion(service, session string, hash uint64) VersionChoice {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if session != "" {
-		draw = xxhash.Sum64String(session)
-		defer r.seen.add(service, draw, now)
+		hash = xxhash.Sum64String(session)
+		defer r.sessions.add(service, hash, now)
 	}
 	o := r.orders[service]
 	if o == nil {
-		return Choice{Prefer: everyVersion, Else: everyVersion}
+		return VersionChoice{Preferred: anyVersion, Fallback: anyVersion}
 	}
 	target := o.Target
 	onNew := func(v string) bool { return v == target }
 	onOld := func(v string) bool { return v != target }
 	if o.phase == rollout.RolledBack {
-		return Choice{Prefer: onOld, Else: onOld}
+		return VersionChoice{Preferred: onOld, Fallback: onOld}
 	}
-	if o.braked {
-		return Choice{Prefer: onOld, Else: everyVersion}
+	if o.suspended {
+		return VersionChoice{Preferred: onOld, Fallback: anyVersion}
 	}
 	share := rollout.DefaultOrderPolicy().Share(o.phase)
-	if o.phase == rollout.Canary && (now.Sub(o.since) < canaryDelay || session != "" && o.kept(draw)) {
+	if o.phase == rollout.Canary && (now.Sub(o.orderedAt) < canaryDelay || session != "" && o.pinned(hash)) {
 		share = 0
 	}
-	if float64(draw>>versionShift%shareGrain) >= share*shareGrain {
+	if float64(hash>>versionHashShift%shareResolution) >= share*shareResolution {
 		if o.phase == rollout.Canary && session != "" {
-			return Choice{Prefer: onOld, Else: onOld}
+			return VersionChoice{Preferred: onOld, Fallback: onOld}
 		}
-		return Choice{Prefer: onOld, Else: everyVersion}
+		return VersionChoice{Preferred: onOld, Fallback: anyVersion}
 	}
-	return Choice{Prefer: onNew, Else: everyVersion, Part: share}
+	return VersionChoice{Preferred: onNew, Fallback: anyVersion, Fraction: share}
 }
 
-// canaryDelay is the time before the first request goes to a new version. In it
-// the daemons tell each other which sessions they saw, and new servers register.
+// canaryDelay is the time before the first request uses a new version. Meanwhile the
+// daemons exchange their sessions and new servers register.
 const canaryDelay = 1200 * time.Millisecond
 
-// kept reports whether a session was on the old version before the canary began.
-func (o *order) kept(session uint64) bool {
-	if o.sessions[session] {
+// pinned reports whether a session was on the old version before the canary began.
+func (o *orderState) pinned(session uint64) bool {
+	if o.pinnedSessions[session] {
 		return true
 	}
-	for _, p := range o.peers {
-		if slices.Contains(p.Sessions, session) {
+	for _, p := range o.peerReports {
+		if slices.Contains(p.PinnedSessions, session) {
 			return true
 		}
 	}
 	return false
 }
 
-// versionShift takes other bits of the draw than the choice of the service does,
-// so that the two do not depend on each other.
-const versionShift = 16
+// versionHashShift selects hash bits that are independent of those for the choice of
+// the service.
+const versionHashShift = 16
 
-// shareGrain is the number of parts that requests are dealt in.
-const shareGrain = 1000
+// shareResolution is the number of buckets that hashes are assigned to.
+const shareResolution = 1000
 
-// observe books an answer as evidence for or against a version. Ratio is the time
-// it took over the time expected of it, or 0 if that is not known.
-func (r *Rollouts) observe(t *target, failed bool, ratio float64) {
+// recordResponse adds a response to the evidence on a version. Ratio is the response
+// time relative to the expected one, or 0 if that is unknown.
+func (r *Rollouts) recordResponse(t *target, failed bool, ratio float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	usual := r.usual[t.service]
-	if usual == nil {
-		usual = &rollout.LatencyBaseline{}
-		r.usual[t.service] = usual
+	baseline := r.baselines[t.service]
+	if baseline == nil {
+		baseline = &rollout.LatencyBaseline{}
+		r.baselines[t.service] = baseline
 	}
 	o := r.orders[t.service]
 	if o == nil || o.phase.Final() {
-		usual.Observe(ratio)
+		baseline.Observe(ratio)
 		return
 	}
-	c := o.own[t.server.ID]
+	c := o.ownEvidence[t.server.ID]
 	if c == nil {
 		c = &rollout.ServerCounts{Server: t.server.ID, FailureDomain: t.server.FailureDomain, New: t.server.Version == o.Target}
-		o.own[t.server.ID] = c
+		o.ownEvidence[t.server.ID] = c
 	}
 	if !c.New {
-		usual.Observe(ratio)
+		baseline.Observe(ratio)
 	}
 	c.Counts.Requests++
 	if failed {
@@ -258,16 +258,16 @@
 	}
 	if ratio > 0 {
 		c.Counts.Timed++
-		if usual.IsSlow(ratio, o.phase) {
+		if baseline.IsSlow(ratio, o.phase) {
 			c.Counts.Slow++
 		}
 	}
 }
 
-// Reports lists what this daemon tells another, with its evidence or without. Running
-// counts a service's own requests on servers of other versions than the target. Judge says
-// that this daemon judges by the evidence of all.
-func (r *Rollouts) Reports(running func(service, target string) int, evidence, judge bool) []OrderReport {
+// Reports returns this daemon's reports for a peer, with or without its evidence.
+// OldInFlight counts a service's own requests on servers of other versions than the
+// target. Evaluates is set if this daemon evaluates the evidence of all.
+func (r *Rollouts) Reports(oldInFlight func(service, target string) int, evidence, evaluates bool) []OrderReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []OrderReport
@@ -275,34 +275,34 @@
 		if o.phase.Final() {
 			continue
 		}
-		o.oldRunning = running(o.Service, o.Target)
-		if o.phase == rollout.Canary && r.now().Sub(o.since) < canaryDelay {
-			// Until the canary begins every session is on the old version.
-			o.sessions = r.seen.recent(o.Service, r.now())
+		o.oldInFlight = oldInFlight(o.Service, o.Target)
+		if o.phase == rollout.Canary && r.now().Sub(o.orderedAt) < canaryDelay {
+			// Until the canary begins, every session is on the old version.
+			o.pinnedSessions = r.sessions.canarySessions(o.Service, r.now())
 		}
 		p := OrderReport{
-			Service: o.Service, Offset: o.Offset, Phase: o.phase, SinceMs: r.now().Sub(o.since).Milliseconds(),
-			OldRunning: o.oldRunning, Sessions: slices.Collect(maps.Keys(o.sessions)), Braked: judge && o.braked,
+			Service: o.Service, Offset: o.Offset, Phase: o.phase, AgeMs: r.now().Sub(o.orderedAt).Milliseconds(),
+			OldInFlight: o.oldInFlight, PinnedSessions: slices.Collect(maps.Keys(o.pinnedSessions)), Suspended: evaluates && o.suspended,
 		}
 		if evidence {
-			p.Cells = o.cells()
+			p.Evidence = o.evidence()
 		}
 		out = append(out, p)
 	}
 	return out
 }
 
-func (o *order) cells() rollout.Evidence {
+func (o *orderState) evidence() rollout.Evidence {
 	var e rollout.Evidence
-	for _, c := range o.own {
+	for _, c := range o.ownEvidence {
 		e = append(e, *c)
 	}
 	return e
 }
 
-// Heard takes another daemon's reports. A report of one that ended since is kept:
-// what it saw stays true.
-func (r *Rollouts) Heard(incarnation string, reports []OrderReport) {
+// ApplyReports applies another daemon's reports. Reports of daemons that have ended
+// remain valid.
+func (r *Rollouts) ApplyReports(incarnation string, reports []OrderReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range reports {
@@ -310,72 +310,72 @@
 		if o == nil || o.Offset != p.Offset {
 			continue
 		}
-		if p.Cells == nil {
-			// It was told without evidence: what it saw before stays true.
-			p.Cells = o.peers[incarnation].Cells
+		if p.Evidence == nil {
+			// A report without evidence keeps the evidence reported before.
+			p.Evidence = o.peerReports[incarnation].Evidence
 		}
-		o.peers[incarnation] = p
-		if p.Braked {
-			r.brake(o, "a daemon that judges says so")
+		o.peerReports[incarnation] = p
+		if p.Suspended {
+			r.suspend(o, "suspended by an evaluating daemon")
 		}
-		if ago := time.Duration(p.SinceMs) * time.Millisecond; ago > r.now().Sub(o.since) {
-			o.since = r.now().Add(-ago)
+		if age := time.Duration(p.AgeMs) * time.Millisecond; age > r.now().Sub(o.orderedAt) {
+			o.orderedAt = r.now().Add(-age)
 		}
 		if !p.Phase.Final() {
-			r.advance(o, p.Phase, "another daemon says so")
+			r.advance(o, p.Phase, "reported by another daemon")
 		}
 	}
 }
 
-// Step is a phase that an order should go on to.
-type Step struct {
-	Order rollout.Order
-	Phase rollout.Phase
-	Since time.Duration
-	Why   string
+// PhaseChange is a transition of an order to a phase. Age is the time since the order.
+type PhaseChange struct {
+	Order  rollout.Order
+	Phase  rollout.Phase
+	Age    time.Duration
+	Reason string
 }
 
-// Due lists the orders that should go on, by the evidence of all daemons. Alive
-// tells whether an incarnation still runs, since only then does its work count.
-func (r *Rollouts) Due(alive func(incarnation string) bool) []Step {
+// NextPhases lists the due phase changes, by the evidence of all daemons. Alive reports
+// whether an incarnation is running; only then its requests in flight count.
+func (r *Rollouts) NextPhases(alive func(incarnation string) bool) []PhaseChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []Step
+	var out []PhaseChange
 	for _, o := range r.orders {
 		if o.phase.Final() {
 			continue
 		}
-		parts, running := []rollout.Evidence{o.cells()}, o.oldRunning
-		for who, p := range o.peers {
-			parts = append(parts, p.Cells)
-			if alive(who) {
-				running += p.OldRunning
+		allEvidence, oldInFlight := []rollout.Evidence{o.evidence()}, o.oldInFlight
+		for incarnation, p := range o.peerReports {
+			allEvidence = append(allEvidence, p.Evidence)
+			if alive(incarnation) {
+				oldInFlight += p.OldInFlight
 			}
 		}
-		all := rollout.Sum(parts...)
-		since := r.now().Sub(o.since)
-		if p, why := rollout.DefaultOrderPolicy().NextPhase(o.Order, o.phase, since, all, running); p != o.phase {
-			out = append(out, Step{o.Order, p, since, why})
+		total := rollout.Sum(allEvidence...)
+		age := r.now().Sub(o.orderedAt)
+		if p, reason := rollout.DefaultOrderPolicy().NextPhase(o.Order, o.phase, age, total, oldInFlight); p != o.phase {
+			out = append(out, PhaseChange{o.Order, p, age, reason})
 		}
 	}
 	return out
 }
 
-// Brake stops this daemon's use of a new version at once, before the store says
-// so: writing there takes time, and fails while it is away.
-func (r *Rollouts) Brake(service string, offset uint64, why string) {
+// Suspend stops this daemon's use of a new version at once, before the phase is
+// written to the store, which takes time and fails while the store is unreachable.
+func (r *Rollouts) Suspend(service string, offset uint64, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o := r.orders[service]; o != nil && o.Offset == offset {
-		r.brake(o, why)
+		r.suspend(o, reason)
 	}
 }
 
-// brake stops this daemon's use of an order's version. Callers hold mu.
-func (r *Rollouts) brake(o *order, why string) {
-	if o.phase.Final() || o.braked {
+// suspend stops this daemon's use of an order's target version. Callers hold mu.
+func (r *Rollouts) suspend(o *orderState, reason string) {
+	if o.phase.Final() || o.suspended {
 		return
 	}
-	o.braked = true
-	r.log.Warn("new version not used any more", "service", o.Service, "target", o.Target, "why", why)
+	o.suspended = true
+	r.log.Warn("new version not used any more", "service", o.Service, "target", o.Target, "why", reason)
 }
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -16,75 +16,67 @@
 
 func testRollouts() *Rollouts {
 	r := NewRollouts(5*time.Second, time.Now, log.New(io.Discard))
-	r.Ordered(rollout.Order{Service: "s", Target: "v2", Duration: 24 * time.Second, Offset: 7})
+	r.AddOrder(rollout.Order{Service: "s", Target: "v2", Duration: 24 * time.Second, Offset: 7})
 	return r
 }
 
-// Symptom: one daemon refused every request of a service until its end, while the
-// others served.
-// Sequence: a daemon's own judgement stops the new version; at the same moment the
-// daemon that writes decides that the order is completed; the old servers stop.
-// Cause: a daemon's own stop outranked the store's word.
-func TestStoreGoesBeforeOwnBrake(t *testing.T) {
+// Guards against a local suspension that outlasts the order's completion in the store: the
+// daemon would refuse every request once the old servers have stopped.
+func TestStoredPhaseOverridesLocalSuspension(t *testing.T) {
 	r := testRollouts()
-	r.Settled(Settlement{Service: "s", Order: 7, Phase: rollout.Full, Ago: 15 * time.Second})
-	r.Brake("s", 7, "slow")
-	if c := r.Admits("s", "", 1); !c.Prefer("v1") || c.Prefer("v2") {
-		t.Fatal("a braked version is still preferred")
+	r.ApplyStoredPhase(StoredPhase{Service: "s", OrderOffset: 7, Phase: rollout.Full, OrderAge: 15 * time.Second})
+	r.Suspend("s", 7, "slow")
+	if c := r.ChooseVersion("s", "", 1); !c.Preferred("v1") || c.Preferred("v2") {
+		t.Fatal("suspended version is preferred")
 	}
-	r.Settled(Settlement{Service: "s", Order: 7, Phase: rollout.Completed, Ago: 20 * time.Second})
-	if c := r.Admits("s", "", 1); !c.Prefer("v2") || c.Prefer("v1") {
-		t.Fatal("after the store's word the old version is still preferred")
+	r.ApplyStoredPhase(StoredPhase{Service: "s", OrderOffset: 7, Phase: rollout.Completed, OrderAge: 20 * time.Second})
+	if c := r.ChooseVersion("s", "", 1); !c.Preferred("v2") || c.Preferred("v1") {
+		t.Fatal("old version is preferred after completion")
 	}
-	r.Brake("s", 7, "slow")
-	if c := r.Admits("s", "", 1); !c.Prefer("v2") {
-		t.Fatal("an order that is over was braked")
+	r.Suspend("s", 7, "slow")
+	if c := r.ChooseVersion("s", "", 1); !c.Preferred("v2") {
+		t.Fatal("finished order was suspended")
 	}
 }
 
-// Symptom: a good version was rolled back at its deadline for want of evidence.
-// Sequence: every request carries a session; sessions were held on the old version
-// for as long as the canary lasted.
-// Cause: sessions that began after the order were held, too.
-func TestNewSessionsCarryTheCanary(t *testing.T) {
+// Guards against pinning new sessions to the old version, which leaves the canary without
+// evidence.
+func TestNewSessionsUseTheCanary(t *testing.T) {
 	r := testRollouts()
-	r.orders["s"].since = time.Now().Add(-2 * canaryDelay)
-	fresh := 0
+	r.orders["s"].orderedAt = time.Now().Add(-2 * canaryDelay)
+	onNew := 0
 	for i := range 1000 {
-		if r.Admits("s", fmt.Sprint("session-", i), 0).Prefer("v2") {
-			fresh++
+		if r.ChooseVersion("s", fmt.Sprint("session-", i), 0).Preferred("v2") {
+			onNew++
 		}
 	}
-	if fresh < 60 || fresh > 140 {
-		t.Fatalf("%d of 1000 new sessions went to the new version, want about 100", fresh)
+	if onNew < 60 || onNew > 140 {
+		t.Fatalf("%d of 1000 new sessions went to the new version, want about 100", onNew)
 	}
 }
 
-// Symptom: sessions ran on the old version and seconds later on the new one, in
-// the first half of an order.
-// Sequence: a session is served by one daemon; the order comes; the session's next
-// request comes to another daemon.
-// Cause: the second daemon did not know that the session had begun before.
-func TestSessionsSeenElsewhereStay(t *testing.T) {
+// Guards against moving a session to the new version in the first half of an order, when
+// its next request arrives at another daemon.
+func TestSessionsSeenByPeersStayOnOldVersion(t *testing.T) {
 	one, other := testRollouts(), testRollouts()
 	name := canarySession(t)
-	one.Admits("s", name, 0)
+	one.ChooseVersion("s", name, 0)
 	none := func(string, string) int { return 0 }
-	other.Heard("one/1", one.Reports(none, true, false))
+	other.ApplyReports("one/1", one.Reports(none, true, false))
 	for _, r := range []*Rollouts{one, other} {
-		r.orders["s"].since = time.Now().Add(-2 * canaryDelay)
-		if r.Admits("s", name, 0).Prefer("v2") {
-			t.Fatal("a session that began on the old version was moved")
+		r.orders["s"].orderedAt = time.Now().Add(-2 * canaryDelay)
+		if r.ChooseVersion("s", name, 0).Preferred("v2") {
+			t.Fatal("session of the old version was moved")
 		}
 	}
 }
 
-// canarySession returns the name of a session that the canary's share moves.
+// canarySession returns the name of a session in the canary share.
 func canarySession(t *testing.T) string {
 	t.Helper()
 	for i := range 10000 {
 		name := fmt.Sprint("session-", i)
-		if float64(xxhash.Sum64String(name)>>versionShift%shareGrain) < rollout.DefaultOrderPolicy().CanaryShare*shareGrain {
+		if float64(xxhash.Sum64String(name)>>versionHashShift%shareResolution) < rollout.DefaultOrderPolicy().CanaryShare*shareResolution {
 			return name
 		}
 	}
@@ -92,90 +84,85 @@
 	return ""
 }
 
-// Evidence is told to a daemon that judges, and to no other; what it was told once holds
-// when a report without it comes.
-func TestEvidenceIsToldWhereItIsAskedFor(t *testing.T) {
-	one, judge := testRollouts(), testRollouts()
+// Guards against losing a peer's evidence when it sends a report without evidence.
+func TestReportWithoutEvidenceKeepsEarlierEvidence(t *testing.T) {
+	one, evaluator := testRollouts(), testRollouts()
 	none := func(string, string) int { return 0 }
-	one.observe(&target{service: "s", server: backend.Server{ID: "a", Version: "v2"}}, true, 0)
+	one.recordResponse(&target{service: "s", server: backend.Server{ID: "a", Version: "v2"}}, true, 0)
 	with, without := one.Reports(none, true, false), one.Reports(none, false, false)
-	if len(with[0].Cells) != 1 || without[0].Cells != nil {
-		t.Fatalf("with evidence %+v, without %+v", with[0].Cells, without[0].Cells)
+	if len(with[0].Evidence) != 1 || without[0].Evidence != nil {
+		t.Fatalf("with evidence %+v, without %+v", with[0].Evidence, without[0].Evidence)
 	}
-	judge.Heard("one/1", with)
-	judge.Heard("one/1", without)
-	if got := judge.orders["s"].peers["one/1"].Cells; len(got) != 1 {
-		t.Errorf("the evidence is gone: %v", got)
+	evaluator.ApplyReports("one/1", with)
+	evaluator.ApplyReports("one/1", without)
+	if got := evaluator.orders["s"].peerReports["one/1"].Evidence; len(got) != 1 {
+		t.Errorf("evidence lost: %v", got)
 	}
 }
 
-// Symptom: daemons that do not judge by the evidence of all would send to a bad version for
-// as long as the store is away.
-// Sequence: one that judges stops the version, and cannot write that.
-// Cause: only the store's word reached the others.
-func TestStopOfAJudgeHoldsForAll(t *testing.T) {
-	judge, other, third := testRollouts(), testRollouts(), testRollouts()
+// Guards against using a bad version while the store is unreachable: the suspension must
+// reach peers without it.
+func TestSuspensionByEvaluatorAppliesToPeers(t *testing.T) {
+	evaluator, other, third := testRollouts(), testRollouts(), testRollouts()
 	none := func(string, string) int { return 0 }
-	judge.Brake("s", 7, "errors")
-	other.Heard("judge/1", judge.Reports(none, false, true))
-	if c := other.Admits("s", "", 1); c.Prefer("v2") {
-		t.Error("the version is preferred still")
+	evaluator.Suspend("s", 7, "errors")
+	other.ApplyReports("judge/1", evaluator.Reports(none, false, true))
+	if c := other.ChooseVersion("s", "", 1); c.Preferred("v2") {
+		t.Error("suspended version is preferred")
 	}
-	third.Heard("other/1", other.Reports(none, false, false))
-	if third.orders["s"].braked {
-		t.Error("the stop of a daemon that does not judge was told on")
+	third.ApplyReports("other/1", other.Reports(none, false, false))
+	if third.orders["s"].suspended {
+		t.Error("suspension was relayed by a daemon that does not evaluate")
 	}
 }
 
-// Symptom: a roll-out that had been completed began anew.
-// Sequence: the store comes back from an older copy; the order is read again, or written again,
-// at a later position; the copy holds an earlier phase of it, or none.
-// Cause: an order was known by its offset, and its phase by the store's last word.
-func TestOrderThatIsOverStaysOverWhenTheStoreReturns(t *testing.T) {
+// Guards against restarting a completed order after the store was restored from an older
+// copy, in which the order has a later position and an earlier phase, or none.
+func TestFinishedOrderStaysFinishedAfterStoreRestore(t *testing.T) {
 	later := uint64(feed.NewPosition(1, 9))
-	for name, said := range map[string]*Settlement{
-		"nothing said":          nil,
-		"an earlier phase said": {Service: "s", Target: "v2", Order: 7, Phase: rollout.Full},
+	for name, stored := range map[string]*StoredPhase{
+		"no phase stored":      nil,
+		"earlier phase stored": {Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Full},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRollouts(0, time.Now, log.New(io.Discard))
 			order := rollout.Order{Service: "s", Target: "v2", Offset: 7}
-			r.Ordered(order)
-			r.Settled(Settlement{Service: "s", Target: "v2", Order: 7, Phase: rollout.Completed})
-			r.Restored()
-			if said != nil {
-				r.Settled(*said)
+			r.AddOrder(order)
+			r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Completed})
+			r.StoreRestored()
+			if stored != nil {
+				r.ApplyStoredPhase(*stored)
 			}
 			order.Offset = later
-			r.Ordered(order)
-			if due := r.Due(func(string) bool { return true }); len(due) != 0 {
-				t.Fatalf("goes on: %+v", due)
+			r.AddOrder(order)
+			if due := r.NextPhases(func(string) bool { return true }); len(due) != 0 {
+				t.Fatalf("finished order advances: %+v", due)
 			}
-			again := r.Unsaid(0)
-			if len(again) != 1 || again[0].Phase != rollout.Completed || again[0].Order.Offset != later {
-				t.Fatalf("to be written again: %+v", again)
+			lost := r.LostPhases(0)
+			if len(lost) != 1 || lost[0].Phase != rollout.Completed || lost[0].Order.Offset != later {
+				t.Fatalf("phases to rewrite: %+v", lost)
 			}
-			r.Settled(Settlement{Service: "s", Target: "v2", Order: later, Phase: rollout.Completed})
-			if again := r.Unsaid(0); len(again) != 0 {
-				t.Errorf("still to be written: %+v", again)
+			r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: later, Phase: rollout.Completed})
+			if lost := r.LostPhases(0); len(lost) != 0 {
+				t.Errorf("phases still to rewrite: %+v", lost)
 			}
 		})
 	}
 }
 
-// A daemon that starts after the return knows the order at its later position, and the phase
-// that was written of the earlier one.
-func TestPhaseOfAnEarlierEraIsOfTheSameOrder(t *testing.T) {
+// Guards against ignoring a phase that was written for the order's position in the
+// earlier era, when a daemon starts after the restore.
+func TestPhaseFromEarlierEraAppliesToSameOrder(t *testing.T) {
 	r := NewRollouts(0, time.Now, log.New(io.Discard))
-	r.Settled(Settlement{Service: "s", Target: "v2", Order: 7, Phase: rollout.Completed})
-	r.Ordered(rollout.Order{Service: "s", Target: "v2", Offset: uint64(feed.NewPosition(1, 9))})
-	if due := r.Due(func(string) bool { return true }); len(due) != 0 {
-		t.Errorf("goes on: %+v", due)
+	r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Completed})
+	r.AddOrder(rollout.Order{Service: "s", Target: "v2", Offset: uint64(feed.NewPosition(1, 9))})
+	if due := r.NextPhases(func(string) bool { return true }); len(due) != 0 {
+		t.Errorf("finished order advances: %+v", due)
 	}
-	r.Ordered(rollout.Order{Service: "s", Target: "v3", Offset: uint64(feed.NewPosition(1, 12))})
+	r.AddOrder(rollout.Order{Service: "s", Target: "v3", Offset: uint64(feed.NewPosition(1, 12))})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o := r.orders["s"]; o.Target != "v3" || o.phase.Final() {
-		t.Errorf("another target is the same order: %+v", o)
+		t.Errorf("order with another target was matched: %+v", o)
 	}
 }
