--- a/internal/api/chat.go
+++ b/internal/api/chat.go
@@ -62,19 +62,19 @@
 	var b chatBody
 	q := daemon.Chat{Raw: data}
 	if err := json.Unmarshal(data, &b); err != nil {
-		return q, b, fault.Field(fault.BadRequest, "body", "not a chat request: %v", err)
+		return q, b, fault.NewField(fault.BadRequest, "body", "not a chat request: %v", err)
 	}
 	if err := json.Unmarshal(data, &q.Body); err != nil {
-		return q, b, fault.Field(fault.BadRequest, "body", "not a JSON object")
+		return q, b, fault.NewField(fault.BadRequest, "body", "not a JSON object")
 	}
 	if b.Model == "" {
-		return q, b, fault.Field(fault.BadRequest, "model", "must not be empty")
+		return q, b, fault.NewField(fault.BadRequest, "model", "must not be empty")
 	}
 	if len(b.Messages) == 0 {
-		return q, b, fault.Field(fault.BadRequest, "messages", "must not be empty")
+		return q, b, fault.NewField(fault.BadRequest, "messages", "must not be empty")
 	}
 	if b.N != nil && *b.N != 1 {
-		return q, b, fault.Field(fault.BadRequest, "n", "only one choice is supported, not %d", *b.N)
+		return q, b, fault.NewField(fault.BadRequest, "n", "only one choice is supported, not %d", *b.N)
 	}
 	for _, f := range []struct {
 		name  string
@@ -84,7 +84,7 @@
 			continue
 		}
 		if *f.value < 1 || *f.value > maxTokensLimit {
-			return q, b, fault.Field(fault.BadRequest, f.name, "%d is out of 1..%d", *f.value, maxTokensLimit)
+			return q, b, fault.NewField(fault.BadRequest, f.name, "%d is out of 1..%d", *f.value, maxTokensLimit)
 		}
 		q.MaxTokens = *f.value
 	}
@@ -214,8 +214,8 @@
 	ans, err := a.d.Chat(c.Request().Context(), s.id, q)
 	if err != nil {
 		if s.began {
-			a.d.Refused(string(fault.From(err).Kind))
-			return s.write(refuse(s.id, fault.From(err)))
+			a.d.Refused(string(fault.FromError(err).Kind))
+			return s.write(refuse(s.id, fault.FromError(err)))
 		}
 		return err
 	}
--- a/internal/api/holds.go
+++ b/internal/api/holds.go
@@ -22,7 +22,7 @@
 func (a *API) holds(c echo.Context) error {
 	out := []HeldRequest{}
 	for _, h := range a.d.Holds() {
-		out = append(out, HeldRequest{h.Fingerprint.String(), seconds(h.AgeMs), seconds(h.LeftMs)})
+		out = append(out, HeldRequest{h.Fingerprint.String(), seconds(h.AgeMs), seconds(h.RemainingMs)})
 	}
 	return c.JSON(http.StatusOK, out)
 }
@@ -53,7 +53,7 @@
 func fingerprintOf(c echo.Context) (quarantine.Fingerprint, error) {
 	f, err := quarantine.ParseFingerprint(c.Param("fingerprint"))
 	if err != nil {
-		return 0, fault.Field(fault.BadRequest, "fingerprint", "%v", err)
+		return 0, fault.NewField(fault.BadRequest, "fingerprint", "%v", err)
 	}
 	return f, nil
 }
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -43,7 +43,7 @@
 	// InForce is the number in force.
 	InForce uint64 `json:"in_force"`
 	// Moved lists what patches after the base changed.
-	Moved []fleet.Outcome `json:"moved"`
+	Moved []fleet.PatchOutcome `json:"moved"`
 }
 
 func (a *API) patch(c echo.Context) error {
@@ -53,10 +53,10 @@
 	}
 	var r fleet.Record
 	if err := fleet.DecodeStrict(data, &r); err != nil {
-		return fault.Field(fault.BadRequest, "body", "%v", err)
+		return fault.NewField(fault.BadRequest, "body", "%v", err)
 	}
 	if r.Checkpoint != nil {
-		return fault.Field(fault.BadRequest, "checkpoint", "operators send patches only")
+		return fault.NewField(fault.BadRequest, "checkpoint", "operators send patches only")
 	}
 	o, err := a.d.Submit(c.Request().Context(), r)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	f := fault.New(o.Kind, "%s", o.Detail)
 	a.d.Refused(string(o.Kind))
-	var moved []fleet.Outcome
+	var moved []fleet.PatchOutcome
 	for _, h := range a.d.History() {
 		if h.Accepted && h.Number > r.Base {
 			moved = append(moved, h)
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, map[string]any{"bills": l.Len(), "duplicates": l.Duplicates, "doubtful": l.Doubtful, "lines": l.Lines()})
+	return c.JSON(http.StatusOK, map[string]any{"bills": l.Len(), "duplicates": l.Duplicates, "doubtful": l.Conflicting, "lines": l.LineItems()})
 }
 
 func (a *API) explain(c echo.Context) error {
@@ -118,7 +118,7 @@
 		Prompt    string `json:"prompt"`
 	}
 	if err := json.Unmarshal(data, &in); err != nil {
-		return fault.Field(fault.BadRequest, "body", "%v", err)
+		return fault.NewField(fault.BadRequest, "body", "%v", err)
 	}
 	e, err := a.d.Explain(in.Workspace, in.Model, in.Session, in.Prompt)
 	if err != nil {
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -36,7 +36,7 @@
 		go every(ctx, vmListEvery, d.pools.listVMs)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if age := time.Since(d.pools.serversHeard()); age > membership.ServersFresh {
+			if age := time.Since(d.pools.serversHeard()); age > membership.ServersMaxAge {
 				t.Errorf("the word on leaving servers is %s old", age)
 				break
 			}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -151,7 +151,7 @@
 	}
 	a, err := f()
 	if err != nil {
-		t.finish(fault.From(err).State(), 0, nil)
+		t.finish(fault.FromError(err).ExecutionState(), 0, nil)
 		return nil, err
 	}
 	data, encodeErr := json.Marshal(a)
@@ -161,15 +161,15 @@
 	return a, nil
 }
 
-func replayed(v *request.Verdict, q *Chat) (*Answer, error) {
+func replayed(v *request.ClaimResult, q *Chat) (*Answer, error) {
 	var a Answer
-	if json.Unmarshal(v.Answer, &a) != nil {
-		return nil, fault.New(fault.AnswerUnavailable, "the stored answer cannot be read").With(fault.Ran)
+	if json.Unmarshal(v.Response, &a) != nil {
+		return nil, fault.New(fault.AnswerUnavailable, "the stored answer cannot be read").WithExecution(fault.Ran)
 	}
 	a.Replayed = true
 	if q.Deliver != nil {
 		if err := q.Deliver(a.Text); err != nil {
-			return nil, fault.New(fault.CallerLeft, "the caller left").With(fault.Ran)
+			return nil, fault.New(fault.CallerLeft, "the caller left").WithExecution(fault.Ran)
 		}
 	}
 	return &a, nil
@@ -197,11 +197,11 @@
 	for i := first; ; i++ {
 		last := i == len(models)-1
 		s := &step{requestID: id, workspace: q.Workspace, priority: w.Priority, prompt: q.Prompt, body: q.Body, deadline: began.Add(deadline)}
-		s.fingerprint = quarantine.Of(q.Workspace, "", "chat", q.Model, q.Raw)
+		s.fingerprint = quarantine.FingerprintOf(q.Workspace, "", "chat", q.Model, q.Raw)
 		if i > 0 {
 			s.requestID = id + "-" + models[i]
 		}
-		s.life = &request.Life{Repeatable: q.Key == "", Deadline: s.deadline}
+		s.life = &request.RetryState{Repeatable: q.Key == "", Deadline: s.deadline}
 		if last {
 			s.deliver = d.deliverer(q, s, pin)
 		}
@@ -243,7 +243,7 @@
 
 // heading is what is known of an answer before its first piece.
 func (d *Daemon) heading(s *step, pin session.Pin) *Answer {
-	pin = pin.With(s.model, s.version)
+	pin = pin.WithVersion(s.model, s.version)
 	return &Answer{Model: s.model, Version: s.version, Session: pin.Token(d.ring.Load())}
 }
 
@@ -254,8 +254,8 @@
 	if s.model, s.version, err = d.version(c, w, name, pin); err != nil {
 		return nil, err
 	}
-	if ro, ok := c.RolloutFor(s.model); ok && pin.For(s.model) == "" && s.version == ro.To {
-		s.fallback, _ = c.Successor(w, s.model, c.Models[s.model].Stable)
+	if ro, ok := c.RolloutFor(s.model); ok && pin.VersionOf(s.model) == "" && s.version == ro.TargetVersion {
+		s.fallback, _ = c.ResolveSuccessor(w, s.model, c.Models[s.model].Stable)
 	}
 	offset := time.Since(began)
 	r, err := d.run(ctx, s)
@@ -295,7 +295,7 @@
 		return a, nil
 	}
 	if err := d.deliverer(q, s, pin)(a.Text); err != nil {
-		return nil, fault.New(fault.CallerLeft, "the caller left").With(fault.Ran)
+		return nil, fault.New(fault.CallerLeft, "the caller left").WithExecution(fault.Ran)
 	}
 	return a, nil
 }
--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// maxSuccession bounds the walk along successors; a longer chain is a cycle.
-const maxSuccession = 16
+// maxSuccessorHops bounds the walk along successors; a longer chain is a cycle.
+const maxSuccessorHops = 16
 
 // bucketCount is the resolution of roll-out shares: 0.01 percent.
 const bucketCount = 10000
@@ -16,22 +16,22 @@
 	return float64(h%bucketCount) * 100 / bucketCount
 }
 
-// VersionFor chooses the version of a model for a session that has no pin.
-func (c *Config) VersionFor(w Workspace, model, session string) (string, bool) {
+// SelectVersion chooses the version of a model for a session that has no pin.
+func (c *Config) SelectVersion(w Workspace, model, session string) (string, bool) {
 	m, ok := c.Models[model]
 	if !ok {
 		return "", false
 	}
-	if r, ok := c.Rollouts[model]; ok && Bucket(model, session) < r.Percent() && c.usable(w, model, r.To) {
-		return r.To, true
+	if r, ok := c.Rollouts[model]; ok && Bucket(model, session) < r.Percent() && c.usable(w, model, r.TargetVersion) {
+		return r.TargetVersion, true
 	}
-	return c.Successor(w, model, m.Stable)
+	return c.ResolveSuccessor(w, model, m.Stable)
 }
 
-// Successor follows successors from a version to one that is serving and
+// ResolveSuccessor follows successors from a version to one that is serving and
 // allowed. All daemons at one configuration number reach the same version.
-func (c *Config) Successor(w Workspace, model, version string) (string, bool) {
-	for range maxSuccession {
+func (c *Config) ResolveSuccessor(w Workspace, model, version string) (string, bool) {
+	for range maxSuccessorHops {
 		if c.usable(w, model, version) {
 			return version, true
 		}
@@ -48,12 +48,12 @@
 		}
 		version = next
 	}
-	return c.onlyAllowed(w, model)
+	return c.firstUsable(w, model)
 }
 
-// onlyAllowed serves a workspace entitled to single versions none of which
+// firstUsable serves a workspace entitled to single versions none of which
 // lies on the successor chain: the first allowed one by name.
-func (c *Config) onlyAllowed(w Workspace, model string) (string, bool) {
+func (c *Config) firstUsable(w Workspace, model string) (string, bool) {
 	best := ""
 	for name := range c.Models[model].Versions {
 		if c.usable(w, model, name) && (best == "" || name < best) {
--- a/internal/fleet/fold.go
+++ b/internal/fleet/fold.go
@@ -44,15 +44,15 @@
 // the records it covers age out of the log.
 type Checkpoint struct {
 	Config *Config `json:"config"`
-	// Through is the offset of the last record folded into Config.
-	Through uint64 `json:"through"`
+	// LastOffset is the offset of the last record folded into Config.
+	LastOffset uint64 `json:"through"`
 	// Recent are the newest patch outcomes, so that a repeated append after a
 	// checkpoint is still recognised.
-	Recent []Outcome `json:"recent"`
+	Recent []PatchOutcome `json:"recent"`
 }
 
-// Outcome says what the fold did with one patch.
-type Outcome struct {
+// PatchOutcome says what the fold did with one patch.
+type PatchOutcome struct {
 	Offset  uint64 `json:"offset"`
 	PatchID string `json:"patch_id"`
 	Author  string `json:"author,omitempty"`
@@ -62,8 +62,8 @@
 	Accepted bool       `json:"accepted"`
 	Kind     fault.Kind `json:"kind,omitempty"`
 	Detail   string     `json:"detail,omitempty"`
-	// Touched lists "section/name" of every changed entity.
-	Touched []string `json:"touched,omitempty"`
+	// Changed lists "section/name" of every changed entity.
+	Changed []string `json:"touched,omitempty"`
 }
 
 // recentOutcomes is how many outcomes the fold remembers: the history shown to
@@ -71,15 +71,15 @@
 // recognised. It is counted in records, so that all daemons forget alike.
 const recentOutcomes = 1024
 
-// Fold applies records in offset order. It is not safe for concurrent use;
+// StateMachine applies records in offset order. It is not safe for concurrent use;
 // Config returns a snapshot that is.
-type Fold struct {
+type StateMachine struct {
 	config   *Config
-	next     uint64
-	anchored bool
+	nextOffset     uint64
+	synced bool
 	pending  []pendingRecord
-	recent   []Outcome
-	byPatch  map[string]int
+	recent   []PatchOutcome
+	indexByPatch  map[string]int
 	dropped  int
 }
 
@@ -89,31 +89,31 @@
 	record Record
 }
 
-// NewFold returns a fold at configuration 0, expecting offset 0.
-func NewFold() *Fold {
-	return &Fold{config: Empty(), anchored: true, byPatch: map[string]int{}}
+// NewStateMachine returns a fold at configuration 0, expecting offset 0.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{config: NewConfig(), synced: true, indexByPatch: map[string]int{}}
 }
 
 // Config returns the configuration in force. The result never changes.
-func (f *Fold) Config() *Config { return f.config }
+func (f *StateMachine) Config() *Config { return f.config }
 
-// Next returns the offset of the next record to fold.
-func (f *Fold) Next() uint64 { return f.next }
+// NextOffset returns the offset of the next record to fold.
+func (f *StateMachine) NextOffset() uint64 { return f.nextOffset }
 
-// Anchored reports whether every record up to Next is reflected in Config.
+// Synced reports whether every record up to Next is reflected in Config.
 // It is false after a gap until a checkpoint covers the gap.
-func (f *Fold) Anchored() bool { return f.anchored }
+func (f *StateMachine) Synced() bool { return f.synced }
 
 // History returns the newest outcomes, oldest first.
-func (f *Fold) History() []Outcome {
-	return append([]Outcome(nil), f.recent[max(0, len(f.recent)-recentOutcomes):]...)
+func (f *StateMachine) History() []PatchOutcome {
+	return append([]PatchOutcome(nil), f.recent[max(0, len(f.recent)-recentOutcomes):]...)
 }
 
-// Lookup finds the outcome of a patch id among the remembered ones.
-func (f *Fold) Lookup(patchID string) (Outcome, bool) {
-	i, ok := f.byPatch[patchID]
+// LookupOutcome finds the outcome of a patch id among the remembered ones.
+func (f *StateMachine) LookupOutcome(patchID string) (PatchOutcome, bool) {
+	i, ok := f.indexByPatch[patchID]
 	if !ok || i < f.dropped+len(f.recent)-recentOutcomes {
-		return Outcome{}, false
+		return PatchOutcome{}, false
 	}
 	return f.recent[i-f.dropped], true
 }
@@ -123,130 +123,130 @@
 // beyond the next one means that records aged out of the log unread: the fold
 // then keeps its number and holds records back until a checkpoint explains the
 // gap, since folding past it would silently skip accepted patches.
-func (f *Fold) Apply(offset uint64, data []byte) {
-	if offset < f.next {
+func (f *StateMachine) Apply(offset uint64, data []byte) {
+	if offset < f.nextOffset {
 		return
 	}
-	if offset > f.next {
-		f.anchored = false
+	if offset > f.nextOffset {
+		f.synced = false
 	}
-	f.next = offset + 1
+	f.nextOffset = offset + 1
 	var r Record
 	if err := DecodeStrict(data, &r); err != nil {
 		r = Record{Patch: data}
 	}
 	if r.Checkpoint != nil {
-		f.restore(r.Checkpoint)
+		f.restoreCheckpoint(r.Checkpoint)
 		return
 	}
-	if !f.anchored {
+	if !f.synced {
 		f.pending = append(f.pending, pendingRecord{offset, r})
 		return
 	}
-	f.fold(offset, r)
+	f.applyRecord(offset, r)
 }
 
-func (f *Fold) fold(offset uint64, r Record) {
-	if _, seen := f.Lookup(r.PatchID); seen && r.PatchID != "" {
+func (f *StateMachine) applyRecord(offset uint64, r Record) {
+	if _, seen := f.LookupOutcome(r.PatchID); seen && r.PatchID != "" {
 		return
 	}
-	f.remember(f.patch(offset, r))
+	f.addOutcome(f.applyPatch(offset, r))
 }
 
-func (f *Fold) patch(offset uint64, r Record) Outcome {
-	out := Outcome{Offset: offset, PatchID: r.PatchID, Author: r.Author, Base: r.Base, Number: f.config.Number}
+func (f *StateMachine) applyPatch(offset uint64, r Record) PatchOutcome {
+	out := PatchOutcome{Offset: offset, PatchID: r.PatchID, Author: r.Author, Base: r.Base, Number: f.config.Number}
 	if r.PatchID == "" {
 		return reject(out, fault.InvalidPatch, "the record is malformed or has no patch_id")
 	}
 	if r.Base != f.config.Number {
 		return reject(out, fault.BaseStale, fmt.Sprintf("base %d, in force %d", r.Base, f.config.Number))
 	}
-	next, touched, err := f.config.Apply(r.Patch)
+	next, touched, err := f.config.ApplyPatch(r.Patch)
 	if err != nil {
 		return reject(out, fault.InvalidPatch, err.Error())
 	}
 	f.config = next
-	out.Accepted, out.Number, out.Touched = true, next.Number, touched
+	out.Accepted, out.Number, out.Changed = true, next.Number, touched
 	return out
 }
 
-func reject(o Outcome, k fault.Kind, detail string) Outcome {
+func reject(o PatchOutcome, k fault.Kind, detail string) PatchOutcome {
 	o.Kind, o.Detail = k, detail
 	return o
 }
 
-// restore closes a gap with a checkpoint. An anchored fold needs none, and
+// restoreCheckpoint closes a gap with a checkpoint. An anchored fold needs none, and
 // adopting one written by a slow daemon would revert newer patches.
 //
 // The checkpoint's writer may not have seen the records just before it in the
 // log, so those after Through are folded again on top of it; a daemon that
 // skipped them would lack an accepted patch for good.
-func (f *Fold) restore(c *Checkpoint) {
-	if f.anchored || c.Config == nil || c.Config.Number < f.config.Number {
+func (f *StateMachine) restoreCheckpoint(c *Checkpoint) {
+	if f.synced || c.Config == nil || c.Config.Number < f.config.Number {
 		return
 	}
-	if len(f.pending) > 0 && f.pending[0].offset > c.Through+1 || c.Config.Validate() != nil {
+	if len(f.pending) > 0 && f.pending[0].offset > c.LastOffset+1 || c.Config.Validate() != nil {
 		return
 	}
-	f.adopt(c)
+	f.loadCheckpoint(c)
 	waiting := f.pending
 	f.pending = nil
 	for _, p := range waiting {
-		if p.offset > c.Through {
-			f.fold(p.offset, p.record)
+		if p.offset > c.LastOffset {
+			f.applyRecord(p.offset, p.record)
 		}
 	}
 }
 
-func (f *Fold) adopt(c *Checkpoint) {
-	f.config = c.Config.normalized()
-	f.anchored = true
-	f.recent, f.byPatch, f.dropped = nil, map[string]int{}, 0
+func (f *StateMachine) loadCheckpoint(c *Checkpoint) {
+	f.config = c.Config.withEmptyMaps()
+	f.synced = true
+	f.recent, f.indexByPatch, f.dropped = nil, map[string]int{}, 0
 	for _, o := range c.Recent {
-		f.remember(o)
+		f.addOutcome(o)
 	}
 }
 
 // Checkpoint returns the state for appending or for handing to a peer.
-func (f *Fold) Checkpoint() *Checkpoint {
-	through := f.next
+func (f *StateMachine) Checkpoint() *Checkpoint {
+	through := f.nextOffset
 	if through > 0 {
 		through--
 	}
-	return &Checkpoint{Config: f.config, Through: through, Recent: f.History()}
+	return &Checkpoint{Config: f.config, LastOffset: through, Recent: f.History()}
 }
 
-// Adopt takes a peer's state when it is ahead and reports whether it did. The
+// InstallCheckpoint takes a peer's state when it is ahead and reports whether it did. The
 // next record to fold is then the one after the peer's last.
-func (f *Fold) Adopt(c *Checkpoint) bool {
+func (f *StateMachine) InstallCheckpoint(c *Checkpoint) bool {
 	if c == nil || c.Config == nil || c.Config.Number <= f.config.Number || c.Config.Validate() != nil {
 		return false
 	}
-	f.adopt(c)
+	f.loadCheckpoint(c)
 	f.pending = nil
-	f.next = c.Through + 1
+	f.nextOffset = c.LastOffset + 1
 	return true
 }
 
-func (f *Fold) remember(o Outcome) {
+func (f *StateMachine) addOutcome(o PatchOutcome) {
 	f.recent = append(f.recent, o)
 	if o.PatchID != "" {
-		f.byPatch[o.PatchID] = f.dropped + len(f.recent) - 1
+		f.indexByPatch[o.PatchID] = f.dropped + len(f.recent) - 1
 	}
 	if len(f.recent) <= 2*recentOutcomes {
 		return
 	}
 	cut := len(f.recent) - recentOutcomes
 	for _, old := range f.recent[:cut] {
-		delete(f.byPatch, old.PatchID)
+		delete(f.indexByPatch, old.PatchID)
 	}
-	f.recent = append([]Outcome(nil), f.recent[cut:]...)
+	f.recent = append([]PatchOutcome(nil), f.recent[cut:]...)
 	f.dropped += cut
 }
 
-// Apply returns the configuration that a patch leads to, with the next number
+// ApplyPatch returns the configuration that a patch leads to, with the next number
 // and the names of the entities it changed. c is left as it is.
-func (c *Config) Apply(raw json.RawMessage) (*Config, []string, error) {
+func (c *Config) ApplyPatch(raw json.RawMessage) (*Config, []string, error) {
 	var p Patch
 	if err := DecodeStrict(raw, &p); err != nil {
 		return nil, nil, err
@@ -255,13 +255,13 @@
 	next.Number = c.Number + 1
 	var touched []string
 	steps := []func() error{
-		func() error { return section("pools", p.Pools, &next.Pools, &touched) },
-		func() error { return section("models", p.Models, &next.Models, &touched) },
-		func() error { return section("cascades", p.Cascades, &next.Cascades, &touched) },
-		func() error { return section("services", p.Services, &next.Services, &touched) },
-		func() error { return section("rollouts", p.Rollouts, &next.Rollouts, &touched) },
-		func() error { return section("workspaces", p.Workspaces, &next.Workspaces, &touched) },
-		func() error { return section("evacuations", p.Evacuations, &next.Evacuations, &touched) },
+		func() error { return patchSection("pools", p.Pools, &next.Pools, &touched) },
+		func() error { return patchSection("models", p.Models, &next.Models, &touched) },
+		func() error { return patchSection("cascades", p.Cascades, &next.Cascades, &touched) },
+		func() error { return patchSection("services", p.Services, &next.Services, &touched) },
+		func() error { return patchSection("rollouts", p.Rollouts, &next.Rollouts, &touched) },
+		func() error { return patchSection("workspaces", p.Workspaces, &next.Workspaces, &touched) },
+		func() error { return patchSection("evacuations", p.Evacuations, &next.Evacuations, &touched) },
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -277,8 +277,8 @@
 	return &next, touched, nil
 }
 
-// section merges the patches of one section into a copy of its map.
-func section[T any](name string, patches map[string]json.RawMessage, target *map[string]T, touched *[]string) error {
+// patchSection merges the patches of one section into a copy of its map.
+func patchSection[T any](name string, patches map[string]json.RawMessage, target *map[string]T, touched *[]string) error {
 	if len(patches) == 0 {
 		return nil
 	}
@@ -294,9 +294,9 @@
 			continue
 		}
 		old, exists := out[key]
-		value, err := merge(old, exists, raw)
+		value, err := patchEntity(old, exists, raw)
 		if err != nil {
-			return fault.Field(fault.InvalidPatch, path, "%v", err)
+			return fault.NewField(fault.InvalidPatch, path, "%v", err)
 		}
 		out[key] = value
 	}
@@ -304,7 +304,7 @@
 	return nil
 }
 
-func merge[T any](old T, exists bool, raw json.RawMessage) (T, error) {
+func patchEntity[T any](old T, exists bool, raw json.RawMessage) (T, error) {
 	var value T
 	doc := []byte("{}")
 	if exists {
@@ -334,9 +334,9 @@
 	return nil
 }
 
-func (c *Config) normalized() *Config {
+func (c *Config) withEmptyMaps() *Config {
 	n := *c
-	e := Empty()
+	e := NewConfig()
 	if n.Workspaces == nil {
 		n.Workspaces = e.Workspaces
 	}
--- a/internal/fleet/validate.go
+++ b/internal/fleet/validate.go
@@ -14,10 +14,10 @@
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
 
 const (
-	hashHexLength = 64
+	keyHashLength = 64
 	maxPriority   = 9
-	// maxMicros caps prices so that a bill of 2^31 tokens still fits an int64.
-	maxMicros = int64(1) << 31
+	// maxPriceMicros caps prices so that a bill of 2^31 tokens still fits an int64.
+	maxPriceMicros = int64(1) << 31
 )
 
 // Validate checks the whole configuration. The error names the first bad
@@ -32,25 +32,25 @@
 		}
 		return nil
 	}
-	if err := all(keys(c.Pools), c.checkPool); err != nil {
+	if err := all(mapKeys(c.Pools), c.checkPool); err != nil {
 		return err
 	}
-	if err := all(keys(c.Models), c.checkModel); err != nil {
+	if err := all(mapKeys(c.Models), c.checkModel); err != nil {
 		return err
 	}
-	if err := all(keys(c.Cascades), c.checkCascade); err != nil {
+	if err := all(mapKeys(c.Cascades), c.checkCascade); err != nil {
 		return err
 	}
-	if err := all(keys(c.Services), c.checkService); err != nil {
+	if err := all(mapKeys(c.Services), c.checkService); err != nil {
 		return err
 	}
-	if err := all(keys(c.Rollouts), c.checkRollout); err != nil {
+	if err := all(mapKeys(c.Rollouts), c.checkRollout); err != nil {
 		return err
 	}
-	if err := all(keys(c.Evacuations), c.checkEvacuation); err != nil {
+	if err := all(mapKeys(c.Evacuations), c.checkEvacuation); err != nil {
 		return err
 	}
-	return all(keys(c.Workspaces), c.checkWorkspace)
+	return all(mapKeys(c.Workspaces), c.checkWorkspace)
 }
 
 // validatePatch checks only what a patch can have broken, so that folding a
@@ -58,7 +58,7 @@
 // entity, or a version of one, can break entities the patch does not name;
 // then everything is checked.
 func (c *Config) validatePatch(old *Config, p *Patch) error {
-	if c.removesSomething(old, p) {
+	if c.removesEntities(old, p) {
 		return c.Validate()
 	}
 	parts := []struct {
@@ -70,7 +70,7 @@
 		{p.Evacuations, c.checkEvacuation},
 	}
 	for _, part := range parts {
-		names := keys(part.names)
+		names := mapKeys(part.names)
 		slices.Sort(names)
 		for _, n := range names {
 			if err := part.check(n); err != nil {
@@ -81,14 +81,14 @@
 	return nil
 }
 
-func (c *Config) removesSomething(old *Config, p *Patch) bool {
-	if len(c.Pools) < len(old.Pools)+added(old.Pools, p.Pools) {
+func (c *Config) removesEntities(old *Config, p *Patch) bool {
+	if len(c.Pools) < len(old.Pools)+countAdded(old.Pools, p.Pools) {
 		return true
 	}
-	if len(c.Cascades) < len(old.Cascades)+added(old.Cascades, p.Cascades) {
+	if len(c.Cascades) < len(old.Cascades)+countAdded(old.Cascades, p.Cascades) {
 		return true
 	}
-	if len(c.Services) < len(old.Services)+added(old.Services, p.Services) {
+	if len(c.Services) < len(old.Services)+countAdded(old.Services, p.Services) {
 		return true
 	}
 	for name := range p.Models {
@@ -99,7 +99,7 @@
 	return false
 }
 
-func added[T any](old map[string]T, patch map[string]json.RawMessage) int {
+func countAdded[T any](old map[string]T, patch map[string]json.RawMessage) int {
 	n := 0
 	for name := range patch {
 		if _, ok := old[name]; !ok {
@@ -109,7 +109,7 @@
 	return n
 }
 
-func keys[T any](m map[string]T) []string {
+func mapKeys[T any](m map[string]T) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
 		out = append(out, k)
@@ -117,30 +117,30 @@
 	return out
 }
 
-func invalid(field, format string, args ...any) error {
-	return fault.Field(fault.InvalidPatch, field, format, args...)
+func invalidField(field, format string, args ...any) error {
+	return fault.NewField(fault.InvalidPatch, field, format, args...)
 }
 
-func checkName(path, name string) error {
+func checkEntityName(path, name string) error {
 	if !namePattern.MatchString(name) {
-		return invalid(path, "name %q must match %s", name, namePattern)
+		return invalidField(path, "name %q must match %s", name, namePattern)
 	}
 	return nil
 }
 
-// longestSlowStart bounds a slow start in seconds.
-const longestSlowStart = 600
+// maxSlowStartSeconds bounds a slow start in seconds.
+const maxSlowStartSeconds = 600
 
 func checkSlowStart(path string, s *SlowStart) error {
 	switch {
 	case s == nil:
 		return nil
-	case !(s.Seconds > 0 && s.Seconds <= longestSlowStart):
-		return invalid(path+"/seconds", "%g is not over 0 and up to %d", s.Seconds, longestSlowStart)
+	case !(s.Seconds > 0 && s.Seconds <= maxSlowStartSeconds):
+		return invalidField(path+"/seconds", "%g is not over 0 and up to %d", s.Seconds, maxSlowStartSeconds)
 	case !(s.PerSecond > 0):
-		return invalid(path+"/per_second", "%g is not over 0", s.PerSecond)
+		return invalidField(path+"/per_second", "%g is not over 0", s.PerSecond)
 	case !(s.Burst >= 0):
-		return invalid(path+"/burst", "%g is negative", s.Burst)
+		return invalidField(path+"/burst", "%g is negative", s.Burst)
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 	if _, ok := c.Evacuations[name]; !ok {
 		return nil
 	}
-	return checkName("evacuations/"+name, name)
+	return checkEntityName("evacuations/"+name, name)
 }
 
 func (c *Config) checkPool(name string) error {
@@ -159,7 +159,7 @@
 		return nil
 	}
 	path := "pools/" + name
-	if err := checkName(path, name); err != nil {
+	if err := checkEntityName(path, name); err != nil {
 		return err
 	}
 	if err := checkSlowStart(path+"/slow_start", p.SlowStart); err != nil {
@@ -168,21 +168,21 @@
 	seen := map[string]bool{}
 	for _, s := range p.Servers {
 		at := path + "/servers/" + s.ID
-		if err := checkName(at, s.ID); err != nil {
+		if err := checkEntityName(at, s.ID); err != nil {
 			return err
 		}
 		if seen[s.ID] {
-			return invalid(at, "server id is listed twice")
+			return invalidField(at, "server id is listed twice")
 		}
 		seen[s.ID] = true
 		if _, err := netip.ParseAddrPort(s.Address); err != nil {
-			return invalid(at+"/address", "%q is not ip:port", s.Address)
+			return invalidField(at+"/address", "%q is not ip:port", s.Address)
 		}
 		if s.FailureDomain == "" {
-			return invalid(at+"/failure_domain", "must not be empty")
+			return invalidField(at+"/failure_domain", "must not be empty")
 		}
 		if s.Slots < 0 {
-			return invalid(at+"/slots", "%d is negative", s.Slots)
+			return invalidField(at+"/slots", "%d is negative", s.Slots)
 		}
 	}
 	return nil
@@ -194,15 +194,15 @@
 		return nil
 	}
 	path := "models/" + name
-	if err := checkName(path, name); err != nil {
+	if err := checkEntityName(path, name); err != nil {
 		return err
 	}
 	if _, ok := m.Versions[m.Stable]; !ok {
-		return invalid(path+"/stable", "version %q does not exist", m.Stable)
+		return invalidField(path+"/stable", "version %q does not exist", m.Stable)
 	}
 	for vn, v := range m.Versions {
 		at := path + "/versions/" + vn
-		if err := checkName(at, vn); err != nil {
+		if err := checkEntityName(at, vn); err != nil {
 			return err
 		}
 		if err := c.checkVersion(at, m, vn, v); err != nil {
@@ -214,19 +214,19 @@
 
 func (c *Config) checkVersion(at string, m Model, name string, v Version) error {
 	if _, ok := c.Pools[v.Pool]; !ok {
-		return invalid(at+"/pool", "pool %q does not exist", v.Pool)
+		return invalidField(at+"/pool", "pool %q does not exist", v.Pool)
 	}
 	if v.State != "" && v.State != Serving && v.State != Withdrawn {
-		return invalid(at+"/state", "%q is neither serving nor withdrawn", v.State)
+		return invalidField(at+"/state", "%q is neither serving nor withdrawn", v.State)
 	}
-	if v.MicrosPerKiloToken < 0 || v.MicrosPerKiloToken > maxMicros {
-		return invalid(at+"/micros_per_1k_tokens", "%d is out of 0..%d", v.MicrosPerKiloToken, maxMicros)
+	if v.MicrosPerKiloToken < 0 || v.MicrosPerKiloToken > maxPriceMicros {
+		return invalidField(at+"/micros_per_1k_tokens", "%d is out of 0..%d", v.MicrosPerKiloToken, maxPriceMicros)
 	}
 	if v.Successor == name {
-		return invalid(at+"/successor", "a version cannot succeed itself")
+		return invalidField(at+"/successor", "a version cannot succeed itself")
 	}
 	if _, ok := m.Versions[v.Successor]; v.Successor != "" && !ok {
-		return invalid(at+"/successor", "version %q does not exist", v.Successor)
+		return invalidField(at+"/successor", "version %q does not exist", v.Successor)
 	}
 	return nil
 }
@@ -237,22 +237,22 @@
 		return nil
 	}
 	path := "cascades/" + name
-	if err := checkName(path, name); err != nil {
+	if err := checkEntityName(path, name); err != nil {
 		return err
 	}
 	if _, clash := c.Models[name]; clash {
-		return invalid(path, "a model has the same name")
+		return invalidField(path, "a model has the same name")
 	}
 	if len(k.Steps) < 2 {
-		return invalid(path+"/steps", "a cascade needs at least two models")
+		return invalidField(path+"/steps", "a cascade needs at least two models")
 	}
 	for _, s := range k.Steps {
 		if _, ok := c.Models[s]; !ok {
-			return invalid(path+"/steps", "model %q does not exist", s)
+			return invalidField(path+"/steps", "model %q does not exist", s)
 		}
 	}
 	if k.QualityTarget <= 0 || k.QualityTarget >= 1 {
-		return invalid(path+"/quality_target", "%v is not between 0 and 1", k.QualityTarget)
+		return invalidField(path+"/quality_target", "%v is not between 0 and 1", k.QualityTarget)
 	}
 	return nil
 }
@@ -263,14 +263,14 @@
 		return nil
 	}
 	path := "services/" + name
-	if err := checkName(path, name); err != nil {
+	if err := checkEntityName(path, name); err != nil {
 		return err
 	}
 	if _, ok := c.Pools[s.Pool]; !ok {
-		return invalid(path+"/pool", "pool %q does not exist", s.Pool)
+		return invalidField(path+"/pool", "pool %q does not exist", s.Pool)
 	}
-	if s.Micros < 0 || s.Micros > maxMicros {
-		return invalid(path+"/micros", "%d is out of 0..%d", s.Micros, maxMicros)
+	if s.Micros < 0 || s.Micros > maxPriceMicros {
+		return invalidField(path+"/micros", "%d is out of 0..%d", s.Micros, maxPriceMicros)
 	}
 	return nil
 }
@@ -282,25 +282,25 @@
 	}
 	path := "rollouts/" + name
 	if r.Model != name {
-		return invalid(path+"/model", "%q must equal the roll-out's name: a model has one roll-out at a time", r.Model)
+		return invalidField(path+"/model", "%q must equal the roll-out's name: a model has one roll-out at a time", r.Model)
 	}
-	if _, ok := c.Version(r.Model, r.To); !ok {
-		return invalid(path+"/to", "version %q of model %q does not exist", r.To, r.Model)
+	if _, ok := c.Version(r.Model, r.TargetVersion); !ok {
+		return invalidField(path+"/to", "version %q of model %q does not exist", r.TargetVersion, r.Model)
 	}
 	if len(r.Stages) == 0 || r.Stages[len(r.Stages)-1] != 100 {
-		return invalid(path+"/stages", "must end at 100")
+		return invalidField(path+"/stages", "must end at 100")
 	}
 	if !slices.IsSorted(r.Stages) || r.Stages[0] <= 0 {
-		return invalid(path+"/stages", "must rise from above 0")
+		return invalidField(path+"/stages", "must rise from above 0")
 	}
 	if r.Stage < 0 || r.Stage >= len(r.Stages) {
-		return invalid(path+"/stage", "%d is out of 0..%d", r.Stage, len(r.Stages)-1)
+		return invalidField(path+"/stage", "%d is out of 0..%d", r.Stage, len(r.Stages)-1)
 	}
-	if !slices.Contains([]RolloutState{Running, Held, Done, RolledBack}, r.State) {
-		return invalid(path+"/state", "%q is not running, held, done or rolled_back", r.State)
+	if !slices.Contains([]RolloutState{RolloutRunning, RolloutHeld, RolloutDone, RolloutRolledBack}, r.State) {
+		return invalidField(path+"/state", "%q is not running, held, done or rolled_back", r.State)
 	}
 	if r.MinRequests < 0 {
-		return invalid(path+"/min_requests", "%d is negative", r.MinRequests)
+		return invalidField(path+"/min_requests", "%d is negative", r.MinRequests)
 	}
 	return nil
 }
@@ -311,26 +311,26 @@
 		return nil
 	}
 	path := "workspaces/" + name
-	if err := checkName(path, name); err != nil {
+	if err := checkEntityName(path, name); err != nil {
 		return err
 	}
 	for _, h := range w.KeyHashes {
-		if len(h) != hashHexLength || strings.Trim(h, "0123456789abcdef") != "" {
-			return invalid(path+"/key_hashes", "a key hash is 64 lower-case hex digits")
+		if len(h) != keyHashLength || strings.Trim(h, "0123456789abcdef") != "" {
+			return invalidField(path+"/key_hashes", "a key hash is 64 lower-case hex digits")
 		}
 	}
 	if err := c.checkEntitlements(path, w); err != nil {
 		return err
 	}
 	if w.RequestsPerMinute < 0 || w.TokensPerMinute < 0 || w.DeadlineMillis < 0 {
-		return invalid(path, "limits and deadline must not be negative")
+		return invalidField(path, "limits and deadline must not be negative")
 	}
 	if w.Priority < 0 || w.Priority > maxPriority {
-		return invalid(path+"/priority", "%d is out of 0..%d", w.Priority, maxPriority)
+		return invalidField(path+"/priority", "%d is out of 0..%d", w.Priority, maxPriority)
 	}
 	o := w.Objectives
 	if o.Availability < 0 || o.Availability >= 1 || o.FirstTokenFraction < 0 || o.FirstTokenFraction >= 1 || o.FirstTokenMillis < 0 {
-		return invalid(path+"/objectives", "fractions lie in [0,1), times are not negative")
+		return invalidField(path+"/objectives", "fractions lie in [0,1), times are not negative")
 	}
 	return nil
 }
@@ -340,20 +340,20 @@
 		model, version, pinned := strings.Cut(e, "@")
 		m, ok := c.Models[model]
 		if !ok {
-			return invalid(path+"/models", "model %q does not exist", model)
+			return invalidField(path+"/models", "model %q does not exist", model)
 		}
 		if _, ok := m.Versions[version]; pinned && !ok {
-			return invalid(path+"/models", "version %q of model %q does not exist", version, model)
+			return invalidField(path+"/models", "version %q of model %q does not exist", version, model)
 		}
 	}
 	for _, k := range w.Cascades {
 		if _, ok := c.Cascades[k]; !ok {
-			return invalid(path+"/cascades", "cascade %q does not exist", k)
+			return invalidField(path+"/cascades", "cascade %q does not exist", k)
 		}
 	}
 	for _, s := range w.Services {
 		if _, ok := c.Services[s]; !ok {
-			return invalid(path+"/services", "service %q does not exist", s)
+			return invalidField(path+"/services", "service %q does not exist", s)
 		}
 	}
 	return nil
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -49,11 +49,11 @@
 // viewPeers keeps up to date with whom this daemon shares the limits of warming servers, until
 // the context ends.
 func (n *Node) viewPeers(ctx context.Context) {
-	loop.Every(ctx, gossip.Every, func(context.Context, time.Time) {
-		v := n.members.View()
+	loop.Every(ctx, gossip.Interval, func(context.Context, time.Time) {
+		v := n.members.SlowStartView()
 		v.Trusted = v.Trusted && n.inTouchFor(placedAfter)
-		n.state.SetView(v)
-		n.ports.Metrics.Evacuated.Update(float64(len(n.state.Evacuations())))
-		n.ports.Metrics.Warming.Update(float64(n.state.Warming()))
+		n.state.SetSlowStartView(v)
+		n.ports.Metrics.DomainsEvacuated.Update(float64(len(n.state.Evacuations())))
+		n.ports.Metrics.ServersWarming.Update(float64(n.state.WarmingServers()))
 	})
 }
--- a/internal/node/holds.go
+++ b/internal/node/holds.go
@@ -74,7 +74,7 @@
 			delete(s.differs, h.Fingerprint)
 			continue
 		}
-		until := at.Add(time.Duration(h.LeftMs) * time.Millisecond)
+		until := at.Add(time.Duration(h.RemainingMs) * time.Millisecond)
 		out[Held{Fingerprint: h.Fingerprint, Until: until}] = s.since(h.Fingerprint, now)
 	}
 	for f, until := range s.until {
@@ -125,7 +125,7 @@
 func (n *Node) writeHeld(ctx context.Context, h Held) {
 	key, value, err := n.ports.Translator.EncodeHeld(h)
 	if err == nil {
-		err = feed.Put(ctx, n.ports.Log, n.topics.Daemons, key, value, nil)
+		err = feed.AppendWithTimeout(ctx, n.ports.Log, n.topics.Daemons, key, value, nil)
 	}
 	if err != nil {
 		n.log.Warn("held request not written", "fingerprint", h.Fingerprint, "released", h.Released, "err", err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,7 @@
 	// Leave is the time within which a backend server that has said that it leaves, or
 	// whose entry is gone, must get nothing new.
 	Leave time.Duration
-	Rules relay.Rules
+	Rules relay.Options
 }
 
 // Topics name the log's topics.
@@ -106,7 +106,7 @@
 	// Boot reads a clock that counts while the VM is suspended.
 	Boot func() time.Duration
 	// Peers calls other daemons; nil calls them over the network.
-	Peers gossip.Caller
+	Peers gossip.Transport
 }
 
 // Node is one daemon.
@@ -120,7 +120,7 @@
 	topics      Topics
 	state       *relay.State
 	members     *gossip.Members
-	links       *peer.Links
+	links       *peer.Client
 	// followers read the topics, in the order in which pulses tell how far.
 	followers  []*feed.Follower
 	operators  *feed.Follower
@@ -163,16 +163,16 @@
 	n.incarnation = c.Name + "/" + strconv.FormatUint(rand.Uint64(), 36)
 	n.state = relay.NewState(c.Name, c.FailureDomain, p.Boot)
 	n.Relay = relay.New(n.state, p.Backend, c.Rules, p.Metrics, p.Logger)
-	n.links = peer.NewLinks(c.Name, "", nil)
-	var peers gossip.Caller = gossip.Links{Links: n.links}
+	n.links = peer.NewClient(c.Name, "", nil)
+	var peers gossip.Transport = gossip.PeerTransport{Client: n.links}
 	if p.Peers != nil {
 		peers = p.Peers
 	}
 	n.members = gossip.New(c.Name, c.Control, n.incarnation, n.pulse, peers, p.Boot, p.Logger)
-	n.members.OnPulse, n.members.OnWorkChanged = n.onPulse, n.state.AddPeerWork
-	n.members.Quarantined = n.Relay.Guard.Update
-	n.Relay.Outdated = n.isOutdated
-	n.members.Learn(c.Seeds...)
+	n.members.OnMessage, n.members.OnWorkChanged = n.onPulse, n.state.AddPeerWork
+	n.members.QuarantineUpdate = n.Relay.Guard.Update
+	n.Relay.ConfigOutdated = n.isOutdated
+	n.members.AddAddresses(c.Seeds...)
 	n.prepare(ctx)
 	return n
 }
@@ -180,7 +180,7 @@
 // Peers returns the handler for other daemons.
 func (n *Node) Peers() *peer.Server {
 	s := peer.NewServer("")
-	n.members.Register(s, n.recordsSince)
+	n.members.RegisterHandlers(s, n.recordsSince)
 	return s
 }
 
@@ -199,24 +199,24 @@
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
 // Learn adds addresses at which daemons may be.
-func (n *Node) Learn(addresses ...string) { n.members.Learn(addresses...) }
+func (n *Node) Learn(addresses ...string) { n.members.AddAddresses(addresses...) }
 
 // EachServer calls f for every server of a service that may get requests.
 func (n *Node) EachServer(service string, f func(id string)) { n.state.EachServer(service, f) }
 
 // pulse is what this daemon tells another, with its evidence on new versions or without.
-func (n *Node) pulse(evidence bool) gossip.Pulse {
+func (n *Node) pulse(evidence bool) gossip.Message {
 	judge := n.judges()
-	p := gossip.Pulse{
-		Incarnation: n.incarnation, Name: n.config.Name, Address: n.config.Control, FrontAddress: n.config.Front,
-		FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load(), Able: n.able(),
-		Work: n.state.Work(), Orders: n.Relay.Rollouts.Reports(n.state.RunningBut, evidence, judge), Ages: n.ages(), Judge: judge,
+	p := gossip.Message{
+		Incarnation: n.incarnation, Name: n.config.Name, Address: n.config.Control, ClientAddress: n.config.Front,
+		FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load(), Eligible: n.able(),
+		Work: n.state.OwnWork(), Orders: n.Relay.Rollouts.Reports(n.state.InFlightOnOtherVersions, evidence, judge), Ages: n.ages(), WantsEvidence: judge,
 	}
 	for _, f := range n.followers {
-		p.Nexts = append(p.Nexts, f.Next())
+		p.NextPositions = append(p.NextPositions, f.Next())
 	}
-	p.Placed, p.PlacedRound = n.placements.Current(n.state.Placements, time.Now())
-	p.Version = n.version()
+	p.Placed, p.PlacedRound = n.placements.CurrentRound(n.state.DrainPlacements, time.Now())
+	p.ConfigVersion = n.version()
 	return p
 }
 
@@ -224,8 +224,8 @@
 func (n *Node) ages() []int64 {
 	out := make([]int64, freshness.Subjects)
 	for about := range freshness.Subjects {
-		out[about] = gossip.Unconfirmed
-		if age, known := n.state.Age(about); known {
+		out[about] = gossip.AgeUnknown
+		if age, known := n.state.ConfirmationAge(about); known {
 			out[about] = age.Milliseconds()
 		}
 	}
@@ -234,24 +234,24 @@
 
 // onPulse takes another daemon's pulse, made after a reading of the boot clock, or
 // zero if none is known.
-func (n *Node) onPulse(p gossip.Pulse, after time.Duration) {
+func (n *Node) onPulse(p gossip.Message, after time.Duration) {
 	for i, f := range n.followers {
-		f.Expect(p.Next(i))
+		f.ObservePeerPosition(p.NextPosition(i))
 	}
 	n.noteNewer(p)
 	if after != 0 {
 		n.confirmedBy(p, after)
 	}
-	n.Relay.Rollouts.Heard(p.Incarnation, p.Orders)
+	n.Relay.Rollouts.ApplyReports(p.Incarnation, p.Orders)
 	n.Relay.Guard.Merge(p.Quarantine)
-	if n.placements.Fresh(p.Incarnation, p.PlacedRound) {
-		n.state.TakePlacements(p.Placed)
+	if n.placements.MarkSeen(p.Incarnation, p.PlacedRound) {
+		n.state.ApplyPlacements(p.Placed)
 	}
 	n.state.SetDaemons(n.daemons())
 }
 
 // Fronts lists up to most addresses at which a caller should connect.
-func (n *Node) Fronts(c membership.Caller, most int) []string {
-	own := membership.Front{Address: n.config.Front, FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load()}
-	return membership.Offer(append(n.members.Fronts(), own), c, most)
+func (n *Node) Fronts(c membership.Client, most int) []string {
+	own := membership.Endpoint{Address: n.config.Front, FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load()}
+	return membership.SelectEndpoints(append(n.members.Endpoints(), own), c, most)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -32,7 +32,7 @@
 	if _, err := fmt.Sscan(string(r.Value), &version); err != nil {
 		return Instruction{}, errors.New("not a version")
 	}
-	t, err := route.New(route.Document{Version: version})
+	t, err := route.NewTable(route.Document{Version: version})
 	return Instruction{Table: t}, err
 }
 
@@ -46,12 +46,12 @@
 func (words) Server(r feed.Record) (backend.Server, error) {
 	state, born, _ := strings.Cut(string(r.Value), " ")
 	if state != "ready" && state != "leaving" {
-		return backend.Server{}, backend.Bad(backend.UnknownState, "%s", state)
+		return backend.Server{}, backend.Invalid(backend.UnknownState, "%s", state)
 	}
-	s := backend.Server{Run: backend.Incarnation{Name: r.Key}, Service: "s", Address: r.Key, Leaving: state == "leaving"}
-	_, err := fmt.Sscan(born, &s.Run.Born)
+	s := backend.Server{Incarnation: backend.Incarnation{Name: r.Key}, Service: "s", Address: r.Key, Leaving: state == "leaving"}
+	_, err := fmt.Sscan(born, &s.Incarnation.StartMillis)
 	if born != "" && err != nil {
-		return backend.Server{}, backend.Bad(backend.FieldType, "born")
+		return backend.Server{}, backend.Invalid(backend.FieldType, "born")
 	}
 	return s, nil
 }
@@ -130,8 +130,8 @@
 	n, now := testNode(t)
 	n.know()
 	*now += ownLeast + ownGrace
-	n.confirmedBy(gossip.Pulse{Ages: []int64{100}}, *now)
-	if !n.state.Fresh(freshness.Configuration, time.Second) {
+	n.confirmedBy(gossip.Message{Ages: []int64{100}}, *now)
+	if !n.state.ConfirmedWithin(freshness.Configuration, time.Second) {
 		t.Error("the word of another daemon is not taken")
 	}
 	if n.Ready() {
@@ -143,8 +143,8 @@
 	n, now := testNode(t)
 	n.know()
 	*now += time.Second
-	n.confirmedBy(gossip.Pulse{Ages: []int64{0}, Nexts: []feed.Position{9}}, *now)
-	if n.state.Fresh(freshness.Configuration, time.Second/2) {
+	n.confirmedBy(gossip.Message{Ages: []int64{0}, NextPositions: []feed.Position{9}}, *now)
+	if n.state.ConfirmedWithin(freshness.Configuration, time.Second/2) {
 		t.Error("confirmed although the other daemon has read a configuration that this one has not")
 	}
 }
@@ -208,8 +208,8 @@
 	hear := func(ready, able bool) {
 		for i := range 40 {
 			name := fmt.Sprint("d", i+1)
-			n.members.Learn("c" + name)
-			n.members.Take("c"+name, gossip.Pulse{Incarnation: name, Name: name, Ready: ready, Able: able})
+			n.members.AddAddresses("c" + name)
+			n.members.Receive("c"+name, gossip.Message{Incarnation: name, Name: name, Ready: ready, Eligible: able})
 		}
 	}
 	hear(true, true)
@@ -222,7 +222,7 @@
 			t.Errorf("place %d in an outage, others ready %t; %d before", got, ready, among)
 		}
 	}
-	n.take(freshness.Configuration, freshness.Confirmation{At: *now, By: "d1"})
+	n.take(freshness.Configuration, freshness.Confirmation{At: *now, Source: "d1"})
 	if got := n.rank(); got != among {
 		t.Errorf("place %d when the store is back, %d before", got, among)
 	}
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -7,15 +7,15 @@
 import "time"
 
 const (
-	// Span is the length of the sliding window.
-	Span = time.Minute
+	// WindowSpan is the length of the sliding window.
+	WindowSpan = time.Minute
 	// bucketWidth is the window's resolution. A partly expired bucket counts
 	// whole, so a limit is undershot by up to bucketWidth/Span (0.8%).
 	bucketWidth = 500 * time.Millisecond
-	// LeaseTerm is how long a leased amount may be spent.
-	LeaseTerm = time.Second
+	// LeaseTTL is how long a leased amount may be spent.
+	LeaseTTL = time.Second
 	// bucketCount covers Span and, for homes, one LeaseTerm more.
-	bucketCount = int((Span+LeaseTerm)/bucketWidth) + 1
+	bucketCount = int((WindowSpan+LeaseTTL)/bucketWidth) + 1
 )
 
 // Window sums amounts over a sliding span.
@@ -32,8 +32,8 @@
 	w.buckets[w.newest%int64(bucketCount)] += n
 }
 
-// AddAt counts n in a bucket if the window still holds it.
-func (w *Window) AddAt(now time.Time, bucket, n int64) {
+// AddToBucket counts n in a bucket if the window still holds it.
+func (w *Window) AddToBucket(now time.Time, bucket, n int64) {
 	w.advance(now)
 	if bucket > w.newest || bucket <= w.newest-int64(bucketCount) || bucket < 0 {
 		return
@@ -63,9 +63,9 @@
 	}
 }
 
-// FreeAt returns when the span will hold at most limit-n, assuming nothing is
+// TimeUntilFree returns when the span will hold at most limit-n, assuming nothing is
 // added: the advice for Retry-After.
-func (w *Window) FreeAt(now time.Time, span time.Duration, limit, n int64) time.Duration {
+func (w *Window) TimeUntilFree(now time.Time, span time.Duration, limit, n int64) time.Duration {
 	sum := w.Sum(now, span)
 	depth := int64(span / bucketWidth)
 	for b := w.newest - depth; b <= w.newest; b++ {
@@ -79,16 +79,16 @@
 	return span
 }
 
-// History is the compact form of a window that rides on leases, oldest first.
-type History struct {
+// WindowSnapshot is the compact form of a window that rides on leases, oldest first.
+type WindowSnapshot struct {
 	Newest  int64   `cbor:"1,keyasint"`
 	Buckets []int64 `cbor:"2,keyasint"`
 }
 
-// History returns the window's content at a time.
-func (w *Window) History(now time.Time) History {
+// Snapshot returns the window's content at a time.
+func (w *Window) Snapshot(now time.Time) WindowSnapshot {
 	w.advance(now)
-	h := History{Newest: w.newest, Buckets: make([]int64, bucketCount)}
+	h := WindowSnapshot{Newest: w.newest, Buckets: make([]int64, bucketCount)}
 	for i := range bucketCount {
 		b := w.newest - int64(bucketCount-1-i)
 		if b >= 0 {
@@ -100,7 +100,7 @@
 
 // Merge raises every bucket to at least the value a history gives for it. Taking
 // the larger value is safe: a bucket only ever grows while it is current.
-func (w *Window) Merge(now time.Time, h History) {
+func (w *Window) Merge(now time.Time, h WindowSnapshot) {
 	w.advance(now)
 	for i, v := range h.Buckets {
 		b := h.Newest - int64(len(h.Buckets)-1-i)
--- a/internal/request/assembler.go
+++ b/internal/request/assembler.go
@@ -17,18 +17,18 @@
 	Failed bool
 }
 
-// FrameVerdict says what to do with a frame.
-type FrameVerdict uint8
+// FrameAction says what to do with a frame.
+type FrameAction uint8
 
 const (
 	// Deliver passes the frame on.
-	Deliver FrameVerdict = iota
-	// DropForeign drops a frame of another run.
-	DropForeign
-	// DropRepeated drops a frame that was delivered before.
-	DropRepeated
-	// Gap drops the frame and asks for a resume from Last.
-	Gap
+	Deliver FrameAction = iota
+	// DropOtherRun drops a frame of another run.
+	DropOtherRun
+	// DropDuplicate drops a frame that was delivered before.
+	DropDuplicate
+	// SequenceGap drops the frame and asks for a resume from Last.
+	SequenceGap
 	// DropAfterEnd drops a frame after the terminal one.
 	DropAfterEnd
 )
@@ -38,33 +38,33 @@
 // old one still drains; a caller would see doubled or missing words.
 type Assembler struct {
 	run  string
-	last int
+	lastOffset int
 	done bool
 }
 
 // NewAssembler returns an assembler for one run.
 func NewAssembler(run string) *Assembler { return &Assembler{run: run} }
 
-// Last returns the offset of the newest delivered frame, from which to resume.
-func (a *Assembler) Last() int { return a.last }
+// LastOffset returns the offset of the newest delivered frame, from which to resume.
+func (a *Assembler) LastOffset() int { return a.lastOffset }
 
 // Done reports whether the terminal frame was delivered. Without it the answer
 // is not whole, however the connection ended.
 func (a *Assembler) Done() bool { return a.done }
 
 // Accept judges a frame.
-func (a *Assembler) Accept(f Frame) FrameVerdict {
+func (a *Assembler) Accept(f Frame) FrameAction {
 	switch {
 	case f.Run != a.run:
-		return DropForeign
+		return DropOtherRun
 	case a.done:
 		return DropAfterEnd
-	case f.Offset <= a.last:
-		return DropRepeated
-	case f.Offset > a.last+1:
-		return Gap
+	case f.Offset <= a.lastOffset:
+		return DropDuplicate
+	case f.Offset > a.lastOffset+1:
+		return SequenceGap
 	}
-	a.last = f.Offset
+	a.lastOffset = f.Offset
 	a.done = f.End || f.Failed
 	return Deliver
 }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -58,21 +58,21 @@
 	// Model and Version are of the newest answer.
 	Model   string
 	Version string
-	// Others lists the "model@version" of earlier answers by other models, newest
+	// OtherModels lists the "model@version" of earlier answers by other models, newest
 	// first, separated by blanks. A cascade's session goes back and forth between
 	// models and keeps the version of each.
-	Others string
+	OtherModels string
 }
 
-// maxOthers bounds Others; a session that uses more models forgets the oldest.
-const maxOthers = 8
+// maxOtherModels bounds Others; a session that uses more models forgets the oldest.
+const maxOtherModels = 8
 
-// For returns the version the session uses of a model, or "".
-func (p Pin) For(model string) string {
+// VersionOf returns the version the session uses of a model, or "".
+func (p Pin) VersionOf(model string) string {
 	if p.Model == model {
 		return p.Version
 	}
-	for _, o := range strings.Fields(p.Others) {
+	for _, o := range strings.Fields(p.OtherModels) {
 		if m, v, _ := strings.Cut(o, "@"); m == model {
 			return v
 		}
@@ -80,19 +80,19 @@
 	return ""
 }
 
-// With returns the pin after an answer of a model's version.
-func (p Pin) With(model, version string) Pin {
-	others := slices.DeleteFunc(strings.Fields(p.Others), func(o string) bool { return strings.HasPrefix(o, model+"@") })
+// WithVersion returns the pin after an answer of a model's version.
+func (p Pin) WithVersion(model, version string) Pin {
+	others := slices.DeleteFunc(strings.Fields(p.OtherModels), func(o string) bool { return strings.HasPrefix(o, model+"@") })
 	if p.Model != "" && p.Model != model {
 		others = slices.Insert(others, 0, p.Model+"@"+p.Version)
 	}
-	p.Others = strings.Join(others[:min(len(others), maxOthers)], " ")
+	p.OtherModels = strings.Join(others[:min(len(others), maxOtherModels)], " ")
 	p.Model, p.Version = model, version
 	return p
 }
 
-// pinParts is the number of a pin's fields in a token.
-const pinParts = 5
+// tokenFields is the number of a pin's fields in a token.
+const tokenFields = 5
 
 // tokenPurpose marks session tokens of this form.
 const tokenPurpose = "s1"
@@ -102,18 +102,18 @@
 
 // Token signs the pin.
 func (p Pin) Token(ring *Keyring) string {
-	return ring.Sign(tokenPurpose, strings.Join([]string{p.Workspace, p.Name, p.Model, p.Version, p.Others}, "\n"))
+	return ring.Sign(tokenPurpose, strings.Join([]string{p.Workspace, p.Name, p.Model, p.Version, p.OtherModels}, "\n"))
 }
 
-// Parse verifies a token for a workspace.
-func Parse(ring *Keyring, workspace, token string) (Pin, error) {
+// ParseToken verifies a token for a workspace.
+func ParseToken(ring *Keyring, workspace, token string) (Pin, error) {
 	payload, ok := ring.Verify(tokenPurpose, token)
 	parts := strings.Split(payload, "\n")
-	if !ok || len(parts) != pinParts {
-		return Pin{}, fault.Field(fault.SessionRefused, "X-Session-Id", "the signature is wrong or its key has been retired")
+	if !ok || len(parts) != tokenFields {
+		return Pin{}, fault.NewField(fault.SessionRefused, "X-Session-Id", "the signature is wrong or its key has been retired")
 	}
 	if parts[0] != workspace {
-		return Pin{}, fault.Field(fault.SessionRefused, "X-Session-Id", "the session belongs to another workspace")
+		return Pin{}, fault.NewField(fault.SessionRefused, "X-Session-Id", "the session belongs to another workspace")
 	}
 	return Pin{parts[0], parts[1], parts[2], parts[3], parts[4]}, nil
 }
@@ -121,27 +121,27 @@
 // maxNameLength bounds a caller's own session name in bytes.
 const maxNameLength = 128
 
-// CheckName validates a caller's own session name.
-func CheckName(name string) error {
+// ValidateName validates a caller's own session name.
+func ValidateName(name string) error {
 	bad := func(r rune) bool { return r <= ' ' || r > '~' }
 	if len(name) > maxNameLength || slices.ContainsFunc([]rune(name), bad) {
-		return fault.Field(fault.BadRequest, "X-Session-Id", "a session name has 1 to %d printable ASCII characters", maxNameLength)
+		return fault.NewField(fault.BadRequest, "X-Session-Id", "a session name has 1 to %d printable ASCII characters", maxNameLength)
 	}
 	return nil
 }
 
-// Resolve chooses the version for a session. A pinned version that is serving
+// ResolveVersion chooses the version for a session. A pinned version that is serving
 // and allowed stays, whatever a roll-out does. A withdrawn one moves to its
 // successor, the same at every daemon of one configuration number. A session
 // without a pin gets the version its name falls to.
-func Resolve(c *fleet.Config, w fleet.Workspace, model string, pin Pin) (string, error) {
-	if pinned := pin.For(model); pinned != "" {
-		if v, ok := c.Successor(w, model, pinned); ok {
+func ResolveVersion(c *fleet.Config, w fleet.Workspace, model string, pin Pin) (string, error) {
+	if pinned := pin.VersionOf(model); pinned != "" {
+		if v, ok := c.ResolveSuccessor(w, model, pinned); ok {
 			return v, nil
 		}
 		return "", fault.New(fault.VersionWithdrawn, "version %s of %s is withdrawn and has no successor for this workspace", pinned, model)
 	}
-	if v, ok := c.VersionFor(w, model, pin.Name); ok {
+	if v, ok := c.SelectVersion(w, model, pin.Name); ok {
 		return v, nil
 	}
 	return "", fault.New(fault.NotEntitled, "no serving version of %s is allowed for this workspace", model)
--- a/lab/slopes/fleet.go
+++ b/lab/slopes/fleet.go
@@ -151,7 +151,7 @@
 	}
 	ws := map[string]any{}
 	for i := range s.workspaces {
-		ws[fmt.Sprintf("w%04d", i)] = fleet.Workspace{KeyHashes: []string{fleet.HashKey(fmt.Sprint(i))}, Models: []string{"m"}, TokensPerMinute: 100_000_000}
+		ws[fmt.Sprintf("w%04d", i)] = fleet.Workspace{KeyHashes: []string{fleet.HashAPIKey(fmt.Sprint(i))}, Models: []string{"m"}, TokensPerMinute: 100_000_000}
 	}
 	p["workspaces"] = ws
 	return r.patch("first", 0, p)
