--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -81,12 +81,12 @@
 }
 
 type refusal struct {
-	Message   string     `json:"message"`
-	Type      fault.Kind `json:"type"`
-	Code      fault.Kind `json:"code"`
-	Param     string     `json:"param,omitempty"`
-	Ran       fault.ExecutionState  `json:"ran"`
-	RequestID string     `json:"request_id"`
+	Message   string               `json:"message"`
+	Type      fault.Kind           `json:"type"`
+	Code      fault.Kind           `json:"code"`
+	Param     string               `json:"param,omitempty"`
+	Ran       fault.ExecutionState `json:"ran"`
+	RequestID string               `json:"request_id"`
 }
 
 func refuse(id string, f *fault.Error) refusalBody {
@@ -103,7 +103,7 @@
 		}
 	}
 	f := fault.FromError(err)
-	a.d.Refused(string(f.Kind))
+	a.d.RecordRefusal(string(f.Kind))
 	if f.Kind == fault.Internal {
 		a.log.Error("internal error", "request", requestID(c), "err", err)
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := a.d.Call(c.Request().Context(), requestID(c), daemon.ServiceCall{Workspace: ws, Service: c.Param("name"), Body: body, Key: key})
+	r, err := a.d.CallService(c.Request().Context(), requestID(c), daemon.ServiceRequest{Workspace: ws, Service: c.Param("name"), Body: body, IdempotencyKey: key})
 	if err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusCreated, map[string]string{"key": a.d.MintKey(ws), "endpoint": a.d.Settings().Listen})
+	return c.JSON(http.StatusCreated, map[string]string{"key": a.d.MintIdempotencyKey(ws), "endpoint": a.d.Settings().Listen})
 }
 
 func (a *API) health(c echo.Context) error {
--- a/internal/api/holds.go
+++ b/internal/api/holds.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	a.d.Hold(f)
+	a.d.AddHold(f)
 	return a.holds(c)
 }
 
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	a.d.Release(f)
+	a.d.ReleaseHold(f)
 	return a.holds(c)
 }
 
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -14,7 +14,7 @@
 
 func (a *API) operators(g *echo.Group) {
 	g.GET("/config", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.Config()) })
-	g.GET("/history", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.History()) })
+	g.GET("/history", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.PatchHistory()) })
 	g.POST("/patches", a.patch)
 	g.GET("/status", a.status)
 	g.GET("/servers", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.Servers()) })
@@ -58,7 +58,7 @@
 	if r.Checkpoint != nil {
 		return fault.NewField(fault.BadRequest, "checkpoint", "operators send patches only")
 	}
-	o, err := a.d.Submit(c.Request().Context(), r)
+	o, err := a.d.SubmitPatch(c.Request().Context(), r)
 	if err != nil {
 		return err
 	}
@@ -66,9 +66,9 @@
 		return c.JSON(http.StatusOK, o)
 	}
 	f := fault.New(o.Kind, "%s", o.Detail)
-	a.d.Refused(string(o.Kind))
+	a.d.RecordRefusal(string(o.Kind))
 	var moved []fleet.PatchOutcome
-	for _, h := range a.d.History() {
+	for _, h := range a.d.PatchHistory() {
 		if h.Accepted && h.Number > r.Base {
 			moved = append(moved, h)
 		}
@@ -94,12 +94,12 @@
 }
 
 func (a *API) burn(c echo.Context) error {
-	lines, missing := a.d.Burn(c.Request().Context())
+	lines, missing := a.d.BurnReport(c.Request().Context())
 	return c.JSON(http.StatusOK, map[string]any{"lines": lines, "missing": missing})
 }
 
 func (a *API) usage(c echo.Context) error {
-	l, err := a.d.Ledger(c.Request().Context())
+	l, err := a.d.UsageLedger(c.Request().Context())
 	if err != nil {
 		return err
 	}
--- a/internal/arch/docs_test.go
+++ b/internal/arch/docs_test.go
@@ -62,7 +62,7 @@
 		title, file string
 		names       map[string]string
 	}{
-		{"Of a daemon with the product's own interface", "daemon", daemon.MetricNames()},
+		{"Of a daemon with the product's own interface", "daemon", daemon.MetricDescriptions()},
 		{"Of a daemon on the users' platform", "relay", relay.MetricDescriptions()},
 	} {
 		fmt.Fprintf(&b, "\n## %s\n\n| name | meaning |\n|---|---|\n", list.title)
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -96,7 +96,7 @@
 	var rows []string
 	for _, r := range all {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%.1f%%\t%d/%d\t%d/%d\t%s\t%s", r.Model, r.TargetVersion, r.State, r.Percent,
-			r.Fresh.Errors, r.Fresh.Requests, r.Running.Errors, r.Running.Requests, orDash(r.Home), orDash(r.Reason)))
+			r.NewVersion.Errors, r.NewVersion.Requests, r.RunningVersion.Errors, r.RunningVersion.Requests, orDash(r.Owner), orDash(r.Reason)))
 	}
 	return t.table("MODEL\tTO\tSTATE\tSHARE\tNEW ERRORS\tRUNNING ERRORS\tHOME\tREASON", rows)
 }
@@ -186,9 +186,9 @@
 	if t.json {
 		return t.printJSON(e)
 	}
-	fmt.Fprintf(t.out, "configuration %d: %s@%s (%s), pool %s, server %s\n", e.Number, e.Model, e.Version, e.Why, e.Pool, orDash(e.Chosen))
+	fmt.Fprintf(t.out, "configuration %d: %s@%s (%s), pool %s, server %s\n", e.Number, e.Model, e.Version, e.VersionReason, e.Pool, orDash(e.Chosen))
 	var rows []string
-	for _, r := range e.Reasons {
+	for _, r := range e.RuleResults {
 		word := r.Cost.String()
 		if !r.Kept {
 			word = "out"
--- a/internal/daemon/account.go
+++ b/internal/daemon/account.go
@@ -10,24 +10,24 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// served says what a request ran on, for its bill and the burn report.
-type served struct {
-	model, version, domain string
-	firstToken             time.Duration
-	steps                  []billedStep
-	complete               bool
+// execution says what a request ran on, for its bill and the burn report.
+type execution struct {
+	model, version, failureDomain string
+	firstToken                    time.Duration
+	steps                         []billedStep
+	complete                      bool
 }
 
 type billedStep struct {
-	model, version      string
-	prompt, answer      int64
-	microsPerKiloTokens int64
+	model, version                 string
+	promptTokens, completionTokens int64
+	microsPerKiloToken             int64
 }
 
-func (st *served) tokens() int64 {
+func (st *execution) tokens() int64 {
 	var n int64
 	for _, s := range st.steps {
-		n += s.prompt + s.answer
+		n += s.promptTokens + s.completionTokens
 	}
 	return n
 }
@@ -35,7 +35,7 @@
 // capacityKinds are refusals for want of a server: they count against objectives.
 var capacityKinds = []fault.Kind{fault.Overloaded, fault.NoServer, fault.Warming, fault.Evacuated}
 
-func (d *Daemon) account(workspace string, st *served, began time.Time, err error) {
+func (d *Daemon) recordOutcome(workspace string, st *execution, began time.Time, err error) {
 	if err == nil {
 		d.metrics.answered.Inc(1)
 	}
@@ -50,40 +50,40 @@
 	if limit > 0 && (st.firstToken > limit || st.firstToken == 0 && time.Since(began) > limit) {
 		n.Late = 1
 	}
-	d.burn.observe(slo.Key{Workspace: workspace, Model: st.model, Version: st.version, FailureDomain: st.domain}, n)
+	d.slo.observe(slo.Key{Workspace: workspace, Model: st.model, Version: st.version, FailureDomain: st.failureDomain}, n)
 }
 
-// bill writes the one usage record of a request, over all its steps, and reports
+// billRequest writes the one usage record of a request, over all its steps, and reports
 // whether it is safe. A request that delivered nothing and finished no step
 // costs nothing.
-func (d *Daemon) bill(ctx context.Context, id, workspace string, st *served) bool {
+func (d *Daemon) billRequest(ctx context.Context, id, workspace string, st *execution) bool {
 	if len(st.steps) == 0 {
 		d.usage.cancel()
 		return true
 	}
 	u := billing.UsageRecord{
 		RequestID: id, Workspace: workspace, Outcome: billing.Truncated, UnixMillis: time.Now().UnixMilli(),
-		Daemon: d.settings.ID, FirstTokenMillis: st.firstToken.Milliseconds(), FailureDomain: st.domain,
+		Daemon: d.settings.ID, FirstTokenMillis: st.firstToken.Milliseconds(), FailureDomain: st.failureDomain,
 	}
 	if st.complete {
 		u.Outcome = billing.Complete
 	}
 	for _, s := range st.steps {
 		u.Model, u.Version = s.model, s.version
-		u.PromptTokens += s.prompt
-		u.CompletionTokens += s.answer
-		u.Micros += billing.Price(s.prompt+s.answer, s.microsPerKiloTokens)
+		u.PromptTokens += s.promptTokens
+		u.CompletionTokens += s.completionTokens
+		u.Micros += billing.Price(s.promptTokens+s.completionTokens, s.microsPerKiloToken)
 	}
 	return d.usage.add(ctx, u)
 }
 
-// unprotected withholds the end of an answer whose usage record would be lost
+// unprotectedError withholds the end of an answer whose usage record would be lost
 // with this VM.
-func unprotected() error {
+func unprotectedError() error {
 	return fault.New(fault.UsageUnprotected, "the usage record could not be stored safely").WithExecution(fault.Ran)
 }
 
-func reserveTokens(q *Chat) int64 {
+func estimateTokens(q *ChatRequest) int64 {
 	answer := q.MaxTokens
 	if answer == 0 {
 		answer = defaultAnswerTokens
--- a/internal/daemon/burn.go
+++ b/internal/daemon/burn.go
@@ -10,34 +10,34 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// burn keeps the service-level counters.
-type burn struct {
+// sloRecorder keeps the service-level counters.
+type sloRecorder struct {
 	mu       sync.Mutex
 	counters *slo.Counters
 }
 
-func (b *burn) register(s *peer.Server) {
+func (b *sloRecorder) register(s *peer.Server) {
 	peer.Handle(s, "burn", func(context.Context, string, peer.BurnRequest) (peer.BurnResponse, error) {
-		return peer.BurnResponse{Cells: b.cells()}, nil
+		return peer.BurnResponse{Cells: b.snapshot()}, nil
 	})
 }
 
-func (b *burn) observe(k slo.Key, n slo.Counts) {
+func (b *sloRecorder) observe(k slo.Key, n slo.Counts) {
 	b.mu.Lock()
 	b.counters.Observe(time.Now(), k, n)
 	b.mu.Unlock()
 }
 
-func (b *burn) cells() []slo.WindowCounts {
+func (b *sloRecorder) snapshot() []slo.WindowCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.counters.Snapshot(time.Now())
 }
 
-// Burn merges the counters of all daemons into the burn report. Missing lists
+// BurnReport merges the counters of all daemons into the burn report. Missing lists
 // the daemons that did not answer.
-func (d *Daemon) Burn(ctx context.Context) (lines []slo.ObjectiveBurn, missing []string) {
-	cells := d.burn.cells()
+func (d *Daemon) BurnReport(ctx context.Context) (lines []slo.ObjectiveBurn, missing []string) {
+	cells := d.slo.snapshot()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, m := range d.Members() {
@@ -47,7 +47,7 @@
 		wg.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 			defer cancel()
-			r, err := peer.Call[peer.BurnRequest, peer.BurnResponse](callCtx, d.links, m.PeerAddress, "burn", peer.BurnRequest{})
+			r, err := peer.Call[peer.BurnRequest, peer.BurnResponse](callCtx, d.peers, m.PeerAddress, "burn", peer.BurnRequest{})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -17,37 +17,37 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// ServiceCall is a checked call of a plain service.
-type ServiceCall struct {
+// ServiceRequest is a checked call of a plain service.
+type ServiceRequest struct {
 	Workspace string
 	Service   string
 	Body      []byte
-	// Key is the Idempotency-Key, required for non-repeatable services.
-	Key string
+	// IdempotencyKey is the Idempotency-Key, required for non-repeatable services.
+	IdempotencyKey string
 }
 
-// ServiceAnswer is a plain service's reply.
-type ServiceAnswer struct {
+// ServiceResponse is a plain service's reply.
+type ServiceResponse struct {
 	Status   int
 	Body     []byte
 	Replayed bool
 }
 
-// Call answers a plain service call. Its error is always a *fault.Error.
-func (d *Daemon) Call(ctx context.Context, id string, q ServiceCall) (*ServiceAnswer, error) {
-	done, err := d.enter()
+// CallService answers a plain service call. Its error is always a *fault.Error.
+func (d *Daemon) CallService(ctx context.Context, id string, q ServiceRequest) (*ServiceResponse, error) {
+	done, err := d.admit()
 	if err != nil {
 		return nil, err
 	}
 	defer done()
 	began := time.Now()
-	st := &served{model: "service " + q.Service}
-	a, err := d.call(ctx, id, q, st)
-	d.account(q.Workspace, st, began, err)
+	st := &execution{model: "service " + q.Service}
+	a, err := d.callService(ctx, id, q, st)
+	d.recordOutcome(q.Workspace, st, began, err)
 	return a, err
 }
 
-func (d *Daemon) call(ctx context.Context, id string, q ServiceCall, st *served) (*ServiceAnswer, error) {
+func (d *Daemon) callService(ctx context.Context, id string, q ServiceRequest, st *execution) (*ServiceResponse, error) {
 	c := d.config.current()
 	w := c.Workspaces[q.Workspace]
 	svc, ok := c.Services[q.Service]
@@ -57,7 +57,7 @@
 	if !slices.Contains(w.Services, q.Service) {
 		return nil, fault.NewField(fault.NotEntitled, "service", "the workspace may not call %q", q.Service)
 	}
-	if svc.NonRepeatable && q.Key == "" {
+	if svc.NonRepeatable && q.IdempotencyKey == "" {
 		return nil, fault.NewField(fault.BadRequest, "Idempotency-Key", "service %q needs a key: its calls may not be repeated", q.Service)
 	}
 	res, err := d.limits.reserve(ctx, q.Workspace, w, 0)
@@ -68,7 +68,7 @@
 	if err := d.usage.reserve(); err != nil {
 		return nil, err
 	}
-	a, ran, err := d.callOnce(ctx, id, q, svc, w)
+	a, ran, err := d.callWithClaim(ctx, id, q, svc, w)
 	if !ran {
 		d.usage.cancel()
 		return a, err
@@ -83,26 +83,26 @@
 		FirstTokenMillis: st.firstToken.Milliseconds(),
 	})
 	if !safe && err == nil {
-		return nil, unprotected()
+		return nil, unprotectedError()
 	}
 	return a, err
 }
 
-// callOnce claims the key, if there is one, and sends the call. Ran says
+// callWithClaim claims the key, if there is one, and sends the call. Ran says
 // whether a server answered or may have run it.
-func (d *Daemon) callOnce(ctx context.Context, id string, q ServiceCall, svc fleet.Service, w fleet.Workspace) (a *ServiceAnswer, ran bool, err error) {
-	var t *ticket
-	if q.Key != "" {
+func (d *Daemon) callWithClaim(ctx context.Context, id string, q ServiceRequest, svc fleet.Service, w fleet.Workspace) (a *ServiceResponse, ran bool, err error) {
+	var t *claim
+	if q.IdempotencyKey != "" {
 		var replay *request.ClaimResult
-		t, replay, err = d.claims.acquire(ctx, q.Workspace, q.Key, q.Body, id)
+		t, replay, err = d.claims.acquire(ctx, q.Workspace, q.IdempotencyKey, q.Body, id)
 		if err != nil {
 			return nil, false, err
 		}
 		if replay != nil {
-			return &ServiceAnswer{replay.Status, replay.Response, true}, false, nil
+			return &ServiceResponse{replay.Status, replay.Response, true}, false, nil
 		}
 	}
-	a, err = d.send(ctx, id, q, svc, w)
+	a, err = d.dispatchCall(ctx, id, q, svc, w)
 	if err != nil {
 		state := fault.FromError(err).ExecutionState()
 		t.finish(state, 0, nil)
@@ -112,56 +112,56 @@
 	return a, true, nil
 }
 
-// send tries servers until one answers or the call may have run.
-func (d *Daemon) send(ctx context.Context, id string, q ServiceCall, svc fleet.Service, w fleet.Workspace) (*ServiceAnswer, error) {
+// dispatchCall tries servers until one answers or the call may have run.
+func (d *Daemon) dispatchCall(ctx context.Context, id string, q ServiceRequest, svc fleet.Service, w fleet.Workspace) (*ServiceResponse, error) {
 	limit := defaultDeadline
 	if w.DeadlineMillis > 0 {
 		limit = time.Duration(w.DeadlineMillis) * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	life := &request.RetryState{Repeatable: q.Key == "", Deadline: time.Now().Add(limit)}
-	d.retries.earn()
+	life := &request.RetryState{Repeatable: q.IdempotencyKey == "", Deadline: time.Now().Add(limit)}
+	d.retryBudget.deposit()
 	var tried []string
 	fingerprint := quarantine.FingerprintOf(q.Workspace, "", "call", q.Service, q.Body)
 	for {
-		if refusal := d.held(fingerprint, life); refusal != nil {
+		if refusal := d.checkHold(fingerprint, life); refusal != nil {
 			return nil, refusal
 		}
 		c := d.config.current()
 		if !slices.Contains(c.Workspaces[q.Workspace].Services, q.Service) {
-			d.metrics.lastCheck.Inc(1)
+			d.metrics.lastCheckRefused.Inc(1)
 			return nil, fault.New(fault.NotEntitled, "service %s is no longer allowed", q.Service).WithExecution(life.ExecutionState())
 		}
-		ch, err := d.pools.pick(c, svc.Pool, "", &routing.Request{}, tried)
+		ch, err := d.balancer.pickServer(c, svc.Pool, "", &routing.Request{}, tried)
 		if err != nil {
-			return nil, truthful(fault.FromError(err), life)
+			return nil, withExecutionState(fault.FromError(err), life)
 		}
 		tried = append(tried, ch.candidate.ID)
 		life.RecordAttempt()
 		d.metrics.attempts.Inc(1)
 		began := time.Now()
 		status, body, err := d.guardedCall(ctx, id, ch, fingerprint, q.Body)
-		d.pools.completed(ch, time.Since(began), err != nil || status >= http.StatusInternalServerError)
+		d.balancer.recordCompletion(ch, time.Since(began), err != nil || status >= http.StatusInternalServerError)
 		if err == nil {
-			return &ServiceAnswer{Status: status, Body: body}, nil
+			return &ServiceResponse{Status: status, Body: body}, nil
 		}
 		event := request.RunNotFound
 		if errors.Is(err, engine.ErrNotConnected) {
 			event = request.ConnectFailed
-			d.pools.unreachable(ch)
+			d.balancer.recordUnreachable(ch)
 		}
-		if dec := d.decide(life, event); dec.Action != request.Retry {
+		if dec := d.nextAction(life, event); dec.Action != request.Retry {
 			return nil, dec.Error
 		}
 	}
 }
 
 // guardedCall calls a server and tells the guard what became of it.
-func (d *Daemon) guardedCall(ctx context.Context, id string, ch choice, f quarantine.Fingerprint, body []byte) (int, []byte, error) {
+func (d *Daemon) guardedCall(ctx context.Context, id string, ch pick, f quarantine.Fingerprint, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	u := d.guard.Begin(guarded(ch.candidate), f, cancel)
+	u := d.guard.Begin(containmentServer(ch.candidate), f, cancel)
 	status, answer, err := d.engine.Call(ctx, ch.candidate.Address, id, body)
 	fate := containment.ConnectionLost
 	switch {
@@ -170,7 +170,7 @@
 	case ctx.Err() != nil:
 		fate = containment.Canceled
 	}
-	d.guard.End(ctx, u, guarded(ch.candidate), fate)
+	d.guard.End(ctx, u, containmentServer(ch.candidate), fate)
 	if err == nil && status < http.StatusInternalServerError {
 		d.guard.RecordSuccess(f)
 	}
--- a/internal/daemon/cascades.go
+++ b/internal/daemon/cascades.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	// planEvery is the period of planning and of collecting ratings.
-	planEvery = time.Second
-	// submitTimeout bounds handing a sample to the rating service.
-	submitTimeout = 2 * time.Second
-	// sampleMemory bounds the samples that await their rating.
-	sampleMemory = 20000
+	// planInterval is the period of planning and of collecting ratings.
+	planInterval = time.Second
+	// sampleSubmitTimeout bounds handing a sample to the rating service.
+	sampleSubmitTimeout = 2 * time.Second
+	// maxPendingSamples bounds the samples that await their rating.
+	maxPendingSamples = 20000
 )
 
-// cascades learns from ratings and plans each workspace's cascades.
-type cascades struct {
-	d       *Daemon
-	mu      sync.Mutex
-	state   map[string]*cascadeState
-	samples map[string]sampleInfo
-	cursor  int
+// cascadePlanner learns from ratings and plans each workspace's cascades.
+type cascadePlanner struct {
+	d            *Daemon
+	mu           sync.Mutex
+	state        map[string]*cascadeState
+	pending      map[string]pendingSample
+	ratingCursor int
 }
 
 type cascadeState struct {
-	classes map[string]*cascade.Class
-	plan    cascade.Plan
-	cheap   string
+	classes    map[string]*cascade.Class
+	plan       cascade.Plan
+	cheapModel string
 }
 
-// sampleInfo remembers what a rating will be about.
-type sampleInfo struct {
+// pendingSample remembers what a rating will be about.
+type pendingSample struct {
 	cascade, class string
 	confidence     float64
-	dear           bool
+	expensive      bool
 }
 
-func newCascades(d *Daemon) *cascades {
-	return &cascades{d: d, state: map[string]*cascadeState{}, samples: map[string]sampleInfo{}}
+func newCascadePlanner(d *Daemon) *cascadePlanner {
+	return &cascadePlanner{d: d, state: map[string]*cascadeState{}, pending: map[string]pendingSample{}}
 }
 
-func (c *cascades) of(key string) *cascadeState {
+func (c *cascadePlanner) stateOf(key string) *cascadeState {
 	s := c.state[key]
 	if s == nil {
 		s = &cascadeState{classes: map[string]*cascade.Class{}}
@@ -65,53 +65,53 @@
 	return k
 }
 
-// cheapFirst reports whether a request goes to the cheap model first. Cheap
+// useCheapFirst reports whether a request goes to the cheap model first. Cheap
 // names the model and version; a new one resets what was learned of the old.
-func (c *cascades) cheapFirst(key, class, cheap string) bool {
+func (c *cascadePlanner) useCheapFirst(key, class, cheap string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(key)
-	if s.cheap != cheap {
+	s := c.stateOf(key)
+	if s.cheapModel != cheap {
 		for _, k := range s.classes {
 			k.Reset()
 		}
-		s.cheap = cheap
+		s.cheapModel = cheap
 	}
 	_, known := s.plan.Accept[class]
 	return s.plan.UseCheapFirst(class, known, rand.Float64())
 }
 
-// accepts counts a cheap answer and reports whether it may stand.
-func (c *cascades) accepts(key, class string, confidence float64) bool {
+// acceptCheap counts a cheap answer and reports whether it may stand.
+func (c *cascadePlanner) acceptCheap(key, class string, confidence float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(key)
+	s := c.stateOf(key)
 	s.class(class).RecordConfidence(confidence)
 	return s.plan.Accepts(class, confidence)
 }
 
-// sample hands an answer to the rating service for a share of requests.
-func (c *cascades) sample(info sampleInfo, s platform.Sample) {
-	if c.d.ports.Rater == nil || rand.Float64() >= c.ratingShare(s.Model, s.Version) {
+// submitSample hands an answer to the rating service for a share of requests.
+func (c *cascadePlanner) submitSample(info pendingSample, s platform.Sample) {
+	if c.d.deps.Rater == nil || rand.Float64() >= c.ratingShare(s.Model, s.Version) {
 		return
 	}
 	c.mu.Lock()
 	// Ratings that never come would fill the memory for good and end all
 	// learning; forgetting everything costs the ratings under way.
-	if len(c.samples) >= sampleMemory {
-		clear(c.samples)
+	if len(c.pending) >= maxPendingSamples {
+		clear(c.pending)
 	}
-	c.samples[s.RequestID+"/"+s.Model] = info
+	c.pending[s.RequestID+"/"+s.Model] = info
 	c.mu.Unlock()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), sampleSubmitTimeout)
 		defer cancel()
-		_ = c.d.ports.Rater.Submit(ctx, s)
+		_ = c.d.deps.Rater.Submit(ctx, s)
 	}()
 }
 
 // ratingShare is the fraction of a version's answers to have rated.
-func (c *cascades) ratingShare(model, version string) float64 {
+func (c *cascadePlanner) ratingShare(model, version string) float64 {
 	budget := c.d.settings.RatingShare
 	ro, ok := c.d.config.current().RolloutFor(model)
 	if !ok || !rollout.CarriesTraffic(ro) {
@@ -120,47 +120,47 @@
 	return rollout.RatingShare(budget, ro.Percent(), version == ro.TargetVersion)
 }
 
-func (c *cascades) loop(ctx context.Context) {
-	every(ctx, planEvery, func(ctx context.Context) {
-		c.collect(ctx)
-		c.plan()
+func (c *cascadePlanner) run(ctx context.Context) {
+	runPeriodically(ctx, planInterval, func(ctx context.Context) {
+		c.collectRatings(ctx)
+		c.updatePlans()
 	})
 }
 
-func (c *cascades) collect(ctx context.Context) {
-	if c.d.ports.Rater == nil {
+func (c *cascadePlanner) collectRatings(ctx context.Context) {
+	if c.d.deps.Rater == nil {
 		return
 	}
-	ratings, next, err := c.d.ports.Rater.Collect(ctx, c.d.raterID(), c.cursor)
+	ratings, next, err := c.d.deps.Rater.Collect(ctx, c.d.sampleOwnerID(), c.ratingCursor)
 	if err != nil {
 		return
 	}
-	c.cursor = next
+	c.ratingCursor = next
 	for _, r := range ratings {
-		c.d.rollouts.rated(r.Sample.Model, r.Sample.Version, r.Sample.Server, r.Good)
-		c.learn(r)
+		c.d.rollouts.recordRating(r.Sample.Model, r.Sample.Version, r.Sample.Server, r.Good)
+		c.recordRating(r)
 	}
 }
 
-func (c *cascades) learn(r platform.Rating) {
+func (c *cascadePlanner) recordRating(r platform.Rating) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := r.Sample.RequestID + "/" + r.Sample.Model
-	info, known := c.samples[id]
-	delete(c.samples, id)
+	info, known := c.pending[id]
+	delete(c.pending, id)
 	if !known || info.cascade == "" {
 		return
 	}
-	k := c.of(info.cascade).class(info.class)
-	if info.dear {
+	k := c.stateOf(info.cascade).class(info.class)
+	if info.expensive {
 		k.RecordExpensiveRating(r.Good)
 	} else {
 		k.RecordRating(info.confidence, r.Good)
 	}
 }
 
-// plan makes every cascade's plan anew from the evidence.
-func (c *cascades) plan() {
+// updatePlans makes every cascade's plan anew from the evidence.
+func (c *cascadePlanner) updatePlans() {
 	cfg := c.d.config.current()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/daemon/choose.go
+++ b/internal/daemon/choose.go
@@ -9,8 +9,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/session"
 )
 
-// entitled resolves the named model or cascade to the models to ask.
-func entitled(c *fleet.Config, w fleet.Workspace, name string) ([]string, error) {
+// resolveModels resolves the named model or cascade to the models to ask.
+func resolveModels(c *fleet.Config, w fleet.Workspace, name string) ([]string, error) {
 	if k, ok := c.Cascades[name]; ok {
 		if !slices.Contains(w.Cascades, name) {
 			return nil, fault.NewField(fault.NotEntitled, "model", "the workspace may not use cascade %q", name)
@@ -39,9 +39,9 @@
 	return []string{model}, nil
 }
 
-func (d *Daemon) pin(workspace, header string) (session.Pin, error) {
+func (d *Daemon) resolvePin(workspace, header string) (session.Pin, error) {
 	if session.IsToken(header) {
-		return session.ParseToken(d.ring.Load(), workspace, header)
+		return session.ParseToken(d.keyring.Load(), workspace, header)
 	}
 	if header == "" {
 		return session.Pin{Workspace: workspace, Name: newID("")}, nil
@@ -52,14 +52,14 @@
 	return session.Pin{Workspace: workspace, Name: header}, nil
 }
 
-// version chooses the version of a model for a session.
-func (d *Daemon) version(c *fleet.Config, w fleet.Workspace, name string, pin session.Pin) (model, version string, err error) {
+// chooseVersion chooses the version of a model for a session.
+func (d *Daemon) chooseVersion(c *fleet.Config, w fleet.Workspace, name string, pin session.Pin) (model, version string, err error) {
 	model, version, explicit := strings.Cut(name, "@")
 	if explicit {
 		return model, version, nil
 	}
 	if pin.VersionOf(model) == "" {
-		if ro, ok := c.RolloutFor(model); ok && d.rollouts.avoided(model, ro.TargetVersion) {
+		if ro, ok := c.RolloutFor(model); ok && d.rollouts.isStopped(model, ro.TargetVersion) {
 			version, ok := c.ResolveSuccessor(w, model, c.Models[model].Stable)
 			if ok {
 				return model, version, nil
@@ -68,7 +68,7 @@
 	}
 	version, err = session.ResolveVersion(c, w, model, pin)
 	if old := pin.VersionOf(model); err == nil && old != "" && version != old {
-		d.metrics.pinsMoved.Inc(1)
+		d.metrics.sessionPinsMoved.Inc(1)
 	}
 	return model, version, err
 }
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -22,66 +22,66 @@
 	claimPartitions = 16
 	// claimTimeout bounds the wait for the log to confirm a claim.
 	claimTimeout = 3 * time.Second
-	// claimExpiry is the period of forgetting old keys.
-	claimExpiry = time.Minute
-	// storedAnswerLimit bounds an answer kept with its claim, in bytes. A longer
+	// claimExpiryInterval is the period of forgetting old keys.
+	claimExpiryInterval = time.Minute
+	// maxStoredResponse bounds an answer kept with its claim, in bytes. A longer
 	// one cannot be replayed.
-	storedAnswerLimit = 16 << 10
+	maxStoredResponse = 16 << 10
 )
 
-// claims drives the at-most-once claims of idempotency keys.
-type claims struct {
+// claimManager drives the at-most-once claims of idempotency keys.
+type claimManager struct {
 	d          *Daemon
 	partitions [claimPartitions]claimPartition
 	mu         sync.Mutex
-	minted     map[string]*mintedUse
+	mintedKeys map[string]*mintedKeyState
 }
 
 type claimPartition struct {
-	mu   sync.Mutex
-	fold *request.ClaimTable
+	mu    sync.Mutex
+	table *request.ClaimTable
 }
 
-// mintedUse is the memory of one minted key of this incarnation.
-type mintedUse struct {
-	body   string
-	done   bool
-	status int
-	answer []byte
-	at     time.Time
+// mintedKeyState is the memory of one minted key of this incarnation.
+type mintedKeyState struct {
+	bodyHash  string
+	done      bool
+	status    int
+	response  []byte
+	createdAt time.Time
 }
 
-func newClaims(d *Daemon) *claims {
-	c := &claims{d: d, minted: map[string]*mintedUse{}}
+func newClaimManager(d *Daemon) *claimManager {
+	c := &claimManager{d: d, mintedKeys: map[string]*mintedKeyState{}}
 	for i := range c.partitions {
-		c.partitions[i].fold = request.NewClaimTable()
+		c.partitions[i].table = request.NewClaimTable()
 	}
 	return c
 }
 
-func (c *claims) loop(ctx context.Context) {
-	every(ctx, claimExpiry, func(context.Context) {
+func (c *claimManager) run(ctx context.Context) {
+	runPeriodically(ctx, claimExpiryInterval, func(context.Context) {
 		for i := range c.partitions {
 			p := &c.partitions[i]
 			p.mu.Lock()
-			p.fold.Expire(time.Now())
+			p.table.Expire(time.Now())
 			p.mu.Unlock()
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for k, m := range c.minted {
-			if time.Since(m.at) > request.KeyRetention {
-				delete(c.minted, k)
+		for k, m := range c.mintedKeys {
+			if time.Since(m.createdAt) > request.KeyRetention {
+				delete(c.mintedKeys, k)
 			}
 		}
 	})
 }
 
-// ticket is the right to run one non-repeatable request.
-type ticket struct {
-	claims *claims
-	record request.ClaimRecord
-	minted *mintedUse
+// claim is the right to run one non-repeatable request.
+type claim struct {
+	manager *claimManager
+	record  request.ClaimRecord
+	minted  *mintedKeyState
 }
 
 func digest(parts ...string) string {
@@ -94,21 +94,21 @@
 
 // acquire claims a key before the run. It returns a ticket, a stored answer, or
 // the refusal.
-func (c *claims) acquire(ctx context.Context, workspace, key string, body []byte, requestID string) (*ticket, *request.ClaimResult, error) {
+func (c *claimManager) acquire(ctx context.Context, workspace, key string, body []byte, requestID string) (*claim, *request.ClaimResult, error) {
 	if request.IsMintedKey(key) {
 		return c.acquireMinted(workspace, key, body)
 	}
 	rec := request.ClaimRecord{
 		Kind: request.Claimed, Key: digest(workspace, key), BodyHash: digest(string(body)), RequestID: requestID,
-		Owner: c.d.owner(), UnixSeconds: time.Now().Unix(),
+		Owner: c.d.ownerID(), UnixSeconds: time.Now().Unix(),
 	}
-	v, err := c.settle(ctx, rec)
+	v, err := c.commit(ctx, rec)
 	if err != nil {
 		return nil, nil, err
 	}
 	switch v.State {
 	case request.ClaimGranted:
-		return &ticket{claims: c, record: rec}, nil, nil
+		return &claim{manager: c, record: rec}, nil, nil
 	case request.ClaimReplay:
 		return nil, &v, nil
 	}
@@ -121,12 +121,12 @@
 	return int(n) % claimPartitions
 }
 
-func stream(partition int) string { return "claims-" + strconv.Itoa(partition) }
+func claimStream(partition int) string { return "claims-" + strconv.Itoa(partition) }
 
-// settle appends the claim and reads the stream up to it. When the reply of the
+// commit appends the claim and reads the stream up to it. When the reply of the
 // append is lost, the claim is appended again: its request id makes the second
 // copy count as the first.
-func (c *claims) settle(ctx context.Context, rec request.ClaimRecord) (request.ClaimResult, error) {
+func (c *claimManager) commit(ctx context.Context, rec request.ClaimRecord) (request.ClaimResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	n := partitionOf(rec.Key)
@@ -136,36 +136,36 @@
 			appended = c.append(ctx, n, rec) == nil
 		}
 		if err := c.catchUp(ctx, n); err == nil {
-			if v := c.verdict(n, rec); v.State != request.ClaimPending {
+			if v := c.resolve(n, rec); v.State != request.ClaimPending {
 				return v, nil
 			}
 		}
-		if !loop.Pause(ctx, readRetry/5) {
+		if !loop.Pause(ctx, readRetryDelay/5) {
 			c.abandon(rec)
 			return request.ClaimResult{}, request.ClaimResult{}.Err()
 		}
 	}
 }
 
-func (c *claims) append(ctx context.Context, partition int, rec request.ClaimRecord) error {
+func (c *claimManager) append(ctx context.Context, partition int, rec request.ClaimRecord) error {
 	data, err := cbor.Marshal(rec)
 	if err != nil {
 		return err
 	}
 	c.d.metrics.logAppends.Inc(1)
-	if _, err = c.d.ports.Log.Append(ctx, stream(partition), [][]byte{data}); err != nil {
+	if _, err = c.d.deps.Log.Append(ctx, claimStream(partition), [][]byte{data}); err != nil {
 		c.d.metrics.logErrors.Inc(1)
 	}
 	return err
 }
 
-func (c *claims) catchUp(ctx context.Context, n int) error {
+func (c *claimManager) catchUp(ctx context.Context, n int) error {
 	p := &c.partitions[n]
 	for {
 		p.mu.Lock()
-		from := p.fold.NextOffset()
+		from := p.table.NextOffset()
 		p.mu.Unlock()
-		b, err := c.d.ports.Log.Read(ctx, stream(n), from, readLimit, 0)
+		b, err := c.d.deps.Log.Read(ctx, claimStream(n), from, readLimit, 0)
 		if err != nil {
 			return err
 		}
@@ -173,7 +173,7 @@
 		for _, r := range b.Records {
 			var rec request.ClaimRecord
 			if cbor.Unmarshal(r.Data, &rec) == nil {
-				p.fold.Apply(r.Offset, rec)
+				p.table.Apply(r.Offset, rec)
 			}
 		}
 		p.mu.Unlock()
@@ -183,12 +183,12 @@
 	}
 }
 
-func (c *claims) verdict(n int, rec request.ClaimRecord) request.ClaimResult {
+func (c *claimManager) resolve(n int, rec request.ClaimRecord) request.ClaimResult {
 	p := &c.partitions[n]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v := p.fold.Resolve(rec.Key, rec.BodyHash, rec.RequestID)
-	if v.State != request.ClaimPending && v.State != request.ClaimReplay && v.State != request.ClaimKeyReused && !p.fold.Applied(rec.RequestID) {
+	v := p.table.Resolve(rec.Key, rec.BodyHash, rec.RequestID)
+	if v.State != request.ClaimPending && v.State != request.ClaimReplay && v.State != request.ClaimKeyReused && !p.table.Applied(rec.RequestID) {
 		return request.ClaimResult{State: request.ClaimPending}
 	}
 	return v
@@ -197,12 +197,12 @@
 // abandon voids a claim that may have reached the log although this request will
 // not run, so that a repeat of the key is not locked out. It is tried in the
 // background for as long as an outage may last.
-func (c *claims) abandon(rec request.ClaimRecord) {
+func (c *claimManager) abandon(rec request.ClaimRecord) {
 	rec.Kind = request.Abandoned
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 		defer cancel()
-		for wait := readRetry; c.append(ctx, partitionOf(rec.Key), rec) != nil; wait = min(2*wait, 30*time.Second) {
+		for wait := readRetryDelay; c.append(ctx, partitionOf(rec.Key), rec) != nil; wait = min(2*wait, 30*time.Second) {
 			if !loop.Pause(ctx, wait) {
 				return
 			}
@@ -212,30 +212,30 @@
 
 // finish stores the outcome for repeats of the key. State tells whether the run
 // is proven not to have happened; then the key is free again.
-func (t *ticket) finish(state fault.ExecutionState, status int, answer []byte) {
+func (t *claim) finish(state fault.ExecutionState, status int, answer []byte) {
 	if t == nil {
 		return
 	}
 	if t.minted != nil {
-		t.claims.finishMinted(t.minted, state, status, answer)
+		t.manager.finishMinted(t.minted, state, status, answer)
 		return
 	}
 	if state == fault.NotRun {
-		t.claims.abandon(t.record)
+		t.manager.abandon(t.record)
 		return
 	}
-	if status == 0 || len(answer) > storedAnswerLimit {
+	if status == 0 || len(answer) > maxStoredResponse {
 		return
 	}
 	rec := t.record
 	rec.Kind, rec.Status, rec.Response = request.Finished, status, answer
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	_ = t.claims.append(ctx, partitionOf(rec.Key), rec)
+	_ = t.manager.append(ctx, partitionOf(rec.Key), rec)
 }
 
-func (c *claims) acquireMinted(workspace, key string, body []byte) (*ticket, *request.ClaimResult, error) {
-	m, err := request.ParseMintedKey(c.d.ring.Load(), key)
+func (c *claimManager) acquireMinted(workspace, key string, body []byte) (*claim, *request.ClaimResult, error) {
+	m, err := request.ParseMintedKey(c.d.keyring.Load(), key)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -244,36 +244,36 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	use, again := c.minted[key]
+	use, again := c.mintedKeys[key]
 	hash := digest(string(body))
 	switch {
 	case !again:
-		use = &mintedUse{body: hash, at: time.Now()}
-		c.minted[key] = use
-		return &ticket{claims: c, minted: use}, nil, nil
-	case use.body != hash:
+		use = &mintedKeyState{bodyHash: hash, createdAt: time.Now()}
+		c.mintedKeys[key] = use
+		return &claim{manager: c, minted: use}, nil, nil
+	case use.bodyHash != hash:
 		return nil, nil, request.ClaimResult{State: request.ClaimKeyReused}.Err()
 	case use.done:
-		return nil, &request.ClaimResult{State: request.ClaimReplay, Status: use.status, Response: use.answer}, nil
+		return nil, &request.ClaimResult{State: request.ClaimReplay, Status: use.status, Response: use.response}, nil
 	}
 	return nil, nil, request.ClaimResult{State: request.ClaimInProgress, Owner: c.d.settings.ID}.Err()
 }
 
-func (c *claims) finishMinted(use *mintedUse, state fault.ExecutionState, status int, answer []byte) {
+func (c *claimManager) finishMinted(use *mintedKeyState, state fault.ExecutionState, status int, answer []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == fault.NotRun {
-		for k, u := range c.minted {
+		for k, u := range c.mintedKeys {
 			if u == use {
-				delete(c.minted, k)
+				delete(c.mintedKeys, k)
 			}
 		}
 		return
 	}
-	use.done, use.status, use.answer = status != 0, status, answer
+	use.done, use.status, use.response = status != 0, status, answer
 }
 
-// MintKey returns an idempotency key that only this incarnation may run.
-func (d *Daemon) MintKey(workspace string) string {
-	return request.MintedKey{Workspace: workspace, Daemon: d.settings.ID, Incarnation: d.incarnation, Nonce: newID("")}.Mint(d.ring.Load())
+// MintIdempotencyKey returns an idempotency key that only this incarnation may run.
+func (d *Daemon) MintIdempotencyKey(workspace string) string {
+	return request.MintedKey{Workspace: workspace, Daemon: d.settings.ID, Incarnation: d.incarnation, Nonce: newID("")}.Mint(d.keyring.Load())
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -22,144 +22,144 @@
 	configStream = "config"
 	// readLimit bounds one read of the log in records.
 	readLimit = 500
-	// readWait is how long a read waits for news.
-	readWait = time.Second
-	// readRetry is the pause after a failed read.
-	readRetry = 250 * time.Millisecond
+	// longPollTimeout is how long a read waits for news.
+	longPollTimeout = time.Second
+	// readRetryDelay is the pause after a failed read.
+	readRetryDelay = 250 * time.Millisecond
 	// readersPerDomain is how many daemons of a failure domain read the log all
 	// the time; the others hear from them and look for themselves rarely.
 	readersPerDomain = 2
-	// rareRead is the period of a daemon that is no reader.
-	rareRead = 8 * time.Second
-	// tailKept is how many raw records are kept for peers.
-	tailKept = 1024
-	// checkpointEvery is the number of records between two checkpoints.
-	checkpointEvery = 200
+	// nonReaderInterval is the period of a daemon that is no reader.
+	nonReaderInterval = 8 * time.Second
+	// maxTailRecords is how many raw records are kept for peers.
+	maxTailRecords = 1024
+	// recordsPerCheckpoint is the number of records between two checkpoints.
+	recordsPerCheckpoint = 200
 	// patchTimeout bounds the wait for a submitted patch to be folded.
 	patchTimeout = 5 * time.Second
 	// peerCallTimeout bounds a call to another daemon.
 	peerCallTimeout = 1500 * time.Millisecond
-	// settledDomains is how many failure domains a fresh daemon without the log
+	// minBootstrapDomains is how many failure domains a fresh daemon without the log
 	// must have heard before it serves by its peers' word.
-	settledDomains = 2
+	minBootstrapDomains = 2
 )
 
-// configuration follows the configuration stream, from the log or from peers.
-type configuration struct {
-	d   *Daemon
-	now atomic.Pointer[fleet.Config]
+// configFollower follows the configuration stream, from the log or from peers.
+type configFollower struct {
+	d      *Daemon
+	active atomic.Pointer[fleet.Config]
 
-	mu        sync.Mutex
-	fold      *fleet.StateMachine
-	tail      []platform.Record
-	logHeard  time.Time
-	peerHeard time.Time
-	loaded    bool
-	domains   map[string]bool
-	changed   chan struct{}
-	sinceMark int
+	mu                     sync.Mutex
+	state                  *fleet.StateMachine
+	tail                   []platform.Record
+	logReadAt              time.Time
+	majorityAt             time.Time
+	loaded                 bool
+	caughtUpDomains        map[string]bool
+	changed                chan struct{}
+	recordsSinceCheckpoint int
 }
 
-func newConfiguration(d *Daemon) *configuration {
-	c := &configuration{d: d, fold: fleet.NewStateMachine(), domains: map[string]bool{}, changed: make(chan struct{})}
-	c.now.Store(c.fold.Config())
+func newConfigFollower(d *Daemon) *configFollower {
+	c := &configFollower{d: d, state: fleet.NewStateMachine(), caughtUpDomains: map[string]bool{}, changed: make(chan struct{})}
+	c.active.Store(c.state.Config())
 	return c
 }
 
-func (c *configuration) register(s *peer.Server) {
+func (c *configFollower) register(s *peer.Server) {
 	peer.Handle(s, "config", func(_ context.Context, _ string, q peer.ConfigRequest) (peer.ConfigResponse, error) {
-		return c.serveTail(q.From)
+		return c.recordsFrom(q.From)
 	})
 }
 
-func (c *configuration) current() *fleet.Config { return c.now.Load() }
+func (c *configFollower) current() *fleet.Config { return c.active.Load() }
 
-func (c *configuration) heard() time.Time {
+func (c *configFollower) lastLogRead() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.logHeard
+	return c.logReadAt
 }
 
-// sight gathers what decides whether the daemon may serve.
-func (c *configuration) sight(m *members) membership.Readiness {
-	most, servers := m.hearsMost(), c.d.pools.serversHeard()
+// readiness gathers what decides whether the daemon may serve.
+func (c *configFollower) readiness(m *memberlist) membership.Readiness {
+	most, servers := m.inMajority(), c.d.balancer.lastServersUpdate()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if most {
-		c.peerHeard = time.Now()
+		c.majorityAt = time.Now()
 	}
-	return membership.Readiness{LogReadAt: c.logHeard, MajorityAt: c.peerHeard, ConfigLoaded: c.loaded, ServersUpdatedAt: servers, RequireLog: c.d.settings.WithoutLog == "refuse"}
+	return membership.Readiness{LogReadAt: c.logReadAt, MajorityAt: c.majorityAt, ConfigLoaded: c.loaded, ServersUpdatedAt: servers, RequireLog: c.d.settings.WithoutLog == "refuse"}
 }
 
-func (c *configuration) loop(ctx context.Context) {
+func (c *configFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !c.reader() && !loop.Pause(ctx, rareRead) {
+		if !c.isReader() && !loop.Pause(ctx, nonReaderInterval) {
 			return
 		}
 		if err := c.read(ctx); err != nil && ctx.Err() == nil {
 			c.d.metrics.logErrors.Inc(1)
-			loop.Pause(ctx, readRetry)
+			loop.Pause(ctx, readRetryDelay)
 		}
 	}
 }
 
-// reader reports whether this daemon reads the log all the time. A daemon that
+// isReader reports whether this daemon reads the log all the time. A daemon that
 // has no configuration yet does.
-func (c *configuration) reader() bool {
+func (c *configFollower) isReader() bool {
 	c.mu.Lock()
 	loaded := c.loaded
 	c.mu.Unlock()
-	return !loaded || c.d.members.isHomeIn(configStream, readersPerDomain)
+	return !loaded || c.d.members.isDomainOwner(configStream, readersPerDomain)
 }
 
-func (c *configuration) read(ctx context.Context) error {
+func (c *configFollower) read(ctx context.Context) error {
 	c.mu.Lock()
-	from := c.fold.NextOffset()
+	from := c.state.NextOffset()
 	c.mu.Unlock()
-	b, err := c.d.ports.Log.Read(ctx, configStream, from, readLimit, readWait)
+	b, err := c.d.deps.Log.Read(ctx, configStream, from, readLimit, longPollTimeout)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.logHeard = time.Now()
+	c.logReadAt = time.Now()
 	c.mu.Unlock()
 	c.apply(b.Records)
 	c.mu.Lock()
-	caughtUp := c.fold.NextOffset() >= b.Next && c.fold.Synced()
+	caughtUp := c.state.NextOffset() >= b.Next && c.state.Synced()
 	c.loaded = c.loaded || caughtUp
-	mark := c.sinceMark >= checkpointEvery && caughtUp
+	mark := c.recordsSinceCheckpoint >= recordsPerCheckpoint && caughtUp
 	c.mu.Unlock()
-	if mark && c.d.members.isHome("checkpoint") {
+	if mark && c.d.members.isOwner("checkpoint") {
 		c.checkpoint(ctx)
 	}
 	return nil
 }
 
-func (c *configuration) apply(records []platform.Record) {
+func (c *configFollower) apply(records []platform.Record) {
 	if len(records) == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range records {
-		if r.Offset >= c.fold.NextOffset() {
+		if r.Offset >= c.state.NextOffset() {
 			c.tail = append(c.tail, r)
-			c.sinceMark++
+			c.recordsSinceCheckpoint++
 		}
-		c.fold.Apply(r.Offset, r.Data)
+		c.state.Apply(r.Offset, r.Data)
 	}
-	if len(c.tail) > 2*tailKept {
-		c.tail = append([]platform.Record(nil), c.tail[len(c.tail)-tailKept:]...)
+	if len(c.tail) > 2*maxTailRecords {
+		c.tail = append([]platform.Record(nil), c.tail[len(c.tail)-maxTailRecords:]...)
 	}
 	c.publish()
 }
 
 // publish makes the fold's configuration the one in force. Callers hold mu.
-func (c *configuration) publish() {
-	next := c.fold.Config()
-	if next.Number != c.now.Load().Number {
-		c.now.Store(next)
-		c.d.metrics.configNumber.Update(float64(next.Number))
+func (c *configFollower) publish() {
+	next := c.state.Config()
+	if next.Number != c.active.Load().Number {
+		c.active.Store(next)
+		c.d.metrics.configurationNumber.Update(float64(next.Number))
 	}
 	close(c.changed)
 	c.changed = make(chan struct{})
@@ -167,60 +167,60 @@
 
 // checkpoint appends the state again before its records age out. Two daemons
 // that both do so are harmless: an anchored fold ignores checkpoints.
-func (c *configuration) checkpoint(ctx context.Context) {
+func (c *configFollower) checkpoint(ctx context.Context) {
 	c.mu.Lock()
-	c.sinceMark = 0
-	data, err := json.Marshal(fleet.Record{Checkpoint: c.fold.Checkpoint()})
+	c.recordsSinceCheckpoint = 0
+	data, err := json.Marshal(fleet.Record{Checkpoint: c.state.Checkpoint()})
 	c.mu.Unlock()
 	if err == nil {
 		c.d.metrics.logAppends.Inc(1)
-		_, err = c.d.ports.Log.Append(ctx, configStream, [][]byte{data})
+		_, err = c.d.deps.Log.Append(ctx, configStream, [][]byte{data})
 	}
 	if err != nil {
 		c.d.metrics.logErrors.Inc(1)
 	}
 }
 
-func (c *configuration) serveTail(from uint64) (peer.ConfigResponse, error) {
+func (c *configFollower) recordsFrom(from uint64) (peer.ConfigResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.fold.Synced() || from >= c.fold.NextOffset() {
+	if !c.state.Synced() || from >= c.state.NextOffset() {
 		return peer.ConfigResponse{}, nil
 	}
 	if len(c.tail) > 0 && c.tail[0].Offset <= from {
 		return peer.ConfigResponse{Records: append([]platform.Record(nil), c.tail[from-c.tail[0].Offset:]...)}, nil
 	}
-	data, err := json.Marshal(c.fold.Checkpoint())
+	data, err := json.Marshal(c.state.Checkpoint())
 	return peer.ConfigResponse{Checkpoint: data}, oops.In("config").Wrap(err)
 }
 
-func (c *configuration) next() uint64 {
+func (c *configFollower) nextOffset() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fold.NextOffset()
+	return c.state.NextOffset()
 }
 
-// peerAhead is called when a heartbeat shows a peer's position.
-func (c *configuration) peerAhead(ctx context.Context, from membership.DaemonInfo, theirs uint64) {
+// observePeerOffset is called when a heartbeat shows a peer's position.
+func (c *configFollower) observePeerOffset(ctx context.Context, from membership.DaemonInfo, theirs uint64) {
 	c.mu.Lock()
-	ours, anchored := c.fold.NextOffset(), c.fold.Synced()
+	ours, anchored := c.state.NextOffset(), c.state.Synced()
 	c.mu.Unlock()
 	if theirs > ours || !anchored {
-		c.fetch(ctx, from.PeerAddress, ours)
+		c.fetchFromPeer(ctx, from.PeerAddress, ours)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.loaded || c.fold.NextOffset() < theirs || theirs == 0 {
+	if c.loaded || c.state.NextOffset() < theirs || theirs == 0 {
 		return
 	}
-	c.domains[from.FailureDomain] = true
-	c.loaded = len(c.domains) >= settledDomains
+	c.caughtUpDomains[from.FailureDomain] = true
+	c.loaded = len(c.caughtUpDomains) >= minBootstrapDomains
 }
 
-func (c *configuration) fetch(ctx context.Context, address string, from uint64) {
+func (c *configFollower) fetchFromPeer(ctx context.Context, address string, from uint64) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	t, err := peer.Call[peer.ConfigRequest, peer.ConfigResponse](ctx, c.d.links, address, "config", peer.ConfigRequest{From: from})
+	t, err := peer.Call[peer.ConfigRequest, peer.ConfigResponse](ctx, c.d.peers, address, "config", peer.ConfigRequest{From: from})
 	if err != nil {
 		return
 	}
@@ -230,7 +230,7 @@
 			return
 		}
 		c.mu.Lock()
-		if c.fold.InstallCheckpoint(&cp) {
+		if c.state.InstallCheckpoint(&cp) {
 			c.tail = nil
 			c.publish()
 		}
@@ -240,10 +240,10 @@
 	c.apply(t.Records)
 }
 
-// Submit appends a patch and waits until the fold has judged it. When the reply
+// SubmitPatch appends a patch and waits until the fold has judged it. When the reply
 // of the append is lost, the patch is looked for by its id and never appended
 // again here: a caller who repeats it sends the same id.
-func (d *Daemon) Submit(ctx context.Context, r fleet.Record) (fleet.PatchOutcome, error) {
+func (d *Daemon) SubmitPatch(ctx context.Context, r fleet.Record) (fleet.PatchOutcome, error) {
 	if r.PatchID == "" {
 		return fleet.PatchOutcome{}, fault.NewField(fault.BadRequest, "patch_id", "must not be empty")
 	}
@@ -261,25 +261,25 @@
 		return fleet.PatchOutcome{}, oops.In("config").Wrap(err)
 	}
 	d.metrics.logAppends.Inc(1)
-	_, appendErr := d.ports.Log.Append(ctx, configStream, [][]byte{data})
+	_, appendErr := d.deps.Log.Append(ctx, configStream, [][]byte{data})
 	if appendErr != nil {
 		d.metrics.logErrors.Inc(1)
 	}
-	return d.config.await(ctx, r.PatchID, appendErr)
+	return d.config.awaitOutcome(ctx, r.PatchID, appendErr)
 }
 
-func (c *configuration) outcome(id string) (fleet.PatchOutcome, bool) {
+func (c *configFollower) outcome(id string) (fleet.PatchOutcome, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fold.LookupOutcome(id)
+	return c.state.LookupOutcome(id)
 }
 
-func (c *configuration) await(ctx context.Context, id string, appendErr error) (fleet.PatchOutcome, error) {
+func (c *configFollower) awaitOutcome(ctx context.Context, id string, appendErr error) (fleet.PatchOutcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, patchTimeout)
 	defer cancel()
 	for {
 		c.mu.Lock()
-		o, known := c.fold.LookupOutcome(id)
+		o, known := c.state.LookupOutcome(id)
 		changed := c.changed
 		c.mu.Unlock()
 		if known {
@@ -287,7 +287,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(readRetry):
+		case <-time.After(readRetryDelay):
 			_ = c.readOnce(ctx)
 		case <-ctx.Done():
 			unknown := fault.New(fault.LogUnavailable, "patch %s was sent and is not confirmed; send it again with the same id", id)
@@ -297,8 +297,8 @@
 }
 
 // readOnce catches up now, for a daemon that is no reader.
-func (c *configuration) readOnce(ctx context.Context) error {
-	if c.reader() {
+func (c *configFollower) readOnce(ctx context.Context) error {
+	if c.isReader() {
 		return nil
 	}
 	return c.read(ctx)
@@ -307,9 +307,9 @@
 // Config returns the configuration in force.
 func (d *Daemon) Config() *fleet.Config { return d.config.current() }
 
-// History returns the newest patch outcomes, oldest first.
-func (d *Daemon) History() []fleet.PatchOutcome {
+// PatchHistory returns the newest patch outcomes, oldest first.
+func (d *Daemon) PatchHistory() []fleet.PatchOutcome {
 	d.config.mu.Lock()
 	defer d.config.mu.Unlock()
-	return d.config.fold.History()
+	return d.config.state.History()
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,9 +27,9 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// Ports are the daemon's connections to its surroundings. Log is required; a
+// Dependencies are the daemon's connections to its surroundings. Log is required; a
 // nil VMs, Rater or Weights is a platform without that service.
-type Ports struct {
+type Dependencies struct {
 	Log     platform.Log
 	VMs     platform.VMList
 	Rater   platform.Rater
@@ -44,58 +44,58 @@
 type Daemon struct {
 	settings    settings.Settings
 	secrets     settings.Secrets
-	ring        atomic.Pointer[session.Keyring]
+	keyring     atomic.Pointer[session.Keyring]
 	incarnation uint64
-	ports       Ports
+	deps        Dependencies
 	log         *log.Logger
 	metrics     metrics
 	engine      *engine.Client
-	links       *peer.Client
-
-	config   *configuration
-	members  *members
-	pools    *pools
-	usage    *usage
-	claims   *claims
-	limits   *limits
-	rollouts *rollouts
-	cascades *cascades
-	orders   *orders
-	burn     *burn
-	retries  *retries
-	guard    *containment.Guard
-
-	inFlight atomic.Int64
-	leaving  atomic.Bool
-	stopping chan struct{}
-	stopOnce sync.Once
-	running  sync.WaitGroup
+	peers       *peer.Client
+
+	config      *configFollower
+	members     *memberlist
+	balancer    *balancer
+	usage       *usageRecorder
+	claims      *claimManager
+	limits      *rateLimits
+	rollouts    *rolloutController
+	cascades    *cascadePlanner
+	orders      *orderController
+	slo         *sloRecorder
+	retryBudget *sharedRetryBudget
+	guard       *containment.Guard
+
+	inFlight       atomic.Int64
+	leaving        atomic.Bool
+	stopping       chan struct{}
+	stopOnce       sync.Once
+	activeRequests sync.WaitGroup
 }
 
 // New returns a daemon that is not running yet.
-func New(s settings.Settings, secrets settings.Secrets, p Ports) *Daemon {
+func New(s settings.Settings, secrets settings.Secrets, p Dependencies) *Daemon {
 	d := &Daemon{
-		settings: s, secrets: secrets, ports: p, log: p.Logger,
+		settings: s, secrets: secrets, deps: p, log: p.Logger,
 		incarnation: uint64(time.Now().UnixNano()),
 		metrics:     newMetrics(p.Metrics),
 		engine:      engine.NewClient(time.Duration(s.Silence)),
-		links:       peer.NewClient(s.ID, secrets.PeerKey, p.PeerTLS),
+		peers:       peer.NewClient(s.ID, secrets.PeerKey, p.PeerTLS),
 		stopping:    make(chan struct{}),
 	}
-	d.ring.Store(secrets.Ring())
-	d.links.OnBytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
-	d.config = newConfiguration(d)
-	d.members = newMembers(d)
-	d.pools = newPools(d)
+	d.keyring.Store(secrets.Ring())
+	d.peers.OnBytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
+	d.config = newConfigFollower(d)
+	d.members = newMemberlist(d)
+	d.balancer = newBalancer(d)
 	d.guard = newGuard(d)
-	d.usage = newUsage(d)
-	d.claims = newClaims(d)
-	d.limits = newLimits(d)
-	d.rollouts = newRollouts(d)
-	d.cascades = newCascades(d)
-	d.orders = newOrders(d)
-	d.retries = &retries{budget: request.NewRetryBudget()}
-	d.burn = &burn{counters: slo.NewCounters()}
+	d.usage = newUsageRecorder(d)
+	d.claims = newClaimManager(d)
+	d.limits = newRateLimits(d)
+	d.rollouts = newRolloutController(d)
+	d.cascades = newCascadePlanner(d)
+	d.orders = newOrderController(d)
+	d.retryBudget = &sharedRetryBudget{budget: request.NewRetryBudget()}
+	d.slo = &sloRecorder{counters: slo.NewCounters()}
 	return d
 }
 
@@ -109,15 +109,15 @@
 	d.usage.register(s)
 	d.limits.register(s)
 	d.rollouts.register(s)
-	d.burn.register(s)
+	d.slo.register(s)
 	return s
 }
 
 // Run works until the context ends.
 func (d *Daemon) Run(ctx context.Context) {
 	loops := []func(context.Context){
-		d.config.loop, d.members.loop, d.pools.loop, d.usage.loop,
-		d.rollouts.loop, d.cascades.loop, d.orders.loop, d.claims.loop, d.limits.loop,
+		d.config.run, d.members.run, d.balancer.run, d.usage.run,
+		d.rollouts.run, d.cascades.run, d.orders.run, d.claims.run, d.limits.run,
 		d.broadcastHolds,
 	}
 	var wg sync.WaitGroup
@@ -125,11 +125,11 @@
 		wg.Go(func() { loop(ctx) })
 	}
 	wg.Wait()
-	d.links.Close()
+	d.peers.Close()
 }
 
 // SetSecrets replaces the session keys without a restart.
-func (d *Daemon) SetSecrets(s settings.Secrets) { d.ring.Store(s.Ring()) }
+func (d *Daemon) SetSecrets(s settings.Secrets) { d.keyring.Store(s.Ring()) }
 
 // Settings returns the daemon's settings.
 func (d *Daemon) Settings() settings.Settings { return d.settings }
@@ -138,7 +138,7 @@
 func (d *Daemon) OperatorKey() string { return d.secrets.OperatorKey }
 
 // Ready reports whether the daemon would dispatch a request now.
-func (d *Daemon) Ready() bool { return d.config.sight(d.members).CanServe(time.Now()) }
+func (d *Daemon) Ready() bool { return d.config.readiness(d.members).CanServe(time.Now()) }
 
 // Drain ends the daemon's service without cutting a request: it leaves the
 // endpoint answers at once, serves on while callers may still hold an old one,
@@ -151,7 +151,7 @@
 	loop.Pause(ctx, time.Duration(d.settings.EndpointTTL+d.settings.DrainGrace))
 	d.stopOnce.Do(func() { close(d.stopping) })
 	done := make(chan struct{})
-	go func() { d.running.Wait(); close(done) }()
+	go func() { d.activeRequests.Wait(); close(done) }()
 	limit := time.NewTimer(time.Duration(d.settings.DrainLimit))
 	defer limit.Stop()
 	select {
@@ -163,8 +163,8 @@
 	return int(d.inFlight.Load()), d.usage.pending()
 }
 
-// Panics counts panics of the handlers that serve for the daemon.
-func (d *Daemon) Panics() tally.Counter { return d.metrics.panics }
+// PanicCounter counts panics of the handlers that serve for the daemon.
+func (d *Daemon) PanicCounter() tally.Counter { return d.metrics.panics }
 
 // Leaving reports whether the daemon is draining.
 func (d *Daemon) Leaving() bool { return d.leaving.Load() }
@@ -174,9 +174,9 @@
 	return d.members.endpoints(), time.Duration(d.settings.EndpointTTL)
 }
 
-// every calls f at a period until the context ends. The first call comes after
+// runPeriodically calls f at a period until the context ends. The first call comes after
 // a random part of the period, so that daemons started together spread out.
-func every(ctx context.Context, period time.Duration, f func(context.Context)) {
+func runPeriodically(ctx context.Context, period time.Duration, f func(context.Context)) {
 	wait := rand.N(period)
 	for loop.Pause(ctx, wait) {
 		f(ctx)
@@ -184,31 +184,31 @@
 	}
 }
 
-// owner names this incarnation in records of the log.
-func (d *Daemon) owner() string {
+// ownerID names this incarnation in records of the log.
+func (d *Daemon) ownerID() string {
 	return d.settings.ID + "/" + strconv.FormatUint(d.incarnation, 10)
 }
 
-// raterID is under which name the rating service keeps our samples. It names the
+// sampleOwnerID is under which name the rating service keeps our samples. It names the
 // incarnation, because the cursor into them is lost with it.
-func (d *Daemon) raterID() string { return d.owner() }
+func (d *Daemon) sampleOwnerID() string { return d.ownerID() }
 
-// identity is what never changes about this incarnation.
-func (d *Daemon) identity() membership.DaemonInfo {
+// staticInfo is what never changes about this incarnation.
+func (d *Daemon) staticInfo() membership.DaemonInfo {
 	return membership.DaemonInfo{
 		ID: d.settings.ID, Address: d.settings.Listen, PeerAddress: d.settings.PeerListen,
 		FailureDomain: d.settings.FailureDomain, Incarnation: d.incarnation,
 	}
 }
 
-// self is what this daemon says of itself now.
-func (d *Daemon) self() membership.DaemonInfo {
-	b := d.identity()
+// currentInfo is what this daemon says of itself now.
+func (d *Daemon) currentInfo() membership.DaemonInfo {
+	b := d.staticInfo()
 	b.ConfigNumber = d.config.current().Number
 	b.Serving, b.Leaving = d.Ready(), d.leaving.Load()
 	b.InFlight = int(d.inFlight.Load())
 	b.LogAgeMillis = membership.LogAgeUnknown
-	if heard := d.config.heard(); !heard.IsZero() {
+	if heard := d.config.lastLogRead(); !heard.IsZero() {
 		b.LogAgeMillis = time.Since(heard).Milliseconds()
 	}
 	return b
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -9,13 +9,13 @@
 
 // Explanation says how a request would be routed at this moment.
 type Explanation struct {
-	Number  uint64               `json:"number"`
-	Model   string               `json:"model"`
-	Version string               `json:"version"`
-	Why     string               `json:"why"`
-	Pool    string               `json:"pool"`
-	Chosen  string               `json:"chosen,omitempty"`
-	Reasons []routing.RuleResult `json:"reasons"`
+	Number        uint64               `json:"number"`
+	Model         string               `json:"model"`
+	Version       string               `json:"version"`
+	VersionReason string               `json:"why"`
+	Pool          string               `json:"pool"`
+	Chosen        string               `json:"chosen,omitempty"`
+	RuleResults   []routing.RuleResult `json:"reasons"`
 }
 
 // Explain routes a request without sending it and returns each rule's word.
@@ -25,38 +25,38 @@
 	if !ok {
 		return nil, fault.NewField(fault.NotFound, "workspace", "no workspace %q", workspace)
 	}
-	models, err := entitled(c, w, name)
+	models, err := resolveModels(c, w, name)
 	if err != nil {
 		return nil, err
 	}
-	pin, err := d.pin(workspace, sessionHeader)
+	pin, err := d.resolvePin(workspace, sessionHeader)
 	if err != nil {
 		return nil, err
 	}
-	model, version, err := d.version(c, w, models[0], pin)
+	model, version, err := d.chooseVersion(c, w, models[0], pin)
 	if err != nil {
 		return nil, err
 	}
 	v, _ := c.Version(model, version)
-	e := &Explanation{Number: c.Number, Model: model, Version: version, Pool: v.Pool, Why: "the stable version"}
+	e := &Explanation{Number: c.Number, Model: model, Version: version, Pool: v.Pool, VersionReason: "the stable version"}
 	switch ro, moving := c.RolloutFor(model); {
 	case pin.VersionOf(model) != "":
-		e.Why = "the session is pinned"
+		e.VersionReason = "the session is pinned"
 	case moving && version == ro.TargetVersion:
-		e.Why = "the roll-out's share"
+		e.VersionReason = "the roll-out's share"
 	}
 	r := routing.Request{PromptTokens: len(prompt) / bytesPerToken, BlockTokens: routing.BlockTokens, Blocks: routing.Blocks(nil, model+"@"+version, prompt)}
-	d.pools.mu.Lock()
-	defer d.pools.mu.Unlock()
-	d.pools.sync(c)
-	st := d.pools.byName[v.Pool]
+	d.balancer.mu.Lock()
+	defer d.balancer.mu.Unlock()
+	d.balancer.syncConfig(c)
+	st := d.balancer.pools[v.Pool]
 	if st == nil {
 		return e, nil
 	}
-	candidates := st.picture.Snapshot(nil, time.Now())
-	st.picture.Prefix.Lookup(&r)
-	e.Reasons = routing.DefaultPipeline().Explain(&r, candidates)
-	if dec := routing.DefaultPipeline().Pick(&r, candidates, d.pools.rng); dec.Index >= 0 {
+	candidates := st.load.Snapshot(nil, time.Now())
+	st.load.Prefix.Lookup(&r)
+	e.RuleResults = routing.DefaultPipeline().Explain(&r, candidates)
+	if dec := routing.DefaultPipeline().Pick(&r, candidates, d.balancer.rng); dec.Index >= 0 {
 		e.Chosen = candidates[dec.Index].ID
 	}
 	return e, nil
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -13,50 +13,52 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// viewEvery is how often a daemon looks with whom it shares the limits of warming servers.
-const viewEvery = 250 * time.Millisecond
+// peerViewInterval is how often a daemon looks with whom it shares the limits of warming servers.
+const peerViewInterval = 250 * time.Millisecond
 
-// boot reads the clock that the gate goes by.
-func (p *pools) boot() time.Duration { return time.Since(p.born) }
+// uptime reads the clock that the gate goes by.
+func (p *balancer) uptime() time.Duration { return time.Since(p.startedAt) }
 
-// limitOf is what a warming server of a pool bears.
-func limitOf(s *fleet.SlowStart) slowstart.Limit {
+// slowStartLimit is what a warming server of a pool bears.
+func slowStartLimit(s *fleet.SlowStart) slowstart.Limit {
 	if s == nil {
 		return slowstart.Limit{}
 	}
 	return slowstart.Limit{WarmupPeriod: time.Duration(s.Seconds * float64(time.Second)), PerSecond: s.PerSecond, BurstFactor: 1, BurstSlack: s.Burst}
 }
 
-// gated is a server as the gate sees it. Callers hold mu.
-func (p *pools) gated(st *pool, s *fleet.SlowStart, c *routing.Candidate) gate.Server {
-	return gate.Server{ID: c.ID, Hash: c.Hash, FailureDomain: c.FailureDomain, Leaving: c.Leaving, WarmAt: st.warmAt[c.ID], Limit: limitOf(s)}
+// gateServer is a server as the gate sees it. Callers hold mu.
+func (p *balancer) gateServer(st *pool, s *fleet.SlowStart, c *routing.Candidate) gate.Server {
+	return gate.Server{ID: c.ID, Hash: c.Hash, FailureDomain: c.FailureDomain, Leaving: c.Leaving, WarmAt: st.warmAt[c.ID], Limit: slowStartLimit(s)}
 }
 
-// bar excludes the servers that may get nothing now, and counts why. Callers hold mu.
-func (p *pools) bar(st *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Refusals) {
-	now := p.boot()
+// excludeRefused excludes the servers that may get nothing now, and counts why. Callers hold mu.
+func (p *balancer) excludeRefused(st *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Refusals) {
+	now := p.uptime()
 	for i := range candidates {
 		if candidates[i].ID == "" {
 			continue
 		}
-		if !p.gate.Admit(gate.Request{}, p.gated(st, s, &candidates[i]), now, &refused) {
+		if !p.gate.Admit(gate.Request{}, p.gateServer(st, s, &candidates[i]), now, &refused) {
 			r.Tried.Add(i)
 		}
 	}
 	return refused
 }
 
-// answered records at the gate that a server has answered. Callers hold mu.
-func (p *pools) answered(c choice) { p.gate.ServerResponded(c.candidate.ID, c.limit, p.boot()) }
+// recordResponse records at the gate that a server has answered. Callers hold mu.
+func (p *balancer) recordResponse(c pick) {
+	p.gate.ServerResponded(c.candidate.ID, c.slowStart, p.uptime())
+}
 
-// pass records at the gate that a request is sent to a server. Callers hold mu.
-func (p *pools) pass(st *pool, s *fleet.SlowStart, c *routing.Candidate) {
-	p.gate.RecordSend(p.gated(st, s, c), p.boot())
+// recordSend records at the gate that a request is sent to a server. Callers hold mu.
+func (p *balancer) recordSend(st *pool, s *fleet.SlowStart, c *routing.Candidate) {
+	p.gate.RecordSend(p.gateServer(st, s, c), p.uptime())
 }
 
 // syncEvacuations brings the gate to the configuration in force. Callers hold mu.
-func (p *pools) syncEvacuations(c *fleet.Config) {
-	now := p.boot()
+func (p *balancer) syncEvacuations(c *fleet.Config) {
+	now := p.uptime()
 	for domain, e := range c.Evacuations {
 		if p.gate.Evacuate(domain, now) {
 			p.d.log.Warn("failure domain evacuated", "failure_domain", domain, "reason", e.Reason, "config", c.Number)
@@ -69,19 +71,19 @@
 	}
 }
 
-// viewPeers looks with whom this daemon shares the limits of warming servers.
-func (p *pools) viewPeers(context.Context) {
-	v := p.d.members.view()
+// updatePeerView looks with whom this daemon shares the limits of warming servers.
+func (p *balancer) updatePeerView(context.Context) {
+	v := p.d.members.peerView()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gate.SetView(v, p.boot())
+	p.gate.SetView(v, p.uptime())
 }
 
-// view returns the daemons that live. A daemon without configured peers is trusted alone.
-func (m *members) view() slowstart.View {
+// peerView returns the daemons that live. A daemon without configured peers is trusted alone.
+func (m *memberlist) peerView() slowstart.View {
 	own := m.d.settings.ID
-	trusted := m.hearsMost()
-	rows := m.current().Members()
+	trusted := m.inMajority()
+	rows := m.lockTable().Members()
 	m.mu.Unlock()
 	v := slowstart.View{Self: xxhash.Sum64String(own), Trusted: trusted || len(rows) == 1 && len(m.d.settings.Peers) == 0}
 	for _, r := range rows {
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -18,43 +18,43 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// gatedPools has servers of a pool in two failure domains, and is the only daemon.
-func gatedPools(t *testing.T) (*pools, *fleet.Config) {
+// newSlowStartBalancer has servers of a pool in two failure domains, and is the only daemon.
+func newSlowStartBalancer(t *testing.T) (*balancer, *fleet.Config) {
 	t.Helper()
-	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Ports{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
+	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Dependencies{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
 	c := fleet.NewConfig()
 	pool := fleet.Pool{SlowStart: &fleet.SlowStart{Seconds: 3, PerSecond: 15, Burst: 5}}
 	for i, domain := range []string{"east", "west"} {
 		pool.Servers = append(pool.Servers, fleet.Server{ID: domain, Address: fmt.Sprint("10.0.0.", i, ":1"), FailureDomain: domain})
 	}
 	c.Pools["p"] = pool
-	d.pools.gate.SetView(slowstart.View{Self: 1, Trusted: true}, 0)
-	return d.pools, c
+	d.balancer.gate.SetView(slowstart.View{Self: 1, Trusted: true}, 0)
+	return d.balancer, c
 }
 
-func (p *pools) sendTo(c *fleet.Config) (choice, error) {
-	return p.pick(c, "p", "", &routing.Request{}, nil)
+func (p *balancer) sendOne(c *fleet.Config) (pick, error) {
+	return p.pickServer(c, "p", "", &routing.Request{}, nil)
 }
 
 // Guards against sends of the own interface to an evacuated domain, and one that stays closed.
-func TestOwnInterfaceKeepsEvacuations(t *testing.T) {
+func TestPickExcludesEvacuatedDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, c := gatedPools(t)
+		p, c := newSlowStartBalancer(t)
 		c.Number, c.Evacuations = 1, map[string]fleet.Evacuation{"east": {}}
 		for range 50 {
-			if ch, err := p.sendTo(c); err != nil || ch.candidate.ID != "west" {
+			if ch, err := p.sendOne(c); err != nil || ch.candidate.ID != "west" {
 				t.Fatalf("sent to %s, %v", ch.candidate.ID, err)
 			}
 		}
 		c.Number, c.Evacuations = 2, map[string]fleet.Evacuation{"east": {}, "west": {}}
-		if _, err := p.sendTo(c); !fault.Is(err, fault.Evacuated) {
+		if _, err := p.sendOne(c); !fault.Is(err, fault.Evacuated) {
 			t.Errorf("all domains evacuated: %v", err)
 		}
 		c.Number, c.Evacuations = 3, nil
 		time.Sleep(4 * time.Second)
 		seen := map[string]bool{}
 		for range 50 {
-			ch, err := p.sendTo(c)
+			ch, err := p.sendOne(c)
 			if err == nil {
 				seen[ch.candidate.ID] = true
 			}
@@ -67,23 +67,23 @@
 }
 
 // Guards against a rush of the own interface at a server that comes back.
-func TestOwnInterfaceLimitsAServerThatComesBack(t *testing.T) {
+func TestPickLimitsRestartedServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, c := gatedPools(t)
-		ch, err := p.sendTo(c)
+		p, c := newSlowStartBalancer(t)
+		ch, err := p.sendOne(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.unreachable(ch)
+		p.recordUnreachable(ch)
 		time.Sleep(5 * time.Second)
 		sent := 0
 		for range 100 {
-			if got, err := p.sendTo(c); err == nil && got.candidate.ID == ch.candidate.ID {
+			if got, err := p.sendOne(c); err == nil && got.candidate.ID == ch.candidate.ID {
 				sent++
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if bound := limitOf(c.Pools["p"].SlowStart).Bound(); sent == 0 || sent > bound/2 {
+		if bound := slowStartLimit(c.Pools["p"].SlowStart).Bound(); sent == 0 || sent > bound/2 {
 			t.Errorf("%d sends in the first second, %d are borne", sent, bound)
 		}
 	})
@@ -91,16 +91,16 @@
 
 // Guards against a refusal that promises that a request has not run although an earlier attempt
 // may have.
-func TestRefusalAfterARunDoesNotPromiseThatItDidNotRun(t *testing.T) {
+func TestRefusalAfterRunIsNotReportedAsNotRun(t *testing.T) {
 	for _, kind := range []fault.Kind{fault.Warming, fault.Evacuated, fault.NoServer, fault.Quarantined} {
 		life := &request.RetryState{Repeatable: true}
-		if got := truthful(fault.New(kind, "none"), life); got.Kind != kind || got.ExecutionState() != fault.NotRun {
+		if got := withExecutionState(fault.New(kind, "none"), life); got.Kind != kind || got.ExecutionState() != fault.NotRun {
 			t.Errorf("%s before a run: %v", kind, got)
 		}
 		life.RecordAttempt()
 		life.RecordExecution()
 		life.Next(request.RunNotFound, time.Now(), request.NewRetryBudget())
-		if got := truthful(fault.New(kind, "none"), life); got.Kind != fault.EngineFailed || got.ExecutionState() == fault.NotRun {
+		if got := withExecutionState(fault.New(kind, "none"), life); got.Kind != fault.EngineFailed || got.ExecutionState() == fault.NotRun {
 			t.Errorf("%s after a run: %v", kind, got)
 		}
 	}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -17,85 +17,85 @@
 const (
 	// leaseTimeout bounds the wait for a meter's home.
 	leaseTimeout = 300 * time.Millisecond
-	// settleEvery is the period of telling homes what was spent without them.
-	settleEvery = time.Second
+	// settleInterval is the period of telling homes what was spent without them.
+	settleInterval = time.Second
 )
 
-// limits spends leased shares of workspace limits, and leases as home.
-type limits struct {
+// rateLimits spends leased shares of workspace limits, and leases as home.
+type rateLimits struct {
 	d *Daemon
-	// homeOf returns the home of a meter, if there is one, and ask asks it.
-	homeOf func(meter string) (membership.Member, bool)
-	ask    func(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error)
-	mu     sync.Mutex
-	shares map[string]*share
-	home   *quota.Lessor
+	// findOwner returns the home of a meter, if there is one, and ask asks it.
+	findOwner    func(meter string) (membership.Member, bool)
+	requestLease func(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error)
+	mu           sync.Mutex
+	limiters     map[string]*meterLimiter
+	lessor       *quota.Lessor
 }
 
-type share struct {
+type meterLimiter struct {
 	*quota.Limiter
-	// asking is held while one request fetches a lease for all.
-	asking sync.Mutex
+	// leaseMu is held while one request fetches a lease for all.
+	leaseMu sync.Mutex
 }
 
-func newLimits(d *Daemon) *limits {
-	l := &limits{d: d, shares: map[string]*share{}, home: quota.NewLessor(d.incarnation)}
-	l.homeOf, l.ask = l.currentHome, l.askHome
+func newRateLimits(d *Daemon) *rateLimits {
+	l := &rateLimits{d: d, limiters: map[string]*meterLimiter{}, lessor: quota.NewLessor(d.incarnation)}
+	l.findOwner, l.requestLease = l.meterOwner, l.requestLeaseFrom
 	return l
 }
 
-// currentHome returns a meter's home as this daemon sees it.
-func (l *limits) currentHome(meter string) (membership.Member, bool) {
-	homes := l.d.members.homes(meter, 1)
+// meterOwner returns a meter's home as this daemon sees it.
+func (l *rateLimits) meterOwner(meter string) (membership.Member, bool) {
+	homes := l.d.members.owners(meter, 1)
 	if len(homes) == 0 {
 		return membership.Member{}, false
 	}
 	return homes[0], true
 }
 
-// askHome asks a meter's home for a lease, this daemon included.
-func (l *limits) askHome(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error) {
+// requestLeaseFrom asks a meter's home for a lease, this daemon included.
+func (l *rateLimits) requestLeaseFrom(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error) {
 	if home.ID == l.d.settings.ID {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.home.Grant(time.Now(), a), nil
+		return l.lessor.Grant(time.Now(), a), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	return peer.Call[peer.LeaseRequest, quota.Lease](ctx, l.d.links, home.PeerAddress, "lease", peer.LeaseRequest{Request: a})
+	return peer.Call[peer.LeaseRequest, quota.Lease](ctx, l.d.peers, home.PeerAddress, "lease", peer.LeaseRequest{Request: a})
 }
 
-func (l *limits) register(s *peer.Server) {
+func (l *rateLimits) register(s *peer.Server) {
 	peer.Handle(s, "lease", func(_ context.Context, _ string, q peer.LeaseRequest) (quota.Lease, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.home.Grant(time.Now(), q.Request), nil
+		return l.lessor.Grant(time.Now(), q.Request), nil
 	})
 }
 
-// loop tells homes what was spent while none answered.
-func (l *limits) loop(ctx context.Context) {
-	every(ctx, settleEvery, func(ctx context.Context) {
+// run tells homes what was spent while none answered.
+func (l *rateLimits) run(ctx context.Context) {
+	runPeriodically(ctx, settleInterval, func(ctx context.Context) {
 		cfg := l.d.config.current()
-		for _, meter := range l.owing() {
+		for _, meter := range l.unleasedMeters() {
 			workspace, what, _ := strings.Cut(meter, "/")
 			limit := cfg.Workspaces[workspace].TokensPerMinute
 			if what == "requests" {
 				limit = cfg.Workspaces[workspace].RequestsPerMinute
 			}
 			l.mu.Lock()
-			s := l.shares[meter]
+			s := l.limiters[meter]
 			l.mu.Unlock()
-			_, _ = l.fetch(ctx, s, meter, 0, limit) // tried again at the next turn
+			_, _ = l.fetchLease(ctx, s, meter, 0, limit) // tried again at the next turn
 		}
 	})
 }
 
-func (l *limits) owing() []string {
+func (l *rateLimits) unleasedMeters() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
-	for meter, s := range l.shares {
+	for meter, s := range l.limiters {
 		if s.HasUnleasedSpend() {
 			out = append(out, meter)
 		}
@@ -105,17 +105,17 @@
 
 // reservation is what a request took from its workspace's limits.
 type reservation struct {
-	limits *limits
+	limits *rateLimits
 	meter  string
 	tokens int64
 }
 
 // reserve takes one request and an upper bound of its tokens.
-func (l *limits) reserve(ctx context.Context, workspace string, w fleet.Workspace, tokens int64) (*reservation, error) {
-	if err := l.spend(ctx, workspace+"/requests", 1, w.RequestsPerMinute); err != nil {
+func (l *rateLimits) reserve(ctx context.Context, workspace string, w fleet.Workspace, tokens int64) (*reservation, error) {
+	if err := l.acquire(ctx, workspace+"/requests", 1, w.RequestsPerMinute); err != nil {
 		return nil, err
 	}
-	if err := l.spend(ctx, workspace+"/tokens", tokens, w.TokensPerMinute); err != nil {
+	if err := l.acquire(ctx, workspace+"/tokens", tokens, w.TokensPerMinute); err != nil {
 		l.settle(workspace+"/requests", 1, 0)
 		return nil, err
 	}
@@ -133,83 +133,83 @@
 	}
 }
 
-func (l *limits) settle(meter string, reserved, used int64) {
+func (l *rateLimits) settle(meter string, reserved, used int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s := l.shares[meter]; s != nil {
+	if s := l.limiters[meter]; s != nil {
 		s.Settle(time.Now(), reserved, used)
 	}
 }
 
-func (l *limits) spend(ctx context.Context, meter string, n, limit int64) error {
+func (l *rateLimits) acquire(ctx context.Context, meter string, n, limit int64) error {
 	if limit == 0 {
 		return nil
 	}
 	if n > limit {
 		return fault.New(fault.RateLimited, "%d exceeds the whole limit of %d a minute for %s", n, limit, meter)
 	}
-	s, ok := l.try(meter, n)
+	s, ok := l.tryAcquire(meter, n)
 	if ok {
 		return nil
 	}
-	s.asking.Lock()
-	defer s.asking.Unlock()
-	if _, ok := l.try(meter, n); ok {
+	s.leaseMu.Lock()
+	defer s.leaseMu.Unlock()
+	if _, ok := l.tryAcquire(meter, n); ok {
 		return nil
 	}
 	retry := time.Duration(0)
-	for tries := homeTries; tries > 0 && !l.denied(s); tries-- {
+	for tries := maxLeaseAttempts; tries > 0 && !l.denied(s); tries-- {
 		var answered bool
-		retry, answered = l.fetch(ctx, s, meter, n, limit)
-		if _, ok := l.try(meter, n); ok {
+		retry, answered = l.fetchLease(ctx, s, meter, n, limit)
+		if _, ok := l.tryAcquire(meter, n); ok {
 			return nil
 		}
-		if answered || l.leased(s) {
+		if answered || l.everLeased(s) {
 			break
 		}
-		loop.Pause(ctx, homeRetry)
+		loop.Pause(ctx, leaseRetryDelay)
 	}
 	return fault.New(fault.RateLimited, "the limit of %d a minute for %s is used up", limit, meter).WithRetryAfter(max(retry, time.Second))
 }
 
 const (
-	// homeTries is how often a daemon that was never told anything of a meter asks its
+	// maxLeaseAttempts is how often a daemon that was never told anything of a meter asks its
 	// home, and homeRetry the pause between. It has no window of its own to go on by, so
 	// that it would refuse what the limit has room for: a daemon that had just started
 	// refused the requests of a workspace while the home of its limit was restarted too.
 	// Other daemons hear within a second that a home has left or is back, and a caller
 	// that is refused comes back after a second at the earliest.
-	homeTries = 4
-	homeRetry = 100 * time.Millisecond
+	maxLeaseAttempts = 4
+	leaseRetryDelay  = 100 * time.Millisecond
 )
 
-// leased reports whether a home has ever told this daemon of the meter.
-func (l *limits) leased(s *share) bool {
+// everLeased reports whether a home has ever told this daemon of the meter.
+func (l *rateLimits) everLeased(s *meterLimiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return s.LessorEpoch() != 0
 }
 
-func (l *limits) try(meter string, n int64) (*share, bool) {
+func (l *rateLimits) tryAcquire(meter string, n int64) (*meterLimiter, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.shares[meter]
+	s := l.limiters[meter]
 	if s == nil {
-		s = &share{Limiter: quota.NewLimiter(meter)}
-		l.shares[meter] = s
+		s = &meterLimiter{Limiter: quota.NewLimiter(meter)}
+		l.limiters[meter] = s
 	}
 	return s, s.TryAcquire(time.Now(), n)
 }
 
-func (l *limits) denied(s *share) bool {
+func (l *rateLimits) denied(s *meterLimiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return s.Denied(time.Now())
 }
 
-// fetch asks the meter's home for a lease, and reports whether one answered.
-func (l *limits) fetch(ctx context.Context, s *share, meter string, need, limit int64) (retry time.Duration, answered bool) {
-	home, any := l.homeOf(meter)
+// fetchLease asks the meter's home for a lease, and reports whether one answered.
+func (l *rateLimits) fetchLease(ctx context.Context, s *meterLimiter, meter string, need, limit int64) (retry time.Duration, answered bool) {
+	home, any := l.findOwner(meter)
 	if !any {
 		return 0, false
 	}
@@ -217,7 +217,7 @@
 	l.mu.Lock()
 	ask := s.NewLeaseRequest(now, need, limit, home.Incarnation)
 	l.mu.Unlock()
-	lease, err := l.ask(ctx, home, ask)
+	lease, err := l.requestLease(ctx, home, ask)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -8,40 +8,40 @@
 
 // metrics are the daemon's counters; docs/METRICS.md explains each.
 type metrics struct {
-	scope          tally.Scope
-	requests       tally.Counter
-	answered       tally.Counter
-	attempts       tally.Counter
-	retries        tally.Counter
-	resumes        tally.Counter
-	framesDropped  tally.Counter
-	lastCheck      tally.Counter
-	escalations    tally.Counter
-	peerBytes      tally.Counter
-	peerRefused    tally.Counter
-	peerCalls      tally.Counter
-	logAppends     tally.Counter
-	logErrors      tally.Counter
-	billed         tally.Counter
-	unprotected    tally.Counter
-	adopted        tally.Counter
-	ordersSent     tally.Counter
-	pinsMoved      tally.Counter
-	configNumber   tally.Gauge
-	inFlight       tally.Gauge
-	usagePending   tally.Gauge
-	membersAlive   tally.Gauge
-	firstToken     tally.Histogram
-	braked         tally.Counter
-	claimsLost     tally.Counter
-	limitsHomeless tally.Counter
-	serversEnded   tally.Counter
-	requestsHeld   tally.Gauge
-	panics         tally.Counter
+	scope               tally.Scope
+	requests            tally.Counter
+	answered            tally.Counter
+	attempts            tally.Counter
+	retries             tally.Counter
+	resumes             tally.Counter
+	framesDropped       tally.Counter
+	lastCheckRefused    tally.Counter
+	escalations         tally.Counter
+	peerBytes           tally.Counter
+	peerRefused         tally.Counter
+	peerCalls           tally.Counter
+	logAppends          tally.Counter
+	logErrors           tally.Counter
+	billed              tally.Counter
+	billingUnprotected  tally.Counter
+	usageAdopted        tally.Counter
+	ordersSent          tally.Counter
+	sessionPinsMoved    tally.Counter
+	configurationNumber tally.Gauge
+	inFlight            tally.Gauge
+	usagePending        tally.Gauge
+	membersAlive        tally.Gauge
+	firstToken          tally.Histogram
+	rolloutBraked       tally.Counter
+	claimsLost          tally.Counter
+	limitsHomeless      tally.Counter
+	serversEnded        tally.Counter
+	requestsHeld        tally.Gauge
+	panics              tally.Counter
 }
 
-// MetricNames lists every counter, gauge and histogram in use with its meaning.
-func MetricNames() map[string]string {
+// MetricDescriptions lists every counter, gauge and histogram in use with its meaning.
+func MetricDescriptions() map[string]string {
 	return map[string]string{
 		"requests":             "Requests accepted for routing.",
 		"answered":             "Requests answered in full.",
@@ -80,40 +80,40 @@
 
 func newMetrics(s tally.Scope) metrics {
 	return metrics{
-		scope:          s,
-		requests:       s.Counter("requests"),
-		answered:       s.Counter("answered"),
-		attempts:       s.Counter("attempts"),
-		retries:        s.Counter("retries"),
-		resumes:        s.Counter("resumes"),
-		framesDropped:  s.Counter("frames_dropped"),
-		lastCheck:      s.Counter("last_check_refused"),
-		escalations:    s.Counter("escalations"),
-		peerBytes:      s.Counter("peer_bytes"),
-		peerRefused:    s.Counter("peer_refused"),
-		peerCalls:      s.Counter("peer_calls"),
-		logAppends:     s.Counter("log_appends"),
-		logErrors:      s.Counter("log_errors"),
-		billed:         s.Counter("billed"),
-		unprotected:    s.Counter("billing_unprotected"),
-		adopted:        s.Counter("usage_adopted"),
-		ordersSent:     s.Counter("orders_sent"),
-		pinsMoved:      s.Counter("session_pins_moved"),
-		braked:         s.Counter("rollout_braked"),
-		claimsLost:     s.Counter("claims_lost"),
-		limitsHomeless: s.Counter("limits_homeless"),
-		serversEnded:   s.Counter("servers_ended"),
-		requestsHeld:   s.Gauge("requests_held"),
-		panics:         s.Counter("panics"),
-		configNumber:   s.Gauge("configuration_number"),
-		inFlight:       s.Gauge("in_flight"),
-		usagePending:   s.Gauge("usage_pending"),
-		membersAlive:   s.Gauge("members_alive"),
-		firstToken:     s.Histogram("first_token_seconds", firstTokenBuckets),
+		scope:               s,
+		requests:            s.Counter("requests"),
+		answered:            s.Counter("answered"),
+		attempts:            s.Counter("attempts"),
+		retries:             s.Counter("retries"),
+		resumes:             s.Counter("resumes"),
+		framesDropped:       s.Counter("frames_dropped"),
+		lastCheckRefused:    s.Counter("last_check_refused"),
+		escalations:         s.Counter("escalations"),
+		peerBytes:           s.Counter("peer_bytes"),
+		peerRefused:         s.Counter("peer_refused"),
+		peerCalls:           s.Counter("peer_calls"),
+		logAppends:          s.Counter("log_appends"),
+		logErrors:           s.Counter("log_errors"),
+		billed:              s.Counter("billed"),
+		billingUnprotected:  s.Counter("billing_unprotected"),
+		usageAdopted:        s.Counter("usage_adopted"),
+		ordersSent:          s.Counter("orders_sent"),
+		sessionPinsMoved:    s.Counter("session_pins_moved"),
+		rolloutBraked:       s.Counter("rollout_braked"),
+		claimsLost:          s.Counter("claims_lost"),
+		limitsHomeless:      s.Counter("limits_homeless"),
+		serversEnded:        s.Counter("servers_ended"),
+		requestsHeld:        s.Gauge("requests_held"),
+		panics:              s.Counter("panics"),
+		configurationNumber: s.Gauge("configuration_number"),
+		inFlight:            s.Gauge("in_flight"),
+		usagePending:        s.Gauge("usage_pending"),
+		membersAlive:        s.Gauge("members_alive"),
+		firstToken:          s.Histogram("first_token_seconds", firstTokenBuckets),
 	}
 }
 
-// Refused counts a refusal by kind.
-func (d *Daemon) Refused(kind string) {
+// RecordRefusal counts a refusal by kind.
+func (d *Daemon) RecordRefusal(kind string) {
 	d.metrics.scope.Tagged(map[string]string{"kind": kind}).Counter("refusals").Inc(1)
 }
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -15,37 +15,39 @@
 const (
 	// leaseStream is the log stream of leases.
 	leaseStream = "leases"
-	// orderEvery is the period of comparing what servers hold with what they should.
-	orderEvery = 2 * time.Second
+	// reconcileInterval is the period of comparing what servers hold with what they should.
+	reconcileInterval = 2 * time.Second
 )
 
-// orders loads and unloads versions on the servers of the pools whose lease this
+// orderController loads and unloads versions on the servers of the pools whose lease this
 // daemon holds. Only the home of a pool asks for its lease, so a fleet of any
 // size appends one renewal a pool every lease.RenewAfter.
-type orders struct {
-	d       *Daemon
-	fold    *lease.State
-	askedAt map[string]time.Time
+type orderController struct {
+	d         *Daemon
+	leases    *lease.State
+	claimedAt map[string]time.Time
 }
 
-func newOrders(d *Daemon) *orders {
-	return &orders{d: d, fold: lease.NewState(), askedAt: map[string]time.Time{}}
+func newOrderController(d *Daemon) *orderController {
+	return &orderController{d: d, leases: lease.NewState(), claimedAt: map[string]time.Time{}}
 }
 
-func (o *orders) loop(ctx context.Context) { every(ctx, orderEvery, o.round) }
+func (o *orderController) run(ctx context.Context) {
+	runPeriodically(ctx, reconcileInterval, o.reconcile)
+}
 
-func (o *orders) round(ctx context.Context) {
+func (o *orderController) reconcile(ctx context.Context) {
 	c := o.d.config.current()
 	if o.d.Leaving() || !o.d.Ready() {
 		return
 	}
 	for name, p := range c.Pools {
 		wanted := wantedVersions(c, name)
-		if len(wanted) == 0 || !o.d.members.isHome("pool/"+name) || !o.hold(ctx, "pool/"+name) {
+		if len(wanted) == 0 || !o.d.members.isOwner("pool/"+name) || !o.acquireLease(ctx, "pool/"+name) {
 			continue
 		}
 		for _, s := range p.Servers {
-			o.correct(ctx, "pool/"+name, s, wanted)
+			o.reconcileServer(ctx, "pool/"+name, s, wanted)
 		}
 	}
 }
@@ -64,43 +66,43 @@
 	return out
 }
 
-// hold claims or renews a lease and reports whether this daemon may act on it.
-func (o *orders) hold(ctx context.Context, name string) bool {
-	if o.catchUp(ctx) != nil {
+// acquireLease claims or renews a lease and reports whether this daemon may act on it.
+func (o *orderController) acquireLease(ctx context.Context, name string) bool {
+	if o.readLeases(ctx) != nil {
 		return false
 	}
 	now := time.Now()
-	if rec, due := o.fold.Claim(name, o.d.owner(), now); due {
+	if rec, due := o.leases.Claim(name, o.d.ownerID(), now); due {
 		data, err := cbor.Marshal(rec)
 		if err != nil {
 			return false
 		}
 		o.d.metrics.logAppends.Inc(1)
-		if _, err := o.d.ports.Log.Append(ctx, leaseStream, [][]byte{data}); err != nil {
+		if _, err := o.d.deps.Log.Append(ctx, leaseStream, [][]byte{data}); err != nil {
 			o.d.metrics.logErrors.Inc(1)
 			return false
 		}
-		if o.catchUp(ctx) != nil {
+		if o.readLeases(ctx) != nil {
 			return false
 		}
-		if o.fold.Current(name).Owner == o.d.owner() {
-			o.askedAt[name] = now
+		if o.leases.Current(name).Owner == o.d.ownerID() {
+			o.claimedAt[name] = now
 		}
 	}
-	_, ok := o.fold.MayAct(name, o.d.owner(), o.askedAt[name], time.Now())
+	_, ok := o.leases.MayAct(name, o.d.ownerID(), o.claimedAt[name], time.Now())
 	return ok
 }
 
-func (o *orders) catchUp(ctx context.Context) error {
+func (o *orderController) readLeases(ctx context.Context) error {
 	for {
-		b, err := o.d.ports.Log.Read(ctx, leaseStream, o.fold.NextOffset(), readLimit, 0)
+		b, err := o.d.deps.Log.Read(ctx, leaseStream, o.leases.NextOffset(), readLimit, 0)
 		if err != nil {
 			return err
 		}
 		for _, r := range b.Records {
 			var rec lease.Record
 			_ = cbor.Unmarshal(r.Data, &rec)
-			o.fold.Apply(r.Offset, rec, time.Now())
+			o.leases.Apply(r.Offset, rec, time.Now())
 		}
 		if len(b.Records) < readLimit {
 			return nil
@@ -108,18 +110,18 @@
 	}
 }
 
-// correct reads back what a server holds and orders the difference. The check of
+// reconcileServer reads back what a server holds and orders the difference. The check of
 // the lease stands right before each order.
-func (o *orders) correct(ctx context.Context, name string, s fleet.Server, wanted []string) {
+func (o *orderController) reconcileServer(ctx context.Context, name string, s fleet.Server, wanted []string) {
 	l, err := o.d.engine.Load(ctx, s.Address)
 	if err != nil || l.Versions == nil {
 		return
 	}
 	for _, ord := range lease.Reconcile(wanted, l.Versions) {
-		if ord.Action == "load" && !o.mayLoad(ctx, ord.Version) {
+		if ord.Action == "load" && !o.reserveWeights(ctx, ord.Version) {
 			continue
 		}
-		fence, ok := o.fold.MayAct(name, o.d.owner(), o.askedAt[name], time.Now())
+		fence, ok := o.leases.MayAct(name, o.d.ownerID(), o.claimedAt[name], time.Now())
 		if !ok {
 			return
 		}
@@ -130,11 +132,11 @@
 	}
 }
 
-func (o *orders) mayLoad(ctx context.Context, modelVersion string) bool {
-	if o.d.ports.Weights == nil {
+func (o *orderController) reserveWeights(ctx context.Context, modelVersion string) bool {
+	if o.d.deps.Weights == nil {
 		return true
 	}
 	model, version, _ := strings.Cut(modelVersion, "@")
-	ok, err := o.d.ports.Weights.Reserve(ctx, model, version)
+	ok, err := o.d.deps.Weights.Reserve(ctx, model, version)
 	return err == nil && ok
 }
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -16,143 +16,143 @@
 )
 
 const (
-	// probeEvery is the pause between two load probes of a daemon; probes walk
+	// loadProbeInterval is the pause between two load probes of a daemon; probes walk
 	// through the servers, so their rate does not grow with the pool.
-	probeEvery = 250 * time.Millisecond
-	// vmListEvery is the period of reading the list of VMs.
-	vmListEvery = time.Second
-	// vmListLimit bounds one reading: with the pause before it, a list that does not
+	loadProbeInterval = 250 * time.Millisecond
+	// vmListInterval is the period of reading the list of VMs.
+	vmListInterval = time.Second
+	// vmListTimeout bounds one reading: with the pause before it, a list that does not
 	// answer is known to be down while its last word may still be relied on.
-	vmListLimit = 900 * time.Millisecond
+	vmListTimeout = 900 * time.Millisecond
 )
 
-// pools keeps the picture of each pool's servers.
-type pools struct {
-	d       *Daemon
-	mu      sync.Mutex
-	number  uint64
-	byName  map[string]*pool
-	leaving map[string]bool
-	// leavingAt is when leaving was read from the platform, in Unix ms.
-	leavingAt int64
-	// heardAt is when the list was last read, heard of, or found to be down.
-	heardAt time.Time
-	turn    int
-	rng     *rand.Rand
+// balancer keeps the picture of each pool's servers.
+type balancer struct {
+	d            *Daemon
+	mu           sync.Mutex
+	configNumber uint64
+	pools        map[string]*pool
+	leaving      map[string]bool
+	// leavingReadAt is when leaving was read from the platform, in Unix ms.
+	leavingReadAt int64
+	// serversUpdatedAt is when the list was last read, heard of, or found to be down.
+	serversUpdatedAt time.Time
+	probeCursor      int
+	rng              *rand.Rand
 	// gate is what every choice of a server passes.
 	gate *gate.Gate
-	// born is when the daemon began; the gate's times count from it.
-	born time.Time
+	// startedAt is when the daemon began; the gate's times count from it.
+	startedAt time.Time
 }
 
 type pool struct {
-	picture *routing.LoadTracker
-	// holds tells the versions each server reported; a server without a report
+	load *routing.LoadTracker
+	// versions tells the versions each server reported; a server without a report
 	// is tried.
-	holds map[string][]string
+	versions map[string][]string
 	// warmAt is when servers have warmed up by their own reports, on the gate's clock.
 	warmAt map[string]time.Duration
 }
 
-func newPools(d *Daemon) *pools {
-	return &pools{
-		d: d, byName: map[string]*pool{}, leaving: map[string]bool{}, gate: gate.New(), born: time.Now(),
+func newBalancer(d *Daemon) *balancer {
+	return &balancer{
+		d: d, pools: map[string]*pool{}, leaving: map[string]bool{}, gate: gate.New(), startedAt: time.Now(),
 		rng: rand.New(rand.NewPCG(d.incarnation, uint64(len(d.settings.ID)))),
 	}
 }
 
-func (p *pools) loop(ctx context.Context) {
+func (p *balancer) run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { every(ctx, probeEvery, p.probe) })
-	wg.Go(func() { every(ctx, viewEvery, p.viewPeers) })
-	if p.d.ports.VMs != nil {
-		wg.Go(func() { every(ctx, vmListEvery, p.listVMs) })
+	wg.Go(func() { runPeriodically(ctx, loadProbeInterval, p.probeNext) })
+	wg.Go(func() { runPeriodically(ctx, peerViewInterval, p.updatePeerView) })
+	if p.d.deps.VMs != nil {
+		wg.Go(func() { runPeriodically(ctx, vmListInterval, p.pollVMs) })
 	}
 	wg.Wait()
 }
 
-// sync brings the pictures to the configuration in force. Callers hold mu.
-func (p *pools) sync(c *fleet.Config) {
-	if p.number == c.Number && len(p.byName) > 0 {
+// syncConfig brings the pictures to the configuration in force. Callers hold mu.
+func (p *balancer) syncConfig(c *fleet.Config) {
+	if p.configNumber == c.Number && len(p.pools) > 0 {
 		return
 	}
-	p.number = c.Number
+	p.configNumber = c.Number
 	p.syncEvacuations(c)
 	for name, cp := range c.Pools {
 		if len(p.d.settings.Pools) > 0 && !slices.Contains(p.d.settings.Pools, name) {
 			continue
 		}
-		st := p.byName[name]
+		st := p.pools[name]
 		if st == nil {
-			st = &pool{picture: routing.NewLoadTracker(), holds: map[string][]string{}, warmAt: map[string]time.Duration{}}
-			p.byName[name] = st
+			st = &pool{load: routing.NewLoadTracker(), versions: map[string][]string{}, warmAt: map[string]time.Duration{}}
+			p.pools[name] = st
 		}
 		members := make([]routing.Member, len(cp.Servers))
 		for i, s := range cp.Servers {
 			members[i] = routing.Member{ID: s.ID, Address: s.Address, FailureDomain: s.FailureDomain, Slots: s.Slots}
 		}
-		st.picture.Update(routing.Subset(p.d.settings.ID, members, p.d.settings.Subset))
+		st.load.Update(routing.Subset(p.d.settings.ID, members, p.d.settings.Subset))
 		for id := range p.leaving {
-			st.picture.SetLeaving(id, true)
+			st.load.SetLeaving(id, true)
 		}
 	}
-	for name := range p.byName {
+	for name := range p.pools {
 		if _, stays := c.Pools[name]; !stays {
-			delete(p.byName, name)
+			delete(p.pools, name)
 		}
 	}
 }
 
-// choice is a picked server and what the picture expects of it.
-type choice struct {
-	pool      string
-	candidate routing.Candidate
-	uncached  int
-	expected  time.Duration
-	// limit is what the server bears while it warms up.
-	limit slowstart.Limit
-	// spare says that the server had a free slot, so that its speed speaks for
+// pick is a picked server and what the picture expects of it.
+type pick struct {
+	pool               string
+	candidate          routing.Candidate
+	uncachedTokens     int
+	expectedFirstToken time.Duration
+	// slowStart is what the server bears while it warms up.
+	slowStart slowstart.Limit
+	// hadFreeSlot says that the server had a free slot, so that its speed speaks for
 	// the version and not for the load.
-	spare  bool
-	urgent bool
+	hadFreeSlot bool
+	urgent      bool
 }
 
-// pick chooses a server for a version and marks the attempt as dispatched.
-func (p *pools) pick(c *fleet.Config, poolName, version string, r *routing.Request, tried []string) (choice, error) {
+// pickServer chooses a server for a version and marks the attempt as dispatched.
+func (p *balancer) pickServer(c *fleet.Config, poolName, version string, r *routing.Request, tried []string) (pick, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sync(c)
-	st := p.byName[poolName]
+	p.syncConfig(c)
+	st := p.pools[poolName]
 	if st == nil {
-		return choice{}, fault.New(fault.NoServer, "pool %s is not served here", poolName)
+		return pick{}, fault.New(fault.NoServer, "pool %s is not served here", poolName)
 	}
 	var room [routing.MaxCandidates]routing.Candidate
-	candidates := st.picture.Snapshot(room[:0], time.Now())
+	candidates := st.load.Snapshot(room[:0], time.Now())
 	r.Tried = routing.Set{}
 	for i, cand := range candidates {
-		held, reported := st.holds[cand.ID]
+		held, reported := st.versions[cand.ID]
 		if slices.Contains(tried, cand.ID) || reported && version != "" && !slices.Contains(held, version) {
 			r.Tried.Add(i)
 		}
 	}
-	refused := p.bar(st, c.Pools[poolName].SlowStart, candidates, r)
+	refused := p.excludeRefused(st, c.Pools[poolName].SlowStart, candidates, r)
 	r.CachedBlocks = [routing.MaxCandidates]uint8{}
-	st.picture.Prefix.Lookup(r)
+	st.load.Prefix.Lookup(r)
 	dec := routing.DefaultPipeline().Pick(r, candidates, p.rng)
 	if dec.Index < 0 {
-		return choice{}, refusal(dec, poolName, &refused)
+		return pick{}, pickError(dec, poolName, &refused)
 	}
 	chosen := candidates[dec.Index]
-	p.pass(st, c.Pools[poolName].SlowStart, &chosen)
-	st.picture.RecordDispatch(chosen.ID, r.Blocks, r.Urgent, time.Now())
-	return choice{
-		pool: poolName, candidate: chosen, expected: dec.Expected, urgent: r.Urgent, limit: limitOf(c.Pools[poolName].SlowStart),
-		uncached: max(0, r.PromptTokens-int(r.CachedBlocks[dec.Index])*r.BlockTokens),
-		spare:    float64(chosen.InFlight)+chosen.OthersInFlight < float64(chosen.Slots),
+	p.recordSend(st, c.Pools[poolName].SlowStart, &chosen)
+	st.load.RecordDispatch(chosen.ID, r.Blocks, r.Urgent, time.Now())
+	return pick{
+		pool: poolName, candidate: chosen, expectedFirstToken: dec.Expected, urgent: r.Urgent, slowStart: slowStartLimit(c.Pools[poolName].SlowStart),
+		uncachedTokens: max(0, r.PromptTokens-int(r.CachedBlocks[dec.Index])*r.BlockTokens),
+		hadFreeSlot:    float64(chosen.InFlight)+chosen.OthersInFlight < float64(chosen.Slots),
 	}, nil
 }
 
-func refusal(dec routing.Decision, pool string, refused *gate.Refusals) *fault.Error {
+func pickError(dec routing.Decision, pool string, refused *gate.Refusals) *fault.Error {
 	if dec.Refusal == routing.BudgetExceeded {
 		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, dec.Expected.Round(time.Millisecond)).WithRetryAfter(max(time.Second, dec.Expected/2))
 	}
@@ -165,54 +165,54 @@
 	return fault.New(fault.NoServer, "no live server of pool %s is left", pool)
 }
 
-func (p *pools) with(name string, f func(*pool)) {
+func (p *balancer) withPool(name string, f func(*pool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if st := p.byName[name]; st != nil {
+	if st := p.pools[name]; st != nil {
 		f(st)
 	}
 }
 
-// firstToken books a first token and returns the part of it that was a wait.
-func (p *pools) firstToken(c choice, took time.Duration) (wait time.Duration) {
-	p.with(c.pool, func(st *pool) {
-		wait = st.picture.RecordFirstToken(c.candidate.ID, took, c.uncached, time.Now())
-		p.answered(c)
+// recordFirstToken books a first token and returns the part of it that was a wait.
+func (p *balancer) recordFirstToken(c pick, took time.Duration) (wait time.Duration) {
+	p.withPool(c.pool, func(st *pool) {
+		wait = st.load.RecordFirstToken(c.candidate.ID, took, c.uncachedTokens, time.Now())
+		p.recordResponse(c)
 	})
 	return wait
 }
 
-// completed books the end of an attempt that held a slot for some time.
-func (p *pools) completed(c choice, held time.Duration, failed bool) {
-	p.with(c.pool, func(st *pool) {
-		st.picture.RecordCompletion(c.candidate.ID, held, failed, c.urgent, time.Now())
+// recordCompletion books the end of an attempt that held a slot for some time.
+func (p *balancer) recordCompletion(c pick, held time.Duration, failed bool) {
+	p.withPool(c.pool, func(st *pool) {
+		st.load.RecordCompletion(c.candidate.ID, held, failed, c.urgent, time.Now())
 		if !failed {
-			p.answered(c)
+			p.recordResponse(c)
 		}
 	})
 }
 
-func (p *pools) silent(c choice) {
-	p.with(c.pool, func(st *pool) { st.picture.RecordTimeout(c.candidate.ID, time.Now()) })
+func (p *balancer) recordTimeout(c pick) {
+	p.withPool(c.pool, func(st *pool) { st.load.RecordTimeout(c.candidate.ID, time.Now()) })
 }
 
-func (p *pools) unreachable(c choice) {
-	p.with(c.pool, func(st *pool) {
-		st.picture.RecordUnreachable(c.candidate.ID, time.Now())
-		p.gate.ServerTerminated(c.candidate.ID, p.boot())
+func (p *balancer) recordUnreachable(c pick) {
+	p.withPool(c.pool, func(st *pool) {
+		st.load.RecordUnreachable(c.candidate.ID, time.Now())
+		p.gate.ServerTerminated(c.candidate.ID, p.uptime())
 	})
 }
 
-// lacks records that a server refused a version it was thought to hold.
-func (p *pools) lacks(c choice, version string) {
-	p.with(c.pool, func(st *pool) {
-		held := slices.Clone(st.holds[c.candidate.ID])
-		st.holds[c.candidate.ID] = slices.DeleteFunc(held, func(v string) bool { return v == version })
+// recordMissingVersion records that a server refused a version it was thought to hold.
+func (p *balancer) recordMissingVersion(c pick, version string) {
+	p.withPool(c.pool, func(st *pool) {
+		held := slices.Clone(st.versions[c.candidate.ID])
+		st.versions[c.candidate.ID] = slices.DeleteFunc(held, func(v string) bool { return v == version })
 	})
 }
 
-// probe asks the next server for its load.
-func (p *pools) probe(ctx context.Context) {
+// probeNext asks the next server for its load.
+func (p *balancer) probeNext(ctx context.Context) {
 	name, cand, ok := p.nextToProbe()
 	if !ok {
 		return
@@ -221,24 +221,24 @@
 	if err != nil {
 		return
 	}
-	p.with(name, func(st *pool) {
-		st.picture.RecordReport(cand.ID, l.Running+l.Waiting, time.Now())
+	p.withPool(name, func(st *pool) {
+		st.load.RecordReport(cand.ID, l.Running+l.Waiting, time.Now())
 		if l.Versions != nil {
-			st.holds[cand.ID] = l.Versions
+			st.versions[cand.ID] = l.Versions
 		}
-		st.picture.SetLeaving(cand.ID, l.Draining || p.leaving[cand.ID])
+		st.load.SetLeaving(cand.ID, l.Draining || p.leaving[cand.ID])
 		if l.WarmingMillis > 0 {
-			st.warmAt[cand.ID] = p.boot() + time.Duration(l.WarmingMillis)*time.Millisecond
+			st.warmAt[cand.ID] = p.uptime() + time.Duration(l.WarmingMillis)*time.Millisecond
 		}
 	})
 }
 
-func (p *pools) nextToProbe() (string, routing.Candidate, bool) {
+func (p *balancer) nextToProbe() (string, routing.Candidate, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sync(p.d.config.current())
-	names := make([]string, 0, len(p.byName))
-	for n := range p.byName {
+	p.syncConfig(p.d.config.current())
+	names := make([]string, 0, len(p.pools))
+	for n := range p.pools {
 		names = append(names, n)
 	}
 	slices.Sort(names)
@@ -248,7 +248,7 @@
 	}
 	var all []target
 	for _, n := range names {
-		for _, c := range p.byName[n].picture.Snapshot(nil, time.Now()) {
+		for _, c := range p.pools[n].load.Snapshot(nil, time.Now()) {
 			if c.ID != "" {
 				all = append(all, target{n, c})
 			}
@@ -257,24 +257,24 @@
 	if len(all) == 0 {
 		return "", routing.Candidate{}, false
 	}
-	p.turn++
-	t := all[p.turn%len(all)]
+	p.probeCursor++
+	t := all[p.probeCursor%len(all)]
 	return t.pool, t.c, true
 }
 
-// listVMs reads the platform's word on leaving servers. Two daemons of each
+// pollVMs reads the platform's word on leaving servers. Two daemons of each
 // failure domain read it and the others hear it with their heartbeats, since the
 // list names every VM and hundreds of readers would swamp its service. While the
 // list is down the last word stands.
-func (p *pools) listVMs(ctx context.Context) {
-	if !p.d.members.isHomeIn("vm_list", readersPerDomain) {
+func (p *balancer) pollVMs(ctx context.Context) {
+	if !p.d.members.isDomainOwner("vm_list", readersPerDomain) {
 		return
 	}
 	at := time.Now().UnixMilli()
-	ctx, cancel := context.WithTimeout(ctx, vmListLimit)
+	ctx, cancel := context.WithTimeout(ctx, vmListTimeout)
 	defer cancel()
-	vms, err := p.d.ports.VMs.List(ctx)
-	p.heard()
+	vms, err := p.d.deps.VMs.List(ctx)
+	p.markServersUpdated()
 	if err != nil {
 		return
 	}
@@ -284,60 +284,60 @@
 			ids = append(ids, vm.ID)
 		}
 	}
-	p.takeLeaving(at, ids)
+	p.applyLeaving(at, ids)
 }
 
-func (p *pools) heard() {
+func (p *balancer) markServersUpdated() {
 	p.mu.Lock()
-	p.heardAt = time.Now()
+	p.serversUpdatedAt = time.Now()
 	p.mu.Unlock()
 }
 
-// serversHeard returns when the daemon last heard which servers leave.
-func (p *pools) serversHeard() time.Time {
-	if p.d.ports.VMs == nil {
+// lastServersUpdate returns when the daemon last heard which servers leave.
+func (p *balancer) lastServersUpdate() time.Time {
+	if p.d.deps.VMs == nil {
 		return time.Now()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.heardAt
+	return p.serversUpdatedAt
 }
 
-// leavingWord returns the newest word on leaving servers and when it was read.
-func (p *pools) leavingWord() (at int64, ids []string) {
+// leavingServers returns the newest word on leaving servers and when it was read.
+func (p *balancer) leavingServers() (at int64, ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.leaving {
 		ids = append(ids, id)
 	}
-	return p.leavingAt, ids
+	return p.leavingReadAt, ids
 }
 
-// takeLeaving applies a word on leaving servers that is newer than the known one.
-func (p *pools) takeLeaving(at int64, ids []string) {
+// applyLeaving applies a word on leaving servers that is newer than the known one.
+func (p *balancer) applyLeaving(at int64, ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if at > 0 {
-		p.heardAt = time.Now()
+		p.serversUpdatedAt = time.Now()
 	}
-	if at <= p.leavingAt {
+	if at <= p.leavingReadAt {
 		return
 	}
 	now := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		now[id] = true
 	}
-	for _, st := range p.byName {
+	for _, st := range p.pools {
 		for id := range p.leaving {
 			if !now[id] {
-				st.picture.SetLeaving(id, false)
+				st.load.SetLeaving(id, false)
 			}
 		}
 		for id := range now {
-			st.picture.SetLeaving(id, true)
+			st.load.SetLeaving(id, true)
 		}
 	}
-	p.leaving, p.leavingAt = now, at
+	p.leaving, p.leavingReadAt = now, at
 }
 
 // ServerView is a server as this daemon sees it.
@@ -349,14 +349,14 @@
 
 // Servers returns the daemon's view of its servers.
 func (d *Daemon) Servers() []ServerView {
-	d.pools.mu.Lock()
-	defer d.pools.mu.Unlock()
-	d.pools.sync(d.config.current())
+	d.balancer.mu.Lock()
+	defer d.balancer.mu.Unlock()
+	d.balancer.syncConfig(d.config.current())
 	var out []ServerView
-	for name, st := range d.pools.byName {
-		for _, c := range st.picture.Snapshot(nil, time.Now()) {
+	for name, st := range d.balancer.pools {
+		for _, c := range st.load.Snapshot(nil, time.Now()) {
 			if c.ID != "" {
-				out = append(out, ServerView{name, c, st.holds[c.ID]})
+				out = append(out, ServerView{name, c, st.versions[c.ID]})
 			}
 		}
 	}
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -15,10 +15,10 @@
 	"github.com/damaskrudder/damaskrudder/internal/settings"
 )
 
-// silentList is a list of VMs that does not answer.
-type silentList struct{}
+// unresponsiveVMList is a list of VMs that does not answer.
+type unresponsiveVMList struct{}
 
-func (silentList) List(ctx context.Context) ([]platform.VM, error) {
+func (unresponsiveVMList) List(ctx context.Context) ([]platform.VM, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -28,15 +28,15 @@
 // Sequence: the service of the list goes silent, without refusing.
 // Cause: a call of the list had the time of any call of the platform, 5 s; that it is down
 // was noticed so late that the word on leaving servers had grown too old.
-func TestSilentListOfVMsIsNoticedWhileItsLastWordHolds(t *testing.T) {
+func TestVMListTimeoutKeepsServersUpdateFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		d := New(settings.Settings{ID: "d"}, settings.Secrets{}, Ports{VMs: silentList{}, Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
-		d.pools.heard()
-		go every(ctx, vmListEvery, d.pools.listVMs)
+		d := New(settings.Settings{ID: "d"}, settings.Secrets{}, Dependencies{VMs: unresponsiveVMList{}, Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
+		d.balancer.markServersUpdated()
+		go runPeriodically(ctx, vmListInterval, d.balancer.pollVMs)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if age := time.Since(d.pools.serversHeard()); age > membership.ServersMaxAge {
+			if age := time.Since(d.balancer.lastServersUpdate()); age > membership.ServersMaxAge {
 				t.Errorf("the word on leaving servers is %s old", age)
 				break
 			}
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// judgeEvery is the period of reporting evidence and judging it.
-	judgeEvery = time.Second
-	// reportsPerSecond bounds the reports that a roll-out's home gets; daemons of
+	// evaluateInterval is the period of reporting evidence and judging it.
+	evaluateInterval = time.Second
+	// maxReportsPerSecond bounds the reports that a roll-out's home gets; daemons of
 	// a large fleet report less often, and brake by themselves meanwhile.
-	reportsPerSecond = 50
-	// slowRun is the speed, against what the picture expected, from which a run
+	maxReportsPerSecond = 50
+	// slowRunFactor is the speed, against what the picture expected, from which a run
 	// counts as slow.
-	slowRun = 3
-	// slowFloor is the least delay that counts as slow, below it timing is noise.
-	slowFloor = 150 * time.Millisecond
+	slowRunFactor = 3
+	// minSlowDelay is the least delay that counts as slow, below it timing is noise.
+	minSlowDelay = 150 * time.Millisecond
 )
 
-// rollouts gathers evidence, brakes locally and, at the home of a model's
+// rolloutController gathers evidence, brakes locally and, at the home of a model's
 // roll-out, proposes the next step.
-type rollouts struct {
-	d      *Daemon
-	mu     sync.Mutex
-	own    map[string]*stageEvidence
-	fleet  map[string]*fleetEvidence
-	braked map[string]bool
-	// reported is when this daemon last sent its evidence.
-	reported time.Time
+type rolloutController struct {
+	d             *Daemon
+	mu            sync.Mutex
+	localEvidence map[string]*stageEvidence
+	fleetEvidence map[string]*mergedEvidence
+	stopped       map[string]bool
+	// reportedAt is when this daemon last sent its evidence.
+	reportedAt time.Time
 }
 
 type stageEvidence struct {
@@ -43,33 +43,33 @@
 	cells rollout.Evidence
 }
 
-type fleetEvidence struct {
+type mergedEvidence struct {
 	stage    string
 	since    time.Time
 	byDaemon map[string]rollout.Evidence
-	verdict  rollout.Decision
+	decision rollout.Decision
 }
 
-func newRollouts(d *Daemon) *rollouts {
-	return &rollouts{d: d, own: map[string]*stageEvidence{}, fleet: map[string]*fleetEvidence{}, braked: map[string]bool{}}
+func newRolloutController(d *Daemon) *rolloutController {
+	return &rolloutController{d: d, localEvidence: map[string]*stageEvidence{}, fleetEvidence: map[string]*mergedEvidence{}, stopped: map[string]bool{}}
 }
 
-func (r *rollouts) register(s *peer.Server) {
+func (r *rolloutController) register(s *peer.Server) {
 	peer.Handle(s, "evidence", func(_ context.Context, _ string, q peer.EvidenceReport) (peer.Empty, error) {
-		r.take(q)
+		r.applyReport(q)
 		return peer.Empty{}, nil
 	})
 }
 
-func stageOf(ro fleet.Rollout) string { return fmt.Sprintf("%s/%d", ro.TargetVersion, ro.Stage) }
+func stageKey(ro fleet.Rollout) string { return fmt.Sprintf("%s/%d", ro.TargetVersion, ro.Stage) }
 
-// observation is what one finished run says about its version.
-type observation struct {
+// runObservation is what one finished run says about its version.
+type runObservation struct {
 	model, version, server, domain string
 	failed, timed, slow            bool
 }
 
-func (r *rollouts) observe(o observation) {
+func (r *rolloutController) recordRun(o runObservation) {
 	n := rollout.Counts{Requests: 1}
 	if o.failed {
 		n.Errors = 1
@@ -80,18 +80,18 @@
 	if o.timed && o.slow {
 		n.Slow = 1
 	}
-	r.count(o.model, o.version, o.server, o.domain, n)
+	r.addCounts(o.model, o.version, o.server, o.domain, n)
 }
 
-func (r *rollouts) rated(model, version, server string, good bool) {
+func (r *rolloutController) recordRating(model, version, server string, good bool) {
 	n := rollout.Counts{Rated: 1}
 	if !good {
 		n.Bad = 1
 	}
-	r.count(model, version, server, "", n)
+	r.addCounts(model, version, server, "", n)
 }
 
-func (r *rollouts) count(model, version, server, domain string, n rollout.Counts) {
+func (r *rolloutController) addCounts(model, version, server, domain string, n rollout.Counts) {
 	c := r.d.config.current()
 	ro, active := c.RolloutFor(model)
 	isNew := version == ro.TargetVersion
@@ -100,96 +100,98 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st := r.own[model]
-	if st == nil || st.stage != stageOf(ro) {
-		st = &stageEvidence{stage: stageOf(ro)}
-		r.own[model] = st
+	st := r.localEvidence[model]
+	if st == nil || st.stage != stageKey(ro) {
+		st = &stageEvidence{stage: stageKey(ro)}
+		r.localEvidence[model] = st
 	}
 	st.cells = st.cells.Merge(rollout.Evidence{{Server: server, FailureDomain: domain, New: isNew, Counts: n}})
-	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(st.cells); stop && !r.braked[model+"@"+ro.TargetVersion] {
-		r.braked[model+"@"+ro.TargetVersion] = true
-		r.d.metrics.braked.Inc(1)
+	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(st.cells); stop && !r.stopped[model+"@"+ro.TargetVersion] {
+		r.stopped[model+"@"+ro.TargetVersion] = true
+		r.d.metrics.rolloutBraked.Inc(1)
 		r.d.log.Warn("stopped using a new version on own evidence", "model", model, "version", ro.TargetVersion, "signal", signal)
 	}
 }
 
-// avoided reports whether unpinned sessions keep off a version here.
-func (r *rollouts) avoided(model, version string) bool {
+// isStopped reports whether unpinned sessions keep off a version here.
+func (r *rolloutController) isStopped(model, version string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.braked[model+"@"+version]
+	return r.stopped[model+"@"+version]
 }
 
-func (r *rollouts) loop(ctx context.Context) { every(ctx, judgeEvery, r.round) }
+func (r *rolloutController) run(ctx context.Context) {
+	runPeriodically(ctx, evaluateInterval, r.evaluateAll)
+}
 
-func (r *rollouts) round(ctx context.Context) {
+func (r *rolloutController) evaluateAll(ctx context.Context) {
 	c := r.d.config.current()
-	r.releaseBrakes(c)
-	due := time.Since(r.reported) >= time.Duration(r.d.members.size())*time.Second/reportsPerSecond
+	r.clearStopped(c)
+	due := time.Since(r.reportedAt) >= time.Duration(r.d.members.aliveCount())*time.Second/maxReportsPerSecond
 	if due {
-		r.reported = time.Now()
+		r.reportedAt = time.Now()
 	}
 	for model, ro := range c.Rollouts {
 		if !rollout.CarriesTraffic(ro) {
 			continue
 		}
-		homes := r.d.members.homes("rollout/"+model, 1)
+		homes := r.d.members.owners("rollout/"+model, 1)
 		if len(homes) == 0 {
 			continue
 		}
-		report := r.report(model, ro)
+		report := r.localReport(model, ro)
 		if homes[0].ID != r.d.settings.ID {
 			if due && len(report.Cells) > 0 {
 				callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
-				_, _ = peer.Call[peer.EvidenceReport, peer.Empty](callCtx, r.d.links, homes[0].PeerAddress, "evidence", report)
+				_, _ = peer.Call[peer.EvidenceReport, peer.Empty](callCtx, r.d.peers, homes[0].PeerAddress, "evidence", report)
 				cancel()
 			}
 			continue
 		}
-		r.take(report)
-		r.judge(ctx, c, model, ro)
+		r.applyReport(report)
+		r.evaluate(ctx, c, model, ro)
 	}
 }
 
-// releaseBrakes lifts the brake on versions that no roll-out moves any more.
-func (r *rollouts) releaseBrakes(c *fleet.Config) {
+// clearStopped lifts the brake on versions that no roll-out moves any more.
+func (r *rolloutController) clearStopped(c *fleet.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for mv := range r.braked {
+	for mv := range r.stopped {
 		running := false
 		for model, ro := range c.Rollouts {
 			running = running || mv == model+"@"+ro.TargetVersion && ro.State != fleet.RolloutDone && ro.State != fleet.RolloutRolledBack
 		}
 		if !running {
-			delete(r.braked, mv)
+			delete(r.stopped, mv)
 		}
 	}
 }
 
-func (r *rollouts) report(model string, ro fleet.Rollout) peer.EvidenceReport {
+func (r *rolloutController) localReport(model string, ro fleet.Rollout) peer.EvidenceReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := peer.EvidenceReport{Daemon: r.d.settings.ID, Model: model, Stage: stageOf(ro)}
-	if st := r.own[model]; st != nil && st.stage == out.Stage {
+	out := peer.EvidenceReport{Daemon: r.d.settings.ID, Model: model, Stage: stageKey(ro)}
+	if st := r.localEvidence[model]; st != nil && st.stage == out.Stage {
 		out.Cells = slices.Clone(st.cells)
 	}
 	return out
 }
 
-// take replaces a daemon's cumulative evidence; a late or repeated report does
+// applyReport replaces a daemon's cumulative evidence; a late or repeated report does
 // no harm.
-func (r *rollouts) take(q peer.EvidenceReport) {
+func (r *rolloutController) applyReport(q peer.EvidenceReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.fleet[q.Model]
+	f := r.fleetEvidence[q.Model]
 	if f == nil || f.stage != q.Stage {
-		f = &fleetEvidence{stage: q.Stage, since: time.Now(), byDaemon: map[string]rollout.Evidence{}}
-		r.fleet[q.Model] = f
+		f = &mergedEvidence{stage: q.Stage, since: time.Now(), byDaemon: map[string]rollout.Evidence{}}
+		r.fleetEvidence[q.Model] = f
 	}
 	f.byDaemon[q.Daemon] = q.Cells
 }
 
-func (f *fleetEvidence) merged() rollout.Evidence {
+func (f *mergedEvidence) merged() rollout.Evidence {
 	var all rollout.Evidence
 	for _, e := range f.byDaemon {
 		all = all.Merge(e)
@@ -197,28 +199,28 @@
 	return all
 }
 
-func (r *rollouts) judge(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout) {
+func (r *rolloutController) evaluate(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout) {
 	r.mu.Lock()
-	f := r.fleet[model]
+	f := r.fleetEvidence[model]
 	v := rollout.DefaultStagePolicy().Evaluate(ro, f.merged(), time.Since(f.since))
-	f.verdict = v
+	f.decision = v
 	r.mu.Unlock()
 	if v.Step == rollout.Wait {
 		return
 	}
-	r.propose(ctx, c, model, ro, v)
+	r.submitStep(ctx, c, model, ro, v)
 }
 
-// propose appends the step as an ordinary patch. Its id follows from the state
+// submitStep appends the step as an ordinary patch. Its id follows from the state
 // it was decided on, so that a step decided twice, by an old and a new home, is
 // one patch; a stale base makes it void.
-func (r *rollouts) propose(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout, v rollout.Decision) {
+func (r *rolloutController) submitStep(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout, v rollout.Decision) {
 	patch, err := stepPatch(c, model, ro, v.Step)
 	if err != nil {
 		return
 	}
-	id := fmt.Sprintf("rollout/%s/%s/%s@%d", model, stageOf(ro), v.Step, c.Number)
-	out, err := r.d.Submit(ctx, fleet.Record{PatchID: id, Base: c.Number, Author: "rollout: " + v.Reason, Patch: patch})
+	id := fmt.Sprintf("rollout/%s/%s/%s@%d", model, stageKey(ro), v.Step, c.Number)
+	out, err := r.d.SubmitPatch(ctx, fleet.Record{PatchID: id, Base: c.Number, Author: "rollout: " + v.Reason, Patch: patch})
 	if err == nil && out.Accepted {
 		r.d.log.Info("roll-out step", "model", model, "step", v.Step, "reason", v.Reason, "number", out.Number)
 	}
@@ -243,13 +245,13 @@
 type RolloutView struct {
 	fleet.Rollout
 	Percent float64 `json:"percent"`
-	// Home is the daemon that judges.
-	Home    string           `json:"home"`
-	Verdict string           `json:"verdict,omitempty"`
-	Reason  string           `json:"reason,omitempty"`
-	Fresh   rollout.Counts   `json:"new_version"`
-	Running rollout.Counts   `json:"running_version"`
-	Cells   rollout.Evidence `json:"cells,omitempty"`
+	// Owner is the daemon that judges.
+	Owner          string           `json:"home"`
+	Decision       string           `json:"verdict,omitempty"`
+	Reason         string           `json:"reason,omitempty"`
+	NewVersion     rollout.Counts   `json:"new_version"`
+	RunningVersion rollout.Counts   `json:"running_version"`
+	Cells          rollout.Evidence `json:"cells,omitempty"`
 }
 
 // Rollouts returns every roll-out with its evidence: the fleet's at the home,
@@ -259,17 +261,17 @@
 	var out []RolloutView
 	for model, ro := range c.Rollouts {
 		v := RolloutView{Rollout: ro, Percent: ro.Percent()}
-		if h := d.members.homes("rollout/"+model, 1); len(h) > 0 {
-			v.Home = h[0].ID
+		if h := d.members.owners("rollout/"+model, 1); len(h) > 0 {
+			v.Owner = h[0].ID
 		}
 		d.rollouts.mu.Lock()
-		if f := d.rollouts.fleet[model]; f != nil && v.Home == d.settings.ID && f.stage == stageOf(ro) {
-			v.Cells, v.Verdict, v.Reason = f.merged(), f.verdict.Step.String(), f.verdict.Reason
-		} else if st := d.rollouts.own[model]; st != nil && st.stage == stageOf(ro) {
+		if f := d.rollouts.fleetEvidence[model]; f != nil && v.Owner == d.settings.ID && f.stage == stageKey(ro) {
+			v.Cells, v.Decision, v.Reason = f.merged(), f.decision.Step.String(), f.decision.Reason
+		} else if st := d.rollouts.localEvidence[model]; st != nil && st.stage == stageKey(ro) {
 			v.Cells = slices.Clone(st.cells)
 		}
 		d.rollouts.mu.Unlock()
-		v.Fresh, v.Running = v.Cells.Totals(nil)
+		v.NewVersion, v.RunningVersion = v.Cells.Totals(nil)
 		out = append(out, v)
 	}
 	slices.SortFunc(out, func(a, b RolloutView) int {
