--- a/internal/daemon/account.go
+++ b/internal/daemon/account.go
@@ -24,9 +24,9 @@
 	microsPerKiloToken             int64
 }
 
-func (st *execution) tokens() int64 {
+func (e *execution) tokens() int64 {
 	var n int64
-	for _, s := range st.steps {
+	for _, s := range e.steps {
 		n += s.promptTokens + s.completionTokens
 	}
 	return n
@@ -35,46 +35,46 @@
 // capacityKinds are refusals for want of a server: they count against objectives.
 var capacityKinds = []fault.Kind{fault.Overloaded, fault.NoServer, fault.Warming, fault.Evacuated}
 
-func (d *Daemon) recordOutcome(workspace string, st *execution, began time.Time, err error) {
+func (d *Daemon) recordOutcome(workspace string, exec *execution, start time.Time, err error) {
 	if err == nil {
 		d.metrics.answered.Inc(1)
 	}
-	if st == nil || err != nil && fault.FromError(err).ExecutionState() == fault.NotRun && !slices.Contains(capacityKinds, fault.FromError(err).Kind) {
+	if exec == nil || err != nil && fault.FromError(err).ExecutionState() == fault.NotRun && !slices.Contains(capacityKinds, fault.FromError(err).Kind) {
 		return
 	}
-	n := slo.Counts{Requests: 1}
+	counts := slo.Counts{Requests: 1}
 	if err != nil && !fault.Is(err, fault.CallerLeft) {
-		n.Failed = 1
+		counts.Failed = 1
 	}
 	limit := time.Duration(d.config.current().Workspaces[workspace].Objectives.FirstTokenMillis) * time.Millisecond
-	if limit > 0 && (st.firstToken > limit || st.firstToken == 0 && time.Since(began) > limit) {
-		n.Late = 1
+	if limit > 0 && (exec.firstToken > limit || exec.firstToken == 0 && time.Since(start) > limit) {
+		counts.Late = 1
 	}
-	d.slo.observe(slo.Key{Workspace: workspace, Model: st.model, Version: st.version, FailureDomain: st.failureDomain}, n)
+	d.slo.observe(slo.Key{Workspace: workspace, Model: exec.model, Version: exec.version, FailureDomain: exec.failureDomain}, counts)
 }
 
 // billRequest writes the one usage record of a request, over all its steps, and reports
 // whether it is safe. A request that delivered nothing and finished no step
 // costs nothing.
-func (d *Daemon) billRequest(ctx context.Context, id, workspace string, st *execution) bool {
-	if len(st.steps) == 0 {
+func (d *Daemon) billRequest(ctx context.Context, id, workspace string, exec *execution) bool {
+	if len(exec.steps) == 0 {
 		d.usage.cancel()
 		return true
 	}
-	u := billing.UsageRecord{
+	rec := billing.UsageRecord{
 		RequestID: id, Workspace: workspace, Outcome: billing.Truncated, UnixMillis: time.Now().UnixMilli(),
-		Daemon: d.settings.ID, FirstTokenMillis: st.firstToken.Milliseconds(), FailureDomain: st.failureDomain,
+		Daemon: d.settings.ID, FirstTokenMillis: exec.firstToken.Milliseconds(), FailureDomain: exec.failureDomain,
 	}
-	if st.complete {
-		u.Outcome = billing.Complete
+	if exec.complete {
+		rec.Outcome = billing.Complete
 	}
-	for _, s := range st.steps {
-		u.Model, u.Version = s.model, s.version
-		u.PromptTokens += s.promptTokens
-		u.CompletionTokens += s.completionTokens
-		u.Micros += billing.Price(s.promptTokens+s.completionTokens, s.microsPerKiloToken)
+	for _, s := range exec.steps {
+		rec.Model, rec.Version = s.model, s.version
+		rec.PromptTokens += s.promptTokens
+		rec.CompletionTokens += s.completionTokens
+		rec.Micros += billing.Price(s.promptTokens+s.completionTokens, s.microsPerKiloToken)
 	}
-	return d.usage.add(ctx, u)
+	return d.usage.add(ctx, rec)
 }
 
 // unprotectedError withholds the end of an answer whose usage record would be lost
@@ -83,10 +83,10 @@
 	return fault.New(fault.UsageUnprotected, "the usage record could not be stored safely").WithExecution(fault.Ran)
 }
 
-func estimateTokens(q *ChatRequest) int64 {
-	answer := q.MaxTokens
-	if answer == 0 {
-		answer = defaultAnswerTokens
+func estimateTokens(req *ChatRequest) int64 {
+	completion := req.MaxTokens
+	if completion == 0 {
+		completion = defaultAnswerTokens
 	}
-	return int64(len(q.Prompt)/bytesPerToken) + answer
+	return int64(len(req.Prompt)/bytesPerToken) + completion
 }
--- a/internal/daemon/burn.go
+++ b/internal/daemon/burn.go
@@ -16,15 +16,15 @@
 	counters *slo.Counters
 }
 
-func (b *sloRecorder) register(s *peer.Server) {
-	peer.Handle(s, "burn", func(context.Context, string, peer.BurnRequest) (peer.BurnResponse, error) {
+func (b *sloRecorder) register(server *peer.Server) {
+	peer.Handle(server, "burn", func(context.Context, string, peer.BurnRequest) (peer.BurnResponse, error) {
 		return peer.BurnResponse{Cells: b.snapshot()}, nil
 	})
 }
 
-func (b *sloRecorder) observe(k slo.Key, n slo.Counts) {
+func (b *sloRecorder) observe(key slo.Key, counts slo.Counts) {
 	b.mu.Lock()
-	b.counters.Observe(time.Now(), k, n)
+	b.counters.Observe(time.Now(), key, counts)
 	b.mu.Unlock()
 }
 
@@ -37,7 +37,7 @@
 // BurnReport merges the counters of all daemons into the burn report. Missing lists
 // the daemons that did not answer.
 func (d *Daemon) BurnReport(ctx context.Context) (lines []slo.ObjectiveBurn, missing []string) {
-	cells := d.slo.snapshot()
+	counts := d.slo.snapshot()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, m := range d.Members() {
@@ -54,9 +54,9 @@
 				missing = append(missing, m.ID)
 				return
 			}
-			cells = append(cells, r.Cells...)
+			counts = append(counts, r.Cells...)
 		})
 	}
 	wg.Wait()
-	return slo.Report(d.config.current(), cells), missing
+	return slo.Report(d.config.current(), counts), missing
 }
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -34,33 +34,33 @@
 }
 
 // CallService answers a plain service call. Its error is always a *fault.Error.
-func (d *Daemon) CallService(ctx context.Context, id string, q ServiceRequest) (*ServiceResponse, error) {
+func (d *Daemon) CallService(ctx context.Context, id string, req ServiceRequest) (*ServiceResponse, error) {
 	done, err := d.admit()
 	if err != nil {
 		return nil, err
 	}
 	defer done()
-	began := time.Now()
-	st := &execution{model: "service " + q.Service}
-	a, err := d.callService(ctx, id, q, st)
-	d.recordOutcome(q.Workspace, st, began, err)
-	return a, err
+	start := time.Now()
+	exec := &execution{model: "service " + req.Service}
+	resp, err := d.callService(ctx, id, req, exec)
+	d.recordOutcome(req.Workspace, exec, start, err)
+	return resp, err
 }
 
-func (d *Daemon) callService(ctx context.Context, id string, q ServiceRequest, st *execution) (*ServiceResponse, error) {
-	c := d.config.current()
-	w := c.Workspaces[q.Workspace]
-	svc, ok := c.Services[q.Service]
+func (d *Daemon) callService(ctx context.Context, id string, req ServiceRequest, exec *execution) (*ServiceResponse, error) {
+	cfg := d.config.current()
+	w := cfg.Workspaces[req.Workspace]
+	svc, ok := cfg.Services[req.Service]
 	if !ok {
-		return nil, fault.NewField(fault.UnknownModel, "service", "no service %q", q.Service)
+		return nil, fault.NewField(fault.UnknownModel, "service", "no service %q", req.Service)
 	}
-	if !slices.Contains(w.Services, q.Service) {
-		return nil, fault.NewField(fault.NotEntitled, "service", "the workspace may not call %q", q.Service)
+	if !slices.Contains(w.Services, req.Service) {
+		return nil, fault.NewField(fault.NotEntitled, "service", "the workspace may not call %q", req.Service)
 	}
-	if svc.NonRepeatable && q.IdempotencyKey == "" {
-		return nil, fault.NewField(fault.BadRequest, "Idempotency-Key", "service %q needs a key: its calls may not be repeated", q.Service)
+	if svc.NonRepeatable && req.IdempotencyKey == "" {
+		return nil, fault.NewField(fault.BadRequest, "Idempotency-Key", "service %q needs a key: its calls may not be repeated", req.Service)
 	}
-	res, err := d.limits.reserve(ctx, q.Workspace, w, 0)
+	res, err := d.limits.reserve(ctx, req.Workspace, w, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -68,33 +68,33 @@
 	if err := d.usage.reserve(); err != nil {
 		return nil, err
 	}
-	a, ran, err := d.callWithClaim(ctx, id, q, svc, w)
+	resp, ran, err := d.callWithClaim(ctx, id, req, svc, w)
 	if !ran {
 		d.usage.cancel()
-		return a, err
+		return resp, err
 	}
 	outcome := billing.Complete
 	if err != nil {
 		outcome = billing.Truncated
 	}
-	safe := d.usage.add(ctx, billing.UsageRecord{
-		RequestID: id, Workspace: q.Workspace, Model: q.Service, Micros: svc.Micros,
+	stored := d.usage.add(ctx, billing.UsageRecord{
+		RequestID: id, Workspace: req.Workspace, Model: req.Service, Micros: svc.Micros,
 		Outcome: outcome, UnixMillis: time.Now().UnixMilli(), Daemon: d.settings.ID,
-		FirstTokenMillis: st.firstToken.Milliseconds(),
+		FirstTokenMillis: exec.firstToken.Milliseconds(),
 	})
-	if !safe && err == nil {
+	if !stored && err == nil {
 		return nil, unprotectedError()
 	}
-	return a, err
+	return resp, err
 }
 
 // callWithClaim claims the key, if there is one, and sends the call. Ran says
 // whether a server answered or may have run it.
-func (d *Daemon) callWithClaim(ctx context.Context, id string, q ServiceRequest, svc fleet.Service, w fleet.Workspace) (a *ServiceResponse, ran bool, err error) {
-	var t *claim
-	if q.IdempotencyKey != "" {
+func (d *Daemon) callWithClaim(ctx context.Context, id string, req ServiceRequest, svc fleet.Service, w fleet.Workspace) (resp *ServiceResponse, ran bool, err error) {
+	var cl *claim
+	if req.IdempotencyKey != "" {
 		var replay *request.ClaimResult
-		t, replay, err = d.claims.acquire(ctx, q.Workspace, q.IdempotencyKey, q.Body, id)
+		cl, replay, err = d.claims.acquire(ctx, req.Workspace, req.IdempotencyKey, req.Body, id)
 		if err != nil {
 			return nil, false, err
 		}
@@ -102,77 +102,77 @@
 			return &ServiceResponse{replay.Status, replay.Response, true}, false, nil
 		}
 	}
-	a, err = d.dispatchCall(ctx, id, q, svc, w)
+	resp, err = d.dispatchCall(ctx, id, req, svc, w)
 	if err != nil {
 		state := fault.FromError(err).ExecutionState()
-		t.finish(state, 0, nil)
+		cl.finish(state, 0, nil)
 		return nil, state != fault.NotRun, err
 	}
-	t.finish(fault.Ran, a.Status, a.Body)
-	return a, true, nil
+	cl.finish(fault.Ran, resp.Status, resp.Body)
+	return resp, true, nil
 }
 
 // dispatchCall tries servers until one answers or the call may have run.
-func (d *Daemon) dispatchCall(ctx context.Context, id string, q ServiceRequest, svc fleet.Service, w fleet.Workspace) (*ServiceResponse, error) {
+func (d *Daemon) dispatchCall(ctx context.Context, id string, req ServiceRequest, svc fleet.Service, w fleet.Workspace) (*ServiceResponse, error) {
 	limit := defaultDeadline
 	if w.DeadlineMillis > 0 {
 		limit = time.Duration(w.DeadlineMillis) * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	life := &request.RetryState{Repeatable: q.IdempotencyKey == "", Deadline: time.Now().Add(limit)}
+	state := &request.RetryState{Repeatable: req.IdempotencyKey == "", Deadline: time.Now().Add(limit)}
 	d.retryBudget.deposit()
 	var tried []string
-	fingerprint := quarantine.FingerprintOf(q.Workspace, "", "call", q.Service, q.Body)
+	fingerprint := quarantine.FingerprintOf(req.Workspace, "", "call", req.Service, req.Body)
 	for {
-		if refusal := d.checkHold(fingerprint, life); refusal != nil {
+		if refusal := d.checkHold(fingerprint, state); refusal != nil {
 			return nil, refusal
 		}
-		c := d.config.current()
-		if !slices.Contains(c.Workspaces[q.Workspace].Services, q.Service) {
+		cfg := d.config.current()
+		if !slices.Contains(cfg.Workspaces[req.Workspace].Services, req.Service) {
 			d.metrics.lastCheckRefused.Inc(1)
-			return nil, fault.New(fault.NotEntitled, "service %s is no longer allowed", q.Service).WithExecution(life.ExecutionState())
+			return nil, fault.New(fault.NotEntitled, "service %s is no longer allowed", req.Service).WithExecution(state.ExecutionState())
 		}
-		ch, err := d.balancer.pickServer(c, svc.Pool, "", &routing.Request{}, tried)
+		picked, err := d.balancer.pickServer(cfg, svc.Pool, "", &routing.Request{}, tried)
 		if err != nil {
-			return nil, withExecutionState(fault.FromError(err), life)
+			return nil, withExecutionState(fault.FromError(err), state)
 		}
-		tried = append(tried, ch.candidate.ID)
-		life.RecordAttempt()
+		tried = append(tried, picked.candidate.ID)
+		state.RecordAttempt()
 		d.metrics.attempts.Inc(1)
-		began := time.Now()
-		status, body, err := d.guardedCall(ctx, id, ch, fingerprint, q.Body)
-		d.balancer.recordCompletion(ch, time.Since(began), err != nil || status >= http.StatusInternalServerError)
+		start := time.Now()
+		status, body, err := d.guardedCall(ctx, id, picked, fingerprint, req.Body)
+		d.balancer.recordCompletion(picked, time.Since(start), err != nil || status >= http.StatusInternalServerError)
 		if err == nil {
 			return &ServiceResponse{Status: status, Body: body}, nil
 		}
 		event := request.RunNotFound
 		if errors.Is(err, engine.ErrNotConnected) {
 			event = request.ConnectFailed
-			d.balancer.recordUnreachable(ch)
+			d.balancer.recordUnreachable(picked)
 		}
-		if dec := d.nextAction(life, event); dec.Action != request.Retry {
-			return nil, dec.Error
+		if decision := d.nextAction(state, event); decision.Action != request.Retry {
+			return nil, decision.Error
 		}
 	}
 }
 
 // guardedCall calls a server and tells the guard what became of it.
-func (d *Daemon) guardedCall(ctx context.Context, id string, ch pick, f quarantine.Fingerprint, body []byte) (int, []byte, error) {
+func (d *Daemon) guardedCall(ctx context.Context, id string, picked pick, fingerprint quarantine.Fingerprint, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	u := d.guard.Begin(containmentServer(ch.candidate), f, cancel)
-	status, answer, err := d.engine.Call(ctx, ch.candidate.Address, id, body)
-	fate := containment.ConnectionLost
+	attempt := d.guard.Begin(containmentServer(picked.candidate), fingerprint, cancel)
+	status, response, err := d.engine.Call(ctx, picked.candidate.Address, id, body)
+	outcome := containment.ConnectionLost
 	switch {
 	case err == nil, errors.Is(err, engine.ErrNotConnected):
-		fate = containment.Completed
+		outcome = containment.Completed
 	case ctx.Err() != nil:
-		fate = containment.Canceled
+		outcome = containment.Canceled
 	}
-	d.guard.End(ctx, u, containmentServer(ch.candidate), fate)
+	d.guard.End(ctx, attempt, containmentServer(picked.candidate), outcome)
 	if err == nil && status < http.StatusInternalServerError {
-		d.guard.RecordSuccess(f)
+		d.guard.RecordSuccess(fingerprint)
 	}
-	return status, answer, err
+	return status, response, err
 }
--- a/internal/daemon/cascades.go
+++ b/internal/daemon/cascades.go
@@ -48,51 +48,51 @@
 }
 
 func (c *cascadePlanner) stateOf(key string) *cascadeState {
-	s := c.state[key]
-	if s == nil {
-		s = &cascadeState{classes: map[string]*cascade.Class{}}
-		c.state[key] = s
+	state := c.state[key]
+	if state == nil {
+		state = &cascadeState{classes: map[string]*cascade.Class{}}
+		c.state[key] = state
 	}
-	return s
+	return state
 }
 
 func (s *cascadeState) class(name string) *cascade.Class {
-	k := s.classes[name]
-	if k == nil {
-		k = &cascade.Class{}
-		s.classes[name] = k
+	class := s.classes[name]
+	if class == nil {
+		class = &cascade.Class{}
+		s.classes[name] = class
 	}
-	return k
+	return class
 }
 
 // useCheapFirst reports whether a request goes to the cheap model first. Cheap
 // names the model and version; a new one resets what was learned of the old.
-func (c *cascadePlanner) useCheapFirst(key, class, cheap string) bool {
+func (c *cascadePlanner) useCheapFirst(key, class, cheapModel string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.stateOf(key)
-	if s.cheapModel != cheap {
-		for _, k := range s.classes {
-			k.Reset()
+	state := c.stateOf(key)
+	if state.cheapModel != cheapModel {
+		for _, cl := range state.classes {
+			cl.Reset()
 		}
-		s.cheapModel = cheap
+		state.cheapModel = cheapModel
 	}
-	_, known := s.plan.Accept[class]
-	return s.plan.UseCheapFirst(class, known, rand.Float64())
+	_, known := state.plan.Accept[class]
+	return state.plan.UseCheapFirst(class, known, rand.Float64())
 }
 
 // acceptCheap counts a cheap answer and reports whether it may stand.
 func (c *cascadePlanner) acceptCheap(key, class string, confidence float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.stateOf(key)
-	s.class(class).RecordConfidence(confidence)
-	return s.plan.Accepts(class, confidence)
+	state := c.stateOf(key)
+	state.class(class).RecordConfidence(confidence)
+	return state.plan.Accepts(class, confidence)
 }
 
 // submitSample hands an answer to the rating service for a share of requests.
-func (c *cascadePlanner) submitSample(info pendingSample, s platform.Sample) {
-	if c.d.deps.Rater == nil || rand.Float64() >= c.ratingShare(s.Model, s.Version) {
+func (c *cascadePlanner) submitSample(info pendingSample, sample platform.Sample) {
+	if c.d.deps.Rater == nil || rand.Float64() >= c.ratingShare(sample.Model, sample.Version) {
 		return
 	}
 	c.mu.Lock()
@@ -101,12 +101,12 @@
 	if len(c.pending) >= maxPendingSamples {
 		clear(c.pending)
 	}
-	c.pending[s.RequestID+"/"+s.Model] = info
+	c.pending[sample.RequestID+"/"+sample.Model] = info
 	c.mu.Unlock()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), sampleSubmitTimeout)
 		defer cancel()
-		_ = c.d.deps.Rater.Submit(ctx, s)
+		_ = c.d.deps.Rater.Submit(ctx, sample)
 	}()
 }
 
@@ -151,11 +151,11 @@
 	if !known || info.cascade == "" {
 		return
 	}
-	k := c.stateOf(info.cascade).class(info.class)
+	class := c.stateOf(info.cascade).class(info.class)
 	if info.expensive {
-		k.RecordExpensiveRating(r.Good)
+		class.RecordExpensiveRating(r.Good)
 	} else {
-		k.RecordRating(info.confidence, r.Good)
+		class.RecordRating(info.confidence, r.Good)
 	}
 }
 
@@ -164,17 +164,17 @@
 	cfg := c.d.config.current()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, k := range cfg.Cascades {
-		costs := cascade.Costs{Cheap: stablePrice(cfg, k.Steps[0]), Expensive: stablePrice(cfg, k.Steps[len(k.Steps)-1])}
-		for ws := range cfg.Workspaces {
-			if s := c.state[ws+"/"+name]; s != nil {
-				s.plan = cascade.NewPlan(s.classes, costs, k.QualityTarget)
+	for name, spec := range cfg.Cascades {
+		costs := cascade.Costs{Cheap: stablePrice(cfg, spec.Steps[0]), Expensive: stablePrice(cfg, spec.Steps[len(spec.Steps)-1])}
+		for workspace := range cfg.Workspaces {
+			if state := c.state[workspace+"/"+name]; state != nil {
+				state.plan = cascade.NewPlan(state.classes, costs, spec.QualityTarget)
 			}
 		}
 	}
 }
 
-func stablePrice(c *fleet.Config, model string) float64 {
-	v, _ := c.Version(model, c.Models[model].Stable)
+func stablePrice(cfg *fleet.Config, model string) float64 {
+	v, _ := cfg.Version(model, cfg.Models[model].Stable)
 	return float64(v.MicrosPerKiloToken)
 }
--- a/internal/daemon/choose.go
+++ b/internal/daemon/choose.go
@@ -10,19 +10,19 @@
 )
 
 // resolveModels resolves the named model or cascade to the models to ask.
-func resolveModels(c *fleet.Config, w fleet.Workspace, name string) ([]string, error) {
-	if k, ok := c.Cascades[name]; ok {
+func resolveModels(cfg *fleet.Config, w fleet.Workspace, name string) ([]string, error) {
+	if cascade, ok := cfg.Cascades[name]; ok {
 		if !slices.Contains(w.Cascades, name) {
 			return nil, fault.NewField(fault.NotEntitled, "model", "the workspace may not use cascade %q", name)
 		}
-		return k.Steps, nil
+		return cascade.Steps, nil
 	}
 	model, version, pinned := strings.Cut(name, "@")
-	if _, ok := c.Models[model]; !ok {
+	if _, ok := cfg.Models[model]; !ok {
 		return nil, fault.NewField(fault.UnknownModel, "model", "%q is neither a model nor a cascade", name)
 	}
 	if pinned {
-		v, ok := c.Version(model, version)
+		v, ok := cfg.Version(model, version)
 		switch {
 		case !ok:
 			return nil, fault.NewField(fault.UnknownModel, "model", "model %q has no version %q", model, version)
@@ -53,20 +53,20 @@
 }
 
 // chooseVersion chooses the version of a model for a session.
-func (d *Daemon) chooseVersion(c *fleet.Config, w fleet.Workspace, name string, pin session.Pin) (model, version string, err error) {
+func (d *Daemon) chooseVersion(cfg *fleet.Config, w fleet.Workspace, name string, pin session.Pin) (model, version string, err error) {
 	model, version, explicit := strings.Cut(name, "@")
 	if explicit {
 		return model, version, nil
 	}
 	if pin.VersionOf(model) == "" {
-		if ro, ok := c.RolloutFor(model); ok && d.rollouts.isStopped(model, ro.TargetVersion) {
-			version, ok := c.ResolveSuccessor(w, model, c.Models[model].Stable)
+		if ro, ok := cfg.RolloutFor(model); ok && d.rollouts.isStopped(model, ro.TargetVersion) {
+			version, ok := cfg.ResolveSuccessor(w, model, cfg.Models[model].Stable)
 			if ok {
 				return model, version, nil
 			}
 		}
 	}
-	version, err = session.ResolveVersion(c, w, model, pin)
+	version, err = session.ResolveVersion(cfg, w, model, pin)
 	if old := pin.VersionOf(model); err == nil && old != "" && version != old {
 		d.metrics.sessionPinsMoved.Inc(1)
 	}
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -69,8 +69,8 @@
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for k, m := range c.mintedKeys {
-			if time.Since(m.createdAt) > request.KeyRetention {
+		for k, state := range c.mintedKeys {
+			if time.Since(state.createdAt) > request.KeyRetention {
 				delete(c.mintedKeys, k)
 			}
 		}
@@ -102,18 +102,18 @@
 		Kind: request.Claimed, Key: digest(workspace, key), BodyHash: digest(string(body)), RequestID: requestID,
 		Owner: c.d.ownerID(), UnixSeconds: time.Now().Unix(),
 	}
-	v, err := c.commit(ctx, rec)
+	result, err := c.commit(ctx, rec)
 	if err != nil {
 		return nil, nil, err
 	}
-	switch v.State {
+	switch result.State {
 	case request.ClaimGranted:
 		return &claim{manager: c, record: rec}, nil, nil
 	case request.ClaimReplay:
-		return nil, &v, nil
+		return nil, &result, nil
 	}
 	c.d.metrics.claimsLost.Inc(1)
-	return nil, nil, v.Err()
+	return nil, nil, result.Err()
 }
 
 func partitionOf(key string) int {
@@ -129,15 +129,15 @@
 func (c *claimManager) commit(ctx context.Context, rec request.ClaimRecord) (request.ClaimResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	n := partitionOf(rec.Key)
+	partition := partitionOf(rec.Key)
 	appended := false
 	for {
 		if !appended {
-			appended = c.append(ctx, n, rec) == nil
+			appended = c.append(ctx, partition, rec) == nil
 		}
-		if err := c.catchUp(ctx, n); err == nil {
-			if v := c.resolve(n, rec); v.State != request.ClaimPending {
-				return v, nil
+		if err := c.catchUp(ctx, partition); err == nil {
+			if result := c.resolve(partition, rec); result.State != request.ClaimPending {
+				return result, nil
 			}
 		}
 		if !loop.Pause(ctx, readRetryDelay/5) {
@@ -159,13 +159,13 @@
 	return err
 }
 
-func (c *claimManager) catchUp(ctx context.Context, n int) error {
-	p := &c.partitions[n]
+func (c *claimManager) catchUp(ctx context.Context, partition int) error {
+	p := &c.partitions[partition]
 	for {
 		p.mu.Lock()
 		from := p.table.NextOffset()
 		p.mu.Unlock()
-		b, err := c.d.deps.Log.Read(ctx, claimStream(n), from, readLimit, 0)
+		b, err := c.d.deps.Log.Read(ctx, claimStream(partition), from, readLimit, 0)
 		if err != nil {
 			return err
 		}
@@ -183,15 +183,15 @@
 	}
 }
 
-func (c *claimManager) resolve(n int, rec request.ClaimRecord) request.ClaimResult {
-	p := &c.partitions[n]
+func (c *claimManager) resolve(partition int, rec request.ClaimRecord) request.ClaimResult {
+	p := &c.partitions[partition]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v := p.table.Resolve(rec.Key, rec.BodyHash, rec.RequestID)
-	if v.State != request.ClaimPending && v.State != request.ClaimReplay && v.State != request.ClaimKeyReused && !p.table.Applied(rec.RequestID) {
+	result := p.table.Resolve(rec.Key, rec.BodyHash, rec.RequestID)
+	if result.State != request.ClaimPending && result.State != request.ClaimReplay && result.State != request.ClaimKeyReused && !p.table.Applied(rec.RequestID) {
 		return request.ClaimResult{State: request.ClaimPending}
 	}
-	return v
+	return result
 }
 
 // abandon voids a claim that may have reached the log although this request will
@@ -212,65 +212,65 @@
 
 // finish stores the outcome for repeats of the key. State tells whether the run
 // is proven not to have happened; then the key is free again.
-func (t *claim) finish(state fault.ExecutionState, status int, answer []byte) {
-	if t == nil {
+func (c *claim) finish(state fault.ExecutionState, status int, response []byte) {
+	if c == nil {
 		return
 	}
-	if t.minted != nil {
-		t.manager.finishMinted(t.minted, state, status, answer)
+	if c.minted != nil {
+		c.manager.finishMinted(c.minted, state, status, response)
 		return
 	}
 	if state == fault.NotRun {
-		t.manager.abandon(t.record)
+		c.manager.abandon(c.record)
 		return
 	}
-	if status == 0 || len(answer) > maxStoredResponse {
+	if status == 0 || len(response) > maxStoredResponse {
 		return
 	}
-	rec := t.record
-	rec.Kind, rec.Status, rec.Response = request.Finished, status, answer
+	rec := c.record
+	rec.Kind, rec.Status, rec.Response = request.Finished, status, response
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	_ = t.manager.append(ctx, partitionOf(rec.Key), rec)
+	_ = c.manager.append(ctx, partitionOf(rec.Key), rec)
 }
 
 func (c *claimManager) acquireMinted(workspace, key string, body []byte) (*claim, *request.ClaimResult, error) {
-	m, err := request.ParseMintedKey(c.d.keyring.Load(), key)
+	minted, err := request.ParseMintedKey(c.d.keyring.Load(), key)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := m.Authorize(workspace, c.d.settings.ID, c.d.incarnation); err != nil {
+	if err := minted.Authorize(workspace, c.d.settings.ID, c.d.incarnation); err != nil {
 		return nil, nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	use, again := c.mintedKeys[key]
+	state, exists := c.mintedKeys[key]
 	hash := digest(string(body))
 	switch {
-	case !again:
-		use = &mintedKeyState{bodyHash: hash, createdAt: time.Now()}
-		c.mintedKeys[key] = use
-		return &claim{manager: c, minted: use}, nil, nil
-	case use.bodyHash != hash:
+	case !exists:
+		state = &mintedKeyState{bodyHash: hash, createdAt: time.Now()}
+		c.mintedKeys[key] = state
+		return &claim{manager: c, minted: state}, nil, nil
+	case state.bodyHash != hash:
 		return nil, nil, request.ClaimResult{State: request.ClaimKeyReused}.Err()
-	case use.done:
-		return nil, &request.ClaimResult{State: request.ClaimReplay, Status: use.status, Response: use.response}, nil
+	case state.done:
+		return nil, &request.ClaimResult{State: request.ClaimReplay, Status: state.status, Response: state.response}, nil
 	}
 	return nil, nil, request.ClaimResult{State: request.ClaimInProgress, Owner: c.d.settings.ID}.Err()
 }
 
-func (c *claimManager) finishMinted(use *mintedKeyState, state fault.ExecutionState, status int, answer []byte) {
+func (c *claimManager) finishMinted(minted *mintedKeyState, state fault.ExecutionState, status int, response []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == fault.NotRun {
-		for k, u := range c.mintedKeys {
-			if u == use {
+		for k, m := range c.mintedKeys {
+			if m == minted {
 				delete(c.mintedKeys, k)
 			}
 		}
 		return
 	}
-	use.done, use.status, use.response = status != 0, status, answer
+	minted.done, minted.status, minted.response = status != 0, status, response
 }
 
 // MintIdempotencyKey returns an idempotency key that only this incarnation may run.
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -66,9 +66,9 @@
 	return c
 }
 
-func (c *configFollower) register(s *peer.Server) {
-	peer.Handle(s, "config", func(_ context.Context, _ string, q peer.ConfigRequest) (peer.ConfigResponse, error) {
-		return c.recordsFrom(q.From)
+func (c *configFollower) register(server *peer.Server) {
+	peer.Handle(server, "config", func(_ context.Context, _ string, req peer.ConfigRequest) (peer.ConfigResponse, error) {
+		return c.recordsFrom(req.From)
 	})
 }
 
@@ -82,13 +82,13 @@
 
 // readiness gathers what decides whether the daemon may serve.
 func (c *configFollower) readiness(m *memberlist) membership.Readiness {
-	most, servers := m.inMajority(), c.d.balancer.lastServersUpdate()
+	majority, serversUpdated := m.inMajority(), c.d.balancer.lastServersUpdate()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if most {
+	if majority {
 		c.majorityAt = time.Now()
 	}
-	return membership.Readiness{LogReadAt: c.logReadAt, MajorityAt: c.majorityAt, ConfigLoaded: c.loaded, ServersUpdatedAt: servers, RequireLog: c.d.settings.WithoutLog == "refuse"}
+	return membership.Readiness{LogReadAt: c.logReadAt, MajorityAt: c.majorityAt, ConfigLoaded: c.loaded, ServersUpdatedAt: serversUpdated, RequireLog: c.d.settings.WithoutLog == "refuse"}
 }
 
 func (c *configFollower) run(ctx context.Context) {
@@ -116,20 +116,20 @@
 	c.mu.Lock()
 	from := c.state.NextOffset()
 	c.mu.Unlock()
-	b, err := c.d.deps.Log.Read(ctx, configStream, from, readLimit, longPollTimeout)
+	batch, err := c.d.deps.Log.Read(ctx, configStream, from, readLimit, longPollTimeout)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
 	c.logReadAt = time.Now()
 	c.mu.Unlock()
-	c.apply(b.Records)
+	c.apply(batch.Records)
 	c.mu.Lock()
-	caughtUp := c.state.NextOffset() >= b.Next && c.state.Synced()
+	caughtUp := c.state.NextOffset() >= batch.Next && c.state.Synced()
 	c.loaded = c.loaded || caughtUp
-	mark := c.recordsSinceCheckpoint >= recordsPerCheckpoint && caughtUp
+	checkpointDue := c.recordsSinceCheckpoint >= recordsPerCheckpoint && caughtUp
 	c.mu.Unlock()
-	if mark && c.d.members.isOwner("checkpoint") {
+	if checkpointDue && c.d.members.isOwner("checkpoint") {
 		c.checkpoint(ctx)
 	}
 	return nil
@@ -201,16 +201,16 @@
 }
 
 // observePeerOffset is called when a heartbeat shows a peer's position.
-func (c *configFollower) observePeerOffset(ctx context.Context, from membership.DaemonInfo, theirs uint64) {
+func (c *configFollower) observePeerOffset(ctx context.Context, from membership.DaemonInfo, peerOffset uint64) {
 	c.mu.Lock()
-	ours, anchored := c.state.NextOffset(), c.state.Synced()
+	ownOffset, synced := c.state.NextOffset(), c.state.Synced()
 	c.mu.Unlock()
-	if theirs > ours || !anchored {
-		c.fetchFromPeer(ctx, from.PeerAddress, ours)
+	if peerOffset > ownOffset || !synced {
+		c.fetchFromPeer(ctx, from.PeerAddress, ownOffset)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.loaded || c.state.NextOffset() < theirs || theirs == 0 {
+	if c.loaded || c.state.NextOffset() < peerOffset || peerOffset == 0 {
 		return
 	}
 	c.caughtUpDomains[from.FailureDomain] = true
@@ -220,13 +220,13 @@
 func (c *configFollower) fetchFromPeer(ctx context.Context, address string, from uint64) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	t, err := peer.Call[peer.ConfigRequest, peer.ConfigResponse](ctx, c.d.peers, address, "config", peer.ConfigRequest{From: from})
+	resp, err := peer.Call[peer.ConfigRequest, peer.ConfigResponse](ctx, c.d.peers, address, "config", peer.ConfigRequest{From: from})
 	if err != nil {
 		return
 	}
-	if len(t.Checkpoint) > 0 {
+	if len(resp.Checkpoint) > 0 {
 		var cp fleet.Checkpoint
-		if json.Unmarshal(t.Checkpoint, &cp) != nil {
+		if json.Unmarshal(resp.Checkpoint, &cp) != nil {
 			return
 		}
 		c.mu.Lock()
@@ -237,26 +237,26 @@
 		c.mu.Unlock()
 		return
 	}
-	c.apply(t.Records)
+	c.apply(resp.Records)
 }
 
 // SubmitPatch appends a patch and waits until the fold has judged it. When the reply
 // of the append is lost, the patch is looked for by its id and never appended
 // again here: a caller who repeats it sends the same id.
-func (d *Daemon) SubmitPatch(ctx context.Context, r fleet.Record) (fleet.PatchOutcome, error) {
-	if r.PatchID == "" {
+func (d *Daemon) SubmitPatch(ctx context.Context, rec fleet.Record) (fleet.PatchOutcome, error) {
+	if rec.PatchID == "" {
 		return fleet.PatchOutcome{}, fault.NewField(fault.BadRequest, "patch_id", "must not be empty")
 	}
-	if o, known := d.config.outcome(r.PatchID); known {
+	if o, known := d.config.outcome(rec.PatchID); known {
 		return o, nil
 	}
 	cfg := d.config.current()
-	if r.Base == cfg.Number {
-		if _, _, err := cfg.ApplyPatch(r.Patch); err != nil {
+	if rec.Base == cfg.Number {
+		if _, _, err := cfg.ApplyPatch(rec.Patch); err != nil {
 			return fleet.PatchOutcome{}, fault.New(fault.InvalidPatch, "%v", err)
 		}
 	}
-	data, err := json.Marshal(r)
+	data, err := json.Marshal(rec)
 	if err != nil {
 		return fleet.PatchOutcome{}, oops.In("config").Wrap(err)
 	}
@@ -265,7 +265,7 @@
 	if appendErr != nil {
 		d.metrics.logErrors.Inc(1)
 	}
-	return d.config.awaitOutcome(ctx, r.PatchID, appendErr)
+	return d.config.awaitOutcome(ctx, rec.PatchID, appendErr)
 }
 
 func (c *configFollower) outcome(id string) (fleet.PatchOutcome, bool) {
@@ -290,8 +290,8 @@
 		case <-time.After(readRetryDelay):
 			_ = c.readOnce(ctx)
 		case <-ctx.Done():
-			unknown := fault.New(fault.LogUnavailable, "patch %s was sent and is not confirmed; send it again with the same id", id)
-			return fleet.PatchOutcome{}, unknown.WithExecution(fault.Unknown).WithCause(appendErr)
+			unconfirmed := fault.New(fault.LogUnavailable, "patch %s was sent and is not confirmed; send it again with the same id", id)
+			return fleet.PatchOutcome{}, unconfirmed.WithExecution(fault.Unknown).WithCause(appendErr)
 		}
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -73,13 +73,13 @@
 }
 
 // New returns a daemon that is not running yet.
-func New(s settings.Settings, secrets settings.Secrets, p Dependencies) *Daemon {
+func New(s settings.Settings, secrets settings.Secrets, deps Dependencies) *Daemon {
 	d := &Daemon{
-		settings: s, secrets: secrets, deps: p, log: p.Logger,
+		settings: s, secrets: secrets, deps: deps, log: deps.Logger,
 		incarnation: uint64(time.Now().UnixNano()),
-		metrics:     newMetrics(p.Metrics),
+		metrics:     newMetrics(deps.Metrics),
 		engine:      engine.NewClient(time.Duration(s.Silence)),
-		peers:       peer.NewClient(s.ID, secrets.PeerKey, p.PeerTLS),
+		peers:       peer.NewClient(s.ID, secrets.PeerKey, deps.PeerTLS),
 		stopping:    make(chan struct{}),
 	}
 	d.keyring.Store(secrets.Ring())
@@ -177,10 +177,10 @@
 // runPeriodically calls f at a period until the context ends. The first call comes after
 // a random part of the period, so that daemons started together spread out.
 func runPeriodically(ctx context.Context, period time.Duration, f func(context.Context)) {
-	wait := rand.N(period)
-	for loop.Pause(ctx, wait) {
+	delay := rand.N(period)
+	for loop.Pause(ctx, delay) {
 		f(ctx)
-		wait = period
+		delay = period
 	}
 }
 
@@ -203,13 +203,13 @@
 
 // currentInfo is what this daemon says of itself now.
 func (d *Daemon) currentInfo() membership.DaemonInfo {
-	b := d.staticInfo()
-	b.ConfigNumber = d.config.current().Number
-	b.Serving, b.Leaving = d.Ready(), d.leaving.Load()
-	b.InFlight = int(d.inFlight.Load())
-	b.LogAgeMillis = membership.LogAgeUnknown
-	if heard := d.config.lastLogRead(); !heard.IsZero() {
-		b.LogAgeMillis = time.Since(heard).Milliseconds()
+	info := d.staticInfo()
+	info.ConfigNumber = d.config.current().Number
+	info.Serving, info.Leaving = d.Ready(), d.leaving.Load()
+	info.InFlight = int(d.inFlight.Load())
+	info.LogAgeMillis = membership.LogAgeUnknown
+	if readAt := d.config.lastLogRead(); !readAt.IsZero() {
+		info.LogAgeMillis = time.Since(readAt).Milliseconds()
 	}
-	return b
+	return info
 }
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -55,37 +55,37 @@
 	res := &stepResult{}
 	var tried []string
 	d.retryBudget.deposit()
-	rr := routing.Request{PromptTokens: (len(s.prompt) + 3) / 4, BlockTokens: routing.BlockTokens, Urgent: s.priority == 0}
-	rr.Blocks = routing.Blocks(nil, s.model+"@"+s.version, s.prompt)
+	routeReq := routing.Request{PromptTokens: (len(s.prompt) + 3) / 4, BlockTokens: routing.BlockTokens, Urgent: s.priority == 0}
+	routeReq.Blocks = routing.Blocks(nil, s.model+"@"+s.version, s.prompt)
 	for {
 		if refusal := d.checkHold(s.fingerprint, s.retryState); refusal != nil {
 			return res, refusal
 		}
 		if s.retryState.Attempts() > 0 && s.fallbackVersion != "" {
 			s.version = s.fallbackVersion
-			rr.Blocks = routing.Blocks(rr.Blocks[:0], s.model+"@"+s.version, s.prompt)
+			routeReq.Blocks = routing.Blocks(routeReq.Blocks[:0], s.model+"@"+s.version, s.prompt)
 		}
-		c := d.config.current()
-		v, ok := c.Version(s.model, s.version)
-		if !ok || !c.MayDispatch(s.workspace, s.model, s.version) {
+		cfg := d.config.current()
+		v, ok := cfg.Version(s.model, s.version)
+		if !ok || !cfg.MayDispatch(s.workspace, s.model, s.version) {
 			return res, d.versionDisallowed(s)
 		}
-		rr.Budget = time.Until(s.deadline)
-		ch, err := d.balancer.pickServer(c, v.Pool, s.model+"@"+s.version, &rr, tried)
+		routeReq.Budget = time.Until(s.deadline)
+		picked, err := d.balancer.pickServer(cfg, v.Pool, s.model+"@"+s.version, &routeReq, tried)
 		if err != nil {
 			return res, withExecutionState(fault.FromError(err), s.retryState)
 		}
-		tried = append(tried, ch.candidate.ID)
+		tried = append(tried, picked.candidate.ID)
 		s.retryState.RecordAttempt()
 		if s.retryState.Attempts() > 1 {
 			d.metrics.retries.Inc(1)
 		}
-		dec := d.runAttempt(ctx, s, res, ch)
+		decision := d.runAttempt(ctx, s, res, picked)
 		if res.complete {
 			return res, nil
 		}
-		if dec.Action != request.Retry {
-			return res, dec.Error
+		if decision.Action != request.Retry {
+			return res, decision.Error
 		}
 	}
 }
@@ -98,19 +98,19 @@
 }
 
 // runAttempt runs once on one server, resuming its stream as often as needed.
-func (d *Daemon) runAttempt(ctx context.Context, s *step, res *stepResult, ch pick) request.Decision {
-	began := time.Now()
+func (d *Daemon) runAttempt(ctx context.Context, s *step, res *stepResult, picked pick) request.Decision {
+	start := time.Now()
 	res.text.Reset()
 	runID := fmt.Sprintf("%s-%d", s.requestID, s.retryState.Attempts())
 	asm := request.NewAssembler(runID)
 	d.metrics.attempts.Inc(1)
 	failed, event, started := true, request.ConnectFailed, false
-	defer func() { d.finishAttempt(s, ch, began, res, failed) }()
+	defer func() { d.finishAttempt(s, picked, start, res, failed) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	u := d.guard.Begin(containmentServer(ch.candidate), s.fingerprint, cancel)
+	guarded := d.guard.Begin(containmentServer(picked.candidate), s.fingerprint, cancel)
 	defer func() {
-		d.guard.End(ctx, u, containmentServer(ch.candidate), containmentOutcome(event, res.complete, started))
+		d.guard.End(ctx, guarded, containmentServer(picked.candidate), containmentOutcome(event, res.complete, started))
 	}()
 	// The configuration may have changed since the pick; this check is the last
 	// thing before the request leaves.
@@ -118,12 +118,12 @@
 		failed = false
 		return request.Decision{Action: request.Fail, Error: fault.FromError(d.versionDisallowed(s))}
 	}
-	stream, err := d.engine.Start(ctx, ch.candidate.Address, engine.Run{
+	stream, err := d.engine.Start(ctx, picked.candidate.Address, engine.Run{
 		ID: runID, Version: s.model + "@" + s.version, Priority: s.priority, Body: s.body,
 	})
 	for {
 		started = started || err == nil
-		event = d.readFrames(s, res, ch, asm, stream, err, began)
+		event = d.readFrames(s, res, picked, asm, stream, err, start)
 		if res.complete {
 			failed = false
 			d.guard.RecordSuccess(s.fingerprint)
@@ -134,28 +134,28 @@
 		}
 		switch event {
 		case request.AttemptRefused:
-			d.balancer.recordMissingVersion(ch, s.model+"@"+s.version)
+			d.balancer.recordMissingVersion(picked, s.model+"@"+s.version)
 		case request.ConnectFailed, request.RunNotFound:
-			d.balancer.recordUnreachable(ch)
+			d.balancer.recordUnreachable(picked)
 		}
-		dec := d.nextAction(s.retryState, event)
+		decision := d.nextAction(s.retryState, event)
 		if errors.Is(context.Cause(ctx), containment.ErrHeld) {
-			dec = request.Decision{Action: request.Retry} // the next try is refused
+			decision = request.Decision{Action: request.Retry} // the next try is refused
 		}
-		if dec.Action != request.Resume {
-			d.cancelRun(ch, runID, event)
+		if decision.Action != request.Resume {
+			d.cancelRun(picked, runID, event)
 			failed = event != request.CallerDisconnected
-			return dec
+			return decision
 		}
 		d.metrics.resumes.Inc(1)
-		stream, err = d.engine.Resume(ctx, ch.candidate.Address, runID, asm.LastOffset())
+		stream, err = d.engine.Resume(ctx, picked.candidate.Address, runID, asm.LastOffset())
 	}
 }
 
-func (d *Daemon) nextAction(life *request.RetryState, e request.AttemptEvent) request.Decision {
+func (d *Daemon) nextAction(state *request.RetryState, event request.AttemptEvent) request.Decision {
 	d.retryBudget.mu.Lock()
 	defer d.retryBudget.mu.Unlock()
-	return life.Next(e, time.Now(), d.retryBudget.budget)
+	return state.Next(event, time.Now(), d.retryBudget.budget)
 }
 
 // sharedRetryBudget is the retry budget of all requests of this daemon.
@@ -172,36 +172,36 @@
 
 // cancelRun cancels a run that will not be resumed. A run nobody waits for
 // would hold a slot, and its answer could not be billed.
-func (d *Daemon) cancelRun(ch pick, runID string, e request.AttemptEvent) {
-	if e == request.AttemptRefused || e == request.ConnectFailed || e == request.RunFailed || e == request.RunNotFound {
+func (d *Daemon) cancelRun(picked pick, runID string, event request.AttemptEvent) {
+	if event == request.AttemptRefused || event == request.ConnectFailed || event == request.RunFailed || event == request.RunNotFound {
 		return
 	}
-	go func() { _ = d.engine.Cancel(ch.candidate.Address, runID) }()
+	go func() { _ = d.engine.Cancel(picked.candidate.Address, runID) }()
 }
 
-func (d *Daemon) finishAttempt(s *step, ch pick, began time.Time, res *stepResult, failed bool) {
-	d.balancer.recordCompletion(ch, max(0, time.Since(began)-res.queueWait), failed)
+func (d *Daemon) finishAttempt(s *step, picked pick, start time.Time, res *stepResult, failed bool) {
+	d.balancer.recordCompletion(picked, max(0, time.Since(start)-res.queueWait), failed)
 	if !res.complete {
 		return
 	}
-	res.pick = ch
+	res.pick = picked
 }
 
 // readFrames passes the frames of one connection on until the answer is whole or the
 // connection is of no more use.
-func (d *Daemon) readFrames(s *step, res *stepResult, ch pick, asm *request.Assembler, stream *engine.Stream, err error, began time.Time) request.AttemptEvent {
+func (d *Daemon) readFrames(s *step, res *stepResult, picked pick, asm *request.Assembler, stream *engine.Stream, err error, start time.Time) request.AttemptEvent {
 	if err != nil {
 		return startEvent(err)
 	}
 	defer stream.Close()
 	s.retryState.RecordExecution()
 	for {
-		f, err := stream.Next()
+		frame, err := stream.Next()
 		if err != nil {
-			d.balancer.recordTimeout(ch)
+			d.balancer.recordTimeout(picked)
 			return request.ConnectionLost
 		}
-		switch asm.Accept(f.Frame) {
+		switch asm.Accept(frame.Frame) {
 		case request.Deliver:
 		case request.SequenceGap:
 			d.metrics.framesDropped.Inc(1)
@@ -210,11 +210,11 @@
 			d.metrics.framesDropped.Inc(1)
 			continue
 		}
-		if f.Failed {
-			d.recordRun(s, ch, true, res.firstToken)
+		if frame.Failed {
+			d.recordRun(s, picked, true, res.firstToken)
 			return request.RunFailed
 		}
-		if err := d.handleFrame(s, res, ch, f, began); err != nil {
+		if err := d.handleFrame(s, res, picked, frame, start); err != nil {
 			return request.CallerDisconnected
 		}
 		if res.complete {
@@ -236,29 +236,29 @@
 }
 
 // handleFrame books a delivered frame and hands its text to the caller.
-func (d *Daemon) handleFrame(s *step, res *stepResult, ch pick, f engine.Frame, began time.Time) error {
+func (d *Daemon) handleFrame(s *step, res *stepResult, picked pick, frame engine.Frame, start time.Time) error {
 	if res.firstToken == 0 {
-		res.firstToken = time.Since(began)
-		res.queueWait = d.balancer.recordFirstToken(ch, res.firstToken)
+		res.firstToken = time.Since(start)
+		res.queueWait = d.balancer.recordFirstToken(picked, res.firstToken)
 		d.metrics.firstToken.RecordDuration(res.firstToken)
 	}
-	if f.End {
-		res.complete, res.usage, res.finishReason = true, f.Usage, f.Finish
-		d.recordRun(s, ch, false, res.firstToken)
+	if frame.End {
+		res.complete, res.usage, res.finishReason = true, frame.Usage, frame.Finish
+		d.recordRun(s, picked, false, res.firstToken)
 		return nil
 	}
-	res.text.WriteString(f.Delta)
-	if s.onText == nil || f.Delta == "" {
+	res.text.WriteString(frame.Delta)
+	if s.onText == nil || frame.Delta == "" {
 		return nil
 	}
 	s.retryState.RecordDelivery()
-	return s.onText(f.Delta)
+	return s.onText(frame.Delta)
 }
 
-func (d *Daemon) recordRun(s *step, ch pick, failed bool, first time.Duration) {
-	slow := first > slowRunFactor*ch.expectedFirstToken && first > minSlowDelay
+func (d *Daemon) recordRun(s *step, picked pick, failed bool, firstToken time.Duration) {
+	slow := firstToken > slowRunFactor*picked.expectedFirstToken && firstToken > minSlowDelay
 	d.rollouts.recordRun(runObservation{
-		model: s.model, version: s.version, server: ch.candidate.ID, domain: ch.candidate.FailureDomain,
-		failed: failed, timed: !failed && ch.hadFreeSlot, slow: slow,
+		model: s.model, version: s.version, server: picked.candidate.ID, domain: picked.candidate.FailureDomain,
+		failed: failed, timed: !failed && picked.hadFreeSlot, slow: slow,
 	})
 }
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -20,12 +20,12 @@
 
 // Explain routes a request without sending it and returns each rule's word.
 func (d *Daemon) Explain(workspace, name, sessionHeader, prompt string) (*Explanation, error) {
-	c := d.config.current()
-	w, ok := c.Workspaces[workspace]
+	cfg := d.config.current()
+	w, ok := cfg.Workspaces[workspace]
 	if !ok {
 		return nil, fault.NewField(fault.NotFound, "workspace", "no workspace %q", workspace)
 	}
-	models, err := resolveModels(c, w, name)
+	models, err := resolveModels(cfg, w, name)
 	if err != nil {
 		return nil, err
 	}
@@ -33,31 +33,31 @@
 	if err != nil {
 		return nil, err
 	}
-	model, version, err := d.chooseVersion(c, w, models[0], pin)
+	model, version, err := d.chooseVersion(cfg, w, models[0], pin)
 	if err != nil {
 		return nil, err
 	}
-	v, _ := c.Version(model, version)
-	e := &Explanation{Number: c.Number, Model: model, Version: version, Pool: v.Pool, VersionReason: "the stable version"}
-	switch ro, moving := c.RolloutFor(model); {
+	v, _ := cfg.Version(model, version)
+	e := &Explanation{Number: cfg.Number, Model: model, Version: version, Pool: v.Pool, VersionReason: "the stable version"}
+	switch ro, active := cfg.RolloutFor(model); {
 	case pin.VersionOf(model) != "":
 		e.VersionReason = "the session is pinned"
-	case moving && version == ro.TargetVersion:
+	case active && version == ro.TargetVersion:
 		e.VersionReason = "the roll-out's share"
 	}
-	r := routing.Request{PromptTokens: len(prompt) / bytesPerToken, BlockTokens: routing.BlockTokens, Blocks: routing.Blocks(nil, model+"@"+version, prompt)}
+	req := routing.Request{PromptTokens: len(prompt) / bytesPerToken, BlockTokens: routing.BlockTokens, Blocks: routing.Blocks(nil, model+"@"+version, prompt)}
 	d.balancer.mu.Lock()
 	defer d.balancer.mu.Unlock()
-	d.balancer.syncConfig(c)
-	st := d.balancer.pools[v.Pool]
-	if st == nil {
+	d.balancer.syncConfig(cfg)
+	p := d.balancer.pools[v.Pool]
+	if p == nil {
 		return e, nil
 	}
-	candidates := st.load.Snapshot(nil, time.Now())
-	st.load.Prefix.Lookup(&r)
-	e.RuleResults = routing.DefaultPipeline().Explain(&r, candidates)
-	if dec := routing.DefaultPipeline().Pick(&r, candidates, d.balancer.rng); dec.Index >= 0 {
-		e.Chosen = candidates[dec.Index].ID
+	candidates := p.load.Snapshot(nil, time.Now())
+	p.load.Prefix.Lookup(&req)
+	e.RuleResults = routing.DefaultPipeline().Explain(&req, candidates)
+	if decision := routing.DefaultPipeline().Pick(&req, candidates, d.balancer.rng); decision.Index >= 0 {
+		e.Chosen = candidates[decision.Index].ID
 	}
 	return e, nil
 }
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -17,7 +17,7 @@
 const peerViewInterval = 250 * time.Millisecond
 
 // uptime reads the clock that the gate goes by.
-func (p *balancer) uptime() time.Duration { return time.Since(p.startedAt) }
+func (b *balancer) uptime() time.Duration { return time.Since(b.startedAt) }
 
 // slowStartLimit is what a warming server of a pool bears.
 func slowStartLimit(s *fleet.SlowStart) slowstart.Limit {
@@ -28,18 +28,18 @@
 }
 
 // gateServer is a server as the gate sees it. Callers hold mu.
-func (p *balancer) gateServer(st *pool, s *fleet.SlowStart, c *routing.Candidate) gate.Server {
-	return gate.Server{ID: c.ID, Hash: c.Hash, FailureDomain: c.FailureDomain, Leaving: c.Leaving, WarmAt: st.warmAt[c.ID], Limit: slowStartLimit(s)}
+func (b *balancer) gateServer(p *pool, s *fleet.SlowStart, cand *routing.Candidate) gate.Server {
+	return gate.Server{ID: cand.ID, Hash: cand.Hash, FailureDomain: cand.FailureDomain, Leaving: cand.Leaving, WarmAt: p.warmAt[cand.ID], Limit: slowStartLimit(s)}
 }
 
 // excludeRefused excludes the servers that may get nothing now, and counts why. Callers hold mu.
-func (p *balancer) excludeRefused(st *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Refusals) {
-	now := p.uptime()
+func (b *balancer) excludeRefused(p *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Refusals) {
+	now := b.uptime()
 	for i := range candidates {
 		if candidates[i].ID == "" {
 			continue
 		}
-		if !p.gate.Admit(gate.Request{}, p.gateServer(st, s, &candidates[i]), now, &refused) {
+		if !b.gate.Admit(gate.Request{}, b.gateServer(p, s, &candidates[i]), now, &refused) {
 			r.Tried.Add(i)
 		}
 	}
@@ -47,49 +47,49 @@
 }
 
 // recordResponse records at the gate that a server has answered. Callers hold mu.
-func (p *balancer) recordResponse(c pick) {
-	p.gate.ServerResponded(c.candidate.ID, c.slowStart, p.uptime())
+func (b *balancer) recordResponse(picked pick) {
+	b.gate.ServerResponded(picked.candidate.ID, picked.slowStart, b.uptime())
 }
 
 // recordSend records at the gate that a request is sent to a server. Callers hold mu.
-func (p *balancer) recordSend(st *pool, s *fleet.SlowStart, c *routing.Candidate) {
-	p.gate.RecordSend(p.gateServer(st, s, c), p.uptime())
+func (b *balancer) recordSend(p *pool, s *fleet.SlowStart, cand *routing.Candidate) {
+	b.gate.RecordSend(b.gateServer(p, s, cand), b.uptime())
 }
 
 // syncEvacuations brings the gate to the configuration in force. Callers hold mu.
-func (p *balancer) syncEvacuations(c *fleet.Config) {
-	now := p.uptime()
-	for domain, e := range c.Evacuations {
-		if p.gate.Evacuate(domain, now) {
-			p.d.log.Warn("failure domain evacuated", "failure_domain", domain, "reason", e.Reason, "config", c.Number)
+func (b *balancer) syncEvacuations(cfg *fleet.Config) {
+	now := b.uptime()
+	for domain, e := range cfg.Evacuations {
+		if b.gate.Evacuate(domain, now) {
+			b.d.log.Warn("failure domain evacuated", "failure_domain", domain, "reason", e.Reason, "config", cfg.Number)
 		}
 	}
-	for _, e := range p.gate.Evacuations() {
-		if _, stays := c.Evacuations[e.FailureDomain]; !stays && p.gate.Readmit(e.FailureDomain, now) {
-			p.d.log.Warn("failure domain readmitted", "failure_domain", e.FailureDomain, "config", c.Number)
+	for _, e := range b.gate.Evacuations() {
+		if _, listed := cfg.Evacuations[e.FailureDomain]; !listed && b.gate.Readmit(e.FailureDomain, now) {
+			b.d.log.Warn("failure domain readmitted", "failure_domain", e.FailureDomain, "config", cfg.Number)
 		}
 	}
 }
 
 // updatePeerView looks with whom this daemon shares the limits of warming servers.
-func (p *balancer) updatePeerView(context.Context) {
-	v := p.d.members.peerView()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.gate.SetView(v, p.uptime())
+func (b *balancer) updatePeerView(context.Context) {
+	view := b.d.members.peerView()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.gate.SetView(view, b.uptime())
 }
 
 // peerView returns the daemons that live. A daemon without configured peers is trusted alone.
 func (m *memberlist) peerView() slowstart.View {
-	own := m.d.settings.ID
-	trusted := m.inMajority()
-	rows := m.lockTable().Members()
+	self := m.d.settings.ID
+	majority := m.inMajority()
+	members := m.lockTable().Members()
 	m.mu.Unlock()
-	v := slowstart.View{Self: xxhash.Sum64String(own), Trusted: trusted || len(rows) == 1 && len(m.d.settings.Peers) == 0}
-	for _, r := range rows {
-		if r.ID != own && r.State == membership.Alive && !r.Leaving {
-			v.Peers = append(v.Peers, xxhash.Sum64String(r.ID))
+	view := slowstart.View{Self: xxhash.Sum64String(self), Trusted: majority || len(members) == 1 && len(m.d.settings.Peers) == 0}
+	for _, member := range members {
+		if member.ID != self && member.State == membership.Alive && !member.Leaving {
+			view.Peers = append(view.Peers, xxhash.Sum64String(member.ID))
 		}
 	}
-	return v
+	return view
 }
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -22,41 +22,41 @@
 func newSlowStartBalancer(t *testing.T) (*balancer, *fleet.Config) {
 	t.Helper()
 	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Dependencies{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
-	c := fleet.NewConfig()
+	cfg := fleet.NewConfig()
 	pool := fleet.Pool{SlowStart: &fleet.SlowStart{Seconds: 3, PerSecond: 15, Burst: 5}}
 	for i, domain := range []string{"east", "west"} {
 		pool.Servers = append(pool.Servers, fleet.Server{ID: domain, Address: fmt.Sprint("10.0.0.", i, ":1"), FailureDomain: domain})
 	}
-	c.Pools["p"] = pool
+	cfg.Pools["p"] = pool
 	d.balancer.gate.SetView(slowstart.View{Self: 1, Trusted: true}, 0)
-	return d.balancer, c
+	return d.balancer, cfg
 }
 
-func (p *balancer) sendOne(c *fleet.Config) (pick, error) {
-	return p.pickServer(c, "p", "", &routing.Request{}, nil)
+func (b *balancer) sendOne(cfg *fleet.Config) (pick, error) {
+	return b.pickServer(cfg, "p", "", &routing.Request{}, nil)
 }
 
 // Guards against sends of the own interface to an evacuated domain, and one that stays closed.
 func TestPickExcludesEvacuatedDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, c := newSlowStartBalancer(t)
-		c.Number, c.Evacuations = 1, map[string]fleet.Evacuation{"east": {}}
+		b, cfg := newSlowStartBalancer(t)
+		cfg.Number, cfg.Evacuations = 1, map[string]fleet.Evacuation{"east": {}}
 		for range 50 {
-			if ch, err := p.sendOne(c); err != nil || ch.candidate.ID != "west" {
-				t.Fatalf("sent to %s, %v", ch.candidate.ID, err)
+			if picked, err := b.sendOne(cfg); err != nil || picked.candidate.ID != "west" {
+				t.Fatalf("sent to %s, %v", picked.candidate.ID, err)
 			}
 		}
-		c.Number, c.Evacuations = 2, map[string]fleet.Evacuation{"east": {}, "west": {}}
-		if _, err := p.sendOne(c); !fault.Is(err, fault.Evacuated) {
+		cfg.Number, cfg.Evacuations = 2, map[string]fleet.Evacuation{"east": {}, "west": {}}
+		if _, err := b.sendOne(cfg); !fault.Is(err, fault.Evacuated) {
 			t.Errorf("all domains evacuated: %v", err)
 		}
-		c.Number, c.Evacuations = 3, nil
+		cfg.Number, cfg.Evacuations = 3, nil
 		time.Sleep(4 * time.Second)
 		seen := map[string]bool{}
 		for range 50 {
-			ch, err := p.sendOne(c)
+			picked, err := b.sendOne(cfg)
 			if err == nil {
-				seen[ch.candidate.ID] = true
+				seen[picked.candidate.ID] = true
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -69,21 +69,21 @@
 // Guards against a rush of the own interface at a server that comes back.
 func TestPickLimitsRestartedServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, c := newSlowStartBalancer(t)
-		ch, err := p.sendOne(c)
+		b, cfg := newSlowStartBalancer(t)
+		picked, err := b.sendOne(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.recordUnreachable(ch)
+		b.recordUnreachable(picked)
 		time.Sleep(5 * time.Second)
 		sent := 0
 		for range 100 {
-			if got, err := p.sendOne(c); err == nil && got.candidate.ID == ch.candidate.ID {
+			if got, err := b.sendOne(cfg); err == nil && got.candidate.ID == picked.candidate.ID {
 				sent++
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if bound := slowStartLimit(c.Pools["p"].SlowStart).Bound(); sent == 0 || sent > bound/2 {
+		if bound := slowStartLimit(cfg.Pools["p"].SlowStart).Bound(); sent == 0 || sent > bound/2 {
 			t.Errorf("%d sends in the first second, %d are borne", sent, bound)
 		}
 	})
@@ -93,14 +93,14 @@
 // may have.
 func TestRefusalAfterRunIsNotReportedAsNotRun(t *testing.T) {
 	for _, kind := range []fault.Kind{fault.Warming, fault.Evacuated, fault.NoServer, fault.Quarantined} {
-		life := &request.RetryState{Repeatable: true}
-		if got := withExecutionState(fault.New(kind, "none"), life); got.Kind != kind || got.ExecutionState() != fault.NotRun {
+		state := &request.RetryState{Repeatable: true}
+		if got := withExecutionState(fault.New(kind, "none"), state); got.Kind != kind || got.ExecutionState() != fault.NotRun {
 			t.Errorf("%s before a run: %v", kind, got)
 		}
-		life.RecordAttempt()
-		life.RecordExecution()
-		life.Next(request.RunNotFound, time.Now(), request.NewRetryBudget())
-		if got := withExecutionState(fault.New(kind, "none"), life); got.Kind != fault.EngineFailed || got.ExecutionState() == fault.NotRun {
+		state.RecordAttempt()
+		state.RecordExecution()
+		state.Next(request.RunNotFound, time.Now(), request.NewRetryBudget())
+		if got := withExecutionState(fault.New(kind, "none"), state); got.Kind != fault.EngineFailed || got.ExecutionState() == fault.NotRun {
 			t.Errorf("%s after a run: %v", kind, got)
 		}
 	}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -46,30 +46,30 @@
 
 // meterOwner returns a meter's home as this daemon sees it.
 func (l *rateLimits) meterOwner(meter string) (membership.Member, bool) {
-	homes := l.d.members.owners(meter, 1)
-	if len(homes) == 0 {
+	owners := l.d.members.owners(meter, 1)
+	if len(owners) == 0 {
 		return membership.Member{}, false
 	}
-	return homes[0], true
+	return owners[0], true
 }
 
 // requestLeaseFrom asks a meter's home for a lease, this daemon included.
-func (l *rateLimits) requestLeaseFrom(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error) {
-	if home.ID == l.d.settings.ID {
+func (l *rateLimits) requestLeaseFrom(ctx context.Context, owner membership.Member, req quota.LeaseRequest) (quota.Lease, error) {
+	if owner.ID == l.d.settings.ID {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.lessor.Grant(time.Now(), a), nil
+		return l.lessor.Grant(time.Now(), req), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	return peer.Call[peer.LeaseRequest, quota.Lease](ctx, l.d.peers, home.PeerAddress, "lease", peer.LeaseRequest{Request: a})
+	return peer.Call[peer.LeaseRequest, quota.Lease](ctx, l.d.peers, owner.PeerAddress, "lease", peer.LeaseRequest{Request: req})
 }
 
-func (l *rateLimits) register(s *peer.Server) {
-	peer.Handle(s, "lease", func(_ context.Context, _ string, q peer.LeaseRequest) (quota.Lease, error) {
+func (l *rateLimits) register(server *peer.Server) {
+	peer.Handle(server, "lease", func(_ context.Context, _ string, req peer.LeaseRequest) (quota.Lease, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.lessor.Grant(time.Now(), q.Request), nil
+		return l.lessor.Grant(time.Now(), req.Request), nil
 	})
 }
 
@@ -78,15 +78,15 @@
 	runPeriodically(ctx, settleInterval, func(ctx context.Context) {
 		cfg := l.d.config.current()
 		for _, meter := range l.unleasedMeters() {
-			workspace, what, _ := strings.Cut(meter, "/")
+			workspace, kind, _ := strings.Cut(meter, "/")
 			limit := cfg.Workspaces[workspace].TokensPerMinute
-			if what == "requests" {
+			if kind == "requests" {
 				limit = cfg.Workspaces[workspace].RequestsPerMinute
 			}
 			l.mu.Lock()
-			s := l.limiters[meter]
+			limiter := l.limiters[meter]
 			l.mu.Unlock()
-			_, _ = l.fetchLease(ctx, s, meter, 0, limit) // tried again at the next turn
+			_, _ = l.fetchLease(ctx, limiter, meter, 0, limit) // tried again at the next turn
 		}
 	})
 }
@@ -94,13 +94,13 @@
 func (l *rateLimits) unleasedMeters() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []string
-	for meter, s := range l.limiters {
-		if s.HasUnleasedSpend() {
-			out = append(out, meter)
+	var meters []string
+	for meter, limiter := range l.limiters {
+		if limiter.HasUnleasedSpend() {
+			meters = append(meters, meter)
 		}
 	}
-	return out
+	return meters
 }
 
 // reservation is what a request took from its workspace's limits.
@@ -136,8 +136,8 @@
 func (l *rateLimits) settle(meter string, reserved, used int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s := l.limiters[meter]; s != nil {
-		s.Settle(time.Now(), reserved, used)
+	if limiter := l.limiters[meter]; limiter != nil {
+		limiter.Settle(time.Now(), reserved, used)
 	}
 }
 
@@ -148,28 +148,28 @@
 	if n > limit {
 		return fault.New(fault.RateLimited, "%d exceeds the whole limit of %d a minute for %s", n, limit, meter)
 	}
-	s, ok := l.tryAcquire(meter, n)
+	limiter, ok := l.tryAcquire(meter, n)
 	if ok {
 		return nil
 	}
-	s.leaseMu.Lock()
-	defer s.leaseMu.Unlock()
+	limiter.leaseMu.Lock()
+	defer limiter.leaseMu.Unlock()
 	if _, ok := l.tryAcquire(meter, n); ok {
 		return nil
 	}
-	retry := time.Duration(0)
-	for tries := maxLeaseAttempts; tries > 0 && !l.denied(s); tries-- {
+	retryAfter := time.Duration(0)
+	for attempts := maxLeaseAttempts; attempts > 0 && !l.denied(limiter); attempts-- {
 		var answered bool
-		retry, answered = l.fetchLease(ctx, s, meter, n, limit)
+		retryAfter, answered = l.fetchLease(ctx, limiter, meter, n, limit)
 		if _, ok := l.tryAcquire(meter, n); ok {
 			return nil
 		}
-		if answered || l.everLeased(s) {
+		if answered || l.everLeased(limiter) {
 			break
 		}
 		loop.Pause(ctx, leaseRetryDelay)
 	}
-	return fault.New(fault.RateLimited, "the limit of %d a minute for %s is used up", limit, meter).WithRetryAfter(max(retry, time.Second))
+	return fault.New(fault.RateLimited, "the limit of %d a minute for %s is used up", limit, meter).WithRetryAfter(max(retryAfter, time.Second))
 }
 
 const (
@@ -184,47 +184,47 @@
 )
 
 // everLeased reports whether a home has ever told this daemon of the meter.
-func (l *rateLimits) everLeased(s *meterLimiter) bool {
+func (l *rateLimits) everLeased(limiter *meterLimiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return s.LessorEpoch() != 0
+	return limiter.LessorEpoch() != 0
 }
 
 func (l *rateLimits) tryAcquire(meter string, n int64) (*meterLimiter, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.limiters[meter]
-	if s == nil {
-		s = &meterLimiter{Limiter: quota.NewLimiter(meter)}
-		l.limiters[meter] = s
+	limiter := l.limiters[meter]
+	if limiter == nil {
+		limiter = &meterLimiter{Limiter: quota.NewLimiter(meter)}
+		l.limiters[meter] = limiter
 	}
-	return s, s.TryAcquire(time.Now(), n)
+	return limiter, limiter.TryAcquire(time.Now(), n)
 }
 
-func (l *rateLimits) denied(s *meterLimiter) bool {
+func (l *rateLimits) denied(limiter *meterLimiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return s.Denied(time.Now())
+	return limiter.Denied(time.Now())
 }
 
 // fetchLease asks the meter's home for a lease, and reports whether one answered.
-func (l *rateLimits) fetchLease(ctx context.Context, s *meterLimiter, meter string, need, limit int64) (retry time.Duration, answered bool) {
-	home, any := l.findOwner(meter)
-	if !any {
+func (l *rateLimits) fetchLease(ctx context.Context, limiter *meterLimiter, meter string, need, limit int64) (retryAfter time.Duration, answered bool) {
+	owner, found := l.findOwner(meter)
+	if !found {
 		return 0, false
 	}
 	now := time.Now()
 	l.mu.Lock()
-	ask := s.NewLeaseRequest(now, need, limit, home.Incarnation)
+	req := limiter.NewLeaseRequest(now, need, limit, owner.Incarnation)
 	l.mu.Unlock()
-	lease, err := l.requestLease(ctx, home, ask)
+	lease, err := l.requestLease(ctx, owner, req)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
 		l.d.metrics.limitsHomeless.Inc(1)
-		s.LeaseRequestFailed(now, ask)
+		limiter.LeaseRequestFailed(now, req)
 		return 0, false
 	}
-	s.ApplyLease(now, lease)
+	limiter.ApplyLease(now, lease)
 	return lease.RetryAfter, true
 }
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -25,7 +25,7 @@
 	requests    int
 }
 
-func (h *unavailableLessor) requestLease(ctx context.Context, _ membership.Member, a quota.LeaseRequest) (quota.Lease, error) {
+func (h *unavailableLessor) requestLease(ctx context.Context, _ membership.Member, req quota.LeaseRequest) (quota.Lease, error) {
 	h.requests++
 	if time.Now().Before(h.availableAt) {
 		ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
@@ -33,13 +33,13 @@
 		<-ctx.Done()
 		return quota.Lease{}, errors.New("no answer")
 	}
-	return h.lessor.Grant(time.Now(), a), nil
+	return h.lessor.Grant(time.Now(), req), nil
 }
 
 // limitsWithLessor returns the limits of a daemon that has just started.
-func limitsWithLessor(h *unavailableLessor, known func() bool) *rateLimits {
+func limitsWithLessor(h *unavailableLessor, ownerKnown func() bool) *rateLimits {
 	d := New(settings.Settings{ID: "d"}, settings.Secrets{}, Dependencies{VMs: unresponsiveVMList{}, Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
-	d.limits.findOwner = func(string) (membership.Member, bool) { return membership.Member{}, known() }
+	d.limits.findOwner = func(string) (membership.Member, bool) { return membership.Member{}, ownerKnown() }
 	d.limits.requestLease = h.requestLease
 	return d.limits
 }
@@ -55,11 +55,11 @@
 	for name, unknownFor := range map[string]time.Duration{"home does not answer": 0, "no home is known": 150 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began := time.Now()
-				h := &unavailableLessor{lessor: quota.NewLessor(7), availableAt: began.Add(500 * time.Millisecond)}
-				l := limitsWithLessor(h, func() bool { return time.Since(began) >= unknownFor })
+				start := time.Now()
+				h := &unavailableLessor{lessor: quota.NewLessor(7), availableAt: start.Add(500 * time.Millisecond)}
+				l := limitsWithLessor(h, func() bool { return time.Since(start) >= unknownFor })
 				if _, err := l.reserve(t.Context(), "w", w, 0); err != nil {
-					t.Errorf("after %s and %d asks: %v", time.Since(began), h.requests, err)
+					t.Errorf("after %s and %d asks: %v", time.Since(start), h.requests, err)
 				}
 			})
 		})
@@ -76,16 +76,16 @@
 		if _, err := l.reserve(t.Context(), "w", w, 0); err != nil {
 			t.Fatal(err)
 		}
-		began := time.Now()
+		start := time.Now()
 		_, err := l.reserve(t.Context(), "w", w, 0)
-		if !fault.Is(err, fault.RateLimited) || time.Since(began) > 0 {
-			t.Errorf("after %s: %v", time.Since(began), err)
+		if !fault.Is(err, fault.RateLimited) || time.Since(start) > 0 {
+			t.Errorf("after %s: %v", time.Since(start), err)
 		}
 		h.availableAt = time.Now().Add(time.Hour)
-		began = time.Now()
+		start = time.Now()
 		_, err = l.reserve(t.Context(), "other", w, 0)
-		if took := time.Since(began); !fault.Is(err, fault.RateLimited) || took > 2*time.Second {
-			t.Errorf("after %s: %v", took, err)
+		if elapsed := time.Since(start); !fault.Is(err, fault.RateLimited) || elapsed > 2*time.Second {
+			t.Errorf("after %s: %v", elapsed, err)
 		}
 	})
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -30,19 +30,19 @@
 	return &memberlist{d: d, table: membership.NewTable(d.staticInfo(), rng)}
 }
 
-func (m *memberlist) register(s *peer.Server) {
-	peer.Handle(s, "heartbeat", func(ctx context.Context, _ string, q peer.Heartbeat) (peer.Heartbeat, error) {
-		m.applyHeartbeat(q)
-		if q.ConfigNext > m.d.config.nextOffset() {
-			go m.d.config.observePeerOffset(context.WithoutCancel(ctx), q.Sender, q.ConfigNext)
+func (m *memberlist) register(server *peer.Server) {
+	peer.Handle(server, "heartbeat", func(ctx context.Context, _ string, req peer.Heartbeat) (peer.Heartbeat, error) {
+		m.applyHeartbeat(req)
+		if req.ConfigNext > m.d.config.nextOffset() {
+			go m.d.config.observePeerOffset(context.WithoutCancel(ctx), req.Sender, req.ConfigNext)
 		}
 		reply := m.heartbeat()
-		if at, ids := m.d.balancer.leavingServers(); at > q.LeavingReadAt {
+		if at, ids := m.d.balancer.leavingServers(); at > req.LeavingReadAt {
 			reply.LeavingServers = ids
 		}
 		return reply, nil
 	})
-	peer.Handle(s, "members", func(context.Context, string, peer.MembersRequest) (peer.MembersResponse, error) {
+	peer.Handle(server, "members", func(context.Context, string, peer.MembersRequest) (peer.MembersResponse, error) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return peer.MembersResponse{Members: m.table.Snapshot(), Quarantine: m.d.guard.Update(true)}, nil
@@ -60,15 +60,15 @@
 	alive, known := m.table.AliveCount(), m.table.Members()
 	m.mu.Unlock()
 	m.d.metrics.membersAlive.Update(float64(alive))
-	for _, g := range gone {
-		m.d.log.Info("member is gone", "member", g.ID, "failure_domain", g.FailureDomain)
+	for _, member := range gone {
+		m.d.log.Info("member is gone", "member", member.ID, "failure_domain", member.FailureDomain)
 	}
-	for _, t := range targets {
-		go m.probe(ctx, t.ID, t.PeerAddress)
+	for _, target := range targets {
+		go m.probe(ctx, target.ID, target.PeerAddress)
 	}
 	for _, seed := range m.d.settings.Peers {
-		knows := func(k membership.Member) bool { return k.PeerAddress == seed }
-		if !slices.ContainsFunc(known, knows) {
+		hasSeedAddress := func(member membership.Member) bool { return member.PeerAddress == seed }
+		if !slices.ContainsFunc(known, hasSeedAddress) {
 			go m.probe(ctx, "", seed)
 		}
 	}
@@ -113,33 +113,33 @@
 	if !due {
 		return
 	}
-	r, err := peer.Call[peer.MembersRequest, peer.MembersResponse](ctx, m.d.peers, address, "members", peer.MembersRequest{})
+	resp, err := peer.Call[peer.MembersRequest, peer.MembersResponse](ctx, m.d.peers, address, "members", peer.MembersRequest{})
 	if err != nil {
 		return
 	}
-	m.d.guard.Merge(r.Quarantine)
+	m.d.guard.Merge(resp.Quarantine)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.syncedAt = time.Now()
-	m.table.Merge(r.Members, m.syncedAt)
+	m.table.Merge(resp.Members, m.syncedAt)
 }
 
 func (m *memberlist) heartbeat() peer.Heartbeat {
 	next := m.d.config.nextOffset()
 	at, _ := m.d.balancer.leavingServers()
-	word := m.d.guard.Update(false)
+	quarantined := m.d.guard.Update(false)
 	table := m.lockTable()
 	defer m.mu.Unlock()
-	return peer.Heartbeat{Sender: table.Self(), Rumors: table.NextRumors(), ConfigNext: next, LeavingReadAt: at, Quarantine: word}
+	return peer.Heartbeat{Sender: table.Self(), Rumors: table.NextRumors(), ConfigNext: next, LeavingReadAt: at, Quarantine: quarantined}
 }
 
-func (m *memberlist) applyHeartbeat(h peer.Heartbeat) {
-	m.d.guard.Merge(h.Quarantine)
+func (m *memberlist) applyHeartbeat(hb peer.Heartbeat) {
+	m.d.guard.Merge(hb.Quarantine)
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.MarkAlive(h.Sender, now)
-	for _, r := range h.Rumors {
+	m.table.MarkAlive(hb.Sender, now)
+	for _, r := range hb.Rumors {
 		m.table.ApplyRumor(r, now)
 	}
 }
@@ -147,14 +147,14 @@
 // announce tells every live daemon at once, so that no endpoint answer names
 // this daemon from now on.
 func (m *memberlist) announce() {
-	rows := m.lockTable().Members()
+	members := m.lockTable().Members()
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, r := range rows {
-		if r.ID != m.d.settings.ID && r.State == membership.Alive {
-			wg.Go(func() { _ = m.exchangeHeartbeats(ctx, r.PeerAddress) })
+	for _, member := range members {
+		if member.ID != m.d.settings.ID && member.State == membership.Alive {
+			wg.Go(func() { _ = m.exchangeHeartbeats(ctx, member.PeerAddress) })
 		}
 	}
 	wg.Wait()
@@ -189,8 +189,8 @@
 }
 
 func (m *memberlist) isOwner(key string) bool {
-	h := m.owners(key, 1)
-	return len(h) > 0 && h[0].ID == m.d.settings.ID
+	owners := m.owners(key, 1)
+	return len(owners) > 0 && owners[0].ID == m.d.settings.ID
 }
 
 // isDomainOwner reports whether this daemon is one of the n homes of a key in its
@@ -199,8 +199,8 @@
 func (m *memberlist) isDomainOwner(key string, n int) bool {
 	m.lockTable()
 	defer m.mu.Unlock()
-	for _, h := range m.table.OwnersIn(m.d.settings.FailureDomain, key, n) {
-		if h.ID == m.d.settings.ID {
+	for _, owner := range m.table.OwnersIn(m.d.settings.FailureDomain, key, n) {
+		if owner.ID == m.d.settings.ID {
 			return true
 		}
 	}
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -37,12 +37,12 @@
 }
 
 func (o *orderController) reconcile(ctx context.Context) {
-	c := o.d.config.current()
+	cfg := o.d.config.current()
 	if o.d.Leaving() || !o.d.Ready() {
 		return
 	}
-	for name, p := range c.Pools {
-		wanted := wantedVersions(c, name)
+	for name, p := range cfg.Pools {
+		wanted := wantedVersions(cfg, name)
 		if len(wanted) == 0 || !o.d.members.isOwner("pool/"+name) || !o.acquireLease(ctx, "pool/"+name) {
 			continue
 		}
@@ -53,17 +53,17 @@
 }
 
 // wantedVersions lists what a pool's servers should hold.
-func wantedVersions(c *fleet.Config, pool string) []string {
-	var out []string
-	for mn, m := range c.Models {
-		for vn, v := range m.Versions {
+func wantedVersions(cfg *fleet.Config, pool string) []string {
+	var wanted []string
+	for model, m := range cfg.Models {
+		for version, v := range m.Versions {
 			if v.Pool == pool && v.State != fleet.Withdrawn {
-				out = append(out, mn+"@"+vn)
+				wanted = append(wanted, model+"@"+version)
 			}
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(wanted)
+	return wanted
 }
 
 // acquireLease claims or renews a lease and reports whether this daemon may act on it.
@@ -95,16 +95,16 @@
 
 func (o *orderController) readLeases(ctx context.Context) error {
 	for {
-		b, err := o.d.deps.Log.Read(ctx, leaseStream, o.leases.NextOffset(), readLimit, 0)
+		batch, err := o.d.deps.Log.Read(ctx, leaseStream, o.leases.NextOffset(), readLimit, 0)
 		if err != nil {
 			return err
 		}
-		for _, r := range b.Records {
+		for _, r := range batch.Records {
 			var rec lease.Record
 			_ = cbor.Unmarshal(r.Data, &rec)
 			o.leases.Apply(r.Offset, rec, time.Now())
 		}
-		if len(b.Records) < readLimit {
+		if len(batch.Records) < readLimit {
 			return nil
 		}
 	}
@@ -113,21 +113,21 @@
 // reconcileServer reads back what a server holds and orders the difference. The check of
 // the lease stands right before each order.
 func (o *orderController) reconcileServer(ctx context.Context, name string, s fleet.Server, wanted []string) {
-	l, err := o.d.engine.Load(ctx, s.Address)
-	if err != nil || l.Versions == nil {
+	load, err := o.d.engine.Load(ctx, s.Address)
+	if err != nil || load.Versions == nil {
 		return
 	}
-	for _, ord := range lease.Reconcile(wanted, l.Versions) {
-		if ord.Action == "load" && !o.reserveWeights(ctx, ord.Version) {
+	for _, order := range lease.Reconcile(wanted, load.Versions) {
+		if order.Action == "load" && !o.reserveWeights(ctx, order.Version) {
 			continue
 		}
 		fence, ok := o.leases.MayAct(name, o.d.ownerID(), o.claimedAt[name], time.Now())
 		if !ok {
 			return
 		}
-		if o.d.engine.Order(ctx, s.Address, fence, ord) == nil {
+		if o.d.engine.Order(ctx, s.Address, fence, order) == nil {
 			o.d.metrics.ordersSent.Inc(1)
-			o.d.log.Info("ordered", "server", s.ID, "action", ord.Action, "version", ord.Version, "fence", fence)
+			o.d.log.Info("ordered", "server", s.ID, "action", order.Action, "version", order.Version, "fence", fence)
 		}
 	}
 }
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -61,44 +61,44 @@
 	}
 }
 
-func (p *balancer) run(ctx context.Context) {
+func (b *balancer) run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { runPeriodically(ctx, loadProbeInterval, p.probeNext) })
-	wg.Go(func() { runPeriodically(ctx, peerViewInterval, p.updatePeerView) })
-	if p.d.deps.VMs != nil {
-		wg.Go(func() { runPeriodically(ctx, vmListInterval, p.pollVMs) })
+	wg.Go(func() { runPeriodically(ctx, loadProbeInterval, b.probeNext) })
+	wg.Go(func() { runPeriodically(ctx, peerViewInterval, b.updatePeerView) })
+	if b.d.deps.VMs != nil {
+		wg.Go(func() { runPeriodically(ctx, vmListInterval, b.pollVMs) })
 	}
 	wg.Wait()
 }
 
 // syncConfig brings the pictures to the configuration in force. Callers hold mu.
-func (p *balancer) syncConfig(c *fleet.Config) {
-	if p.configNumber == c.Number && len(p.pools) > 0 {
+func (b *balancer) syncConfig(cfg *fleet.Config) {
+	if b.configNumber == cfg.Number && len(b.pools) > 0 {
 		return
 	}
-	p.configNumber = c.Number
-	p.syncEvacuations(c)
-	for name, cp := range c.Pools {
-		if len(p.d.settings.Pools) > 0 && !slices.Contains(p.d.settings.Pools, name) {
+	b.configNumber = cfg.Number
+	b.syncEvacuations(cfg)
+	for name, poolCfg := range cfg.Pools {
+		if len(b.d.settings.Pools) > 0 && !slices.Contains(b.d.settings.Pools, name) {
 			continue
 		}
-		st := p.pools[name]
-		if st == nil {
-			st = &pool{load: routing.NewLoadTracker(), versions: map[string][]string{}, warmAt: map[string]time.Duration{}}
-			p.pools[name] = st
+		p := b.pools[name]
+		if p == nil {
+			p = &pool{load: routing.NewLoadTracker(), versions: map[string][]string{}, warmAt: map[string]time.Duration{}}
+			b.pools[name] = p
 		}
-		members := make([]routing.Member, len(cp.Servers))
-		for i, s := range cp.Servers {
+		members := make([]routing.Member, len(poolCfg.Servers))
+		for i, s := range poolCfg.Servers {
 			members[i] = routing.Member{ID: s.ID, Address: s.Address, FailureDomain: s.FailureDomain, Slots: s.Slots}
 		}
-		st.load.Update(routing.Subset(p.d.settings.ID, members, p.d.settings.Subset))
-		for id := range p.leaving {
-			st.load.SetLeaving(id, true)
+		p.load.Update(routing.Subset(b.d.settings.ID, members, b.d.settings.Subset))
+		for id := range b.leaving {
+			p.load.SetLeaving(id, true)
 		}
 	}
-	for name := range p.pools {
-		if _, stays := c.Pools[name]; !stays {
-			delete(p.pools, name)
+	for name := range b.pools {
+		if _, configured := cfg.Pools[name]; !configured {
+			delete(b.pools, name)
 		}
 	}
 }
@@ -118,127 +118,127 @@
 }
 
 // pickServer chooses a server for a version and marks the attempt as dispatched.
-func (p *balancer) pickServer(c *fleet.Config, poolName, version string, r *routing.Request, tried []string) (pick, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.syncConfig(c)
-	st := p.pools[poolName]
-	if st == nil {
+func (b *balancer) pickServer(cfg *fleet.Config, poolName, version string, r *routing.Request, tried []string) (pick, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.syncConfig(cfg)
+	p := b.pools[poolName]
+	if p == nil {
 		return pick{}, fault.New(fault.NoServer, "pool %s is not served here", poolName)
 	}
-	var room [routing.MaxCandidates]routing.Candidate
-	candidates := st.load.Snapshot(room[:0], time.Now())
+	var buf [routing.MaxCandidates]routing.Candidate
+	candidates := p.load.Snapshot(buf[:0], time.Now())
 	r.Tried = routing.Set{}
 	for i, cand := range candidates {
-		held, reported := st.versions[cand.ID]
-		if slices.Contains(tried, cand.ID) || reported && version != "" && !slices.Contains(held, version) {
+		versions, reported := p.versions[cand.ID]
+		if slices.Contains(tried, cand.ID) || reported && version != "" && !slices.Contains(versions, version) {
 			r.Tried.Add(i)
 		}
 	}
-	refused := p.excludeRefused(st, c.Pools[poolName].SlowStart, candidates, r)
+	refused := b.excludeRefused(p, cfg.Pools[poolName].SlowStart, candidates, r)
 	r.CachedBlocks = [routing.MaxCandidates]uint8{}
-	st.load.Prefix.Lookup(r)
-	dec := routing.DefaultPipeline().Pick(r, candidates, p.rng)
-	if dec.Index < 0 {
-		return pick{}, pickError(dec, poolName, &refused)
+	p.load.Prefix.Lookup(r)
+	decision := routing.DefaultPipeline().Pick(r, candidates, b.rng)
+	if decision.Index < 0 {
+		return pick{}, pickError(decision, poolName, &refused)
 	}
-	chosen := candidates[dec.Index]
-	p.recordSend(st, c.Pools[poolName].SlowStart, &chosen)
-	st.load.RecordDispatch(chosen.ID, r.Blocks, r.Urgent, time.Now())
+	chosen := candidates[decision.Index]
+	b.recordSend(p, cfg.Pools[poolName].SlowStart, &chosen)
+	p.load.RecordDispatch(chosen.ID, r.Blocks, r.Urgent, time.Now())
 	return pick{
-		pool: poolName, candidate: chosen, expectedFirstToken: dec.Expected, urgent: r.Urgent, slowStart: slowStartLimit(c.Pools[poolName].SlowStart),
-		uncachedTokens: max(0, r.PromptTokens-int(r.CachedBlocks[dec.Index])*r.BlockTokens),
+		pool: poolName, candidate: chosen, expectedFirstToken: decision.Expected, urgent: r.Urgent, slowStart: slowStartLimit(cfg.Pools[poolName].SlowStart),
+		uncachedTokens: max(0, r.PromptTokens-int(r.CachedBlocks[decision.Index])*r.BlockTokens),
 		hadFreeSlot:    float64(chosen.InFlight)+chosen.OthersInFlight < float64(chosen.Slots),
 	}, nil
 }
 
-func pickError(dec routing.Decision, pool string, refused *gate.Refusals) *fault.Error {
-	if dec.Refusal == routing.BudgetExceeded {
-		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, dec.Expected.Round(time.Millisecond)).WithRetryAfter(max(time.Second, dec.Expected/2))
+func pickError(decision routing.Decision, pool string, refused *gate.Refusals) *fault.Error {
+	if decision.Refusal == routing.BudgetExceeded {
+		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, decision.Expected.Round(time.Millisecond)).WithRetryAfter(max(time.Second, decision.Expected/2))
 	}
-	switch reason, left := refused.Primary(); reason {
+	switch reason, remaining := refused.Primary(); reason {
 	case gate.Warming:
-		return fault.New(fault.Warming, "the servers of pool %s that are left are warming up", pool).WithRetryAfter(left)
+		return fault.New(fault.Warming, "the servers of pool %s that are left are warming up", pool).WithRetryAfter(remaining)
 	case gate.Evacuated:
 		return fault.New(fault.Evacuated, "the servers of pool %s that are left stand in evacuated failure domains", pool)
 	}
 	return fault.New(fault.NoServer, "no live server of pool %s is left", pool)
 }
 
-func (p *balancer) withPool(name string, f func(*pool)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if st := p.pools[name]; st != nil {
-		f(st)
+func (b *balancer) withPool(name string, f func(*pool)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if p := b.pools[name]; p != nil {
+		f(p)
 	}
 }
 
 // recordFirstToken books a first token and returns the part of it that was a wait.
-func (p *balancer) recordFirstToken(c pick, took time.Duration) (wait time.Duration) {
-	p.withPool(c.pool, func(st *pool) {
-		wait = st.load.RecordFirstToken(c.candidate.ID, took, c.uncachedTokens, time.Now())
-		p.recordResponse(c)
+func (b *balancer) recordFirstToken(picked pick, elapsed time.Duration) (queueWait time.Duration) {
+	b.withPool(picked.pool, func(p *pool) {
+		queueWait = p.load.RecordFirstToken(picked.candidate.ID, elapsed, picked.uncachedTokens, time.Now())
+		b.recordResponse(picked)
 	})
-	return wait
+	return queueWait
 }
 
 // recordCompletion books the end of an attempt that held a slot for some time.
-func (p *balancer) recordCompletion(c pick, held time.Duration, failed bool) {
-	p.withPool(c.pool, func(st *pool) {
-		st.load.RecordCompletion(c.candidate.ID, held, failed, c.urgent, time.Now())
+func (b *balancer) recordCompletion(picked pick, held time.Duration, failed bool) {
+	b.withPool(picked.pool, func(p *pool) {
+		p.load.RecordCompletion(picked.candidate.ID, held, failed, picked.urgent, time.Now())
 		if !failed {
-			p.recordResponse(c)
+			b.recordResponse(picked)
 		}
 	})
 }
 
-func (p *balancer) recordTimeout(c pick) {
-	p.withPool(c.pool, func(st *pool) { st.load.RecordTimeout(c.candidate.ID, time.Now()) })
+func (b *balancer) recordTimeout(picked pick) {
+	b.withPool(picked.pool, func(p *pool) { p.load.RecordTimeout(picked.candidate.ID, time.Now()) })
 }
 
-func (p *balancer) recordUnreachable(c pick) {
-	p.withPool(c.pool, func(st *pool) {
-		st.load.RecordUnreachable(c.candidate.ID, time.Now())
-		p.gate.ServerTerminated(c.candidate.ID, p.uptime())
+func (b *balancer) recordUnreachable(picked pick) {
+	b.withPool(picked.pool, func(p *pool) {
+		p.load.RecordUnreachable(picked.candidate.ID, time.Now())
+		b.gate.ServerTerminated(picked.candidate.ID, b.uptime())
 	})
 }
 
 // recordMissingVersion records that a server refused a version it was thought to hold.
-func (p *balancer) recordMissingVersion(c pick, version string) {
-	p.withPool(c.pool, func(st *pool) {
-		held := slices.Clone(st.versions[c.candidate.ID])
-		st.versions[c.candidate.ID] = slices.DeleteFunc(held, func(v string) bool { return v == version })
+func (b *balancer) recordMissingVersion(picked pick, version string) {
+	b.withPool(picked.pool, func(p *pool) {
+		versions := slices.Clone(p.versions[picked.candidate.ID])
+		p.versions[picked.candidate.ID] = slices.DeleteFunc(versions, func(v string) bool { return v == version })
 	})
 }
 
 // probeNext asks the next server for its load.
-func (p *balancer) probeNext(ctx context.Context) {
-	name, cand, ok := p.nextToProbe()
+func (b *balancer) probeNext(ctx context.Context) {
+	name, cand, ok := b.nextToProbe()
 	if !ok {
 		return
 	}
-	l, err := p.d.engine.Load(ctx, cand.Address)
+	load, err := b.d.engine.Load(ctx, cand.Address)
 	if err != nil {
 		return
 	}
-	p.withPool(name, func(st *pool) {
-		st.load.RecordReport(cand.ID, l.Running+l.Waiting, time.Now())
-		if l.Versions != nil {
-			st.versions[cand.ID] = l.Versions
+	b.withPool(name, func(p *pool) {
+		p.load.RecordReport(cand.ID, load.Running+load.Waiting, time.Now())
+		if load.Versions != nil {
+			p.versions[cand.ID] = load.Versions
 		}
-		st.load.SetLeaving(cand.ID, l.Draining || p.leaving[cand.ID])
-		if l.WarmingMillis > 0 {
-			st.warmAt[cand.ID] = p.uptime() + time.Duration(l.WarmingMillis)*time.Millisecond
+		p.load.SetLeaving(cand.ID, load.Draining || b.leaving[cand.ID])
+		if load.WarmingMillis > 0 {
+			p.warmAt[cand.ID] = b.uptime() + time.Duration(load.WarmingMillis)*time.Millisecond
 		}
 	})
 }
 
-func (p *balancer) nextToProbe() (string, routing.Candidate, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.syncConfig(p.d.config.current())
-	names := make([]string, 0, len(p.pools))
-	for n := range p.pools {
+func (b *balancer) nextToProbe() (string, routing.Candidate, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.syncConfig(b.d.config.current())
+	names := make([]string, 0, len(b.pools))
+	for n := range b.pools {
 		names = append(names, n)
 	}
 	slices.Sort(names)
@@ -248,7 +248,7 @@
 	}
 	var all []target
 	for _, n := range names {
-		for _, c := range p.pools[n].load.Snapshot(nil, time.Now()) {
+		for _, c := range b.pools[n].load.Snapshot(nil, time.Now()) {
 			if c.ID != "" {
 				all = append(all, target{n, c})
 			}
@@ -257,8 +257,8 @@
 	if len(all) == 0 {
 		return "", routing.Candidate{}, false
 	}
-	p.probeCursor++
-	t := all[p.probeCursor%len(all)]
+	b.probeCursor++
+	t := all[b.probeCursor%len(all)]
 	return t.pool, t.c, true
 }
 
@@ -266,15 +266,15 @@
 // failure domain read it and the others hear it with their heartbeats, since the
 // list names every VM and hundreds of readers would swamp its service. While the
 // list is down the last word stands.
-func (p *balancer) pollVMs(ctx context.Context) {
-	if !p.d.members.isDomainOwner("vm_list", readersPerDomain) {
+func (b *balancer) pollVMs(ctx context.Context) {
+	if !b.d.members.isDomainOwner("vm_list", readersPerDomain) {
 		return
 	}
 	at := time.Now().UnixMilli()
 	ctx, cancel := context.WithTimeout(ctx, vmListTimeout)
 	defer cancel()
-	vms, err := p.d.deps.VMs.List(ctx)
-	p.markServersUpdated()
+	vms, err := b.d.deps.VMs.List(ctx)
+	b.markServersUpdated()
 	if err != nil {
 		return
 	}
@@ -284,60 +284,60 @@
 			ids = append(ids, vm.ID)
 		}
 	}
-	p.applyLeaving(at, ids)
+	b.applyLeaving(at, ids)
 }
 
-func (p *balancer) markServersUpdated() {
-	p.mu.Lock()
-	p.serversUpdatedAt = time.Now()
-	p.mu.Unlock()
+func (b *balancer) markServersUpdated() {
+	b.mu.Lock()
+	b.serversUpdatedAt = time.Now()
+	b.mu.Unlock()
 }
 
 // lastServersUpdate returns when the daemon last heard which servers leave.
-func (p *balancer) lastServersUpdate() time.Time {
-	if p.d.deps.VMs == nil {
+func (b *balancer) lastServersUpdate() time.Time {
+	if b.d.deps.VMs == nil {
 		return time.Now()
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.serversUpdatedAt
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.serversUpdatedAt
 }
 
 // leavingServers returns the newest word on leaving servers and when it was read.
-func (p *balancer) leavingServers() (at int64, ids []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for id := range p.leaving {
+func (b *balancer) leavingServers() (at int64, ids []string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for id := range b.leaving {
 		ids = append(ids, id)
 	}
-	return p.leavingReadAt, ids
+	return b.leavingReadAt, ids
 }
 
 // applyLeaving applies a word on leaving servers that is newer than the known one.
-func (p *balancer) applyLeaving(at int64, ids []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (b *balancer) applyLeaving(at int64, ids []string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if at > 0 {
-		p.serversUpdatedAt = time.Now()
+		b.serversUpdatedAt = time.Now()
 	}
-	if at <= p.leavingReadAt {
+	if at <= b.leavingReadAt {
 		return
 	}
-	now := make(map[string]bool, len(ids))
+	leaving := make(map[string]bool, len(ids))
 	for _, id := range ids {
-		now[id] = true
+		leaving[id] = true
 	}
-	for _, st := range p.pools {
-		for id := range p.leaving {
-			if !now[id] {
-				st.load.SetLeaving(id, false)
+	for _, p := range b.pools {
+		for id := range b.leaving {
+			if !leaving[id] {
+				p.load.SetLeaving(id, false)
 			}
 		}
-		for id := range now {
-			st.load.SetLeaving(id, true)
+		for id := range leaving {
+			p.load.SetLeaving(id, true)
 		}
 	}
-	p.leaving, p.leavingReadAt = now, at
+	b.leaving, b.leavingReadAt = leaving, at
 }
 
 // ServerView is a server as this daemon sees it.
@@ -353,10 +353,10 @@
 	defer d.balancer.mu.Unlock()
 	d.balancer.syncConfig(d.config.current())
 	var out []ServerView
-	for name, st := range d.balancer.pools {
-		for _, c := range st.load.Snapshot(nil, time.Now()) {
+	for name, p := range d.balancer.pools {
+		for _, c := range p.load.Snapshot(nil, time.Now()) {
 			if c.ID != "" {
-				out = append(out, ServerView{name, c, st.versions[c.ID]})
+				out = append(out, ServerView{name, c, p.versions[c.ID]})
 			}
 		}
 	}
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -39,73 +39,73 @@
 
 // exchangeWithRandom exchanges heartbeats with some daemons that live.
 func (m *memberlist) exchangeWithRandom(ctx context.Context, n int) {
-	rows := m.lockTable().Members()
+	members := m.lockTable().Members()
 	m.mu.Unlock()
-	rand.Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
-	for _, r := range rows {
-		if n > 0 && r.ID != m.d.settings.ID && r.State == membership.Alive {
+	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+	for _, member := range members {
+		if n > 0 && member.ID != m.d.settings.ID && member.State == membership.Alive {
 			n--
-			go func() { _ = m.exchangeHeartbeats(ctx, r.PeerAddress) }() // a daemon that does not answer hears it from another
+			go func() { _ = m.exchangeHeartbeats(ctx, member.PeerAddress) }() // a daemon that does not answer hears it from another
 		}
 	}
 }
 
 // checkHold returns the refusal of a request that is kept from servers, or nil. One that ran
 // before is refused as failed, since the other refusal promises that it did not.
-func (d *Daemon) checkHold(f quarantine.Fingerprint, life *request.RetryState) *fault.Error {
-	s := d.guard.Check(f)
-	if !s.Held {
+func (d *Daemon) checkHold(f quarantine.Fingerprint, state *request.RetryState) *fault.Error {
+	status := d.guard.Check(f)
+	if !status.Held {
 		return nil
 	}
-	d.log.Info("held", "fingerprint", f, "left_ms", s.Remaining.Milliseconds(), "attempts", life.Attempts())
-	return withExecutionState(fault.New(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(s)), life)
+	d.log.Info("held", "fingerprint", f, "left_ms", status.Remaining.Milliseconds(), "attempts", state.Attempts())
+	return withExecutionState(fault.New(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(status)), state)
 }
 
 // withExecutionState returns a refusal that says of the run what is so: a kind that promises that the
 // request has not run is replaced once it may have.
-func withExecutionState(e *fault.Error, life *request.RetryState) *fault.Error {
-	if life.ExecutionState() != fault.NotRun && fault.Lookup(e.Kind).Execution == fault.NotRun {
-		e = fault.New(fault.EngineFailed, "%s", e.Detail).WithRetryAfter(e.RetryAfter)
+func withExecutionState(err *fault.Error, state *request.RetryState) *fault.Error {
+	if state.ExecutionState() != fault.NotRun && fault.Lookup(err.Kind).Execution == fault.NotRun {
+		err = fault.New(fault.EngineFailed, "%s", err.Detail).WithRetryAfter(err.RetryAfter)
 	}
-	return e.WithExecution(life.ExecutionState())
+	return err.WithExecution(state.ExecutionState())
 }
 
 // containmentServer names a server to the guard. Servers keep their name over a start.
-func containmentServer(c routing.Candidate) containment.Server {
-	return containment.Server{ID: c.ID, Address: c.Address}
+func containmentServer(cand routing.Candidate) containment.Server {
+	return containment.Server{ID: cand.ID, Address: cand.Address}
 }
 
 // containmentOutcome tells what became of an attempt from its last event; started says that the server
 // had begun to answer.
-func containmentOutcome(e request.AttemptEvent, complete, started bool) containment.Outcome {
+func containmentOutcome(event request.AttemptEvent, complete, started bool) containment.Outcome {
 	switch {
-	case complete, e == request.AttemptRefused, e == request.RunFailed:
+	case complete, event == request.AttemptRefused, event == request.RunFailed:
 		return containment.Completed
-	case e == request.CallerDisconnected:
+	case event == request.CallerDisconnected:
 		return containment.Canceled
-	case e == request.ConnectFailed && !started:
+	case event == request.ConnectFailed && !started:
 		return containment.Completed
 	}
 	return containment.ConnectionLost
 }
 
 // isLeaving reports whether the platform says that a server leaves.
-func (p *balancer) isLeaving(id string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.leaving[id]
+func (b *balancer) isLeaving(id string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.leaving[id]
 }
 
 // recordTerminated books a server that has ended, under the key that daemons use between them.
-func (p *balancer) recordTerminated(run quarantine.IncarnationKey) {
+func (b *balancer) recordTerminated(key quarantine.IncarnationKey) {
 	now := time.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, st := range p.pools {
-		for _, c := range st.load.Snapshot(nil, now) {
-			if c.ID != "" && containment.IncarnationKey(c.ID) == run {
-				st.load.RecordUnreachable(c.ID, now)
-				p.gate.ServerTerminated(c.ID, p.uptime())
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, p := range b.pools {
+		for _, cand := range p.load.Snapshot(nil, now) {
+			if cand.ID != "" && containment.IncarnationKey(cand.ID) == key {
+				p.load.RecordUnreachable(cand.ID, now)
+				b.gate.ServerTerminated(cand.ID, b.uptime())
 			}
 		}
 	}
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -54,9 +54,9 @@
 	return &rolloutController{d: d, localEvidence: map[string]*stageEvidence{}, fleetEvidence: map[string]*mergedEvidence{}, stopped: map[string]bool{}}
 }
 
-func (r *rolloutController) register(s *peer.Server) {
-	peer.Handle(s, "evidence", func(_ context.Context, _ string, q peer.EvidenceReport) (peer.Empty, error) {
-		r.applyReport(q)
+func (r *rolloutController) register(server *peer.Server) {
+	peer.Handle(server, "evidence", func(_ context.Context, _ string, report peer.EvidenceReport) (peer.Empty, error) {
+		r.applyReport(report)
 		return peer.Empty{}, nil
 	})
 }
@@ -70,43 +70,43 @@
 }
 
 func (r *rolloutController) recordRun(o runObservation) {
-	n := rollout.Counts{Requests: 1}
+	counts := rollout.Counts{Requests: 1}
 	if o.failed {
-		n.Errors = 1
+		counts.Errors = 1
 	}
 	if o.timed {
-		n.Timed = 1
+		counts.Timed = 1
 	}
 	if o.timed && o.slow {
-		n.Slow = 1
+		counts.Slow = 1
 	}
-	r.addCounts(o.model, o.version, o.server, o.domain, n)
+	r.addCounts(o.model, o.version, o.server, o.domain, counts)
 }
 
 func (r *rolloutController) recordRating(model, version, server string, good bool) {
-	n := rollout.Counts{Rated: 1}
+	counts := rollout.Counts{Rated: 1}
 	if !good {
-		n.Bad = 1
+		counts.Bad = 1
 	}
-	r.addCounts(model, version, server, "", n)
+	r.addCounts(model, version, server, "", counts)
 }
 
-func (r *rolloutController) addCounts(model, version, server, domain string, n rollout.Counts) {
-	c := r.d.config.current()
-	ro, active := c.RolloutFor(model)
+func (r *rolloutController) addCounts(model, version, server, domain string, counts rollout.Counts) {
+	cfg := r.d.config.current()
+	ro, active := cfg.RolloutFor(model)
 	isNew := version == ro.TargetVersion
-	if !active || !rollout.CarriesTraffic(ro) || !isNew && version != c.Models[model].Stable {
+	if !active || !rollout.CarriesTraffic(ro) || !isNew && version != cfg.Models[model].Stable {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st := r.localEvidence[model]
-	if st == nil || st.stage != stageKey(ro) {
-		st = &stageEvidence{stage: stageKey(ro)}
-		r.localEvidence[model] = st
+	evidence := r.localEvidence[model]
+	if evidence == nil || evidence.stage != stageKey(ro) {
+		evidence = &stageEvidence{stage: stageKey(ro)}
+		r.localEvidence[model] = evidence
 	}
-	st.cells = st.cells.Merge(rollout.Evidence{{Server: server, FailureDomain: domain, New: isNew, Counts: n}})
-	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(st.cells); stop && !r.stopped[model+"@"+ro.TargetVersion] {
+	evidence.cells = evidence.cells.Merge(rollout.Evidence{{Server: server, FailureDomain: domain, New: isNew, Counts: counts}})
+	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(evidence.cells); stop && !r.stopped[model+"@"+ro.TargetVersion] {
 		r.stopped[model+"@"+ro.TargetVersion] = true
 		r.d.metrics.rolloutBraked.Inc(1)
 		r.d.log.Warn("stopped using a new version on own evidence", "model", model, "version", ro.TargetVersion, "signal", signal)
@@ -125,45 +125,45 @@
 }
 
 func (r *rolloutController) evaluateAll(ctx context.Context) {
-	c := r.d.config.current()
-	r.clearStopped(c)
+	cfg := r.d.config.current()
+	r.clearStopped(cfg)
 	due := time.Since(r.reportedAt) >= time.Duration(r.d.members.aliveCount())*time.Second/maxReportsPerSecond
 	if due {
 		r.reportedAt = time.Now()
 	}
-	for model, ro := range c.Rollouts {
+	for model, ro := range cfg.Rollouts {
 		if !rollout.CarriesTraffic(ro) {
 			continue
 		}
-		homes := r.d.members.owners("rollout/"+model, 1)
-		if len(homes) == 0 {
+		owners := r.d.members.owners("rollout/"+model, 1)
+		if len(owners) == 0 {
 			continue
 		}
 		report := r.localReport(model, ro)
-		if homes[0].ID != r.d.settings.ID {
+		if owners[0].ID != r.d.settings.ID {
 			if due && len(report.Cells) > 0 {
 				callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
-				_, _ = peer.Call[peer.EvidenceReport, peer.Empty](callCtx, r.d.peers, homes[0].PeerAddress, "evidence", report)
+				_, _ = peer.Call[peer.EvidenceReport, peer.Empty](callCtx, r.d.peers, owners[0].PeerAddress, "evidence", report)
 				cancel()
 			}
 			continue
 		}
 		r.applyReport(report)
-		r.evaluate(ctx, c, model, ro)
+		r.evaluate(ctx, cfg, model, ro)
 	}
 }
 
 // clearStopped lifts the brake on versions that no roll-out moves any more.
-func (r *rolloutController) clearStopped(c *fleet.Config) {
+func (r *rolloutController) clearStopped(cfg *fleet.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for mv := range r.stopped {
-		running := false
-		for model, ro := range c.Rollouts {
-			running = running || mv == model+"@"+ro.TargetVersion && ro.State != fleet.RolloutDone && ro.State != fleet.RolloutRolledBack
+	for modelVersion := range r.stopped {
+		active := false
+		for model, ro := range cfg.Rollouts {
+			active = active || modelVersion == model+"@"+ro.TargetVersion && ro.State != fleet.RolloutDone && ro.State != fleet.RolloutRolledBack
 		}
-		if !running {
-			delete(r.stopped, mv)
+		if !active {
+			delete(r.stopped, modelVersion)
 		}
 	}
 }
@@ -171,74 +171,74 @@
 func (r *rolloutController) localReport(model string, ro fleet.Rollout) peer.EvidenceReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := peer.EvidenceReport{Daemon: r.d.settings.ID, Model: model, Stage: stageKey(ro)}
-	if st := r.localEvidence[model]; st != nil && st.stage == out.Stage {
-		out.Cells = slices.Clone(st.cells)
+	report := peer.EvidenceReport{Daemon: r.d.settings.ID, Model: model, Stage: stageKey(ro)}
+	if evidence := r.localEvidence[model]; evidence != nil && evidence.stage == report.Stage {
+		report.Cells = slices.Clone(evidence.cells)
 	}
-	return out
+	return report
 }
 
 // applyReport replaces a daemon's cumulative evidence; a late or repeated report does
 // no harm.
-func (r *rolloutController) applyReport(q peer.EvidenceReport) {
+func (r *rolloutController) applyReport(report peer.EvidenceReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.fleetEvidence[q.Model]
-	if f == nil || f.stage != q.Stage {
-		f = &mergedEvidence{stage: q.Stage, since: time.Now(), byDaemon: map[string]rollout.Evidence{}}
-		r.fleetEvidence[q.Model] = f
+	merged := r.fleetEvidence[report.Model]
+	if merged == nil || merged.stage != report.Stage {
+		merged = &mergedEvidence{stage: report.Stage, since: time.Now(), byDaemon: map[string]rollout.Evidence{}}
+		r.fleetEvidence[report.Model] = merged
 	}
-	f.byDaemon[q.Daemon] = q.Cells
+	merged.byDaemon[report.Daemon] = report.Cells
 }
 
-func (f *mergedEvidence) merged() rollout.Evidence {
+func (m *mergedEvidence) merged() rollout.Evidence {
 	var all rollout.Evidence
-	for _, e := range f.byDaemon {
+	for _, e := range m.byDaemon {
 		all = all.Merge(e)
 	}
 	return all
 }
 
-func (r *rolloutController) evaluate(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout) {
+func (r *rolloutController) evaluate(ctx context.Context, cfg *fleet.Config, model string, ro fleet.Rollout) {
 	r.mu.Lock()
-	f := r.fleetEvidence[model]
-	v := rollout.DefaultStagePolicy().Evaluate(ro, f.merged(), time.Since(f.since))
-	f.decision = v
+	merged := r.fleetEvidence[model]
+	decision := rollout.DefaultStagePolicy().Evaluate(ro, merged.merged(), time.Since(merged.since))
+	merged.decision = decision
 	r.mu.Unlock()
-	if v.Step == rollout.Wait {
+	if decision.Step == rollout.Wait {
 		return
 	}
-	r.submitStep(ctx, c, model, ro, v)
+	r.submitStep(ctx, cfg, model, ro, decision)
 }
 
 // submitStep appends the step as an ordinary patch. Its id follows from the state
 // it was decided on, so that a step decided twice, by an old and a new home, is
 // one patch; a stale base makes it void.
-func (r *rolloutController) submitStep(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout, v rollout.Decision) {
-	patch, err := stepPatch(c, model, ro, v.Step)
+func (r *rolloutController) submitStep(ctx context.Context, cfg *fleet.Config, model string, ro fleet.Rollout, decision rollout.Decision) {
+	patch, err := stepPatch(cfg, model, ro, decision.Step)
 	if err != nil {
 		return
 	}
-	id := fmt.Sprintf("rollout/%s/%s/%s@%d", model, stageKey(ro), v.Step, c.Number)
-	out, err := r.d.SubmitPatch(ctx, fleet.Record{PatchID: id, Base: c.Number, Author: "rollout: " + v.Reason, Patch: patch})
-	if err == nil && out.Accepted {
-		r.d.log.Info("roll-out step", "model", model, "step", v.Step, "reason", v.Reason, "number", out.Number)
+	id := fmt.Sprintf("rollout/%s/%s/%s@%d", model, stageKey(ro), decision.Step, cfg.Number)
+	outcome, err := r.d.SubmitPatch(ctx, fleet.Record{PatchID: id, Base: cfg.Number, Author: "rollout: " + decision.Reason, Patch: patch})
+	if err == nil && outcome.Accepted {
+		r.d.log.Info("roll-out step", "model", model, "step", decision.Step, "reason", decision.Reason, "number", outcome.Number)
 	}
 }
 
 // stepPatch writes a step as a patch. A roll-back withdraws the version too:
 // sessions pinned to it would otherwise stay on it.
-func stepPatch(c *fleet.Config, model string, ro fleet.Rollout, s rollout.Step) (json.RawMessage, error) {
+func stepPatch(cfg *fleet.Config, model string, ro fleet.Rollout, s rollout.Step) (json.RawMessage, error) {
 	next := rollout.ApplyStep(ro, s)
-	p := map[string]map[string]any{"rollouts": {model: map[string]any{"stage": next.Stage, "state": next.State}}}
+	patch := map[string]map[string]any{"rollouts": {model: map[string]any{"stage": next.Stage, "state": next.State}}}
 	switch {
 	case s == rollout.RollBack:
-		gone := map[string]any{"state": fleet.Withdrawn, "successor": c.Models[model].Stable}
-		p["models"] = map[string]any{model: map[string]any{"versions": map[string]any{ro.TargetVersion: gone}}}
+		withdrawn := map[string]any{"state": fleet.Withdrawn, "successor": cfg.Models[model].Stable}
+		patch["models"] = map[string]any{model: map[string]any{"versions": map[string]any{ro.TargetVersion: withdrawn}}}
 	case next.State == fleet.RolloutDone:
-		p["models"] = map[string]any{model: map[string]any{"stable": ro.TargetVersion}}
+		patch["models"] = map[string]any{model: map[string]any{"stable": ro.TargetVersion}}
 	}
-	return json.Marshal(p)
+	return json.Marshal(patch)
 }
 
 // RolloutView is a roll-out with the evidence this daemon has.
@@ -257,22 +257,22 @@
 // Rollouts returns every roll-out with its evidence: the fleet's at the home,
 // the daemon's own elsewhere.
 func (d *Daemon) Rollouts() []RolloutView {
-	c := d.config.current()
+	cfg := d.config.current()
 	var out []RolloutView
-	for model, ro := range c.Rollouts {
-		v := RolloutView{Rollout: ro, Percent: ro.Percent()}
-		if h := d.members.owners("rollout/"+model, 1); len(h) > 0 {
-			v.Owner = h[0].ID
+	for model, ro := range cfg.Rollouts {
+		view := RolloutView{Rollout: ro, Percent: ro.Percent()}
+		if owners := d.members.owners("rollout/"+model, 1); len(owners) > 0 {
+			view.Owner = owners[0].ID
 		}
 		d.rollouts.mu.Lock()
-		if f := d.rollouts.fleetEvidence[model]; f != nil && v.Owner == d.settings.ID && f.stage == stageKey(ro) {
-			v.Cells, v.Decision, v.Reason = f.merged(), f.decision.Step.String(), f.decision.Reason
-		} else if st := d.rollouts.localEvidence[model]; st != nil && st.stage == stageKey(ro) {
-			v.Cells = slices.Clone(st.cells)
+		if merged := d.rollouts.fleetEvidence[model]; merged != nil && view.Owner == d.settings.ID && merged.stage == stageKey(ro) {
+			view.Cells, view.Decision, view.Reason = merged.merged(), merged.decision.Step.String(), merged.decision.Reason
+		} else if evidence := d.rollouts.localEvidence[model]; evidence != nil && evidence.stage == stageKey(ro) {
+			view.Cells = slices.Clone(evidence.cells)
 		}
 		d.rollouts.mu.Unlock()
-		v.NewVersion, v.RunningVersion = v.Cells.Totals(nil)
-		out = append(out, v)
+		view.NewVersion, view.RunningVersion = view.Cells.Totals(nil)
+		out = append(out, view)
 	}
 	slices.SortFunc(out, func(a, b RolloutView) int {
 		if a.Model < b.Model {
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -74,16 +74,16 @@
 
 // Chat answers a chat request. Its error is always a *fault.Error that says
 // truthfully whether the request ran.
-func (d *Daemon) Chat(ctx context.Context, id string, q ChatRequest) (*ChatResponse, error) {
+func (d *Daemon) Chat(ctx context.Context, id string, req ChatRequest) (*ChatResponse, error) {
 	done, err := d.admit()
 	if err != nil {
 		return nil, err
 	}
 	defer done()
-	began := time.Now()
-	a, st, err := d.serveChat(ctx, id, &q)
-	d.recordOutcome(q.Workspace, st, began, err)
-	return a, err
+	start := time.Now()
+	resp, exec, err := d.serveChat(ctx, id, &req)
+	d.recordOutcome(req.Workspace, exec, start, err)
+	return resp, err
 }
 
 // admit admits a request to a running daemon that may serve.
@@ -105,139 +105,139 @@
 	}, nil
 }
 
-func (d *Daemon) serveChat(ctx context.Context, id string, q *ChatRequest) (*ChatResponse, *execution, error) {
-	c := d.config.current()
-	w, ok := c.Workspaces[q.Workspace]
+func (d *Daemon) serveChat(ctx context.Context, id string, req *ChatRequest) (*ChatResponse, *execution, error) {
+	cfg := d.config.current()
+	w, ok := cfg.Workspaces[req.Workspace]
 	if !ok {
 		return nil, nil, fault.New(fault.Unauthorized, "the workspace does not exist")
 	}
-	models, err := resolveModels(c, w, q.Model)
+	models, err := resolveModels(cfg, w, req.Model)
 	if err != nil {
 		return nil, nil, err
 	}
-	pin, err := d.resolvePin(q.Workspace, q.Session)
+	pin, err := d.resolvePin(req.Workspace, req.Session)
 	if err != nil {
 		return nil, nil, err
 	}
-	st := &execution{model: models[0]}
-	res, err := d.limits.reserve(ctx, q.Workspace, w, estimateTokens(q))
+	exec := &execution{model: models[0]}
+	reserved, err := d.limits.reserve(ctx, req.Workspace, w, estimateTokens(req))
 	if err != nil {
-		return nil, st, err
+		return nil, exec, err
 	}
-	defer func() { res.settle(st.tokens()) }()
+	defer func() { reserved.settle(exec.tokens()) }()
 	if err := d.usage.reserve(); err != nil {
-		return nil, st, err
+		return nil, exec, err
 	}
-	a, err := d.runOnce(ctx, id, q, func() (*ChatResponse, error) {
-		return d.completeChat(ctx, id, q, w, models, pin, st)
+	resp, err := d.runOnce(ctx, id, req, func() (*ChatResponse, error) {
+		return d.completeChat(ctx, id, req, w, models, pin, exec)
 	})
-	if !d.billRequest(ctx, id, q.Workspace, st) && err == nil {
-		return nil, st, unprotectedError()
+	if !d.billRequest(ctx, id, req.Workspace, exec) && err == nil {
+		return nil, exec, unprotectedError()
 	}
-	return a, st, err
+	return resp, exec, err
 }
 
 // runOnce runs f at most once for a request that has an idempotency key.
-func (d *Daemon) runOnce(ctx context.Context, id string, q *ChatRequest, f func() (*ChatResponse, error)) (*ChatResponse, error) {
-	if q.IdempotencyKey == "" {
+func (d *Daemon) runOnce(ctx context.Context, id string, req *ChatRequest, f func() (*ChatResponse, error)) (*ChatResponse, error) {
+	if req.IdempotencyKey == "" {
 		return f()
 	}
-	t, replay, err := d.claims.acquire(ctx, q.Workspace, q.IdempotencyKey, q.RawBody, id)
+	cl, replay, err := d.claims.acquire(ctx, req.Workspace, req.IdempotencyKey, req.RawBody, id)
 	if err != nil {
 		return nil, err
 	}
 	if replay != nil {
-		return replayResponse(replay, q)
+		return replayResponse(replay, req)
 	}
-	a, err := f()
+	resp, err := f()
 	if err != nil {
-		t.finish(fault.FromError(err).ExecutionState(), 0, nil)
+		cl.finish(fault.FromError(err).ExecutionState(), 0, nil)
 		return nil, err
 	}
-	data, encodeErr := json.Marshal(a)
+	data, encodeErr := json.Marshal(resp)
 	if encodeErr == nil {
-		t.finish(fault.Ran, 200, data)
+		cl.finish(fault.Ran, 200, data)
 	}
-	return a, nil
+	return resp, nil
 }
 
-func replayResponse(v *request.ClaimResult, q *ChatRequest) (*ChatResponse, error) {
-	var a ChatResponse
-	if json.Unmarshal(v.Response, &a) != nil {
+func replayResponse(stored *request.ClaimResult, req *ChatRequest) (*ChatResponse, error) {
+	var resp ChatResponse
+	if json.Unmarshal(stored.Response, &resp) != nil {
 		return nil, fault.New(fault.AnswerUnavailable, "the stored answer cannot be read").WithExecution(fault.Ran)
 	}
-	a.Replayed = true
-	if q.OnText != nil {
-		if err := q.OnText(a.Text); err != nil {
+	resp.Replayed = true
+	if req.OnText != nil {
+		if err := req.OnText(resp.Text); err != nil {
 			return nil, fault.New(fault.CallerLeft, "the caller left").WithExecution(fault.Ran)
 		}
 	}
-	return &a, nil
+	return &resp, nil
 }
 
 // completeChat asks the models in turn: one model, or the steps of a cascade.
-func (d *Daemon) completeChat(ctx context.Context, id string, q *ChatRequest, w fleet.Workspace, models []string, pin session.Pin, st *execution) (*ChatResponse, error) {
-	began := time.Now()
+func (d *Daemon) completeChat(ctx context.Context, id string, req *ChatRequest, w fleet.Workspace, models []string, pin session.Pin, exec *execution) (*ChatResponse, error) {
+	start := time.Now()
 	deadline := defaultDeadline
 	if w.DeadlineMillis > 0 {
 		deadline = time.Duration(w.DeadlineMillis) * time.Millisecond
 	}
-	class := q.Class
+	class := req.Class
 	if class == "" {
 		class = defaultClass
 	}
-	key := q.Workspace + "/" + q.Model
+	key := req.Workspace + "/" + req.Model
 	first := 0
 	if len(models) > 1 {
-		c := d.config.current()
-		if !d.cascades.useCheapFirst(key, class, models[0]+"@"+c.Models[models[0]].Stable) {
+		cfg := d.config.current()
+		if !d.cascades.useCheapFirst(key, class, models[0]+"@"+cfg.Models[models[0]].Stable) {
 			first = len(models) - 1
 		}
 	}
 	for i := first; ; i++ {
 		last := i == len(models)-1
-		s := &step{requestID: id, workspace: q.Workspace, priority: w.Priority, prompt: q.Prompt, body: q.Body, deadline: began.Add(deadline)}
-		s.fingerprint = quarantine.FingerprintOf(q.Workspace, "", "chat", q.Model, q.RawBody)
+		s := &step{requestID: id, workspace: req.Workspace, priority: w.Priority, prompt: req.Prompt, body: req.Body, deadline: start.Add(deadline)}
+		s.fingerprint = quarantine.FingerprintOf(req.Workspace, "", "chat", req.Model, req.RawBody)
 		if i > 0 {
 			s.requestID = id + "-" + models[i]
 		}
-		s.retryState = &request.RetryState{Repeatable: q.IdempotencyKey == "", Deadline: s.deadline}
+		s.retryState = &request.RetryState{Repeatable: req.IdempotencyKey == "", Deadline: s.deadline}
 		if last {
-			s.onText = d.textHandler(q, s, pin)
+			s.onText = d.textHandler(req, s, pin)
 		}
-		r, err := d.completeStep(ctx, s, models[i], w, pin, st, began)
+		res, err := d.completeStep(ctx, s, models[i], w, pin, exec, start)
 		if err != nil {
 			return nil, err
 		}
 		confidence := 1.0
-		if r.usage.Confidence != nil {
-			confidence = *r.usage.Confidence
+		if res.usage.Confidence != nil {
+			confidence = *res.usage.Confidence
 		}
 		if len(models) > 1 {
-			d.sampleResponse(id, q, key, class, s, r, confidence, i > 0)
+			d.sampleResponse(id, req, key, class, s, res, confidence, i > 0)
 		} else {
-			d.sampleResponse(id, q, "", class, s, r, confidence, false)
+			d.sampleResponse(id, req, "", class, s, res, confidence, false)
 		}
 		if !last && !d.cascades.acceptCheap(key, class, confidence) {
 			d.metrics.escalations.Inc(1)
 			continue
 		}
-		return d.buildResponse(id, q, s, r, pin, last)
+		return d.buildResponse(id, req, s, res, pin, last)
 	}
 }
 
 // textHandler passes pieces on to the caller, after Begin.
-func (d *Daemon) textHandler(q *ChatRequest, s *step, pin session.Pin) func(string) error {
-	if q.OnText == nil {
+func (d *Daemon) textHandler(req *ChatRequest, s *step, pin session.Pin) func(string) error {
+	if req.OnText == nil {
 		return nil
 	}
-	begun := false
+	started := false
 	return func(text string) error {
-		if !begun && q.OnStart != nil {
-			q.OnStart(d.responseHeader(s, pin))
+		if !started && req.OnStart != nil {
+			req.OnStart(d.responseHeader(s, pin))
 		}
-		begun = true
-		return q.OnText(text)
+		started = true
+		return req.OnText(text)
 	}
 }
 
@@ -248,54 +248,54 @@
 }
 
 // completeStep runs one step and books what it cost.
-func (d *Daemon) completeStep(ctx context.Context, s *step, name string, w fleet.Workspace, pin session.Pin, st *execution, began time.Time) (*stepResult, error) {
-	c := d.config.current()
+func (d *Daemon) completeStep(ctx context.Context, s *step, name string, w fleet.Workspace, pin session.Pin, exec *execution, start time.Time) (*stepResult, error) {
+	cfg := d.config.current()
 	var err error
-	if s.model, s.version, err = d.chooseVersion(c, w, name, pin); err != nil {
+	if s.model, s.version, err = d.chooseVersion(cfg, w, name, pin); err != nil {
 		return nil, err
 	}
-	if ro, ok := c.RolloutFor(s.model); ok && pin.VersionOf(s.model) == "" && s.version == ro.TargetVersion {
-		s.fallbackVersion, _ = c.ResolveSuccessor(w, s.model, c.Models[s.model].Stable)
+	if ro, ok := cfg.RolloutFor(s.model); ok && pin.VersionOf(s.model) == "" && s.version == ro.TargetVersion {
+		s.fallbackVersion, _ = cfg.ResolveSuccessor(w, s.model, cfg.Models[s.model].Stable)
 	}
-	offset := time.Since(began)
-	r, err := d.runStep(ctx, s)
-	st.model, st.version = s.model, s.version
-	v, _ := c.Version(s.model, s.version)
-	b := billedStep{model: s.model, version: s.version, microsPerKiloToken: v.MicrosPerKiloToken}
-	if r.firstToken > 0 {
-		st.firstToken = offset + r.firstToken
+	offset := time.Since(start)
+	res, err := d.runStep(ctx, s)
+	exec.model, exec.version = s.model, s.version
+	v, _ := cfg.Version(s.model, s.version)
+	billed := billedStep{model: s.model, version: s.version, microsPerKiloToken: v.MicrosPerKiloToken}
+	if res.firstToken > 0 {
+		exec.firstToken = offset + res.firstToken
 	}
 	switch {
 	case err == nil:
-		b.promptTokens, b.completionTokens = r.usage.PromptTokens, r.usage.AnswerTokens
-		st.failureDomain, st.complete = r.pick.candidate.FailureDomain, true
-		st.steps = append(st.steps, b)
-	case r.text.Len() > 0:
-		st.complete = false
-		b.promptTokens = int64(len(s.prompt) / bytesPerToken)
-		b.completionTokens = int64(max(1, r.text.Len()/bytesPerToken))
-		st.steps = append(st.steps, b)
+		billed.promptTokens, billed.completionTokens = res.usage.PromptTokens, res.usage.AnswerTokens
+		exec.failureDomain, exec.complete = res.pick.candidate.FailureDomain, true
+		exec.steps = append(exec.steps, billed)
+	case res.text.Len() > 0:
+		exec.complete = false
+		billed.promptTokens = int64(len(s.prompt) / bytesPerToken)
+		billed.completionTokens = int64(max(1, res.text.Len()/bytesPerToken))
+		exec.steps = append(exec.steps, billed)
 	}
-	return r, err
+	return res, err
 }
 
-func (d *Daemon) sampleResponse(id string, q *ChatRequest, key, class string, s *step, r *stepResult, confidence float64, dear bool) {
-	d.cascades.submitSample(pendingSample{key, class, confidence, dear}, platform.Sample{
-		RequestID: id, Daemon: d.sampleOwnerID(), Workspace: q.Workspace, Class: class,
-		Model: s.model, Version: s.version, Server: r.pick.candidate.ID, Answer: r.text.String(),
+func (d *Daemon) sampleResponse(id string, req *ChatRequest, key, class string, s *step, res *stepResult, confidence float64, expensive bool) {
+	d.cascades.submitSample(pendingSample{key, class, confidence, expensive}, platform.Sample{
+		RequestID: id, Daemon: d.sampleOwnerID(), Workspace: req.Workspace, Class: class,
+		Model: s.model, Version: s.version, Server: res.pick.candidate.ID, Answer: res.text.String(),
 	})
 }
 
 // buildResponse hands over a buffered answer and pins the session.
-func (d *Daemon) buildResponse(id string, q *ChatRequest, s *step, r *stepResult, pin session.Pin, streamed bool) (*ChatResponse, error) {
-	a := d.responseHeader(s, pin)
-	a.RequestID, a.Text, a.FinishReason = id, r.text.String(), r.finishReason
-	a.PromptTokens, a.CompletionTokens = r.usage.PromptTokens, r.usage.AnswerTokens
-	if streamed || q.OnText == nil {
-		return a, nil
+func (d *Daemon) buildResponse(id string, req *ChatRequest, s *step, res *stepResult, pin session.Pin, streamed bool) (*ChatResponse, error) {
+	resp := d.responseHeader(s, pin)
+	resp.RequestID, resp.Text, resp.FinishReason = id, res.text.String(), res.finishReason
+	resp.PromptTokens, resp.CompletionTokens = res.usage.PromptTokens, res.usage.AnswerTokens
+	if streamed || req.OnText == nil {
+		return resp, nil
 	}
-	if err := d.textHandler(q, s, pin)(a.Text); err != nil {
+	if err := d.textHandler(req, s, pin)(resp.Text); err != nil {
 		return nil, fault.New(fault.CallerLeft, "the caller left").WithExecution(fault.Ran)
 	}
-	return a, nil
+	return resp, nil
 }
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -64,12 +64,12 @@
 	}
 }
 
-func (u *usageRecorder) register(s *peer.Server) {
-	peer.Handle(s, "store_usage", func(_ context.Context, _ string, q peer.StoreUsageRequest) (peer.Empty, error) {
-		return peer.Empty{}, u.storeReplicas(q)
+func (u *usageRecorder) register(server *peer.Server) {
+	peer.Handle(server, "store_usage", func(_ context.Context, _ string, req peer.StoreUsageRequest) (peer.Empty, error) {
+		return peer.Empty{}, u.storeReplicas(req)
 	})
-	peer.Handle(s, "confirm_usage", func(_ context.Context, _ string, q peer.ConfirmUsageRequest) (peer.Empty, error) {
-		u.deleteConfirmed(q)
+	peer.Handle(server, "confirm_usage", func(_ context.Context, _ string, req peer.ConfirmUsageRequest) (peer.Empty, error) {
+		u.deleteConfirmed(req)
 		return peer.Empty{}, nil
 	})
 }
@@ -91,13 +91,13 @@
 // neither could be reached; the record stays and is tried on.
 func (u *usageRecorder) add(ctx context.Context, rec billing.UsageRecord) bool {
 	u.mu.Lock()
-	place, pending := u.buffer.Add(rec), u.buffer.Len()
+	sequence, pending := u.buffer.Add(rec), u.buffer.Len()
 	u.mu.Unlock()
 	u.d.metrics.billed.Inc(1)
 	u.d.metrics.usagePending.Update(float64(pending))
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), protectTimeout)
 	defer cancel()
-	if u.replicate(ctx, place, rec) {
+	if u.replicate(ctx, sequence, rec) {
 		return true
 	}
 	select {
@@ -106,34 +106,34 @@
 	}
 	// A keeper that was just replaced fails this one record; the log takes it
 	// within a flush. Only when that fails too is the daemon cut off.
-	if u.awaitConfirmationFor(ctx, place, logConfirmTimeout) {
+	if u.awaitConfirmationFor(ctx, sequence, logConfirmTimeout) {
 		return true
 	}
 	u.setUnprotected(true)
-	if u.awaitConfirmation(ctx, place) {
+	if u.awaitConfirmation(ctx, sequence) {
 		return true
 	}
 	u.d.metrics.billingUnprotected.Inc(1)
 	return false
 }
 
-func (u *usageRecorder) setUnprotected(exposed bool) {
+func (u *usageRecorder) setUnprotected(unprotected bool) {
 	u.mu.Lock()
-	u.buffer.SetUnprotected(exposed)
+	u.buffer.SetUnprotected(unprotected)
 	u.mu.Unlock()
 }
 
-func (u *usageRecorder) awaitConfirmationFor(ctx context.Context, place uint64, limit time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (u *usageRecorder) awaitConfirmationFor(ctx context.Context, sequence uint64, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return u.awaitConfirmation(ctx, place)
+	return u.awaitConfirmation(ctx, sequence)
 }
 
 // awaitConfirmation waits until the log has the record of a place.
-func (u *usageRecorder) awaitConfirmation(ctx context.Context, place uint64) bool {
+func (u *usageRecorder) awaitConfirmation(ctx context.Context, sequence uint64) bool {
 	for {
 		u.mu.Lock()
-		done, changed := u.buffer.Confirmed(place), u.confirmed
+		done, changed := u.buffer.Confirmed(sequence), u.confirmed
 		u.mu.Unlock()
 		if done {
 			return true
@@ -146,40 +146,40 @@
 	}
 }
 
-func (u *usageRecorder) replicate(ctx context.Context, place uint64, rec billing.UsageRecord) bool {
+func (u *usageRecorder) replicate(ctx context.Context, sequence uint64, rec billing.UsageRecord) bool {
 	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
-	for _, k := range u.d.members.replicas(2) {
-		_, err := peer.Call[peer.StoreUsageRequest, peer.Empty](ctx, u.d.peers, k.PeerAddress, "store_usage",
-			peer.StoreUsageRequest{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, FirstSequence: place, Records: []billing.UsageRecord{rec}})
+	for _, replica := range u.d.members.replicas(2) {
+		_, err := peer.Call[peer.StoreUsageRequest, peer.Empty](ctx, u.d.peers, replica.PeerAddress, "store_usage",
+			peer.StoreUsageRequest{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, FirstSequence: sequence, Records: []billing.UsageRecord{rec}})
 		if err != nil {
 			continue
 		}
 		u.mu.Lock()
-		u.replicaAddresses[k.PeerAddress] = true
+		u.replicaAddresses[replica.PeerAddress] = true
 		u.mu.Unlock()
 		return true
 	}
 	return false
 }
 
-func (u *usageRecorder) storeReplicas(q peer.StoreUsageRequest) error {
+func (u *usageRecorder) storeReplicas(req peer.StoreUsageRequest) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.replicas)+len(q.Records) > u.d.settings.BillingBuffer {
+	if len(u.replicas)+len(req.Records) > u.d.settings.BillingBuffer {
 		return fault.New(fault.BillingBacklog, "%d copies are kept already", len(u.replicas))
 	}
-	for i, r := range q.Records {
-		u.replicas[r.RequestID] = replicaRecord{q.Owner, q.Incarnation, q.FirstSequence + uint64(i), r, time.Now()}
+	for i, rec := range req.Records {
+		u.replicas[rec.RequestID] = replicaRecord{req.Owner, req.Incarnation, req.FirstSequence + uint64(i), rec, time.Now()}
 	}
 	return nil
 }
 
-func (u *usageRecorder) deleteConfirmed(q peer.ConfirmUsageRequest) {
+func (u *usageRecorder) deleteConfirmed(req peer.ConfirmUsageRequest) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for id, k := range u.replicas {
-		if k.owner == q.Owner && k.incarnation == q.Incarnation && k.sequence <= q.ThroughSequence {
+	for id, replica := range u.replicas {
+		if replica.owner == req.Owner && replica.incarnation == req.Incarnation && replica.sequence <= req.ThroughSequence {
 			delete(u.replicas, id)
 		}
 	}
@@ -224,12 +224,12 @@
 	u.buffer.ConfirmBatch()
 	close(u.confirmed)
 	u.confirmed = make(chan struct{})
-	keepers := u.replicaAddresses
+	replicas := u.replicaAddresses
 	u.replicaAddresses = map[string]bool{}
 	pending, through := u.buffer.Len(), u.buffer.LastConfirmed()
 	u.mu.Unlock()
 	u.d.metrics.usagePending.Update(float64(pending))
-	u.notifyReplicas(ctx, keepers, through)
+	u.notifyReplicas(ctx, replicas, through)
 }
 
 func (u *usageRecorder) appendBatch(ctx context.Context, batch []billing.UsageRecord) error {
@@ -246,9 +246,9 @@
 
 // notifyReplicas tells the keepers up to which place the log has the records. One that
 // misses it appends its copies again, and they fold away.
-func (u *usageRecorder) notifyReplicas(ctx context.Context, keepers map[string]bool, through uint64) {
+func (u *usageRecorder) notifyReplicas(ctx context.Context, replicas map[string]bool, through uint64) {
 	msg := peer.ConfirmUsageRequest{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, ThroughSequence: through}
-	for address := range keepers {
+	for address := range replicas {
 		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		_, _ = peer.Call[peer.ConfirmUsageRequest, peer.Empty](callCtx, u.d.peers, address, "confirm_usage", msg)
 		cancel()
@@ -260,11 +260,11 @@
 	var batch []billing.UsageRecord
 	now := time.Now()
 	u.mu.Lock()
-	for _, k := range u.replicas {
-		m, known := u.d.members.find(k.owner)
-		gone := !known || m.State == membership.Gone || m.Incarnation != k.incarnation
-		if gone || now.Sub(k.storedAt) > adoptAfter {
-			batch = append(batch, k.record)
+	for _, replica := range u.replicas {
+		m, known := u.d.members.find(replica.owner)
+		gone := !known || m.State == membership.Gone || m.Incarnation != replica.incarnation
+		if gone || now.Sub(replica.storedAt) > adoptAfter {
+			batch = append(batch, replica.record)
 		}
 	}
 	u.mu.Unlock()
@@ -273,8 +273,8 @@
 	}
 	u.d.metrics.usageAdopted.Inc(int64(len(batch)))
 	u.mu.Lock()
-	for _, b := range batch {
-		delete(u.replicas, b.RequestID)
+	for _, rec := range batch {
+		delete(u.replicas, rec.RequestID)
 	}
 	u.mu.Unlock()
 }
@@ -287,7 +287,7 @@
 
 // UsageLedger folds the usage stream that the log still keeps.
 func (d *Daemon) UsageLedger(ctx context.Context) (*billing.Ledger, error) {
-	l := billing.NewLedger()
+	ledger := billing.NewLedger()
 	var from uint64
 	for {
 		b, err := d.deps.Log.Read(ctx, UsageStream, from, readLimit, 0)
@@ -297,14 +297,14 @@
 		for _, r := range b.Records {
 			var batch []billing.UsageRecord
 			if cbor.Unmarshal(r.Data, &batch) == nil {
-				for _, u := range batch {
-					l.Apply(u)
+				for _, rec := range batch {
+					ledger.Apply(rec)
 				}
 			}
 			from = r.Offset + 1
 		}
 		if len(b.Records) == 0 {
-			return l, nil
+			return ledger, nil
 		}
 	}
 }
