--- a/internal/daemon/account.go
+++ b/internal/daemon/account.go
@@ -10,7 +10,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// execution says what a request ran on, for its bill and the burn report.
+// execution records what a request ran on, for billing and the SLO counters.
 type execution struct {
 	model, version, failureDomain string
 	firstToken                    time.Duration
@@ -32,7 +32,8 @@
 	return n
 }
 
-// capacityKinds are refusals for want of a server: they count against objectives.
+// capacityKinds are the refusals caused by missing capacity. Unlike other
+// refusals, they count against service-level objectives.
 var capacityKinds = []fault.Kind{fault.Overloaded, fault.NoServer, fault.Warming, fault.Evacuated}
 
 func (d *Daemon) recordOutcome(workspace string, exec *execution, start time.Time, err error) {
@@ -53,9 +54,9 @@
 	d.slo.observe(slo.Key{Workspace: workspace, Model: exec.model, Version: exec.version, FailureDomain: exec.failureDomain}, counts)
 }
 
-// billRequest writes the one usage record of a request, over all its steps, and reports
-// whether it is safe. A request that delivered nothing and finished no step
-// costs nothing.
+// billRequest writes one usage record that covers all steps of a request. It
+// reports whether the record is stored durably. A request without a billable
+// step is not billed.
 func (d *Daemon) billRequest(ctx context.Context, id, workspace string, exec *execution) bool {
 	if len(exec.steps) == 0 {
 		d.usage.cancel()
@@ -77,8 +78,8 @@
 	return d.usage.add(ctx, rec)
 }
 
-// unprotectedError withholds the end of an answer whose usage record would be lost
-// with this VM.
+// unprotectedError is returned instead of the response when its usage record
+// would be lost with this VM.
 func unprotectedError() error {
 	return fault.New(fault.UsageUnprotected, "the usage record could not be stored safely").WithExecution(fault.Ran)
 }
@@ -86,7 +87,7 @@
 func estimateTokens(req *ChatRequest) int64 {
 	completion := req.MaxTokens
 	if completion == 0 {
-		completion = defaultAnswerTokens
+		completion = defaultCompletionTokens
 	}
 	return int64(len(req.Prompt)/bytesPerToken) + completion
 }
--- a/internal/daemon/cascades.go
+++ b/internal/daemon/cascades.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// planInterval is the period of planning and of collecting ratings.
+	// planInterval is the period of collecting ratings and updating plans.
 	planInterval = time.Second
-	// sampleSubmitTimeout bounds handing a sample to the rating service.
+	// sampleSubmitTimeout bounds one submission to the rating service.
 	sampleSubmitTimeout = 2 * time.Second
-	// maxPendingSamples bounds the samples that await their rating.
+	// maxPendingSamples bounds the samples whose rating is outstanding.
 	maxPendingSamples = 20000
 )
 
-// cascadePlanner learns from ratings and plans each workspace's cascades.
+// cascadePlanner collects ratings and derives the plan of each cascade of each
+// workspace from them.
 type cascadePlanner struct {
 	d            *Daemon
 	mu           sync.Mutex
@@ -36,7 +37,7 @@
 	cheapModel string
 }
 
-// pendingSample remembers what a rating will be about.
+// pendingSample describes a submitted response whose rating is outstanding.
 type pendingSample struct {
 	cascade, class string
 	confidence     float64
@@ -65,8 +66,8 @@
 	return class
 }
 
-// useCheapFirst reports whether a request goes to the cheap model first. Cheap
-// names the model and version; a new one resets what was learned of the old.
+// useCheapFirst reports whether a request goes to the cheap model first.
+// cheapModel is "model@version"; a change of it discards the collected evidence.
 func (c *cascadePlanner) useCheapFirst(key, class, cheapModel string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +82,8 @@
 	return state.plan.UseCheapFirst(class, known, rand.Float64())
 }
 
-// acceptCheap counts a cheap answer and reports whether it may stand.
+// acceptCheap records the confidence of a response of the cheap model and reports
+// whether the response is accepted.
 func (c *cascadePlanner) acceptCheap(key, class string, confidence float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,14 +92,15 @@
 	return state.plan.Accepts(class, confidence)
 }
 
-// submitSample hands an answer to the rating service for a share of requests.
+// submitSample sends a random share of responses to the rating service.
 func (c *cascadePlanner) submitSample(info pendingSample, sample platform.Sample) {
 	if c.d.deps.Rater == nil || rand.Float64() >= c.ratingShare(sample.Model, sample.Version) {
 		return
 	}
 	c.mu.Lock()
-	// Ratings that never come would fill the memory for good and end all
-	// learning; forgetting everything costs the ratings under way.
+	// Samples that are never rated would otherwise fill the map permanently and
+	// no further rating could be matched. Clearing it loses only the ratings that
+	// are outstanding.
 	if len(c.pending) >= maxPendingSamples {
 		clear(c.pending)
 	}
@@ -110,7 +113,7 @@
 	}()
 }
 
-// ratingShare is the fraction of a version's answers to have rated.
+// ratingShare returns the fraction of a version's responses to submit for rating.
 func (c *cascadePlanner) ratingShare(model, version string) float64 {
 	budget := c.d.settings.RatingShare
 	ro, ok := c.d.config.current().RolloutFor(model)
@@ -159,7 +162,7 @@
 	}
 }
 
-// updatePlans makes every cascade's plan anew from the evidence.
+// updatePlans recomputes the plan of every cascade from the collected evidence.
 func (c *cascadePlanner) updatePlans() {
 	cfg := c.d.config.current()
 	c.mu.Lock()
--- a/internal/daemon/serve.go
+++ b/internal/daemon/chat.go
@@ -16,64 +16,69 @@
 )
 
 const (
-	// defaultDeadline bounds the wait for the first token of workspaces that
-	// state none.
+	// defaultDeadline is the request deadline of workspaces that configure none.
 	defaultDeadline = 10 * time.Second
-	// defaultAnswerTokens is reserved of the token limit when max_tokens is absent.
-	defaultAnswerTokens = 512
-	// bytesPerToken estimates the tokens of a text.
+	// defaultCompletionTokens is reserved from the token limit when max_tokens is absent.
+	defaultCompletionTokens = 512
+	// bytesPerToken is used to estimate the token count of a text.
 	bytesPerToken = 4
-	// defaultClass is the class of requests that name none.
+	// defaultClass is the class of requests without one.
 	defaultClass = "default"
 )
 
-// ChatRequest is a checked chat request.
+// ChatRequest is a validated chat request.
 type ChatRequest struct {
 	Workspace string
-	// Model names a model, "model@version" or a cascade.
+	// Model is a model, "model@version" or a cascade.
 	Model string
-	// Body is the request as the caller sent it.
+	// Body is the decoded request body, passed on to the server.
 	Body map[string]json.RawMessage
-	// RawBody is the body's bytes, for comparing repeats of an idempotency key.
+	// RawBody is the encoded request body. It is compared when an idempotency key
+	// is repeated.
 	RawBody []byte
-	// Prompt is the text of all messages.
+	// Prompt is the concatenated text of all messages.
 	Prompt    string
 	MaxTokens int64
-	// Session is a session token of ours, a name of the caller's, or empty.
+	// Session is a session token issued by a daemon, a name chosen by the caller,
+	// or empty.
 	Session string
-	// Class groups requests whose difficulty is alike; default "default".
+	// Class groups requests of similar difficulty; empty means "default".
 	Class string
-	// IdempotencyKey is the Idempotency-Key; a request that has one runs at most once.
+	// IdempotencyKey is the Idempotency-Key header. A request that has one runs at
+	// most once.
 	IdempotencyKey string
-	// OnText gets the answer piece by piece. It is nil for plain answers.
+	// OnText receives the response text in pieces. It is nil for responses that
+	// are not streamed.
 	OnText func(text string) error
-	// OnStart is called once before the first piece with what is known by then:
-	// the model, the version and the session token.
-	OnStart func(a *ChatResponse)
+	// OnStart is called once before the first OnText, with the model, the version
+	// and the session token set.
+	OnStart func(resp *ChatResponse)
 }
 
-// ChatResponse is a complete answer.
+// ChatResponse is the response to a chat request.
 type ChatResponse struct {
 	RequestID    string `json:"request_id"`
 	Model        string `json:"model"`
 	Version      string `json:"version"`
 	Text         string `json:"text"`
 	FinishReason string `json:"finish"`
-	// Session is the token that keeps the session on its version.
+	// Session is the token that pins the session to its version.
 	Session          string `json:"session"`
 	PromptTokens     int64  `json:"prompt_tokens"`
 	CompletionTokens int64  `json:"answer_tokens"`
-	// Replayed says that the answer is that of an earlier request with the same key.
+	// Replayed is set when the response is that of an earlier request with the
+	// same idempotency key.
 	Replayed bool `json:"-"`
 }
 
 func newID(prefix string) string { return prefix + ulid.Make().String() }
 
-// NewRequestID returns the id under which a request is answered and billed.
+// NewRequestID returns a unique id for a request, used in its response and its
+// usage record.
 func NewRequestID() string { return newID("req_") }
 
-// Chat answers a chat request. Its error is always a *fault.Error that says
-// truthfully whether the request ran.
+// Chat serves a chat request. Errors are of type *fault.Error and carry the
+// execution state of the request.
 func (d *Daemon) Chat(ctx context.Context, id string, req ChatRequest) (*ChatResponse, error) {
 	done, err := d.admit()
 	if err != nil {
@@ -86,7 +91,8 @@
 	return resp, err
 }
 
-// admit admits a request to a running daemon that may serve.
+// admit registers a request, or refuses it when the daemon is stopping or not
+// ready. The returned function must be called when the request ends.
 func (d *Daemon) admit() (func(), error) {
 	select {
 	case <-d.stopping:
@@ -137,7 +143,8 @@
 	return resp, exec, err
 }
 
-// runOnce runs f at most once for a request that has an idempotency key.
+// runOnce calls f, at most once per idempotency key if the request has one. A
+// repeat gets the stored response.
 func (d *Daemon) runOnce(ctx context.Context, id string, req *ChatRequest, f func() (*ChatResponse, error)) (*ChatResponse, error) {
 	if req.IdempotencyKey == "" {
 		return f()
@@ -175,7 +182,8 @@
 	return &resp, nil
 }
 
-// completeChat asks the models in turn: one model, or the steps of a cascade.
+// completeChat runs the request on a single model or on the steps of a cascade,
+// until a response is accepted.
 func (d *Daemon) completeChat(ctx context.Context, id string, req *ChatRequest, w fleet.Workspace, models []string, pin session.Pin, exec *execution) (*ChatResponse, error) {
 	start := time.Now()
 	deadline := defaultDeadline
@@ -226,7 +234,8 @@
 	}
 }
 
-// textHandler passes pieces on to the caller, after Begin.
+// textHandler returns a function that calls OnStart once and then OnText. It
+// returns nil for responses that are not streamed.
 func (d *Daemon) textHandler(req *ChatRequest, s *step, pin session.Pin) func(string) error {
 	if req.OnText == nil {
 		return nil
@@ -241,13 +250,13 @@
 	}
 }
 
-// responseHeader is what is known of an answer before its first piece.
+// responseHeader returns the part of the response that is known before its text.
 func (d *Daemon) responseHeader(s *step, pin session.Pin) *ChatResponse {
 	pin = pin.WithVersion(s.model, s.version)
 	return &ChatResponse{Model: s.model, Version: s.version, Session: pin.Token(d.keyring.Load())}
 }
 
-// completeStep runs one step and books what it cost.
+// completeStep runs one step and adds its tokens to the execution record.
 func (d *Daemon) completeStep(ctx context.Context, s *step, name string, w fleet.Workspace, pin session.Pin, exec *execution, start time.Time) (*stepResult, error) {
 	cfg := d.config.current()
 	var err error
@@ -286,7 +295,8 @@
 	})
 }
 
-// buildResponse hands over a buffered answer and pins the session.
+// buildResponse assembles the response. Text that was buffered is passed to
+// OnText if the caller streams.
 func (d *Daemon) buildResponse(id string, req *ChatRequest, s *step, res *stepResult, pin session.Pin, streamed bool) (*ChatResponse, error) {
 	resp := d.responseHeader(s, pin)
 	resp.RequestID, resp.Text, resp.FinishReason = id, res.text.String(), res.finishReason
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -17,19 +17,20 @@
 )
 
 const (
-	// claimPartitions spreads keys over streams, so that a daemon reads only the
-	// claims that share a stream with its own.
+	// claimPartitions is the number of log streams that keys are hashed to. A
+	// daemon reads only the streams of the keys it claims.
 	claimPartitions = 16
 	// claimTimeout bounds the wait for the log to confirm a claim.
 	claimTimeout = 3 * time.Second
-	// claimExpiryInterval is the period of forgetting old keys.
+	// claimExpiryInterval is the period of removing expired keys.
 	claimExpiryInterval = time.Minute
-	// maxStoredResponse bounds an answer kept with its claim, in bytes. A longer
-	// one cannot be replayed.
+	// maxStoredResponse is the largest response stored with its claim, in bytes.
+	// Larger ones cannot be replayed.
 	maxStoredResponse = 16 << 10
 )
 
-// claimManager drives the at-most-once claims of idempotency keys.
+// claimManager claims idempotency keys through the log, so that a request with a
+// key runs at most once across all daemons.
 type claimManager struct {
 	d          *Daemon
 	partitions [claimPartitions]claimPartition
@@ -42,7 +43,8 @@
 	table *request.ClaimTable
 }
 
-// mintedKeyState is the memory of one minted key of this incarnation.
+// mintedKeyState is the state of a key minted by this incarnation. Such keys are
+// kept in memory only.
 type mintedKeyState struct {
 	bodyHash  string
 	done      bool
@@ -77,7 +79,7 @@
 	})
 }
 
-// claim is the right to run one non-repeatable request.
+// claim is the exclusive right to run the request of an idempotency key.
 type claim struct {
 	manager *claimManager
 	record  request.ClaimRecord
@@ -92,8 +94,8 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// acquire claims a key before the run. It returns a ticket, a stored answer, or
-// the refusal.
+// acquire claims a key. It returns the claim, or the stored response of an
+// earlier request, or the refusal.
 func (c *claimManager) acquire(ctx context.Context, workspace, key string, body []byte, requestID string) (*claim, *request.ClaimResult, error) {
 	if request.IsMintedKey(key) {
 		return c.acquireMinted(workspace, key, body)
@@ -123,9 +125,8 @@
 
 func claimStream(partition int) string { return "claims-" + strconv.Itoa(partition) }
 
-// commit appends the claim and reads the stream up to it. When the reply of the
-// append is lost, the claim is appended again: its request id makes the second
-// copy count as the first.
+// commit appends the claim and reads the stream until its outcome is known. When
+// the append fails, it is repeated: duplicates are recognized by the request id.
 func (c *claimManager) commit(ctx context.Context, rec request.ClaimRecord) (request.ClaimResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -135,7 +136,7 @@
 		if !appended {
 			appended = c.append(ctx, partition, rec) == nil
 		}
-		if err := c.catchUp(ctx, partition); err == nil {
+		if err := c.readStream(ctx, partition); err == nil {
 			if result := c.resolve(partition, rec); result.State != request.ClaimPending {
 				return result, nil
 			}
@@ -159,7 +160,7 @@
 	return err
 }
 
-func (c *claimManager) catchUp(ctx context.Context, partition int) error {
+func (c *claimManager) readStream(ctx context.Context, partition int) error {
 	p := &c.partitions[partition]
 	for {
 		p.mu.Lock()
@@ -194,9 +195,9 @@
 	return result
 }
 
-// abandon voids a claim that may have reached the log although this request will
-// not run, so that a repeat of the key is not locked out. It is tried in the
-// background for as long as an outage may last.
+// abandon voids a claim that may have reached the log although its request will
+// not run, so that the key can be used again. It retries in the background for
+// up to one hour.
 func (c *claimManager) abandon(rec request.ClaimRecord) {
 	rec.Kind = request.Abandoned
 	go func() {
@@ -210,8 +211,8 @@
 	}()
 }
 
-// finish stores the outcome for repeats of the key. State tells whether the run
-// is proven not to have happened; then the key is free again.
+// finish stores the response for repeats of the key. If the request is known not
+// to have run, the claim is abandoned and the key can be used again.
 func (c *claim) finish(state fault.ExecutionState, status int, response []byte) {
 	if c == nil {
 		return
@@ -273,7 +274,8 @@
 	minted.done, minted.status, minted.response = status != 0, status, response
 }
 
-// MintIdempotencyKey returns an idempotency key that only this incarnation may run.
+// MintIdempotencyKey returns an idempotency key that is valid at this incarnation
+// of the daemon only.
 func (d *Daemon) MintIdempotencyKey(workspace string) string {
 	return request.MintedKey{Workspace: workspace, Daemon: d.settings.ID, Incarnation: d.incarnation, Nonce: newID("")}.Mint(d.keyring.Load())
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -22,29 +22,30 @@
 	configStream = "config"
 	// readLimit bounds one read of the log in records.
 	readLimit = 500
-	// longPollTimeout is how long a read waits for news.
+	// longPollTimeout is how long a read waits for new records.
 	longPollTimeout = time.Second
 	// readRetryDelay is the pause after a failed read.
 	readRetryDelay = 250 * time.Millisecond
-	// readersPerDomain is how many daemons of a failure domain read the log all
-	// the time; the others hear from them and look for themselves rarely.
+	// readersPerDomain is the number of daemons per failure domain that read the
+	// log continuously. The others fetch records from peers and read the log at
+	// nonReaderInterval.
 	readersPerDomain = 2
-	// nonReaderInterval is the period of a daemon that is no reader.
+	// nonReaderInterval is the pause between log reads of the other daemons.
 	nonReaderInterval = 8 * time.Second
-	// maxTailRecords is how many raw records are kept for peers.
+	// maxTailRecords is the number of recent records kept for peers.
 	maxTailRecords = 1024
 	// recordsPerCheckpoint is the number of records between two checkpoints.
 	recordsPerCheckpoint = 200
-	// patchTimeout bounds the wait for a submitted patch to be folded.
+	// patchTimeout bounds the wait for the outcome of a submitted patch.
 	patchTimeout = 5 * time.Second
 	// peerCallTimeout bounds a call to another daemon.
 	peerCallTimeout = 1500 * time.Millisecond
-	// minBootstrapDomains is how many failure domains a fresh daemon without the log
-	// must have heard before it serves by its peers' word.
+	// minBootstrapDomains is the number of failure domains from which a daemon must
+	// have obtained the configuration before it serves without having read the log.
 	minBootstrapDomains = 2
 )
 
-// configFollower follows the configuration stream, from the log or from peers.
+// configFollower replicates the configuration stream from the log or from peers.
 type configFollower struct {
 	d      *Daemon
 	active atomic.Pointer[fleet.Config]
@@ -80,7 +81,7 @@
 	return c.logReadAt
 }
 
-// readiness gathers what decides whether the daemon may serve.
+// readiness returns the inputs that decide whether the daemon may serve.
 func (c *configFollower) readiness(m *memberlist) membership.Readiness {
 	majority, serversUpdated := m.inMajority(), c.d.balancer.lastServersUpdate()
 	c.mu.Lock()
@@ -103,8 +104,8 @@
 	}
 }
 
-// isReader reports whether this daemon reads the log all the time. A daemon that
-// has no configuration yet does.
+// isReader reports whether this daemon reads the log continuously. A daemon
+// without a configuration always does.
 func (c *configFollower) isReader() bool {
 	c.mu.Lock()
 	loaded := c.loaded
@@ -154,7 +155,8 @@
 	c.publish()
 }
 
-// publish makes the fold's configuration the one in force. Callers hold mu.
+// publish activates the configuration of the state machine and wakes waiters.
+// Callers hold mu.
 func (c *configFollower) publish() {
 	next := c.state.Config()
 	if next.Number != c.active.Load().Number {
@@ -165,8 +167,8 @@
 	c.changed = make(chan struct{})
 }
 
-// checkpoint appends the state again before its records age out. Two daemons
-// that both do so are harmless: an anchored fold ignores checkpoints.
+// checkpoint appends the state before the log drops its records. Concurrent
+// checkpoints are harmless: a synced state machine ignores them.
 func (c *configFollower) checkpoint(ctx context.Context) {
 	c.mu.Lock()
 	c.recordsSinceCheckpoint = 0
@@ -200,7 +202,8 @@
 	return c.state.NextOffset()
 }
 
-// observePeerOffset is called when a heartbeat shows a peer's position.
+// observePeerOffset handles the offset in a peer's heartbeat: it fetches records
+// from a peer that is ahead.
 func (c *configFollower) observePeerOffset(ctx context.Context, from membership.DaemonInfo, peerOffset uint64) {
 	c.mu.Lock()
 	ownOffset, synced := c.state.NextOffset(), c.state.Synced()
@@ -240,9 +243,9 @@
 	c.apply(resp.Records)
 }
 
-// SubmitPatch appends a patch and waits until the fold has judged it. When the reply
-// of the append is lost, the patch is looked for by its id and never appended
-// again here: a caller who repeats it sends the same id.
+// SubmitPatch appends a patch and waits for its outcome. A failed append is not
+// repeated, because the patch may have reached the log; its outcome is looked up
+// by its id. Callers retry with the same id.
 func (d *Daemon) SubmitPatch(ctx context.Context, rec fleet.Record) (fleet.PatchOutcome, error) {
 	if rec.PatchID == "" {
 		return fleet.PatchOutcome{}, fault.NewField(fault.BadRequest, "patch_id", "must not be empty")
@@ -296,7 +299,7 @@
 	}
 }
 
-// readOnce catches up now, for a daemon that is no reader.
+// readOnce reads the log once if this daemon does not read it continuously.
 func (c *configFollower) readOnce(ctx context.Context) error {
 	if c.isReader() {
 		return nil
@@ -304,7 +307,7 @@
 	return c.read(ctx)
 }
 
-// Config returns the configuration in force.
+// Config returns the active configuration.
 func (d *Daemon) Config() *fleet.Config { return d.config.current() }
 
 // PatchHistory returns the newest patch outcomes, oldest first.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon wires the decision packages to the clock, the network and the
-// platform. Each file drives one aggregate: it gathers inputs, asks the pure
-// package for a decision, and carries it out. No lock is held over I/O.
+// Package daemon connects the decision packages to the clock, the network and
+// the platform. Each file gathers the inputs of one decision package, calls it
+// and carries out the result. No lock is held during I/O.
 package daemon
 
 import (
@@ -27,8 +27,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// Dependencies are the daemon's connections to its surroundings. Log is required; a
-// nil VMs, Rater or Weights is a platform without that service.
+// Dependencies are the external services of a daemon. Log is required. VMs, Rater
+// and Weights are nil on platforms without that service.
 type Dependencies struct {
 	Log     platform.Log
 	VMs     platform.VMList
@@ -36,11 +36,11 @@
 	Weights platform.WeightStore
 	Logger  *log.Logger
 	Metrics tally.Scope
-	// PeerTLS encrypts links to other daemons when set.
+	// PeerTLS encrypts connections to other daemons when set.
 	PeerTLS *tls.Config
 }
 
-// Daemon is one router process.
+// Daemon routes requests to backend servers.
 type Daemon struct {
 	settings    settings.Settings
 	secrets     settings.Secrets
@@ -62,7 +62,7 @@
 	cascades    *cascadePlanner
 	orders      *orderController
 	slo         *sloRecorder
-	retryBudget *sharedRetryBudget
+	retryBudget *retryBudget
 	guard       *containment.Guard
 
 	inFlight       atomic.Int64
@@ -72,7 +72,7 @@
 	activeRequests sync.WaitGroup
 }
 
-// New returns a daemon that is not running yet.
+// New returns a daemon. Run starts its background work.
 func New(s settings.Settings, secrets settings.Secrets, deps Dependencies) *Daemon {
 	d := &Daemon{
 		settings: s, secrets: secrets, deps: deps, log: deps.Logger,
@@ -94,12 +94,12 @@
 	d.rollouts = newRolloutController(d)
 	d.cascades = newCascadePlanner(d)
 	d.orders = newOrderController(d)
-	d.retryBudget = &sharedRetryBudget{budget: request.NewRetryBudget()}
+	d.retryBudget = &retryBudget{budget: request.NewRetryBudget()}
 	d.slo = &sloRecorder{counters: slo.NewCounters()}
 	return d
 }
 
-// PeerServer returns the handler for other daemons.
+// PeerServer returns the handler for calls of other daemons.
 func (d *Daemon) PeerServer() *peer.Server {
 	s := peer.NewServer(d.secrets.PeerKey)
 	s.OnRefused = func() { d.metrics.peerRefused.Inc(1) }
@@ -113,7 +113,7 @@
 	return s
 }
 
-// Run works until the context ends.
+// Run runs the background loops until the context ends.
 func (d *Daemon) Run(ctx context.Context) {
 	loops := []func(context.Context){
 		d.config.run, d.members.run, d.balancer.run, d.usage.run,
@@ -128,22 +128,22 @@
 	d.peers.Close()
 }
 
-// SetSecrets replaces the session keys without a restart.
+// SetSecrets replaces the session keys. Other secrets change on restart only.
 func (d *Daemon) SetSecrets(s settings.Secrets) { d.keyring.Store(s.Ring()) }
 
 // Settings returns the daemon's settings.
 func (d *Daemon) Settings() settings.Settings { return d.settings }
 
-// OperatorKey returns the key that operators present.
+// OperatorKey returns the key that authorizes operator requests.
 func (d *Daemon) OperatorKey() string { return d.secrets.OperatorKey }
 
 // Ready reports whether the daemon would dispatch a request now.
 func (d *Daemon) Ready() bool { return d.config.readiness(d.members).CanServe(time.Now()) }
 
-// Drain ends the daemon's service without cutting a request: it leaves the
-// endpoint answers at once, serves on while callers may still hold an old one,
-// waits for what runs, and flushes the usage records. It returns the number of
-// requests that were still running and of records still unconfirmed at the limit.
+// Drain shuts the daemon down gracefully. It removes the daemon from the endpoint
+// lists, keeps serving until cached lists have expired, waits for running
+// requests and flushes the usage records. It returns the number of requests still
+// running and of usage records still unconfirmed when the drain limit is reached.
 func (d *Daemon) Drain(ctx context.Context) (running int, unconfirmed int) {
 	d.leaving.Store(true)
 	d.members.announce()
@@ -163,19 +163,21 @@
 	return int(d.inFlight.Load()), d.usage.pending()
 }
 
-// PanicCounter counts panics of the handlers that serve for the daemon.
+// PanicCounter returns the counter of panics in request handlers.
 func (d *Daemon) PanicCounter() tally.Counter { return d.metrics.panics }
 
 // Leaving reports whether the daemon is draining.
 func (d *Daemon) Leaving() bool { return d.leaving.Load() }
 
-// Endpoints returns the addresses callers should use and for how long.
+// Endpoints returns the daemon addresses that callers should use, and how long
+// they may cache them.
 func (d *Daemon) Endpoints() ([]string, time.Duration) {
 	return d.members.endpoints(), time.Duration(d.settings.EndpointTTL)
 }
 
-// runPeriodically calls f at a period until the context ends. The first call comes after
-// a random part of the period, so that daemons started together spread out.
+// runPeriodically calls f with the given pause until the context ends. The first
+// call is delayed by a random part of the period, so that daemons started together
+// do not run in step.
 func runPeriodically(ctx context.Context, period time.Duration, f func(context.Context)) {
 	delay := rand.N(period)
 	for loop.Pause(ctx, delay) {
@@ -184,16 +186,17 @@
 	}
 }
 
-// ownerID names this incarnation in records of the log.
+// ownerID identifies this incarnation in log records.
 func (d *Daemon) ownerID() string {
 	return d.settings.ID + "/" + strconv.FormatUint(d.incarnation, 10)
 }
 
-// sampleOwnerID is under which name the rating service keeps our samples. It names the
-// incarnation, because the cursor into them is lost with it.
+// sampleOwnerID identifies this daemon at the rating service. It includes the
+// incarnation, because the rating cursor does not survive a restart.
 func (d *Daemon) sampleOwnerID() string { return d.ownerID() }
 
-// staticInfo is what never changes about this incarnation.
+// staticInfo returns the part of the membership entry that is fixed for this
+// incarnation.
 func (d *Daemon) staticInfo() membership.DaemonInfo {
 	return membership.DaemonInfo{
 		ID: d.settings.ID, Address: d.settings.Listen, PeerAddress: d.settings.PeerListen,
@@ -201,7 +204,7 @@
 	}
 }
 
-// currentInfo is what this daemon says of itself now.
+// currentInfo returns the membership entry of this daemon.
 func (d *Daemon) currentInfo() membership.DaemonInfo {
 	info := d.staticInfo()
 	info.ConfigNumber = d.config.current().Number
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -17,40 +17,40 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// step is one model's turn to answer a request.
+// step is the execution of a request on one model.
 type step struct {
 	requestID string
 	workspace string
 	model     string
 	version   string
-	// fallbackVersion is the version for a further attempt when a run failed: the
-	// running one, for a session that a roll-out moved and that has no answer
-	// yet. Empty keeps the version.
+	// fallbackVersion replaces version after a failed attempt. It is the stable
+	// version, for a session without a pin that a roll-out moved to the new one.
+	// Empty keeps version.
 	fallbackVersion string
 	priority        int
 	prompt          string
 	body            map[string]json.RawMessage
 	retryState      *request.RetryState
 	deadline        time.Time
-	// fingerprint is the same for every repeat of the request by its caller.
+	// fingerprint identifies the request across repeats by the caller.
 	fingerprint quarantine.Fingerprint
-	// onText gets each piece of the answer; its error means the caller left.
+	// onText receives each piece of the response. An error means that the caller
+	// disconnected.
 	onText func(text string) error
 }
 
-// stepResult is what a step gave.
 type stepResult struct {
 	text       strings.Builder
 	usage      engine.Usage
 	firstToken time.Duration
-	// queueWait is the part of firstToken spent in the server's queue.
+	// queueWait is the part of firstToken spent in the queue of the server.
 	queueWait    time.Duration
 	pick         pick
 	finishReason string
 	complete     bool
 }
 
-// runStep drives the attempts of a step until its answer is whole or it fails.
+// runStep makes attempts until the response is complete or the step fails.
 func (d *Daemon) runStep(ctx context.Context, s *step) (*stepResult, error) {
 	res := &stepResult{}
 	var tried []string
@@ -90,14 +90,15 @@
 	}
 }
 
-// versionDisallowed refuses an attempt whose version lost its permission while the
-// request was queued, retried or escalated.
+// versionDisallowed returns the error for a version that the workspace may no
+// longer use, after a configuration change during the request.
 func (d *Daemon) versionDisallowed(s *step) error {
 	d.metrics.lastCheckRefused.Inc(1)
 	return fault.New(fault.VersionWithdrawn, "%s@%s is no longer allowed", s.model, s.version).WithExecution(s.retryState.ExecutionState())
 }
 
-// runAttempt runs once on one server, resuming its stream as often as needed.
+// runAttempt makes one attempt on one server. It resumes the stream on a new
+// connection when the current one is lost.
 func (d *Daemon) runAttempt(ctx context.Context, s *step, res *stepResult, picked pick) request.Decision {
 	start := time.Now()
 	res.text.Reset()
@@ -112,8 +113,8 @@
 	defer func() {
 		d.guard.End(ctx, guarded, containmentServer(picked.candidate), containmentOutcome(event, res.complete, started))
 	}()
-	// The configuration may have changed since the pick; this check is the last
-	// thing before the request leaves.
+	// The configuration may have changed since the server was picked, so this is
+	// checked again immediately before the request is sent.
 	if !d.config.current().MayDispatch(s.workspace, s.model, s.version) {
 		failed = false
 		return request.Decision{Action: request.Fail, Error: fault.FromError(d.versionDisallowed(s))}
@@ -140,7 +141,7 @@
 		}
 		decision := d.nextAction(s.retryState, event)
 		if errors.Is(context.Cause(ctx), containment.ErrHeld) {
-			decision = request.Decision{Action: request.Retry} // the next try is refused
+			decision = request.Decision{Action: request.Retry} // runStep then refuses the held request
 		}
 		if decision.Action != request.Resume {
 			d.cancelRun(picked, runID, event)
@@ -158,20 +159,20 @@
 	return state.Next(event, time.Now(), d.retryBudget.budget)
 }
 
-// sharedRetryBudget is the retry budget of all requests of this daemon.
-type sharedRetryBudget struct {
+// retryBudget is the retry budget shared by all requests of this daemon.
+type retryBudget struct {
 	mu     sync.Mutex
 	budget *request.RetryBudget
 }
 
-func (r *sharedRetryBudget) deposit() {
+func (r *retryBudget) deposit() {
 	r.mu.Lock()
 	r.budget.Deposit()
 	r.mu.Unlock()
 }
 
-// cancelRun cancels a run that will not be resumed. A run nobody waits for
-// would hold a slot, and its answer could not be billed.
+// cancelRun cancels a run that will not be resumed. It would otherwise occupy a
+// slot of the server, and its response could not be billed.
 func (d *Daemon) cancelRun(picked pick, runID string, event request.AttemptEvent) {
 	if event == request.AttemptRefused || event == request.ConnectFailed || event == request.RunFailed || event == request.RunNotFound {
 		return
@@ -187,8 +188,8 @@
 	res.pick = picked
 }
 
-// readFrames passes the frames of one connection on until the answer is whole or the
-// connection is of no more use.
+// readFrames processes the frames of one connection until the response is complete
+// or the connection cannot be used any more.
 func (d *Daemon) readFrames(s *step, res *stepResult, picked pick, asm *request.Assembler, stream *engine.Stream, err error, start time.Time) request.AttemptEvent {
 	if err != nil {
 		return startEvent(err)
@@ -235,7 +236,7 @@
 	return request.ConnectionLost
 }
 
-// handleFrame books a delivered frame and hands its text to the caller.
+// handleFrame adds a frame to the result and passes its text to the caller.
 func (d *Daemon) handleFrame(s *step, res *stepResult, picked pick, frame engine.Frame, start time.Time) error {
 	if res.firstToken == 0 {
 		res.firstToken = time.Since(start)
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -7,7 +7,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// Explanation says how a request would be routed at this moment.
+// Explanation describes how a request would be routed with the current
+// configuration and load.
 type Explanation struct {
 	Number        uint64               `json:"number"`
 	Model         string               `json:"model"`
@@ -18,7 +19,8 @@
 	RuleResults   []routing.RuleResult `json:"reasons"`
 }
 
-// Explain routes a request without sending it and returns each rule's word.
+// Explain routes a request without sending it and returns the result of each
+// routing rule. Errors are of type *fault.Error.
 func (d *Daemon) Explain(workspace, name, sessionHeader, prompt string) (*Explanation, error) {
 	cfg := d.config.current()
 	w, ok := cfg.Workspaces[workspace]
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -13,13 +13,14 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// peerViewInterval is how often a daemon looks with whom it shares the limits of warming servers.
+// peerViewInterval is the period of updating the set of daemons that share the
+// limits of warming servers.
 const peerViewInterval = 250 * time.Millisecond
 
-// uptime reads the clock that the gate goes by.
+// uptime returns the time since the start of the daemon, the clock of the gate.
 func (b *balancer) uptime() time.Duration { return time.Since(b.startedAt) }
 
-// slowStartLimit is what a warming server of a pool bears.
+// slowStartLimit converts the slow-start settings of a pool to a limit.
 func slowStartLimit(s *fleet.SlowStart) slowstart.Limit {
 	if s == nil {
 		return slowstart.Limit{}
@@ -27,12 +28,13 @@
 	return slowstart.Limit{WarmupPeriod: time.Duration(s.Seconds * float64(time.Second)), PerSecond: s.PerSecond, BurstFactor: 1, BurstSlack: s.Burst}
 }
 
-// gateServer is a server as the gate sees it. Callers hold mu.
+// gateServer converts a candidate to the input of the gate. Callers hold mu.
 func (b *balancer) gateServer(p *pool, s *fleet.SlowStart, cand *routing.Candidate) gate.Server {
 	return gate.Server{ID: cand.ID, Hash: cand.Hash, FailureDomain: cand.FailureDomain, Leaving: cand.Leaving, WarmAt: p.warmAt[cand.ID], Limit: slowStartLimit(s)}
 }
 
-// excludeRefused excludes the servers that may get nothing now, and counts why. Callers hold mu.
+// excludeRefused marks the candidates that the gate refuses as tried and returns
+// the counts of reasons. Callers hold mu.
 func (b *balancer) excludeRefused(p *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Refusals) {
 	now := b.uptime()
 	for i := range candidates {
@@ -46,17 +48,19 @@
 	return refused
 }
 
-// recordResponse records at the gate that a server has answered. Callers hold mu.
+// recordResponse records at the gate that a server has responded. Callers hold mu.
 func (b *balancer) recordResponse(picked pick) {
 	b.gate.ServerResponded(picked.candidate.ID, picked.slowStart, b.uptime())
 }
 
-// recordSend records at the gate that a request is sent to a server. Callers hold mu.
+// recordSend records at the gate that a request is sent to a server. Callers
+// hold mu.
 func (b *balancer) recordSend(p *pool, s *fleet.SlowStart, cand *routing.Candidate) {
 	b.gate.RecordSend(b.gateServer(p, s, cand), b.uptime())
 }
 
-// syncEvacuations brings the gate to the configuration in force. Callers hold mu.
+// syncEvacuations applies the evacuations of the configuration to the gate.
+// Callers hold mu.
 func (b *balancer) syncEvacuations(cfg *fleet.Config) {
 	now := b.uptime()
 	for domain, e := range cfg.Evacuations {
@@ -71,7 +75,7 @@
 	}
 }
 
-// updatePeerView looks with whom this daemon shares the limits of warming servers.
+// updatePeerView passes the current set of live daemons to the gate.
 func (b *balancer) updatePeerView(context.Context) {
 	view := b.d.members.peerView()
 	b.mu.Lock()
@@ -79,7 +83,8 @@
 	b.gate.SetView(view, b.uptime())
 }
 
-// peerView returns the daemons that live. A daemon without configured peers is trusted alone.
+// peerView returns the live daemons. The view is trusted if this daemon is in the
+// majority or runs alone without configured peers.
 func (m *memberlist) peerView() slowstart.View {
 	self := m.d.settings.ID
 	majority := m.inMajority()
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -18,7 +18,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// newSlowStartBalancer has servers of a pool in two failure domains, and is the only daemon.
+// newSlowStartBalancer returns the balancer of a single daemon, and a configuration
+// with a pool of two servers in two failure domains.
 func newSlowStartBalancer(t *testing.T) (*balancer, *fleet.Config) {
 	t.Helper()
 	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Dependencies{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
@@ -36,7 +37,8 @@
 	return b.pickServer(cfg, "p", "", &routing.Request{}, nil)
 }
 
-// Guards against sends of the own interface to an evacuated domain, and one that stays closed.
+// Guards against requests to an evacuated failure domain, and against a domain that
+// stays excluded after its evacuation ended.
 func TestPickExcludesEvacuatedDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, cfg := newSlowStartBalancer(t)
@@ -61,12 +63,12 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if len(seen) != 2 {
-			t.Errorf("used after the order was taken back: %v", seen)
+			t.Errorf("servers used after the evacuations ended: %v", seen)
 		}
 	})
 }
 
-// Guards against a rush of the own interface at a server that comes back.
+// Guards against exceeding the slow-start limit of a restarted server.
 func TestPickLimitsRestartedServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, cfg := newSlowStartBalancer(t)
@@ -84,13 +86,13 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if bound := slowStartLimit(cfg.Pools["p"].SlowStart).Bound(); sent == 0 || sent > bound/2 {
-			t.Errorf("%d sends in the first second, %d are borne", sent, bound)
+			t.Errorf("%d requests sent in the first second, limit %d", sent, bound)
 		}
 	})
 }
 
-// Guards against a refusal that promises that a request has not run although an earlier attempt
-// may have.
+// Guards against refusing a request as not run although an earlier attempt may have
+// run it.
 func TestRefusalAfterRunIsNotReportedAsNotRun(t *testing.T) {
 	for _, kind := range []fault.Kind{fault.Warming, fault.Evacuated, fault.NoServer, fault.Quarantined} {
 		state := &request.RetryState{Repeatable: true}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -15,18 +15,20 @@
 )
 
 const (
-	// leaseTimeout bounds the wait for a meter's home.
+	// leaseTimeout bounds a lease request to the owner of a meter.
 	leaseTimeout = 300 * time.Millisecond
-	// settleInterval is the period of telling homes what was spent without them.
+	// settleInterval is the period of reporting unleased spend to meter owners.
 	settleInterval = time.Second
 )
 
-// rateLimits spends leased shares of workspace limits, and leases as home.
+// rateLimits enforces workspace limits with shares leased from the owner of each
+// meter, and grants leases for the meters that this daemon owns.
 type rateLimits struct {
 	d *Daemon
-	// findOwner returns the home of a meter, if there is one, and ask asks it.
+	// findOwner returns the owner of a meter, and requestLease sends a lease
+	// request to it. Tests replace them.
 	findOwner    func(meter string) (membership.Member, bool)
-	requestLease func(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error)
+	requestLease func(ctx context.Context, owner membership.Member, req quota.LeaseRequest) (quota.Lease, error)
 	mu           sync.Mutex
 	limiters     map[string]*meterLimiter
 	lessor       *quota.Lessor
@@ -34,7 +36,7 @@
 
 type meterLimiter struct {
 	*quota.Limiter
-	// leaseMu is held while one request fetches a lease for all.
+	// leaseMu serializes lease requests, so that one serves all waiting requests.
 	leaseMu sync.Mutex
 }
 
@@ -44,7 +46,7 @@
 	return l
 }
 
-// meterOwner returns a meter's home as this daemon sees it.
+// meterOwner returns the owner of a meter by the membership table.
 func (l *rateLimits) meterOwner(meter string) (membership.Member, bool) {
 	owners := l.d.members.owners(meter, 1)
 	if len(owners) == 0 {
@@ -53,7 +55,8 @@
 	return owners[0], true
 }
 
-// requestLeaseFrom asks a meter's home for a lease, this daemon included.
+// requestLeaseFrom requests a lease from the owner of a meter, which may be this
+// daemon.
 func (l *rateLimits) requestLeaseFrom(ctx context.Context, owner membership.Member, req quota.LeaseRequest) (quota.Lease, error) {
 	if owner.ID == l.d.settings.ID {
 		l.mu.Lock()
@@ -73,7 +76,7 @@
 	})
 }
 
-// run tells homes what was spent while none answered.
+// run reports spend without a lease to the owners of the meters.
 func (l *rateLimits) run(ctx context.Context) {
 	runPeriodically(ctx, settleInterval, func(ctx context.Context) {
 		cfg := l.d.config.current()
@@ -86,7 +89,7 @@
 			l.mu.Lock()
 			limiter := l.limiters[meter]
 			l.mu.Unlock()
-			_, _ = l.fetchLease(ctx, limiter, meter, 0, limit) // tried again at the next turn
+			_, _ = l.fetchLease(ctx, limiter, meter, 0, limit) // retried in the next period
 		}
 	})
 }
@@ -103,14 +106,15 @@
 	return meters
 }
 
-// reservation is what a request took from its workspace's limits.
+// reservation holds the tokens that a request acquired from its workspace's limit.
 type reservation struct {
 	limits *rateLimits
 	meter  string
 	tokens int64
 }
 
-// reserve takes one request and an upper bound of its tokens.
+// reserve acquires one request and the estimated tokens from the limits of a
+// workspace.
 func (l *rateLimits) reserve(ctx context.Context, workspace string, w fleet.Workspace, tokens int64) (*reservation, error) {
 	if err := l.acquire(ctx, workspace+"/requests", 1, w.RequestsPerMinute); err != nil {
 		return nil, err
@@ -126,7 +130,7 @@
 	return r, nil
 }
 
-// settle gives back what was reserved and not used.
+// settle returns unused tokens and charges those beyond the reservation.
 func (r *reservation) settle(used int64) {
 	if r != nil && r.meter != "" {
 		r.limits.settle(r.meter, r.tokens, used)
@@ -159,12 +163,12 @@
 	}
 	retryAfter := time.Duration(0)
 	for attempts := maxLeaseAttempts; attempts > 0 && !l.denied(limiter); attempts-- {
-		var answered bool
-		retryAfter, answered = l.fetchLease(ctx, limiter, meter, n, limit)
+		var responded bool
+		retryAfter, responded = l.fetchLease(ctx, limiter, meter, n, limit)
 		if _, ok := l.tryAcquire(meter, n); ok {
 			return nil
 		}
-		if answered || l.everLeased(limiter) {
+		if responded || l.everLeased(limiter) {
 			break
 		}
 		loop.Pause(ctx, leaseRetryDelay)
@@ -173,17 +177,15 @@
 }
 
 const (
-	// maxLeaseAttempts is how often a daemon that was never told anything of a meter asks its
-	// home, and homeRetry the pause between. It has no window of its own to go on by, so
-	// that it would refuse what the limit has room for: a daemon that had just started
-	// refused the requests of a workspace while the home of its limit was restarted too.
-	// Other daemons hear within a second that a home has left or is back, and a caller
-	// that is refused comes back after a second at the earliest.
+	// maxLeaseAttempts and leaseRetryDelay bound the retries of a daemon that has
+	// never had a lease of the meter. It has no usage history to fall back on, so
+	// without retries it would refuse requests within the limit while the owner
+	// restarts.
 	maxLeaseAttempts = 4
 	leaseRetryDelay  = 100 * time.Millisecond
 )
 
-// everLeased reports whether a home has ever told this daemon of the meter.
+// everLeased reports whether this daemon has ever been granted a lease of the meter.
 func (l *rateLimits) everLeased(limiter *meterLimiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -207,8 +209,9 @@
 	return limiter.Denied(time.Now())
 }
 
-// fetchLease asks the meter's home for a lease, and reports whether one answered.
-func (l *rateLimits) fetchLease(ctx context.Context, limiter *meterLimiter, meter string, need, limit int64) (retryAfter time.Duration, answered bool) {
+// fetchLease requests a lease and applies it. It reports whether the owner
+// responded, and the delay after which a refused request may be retried.
+func (l *rateLimits) fetchLease(ctx context.Context, limiter *meterLimiter, meter string, need, limit int64) (retryAfter time.Duration, responded bool) {
 	owner, found := l.findOwner(meter)
 	if !found {
 		return 0, false
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -18,7 +18,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/settings"
 )
 
-// unavailableLessor is a meter's home that is restarted and answers from a time on.
+// unavailableLessor is a meter owner that does not respond before availableAt.
 type unavailableLessor struct {
 	lessor      *quota.Lessor
 	availableAt time.Time
@@ -31,12 +31,13 @@
 		ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 		defer cancel()
 		<-ctx.Done()
-		return quota.Lease{}, errors.New("no answer")
+		return quota.Lease{}, errors.New("no response")
 	}
 	return h.lessor.Grant(time.Now(), req), nil
 }
 
-// limitsWithLessor returns the limits of a daemon that has just started.
+// limitsWithLessor returns the rate limits of a daemon without any lease. ownerKnown
+// reports whether the owner of a meter is known.
 func limitsWithLessor(h *unavailableLessor, ownerKnown func() bool) *rateLimits {
 	d := New(settings.Settings{ID: "d"}, settings.Secrets{}, Dependencies{VMs: unresponsiveVMList{}, Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
 	d.limits.findOwner = func(string) (membership.Member, bool) { return membership.Member{}, ownerKnown() }
@@ -44,30 +45,26 @@
 	return d.limits
 }
 
-// Symptom: while daemons are replaced one after the other, a request of a workspace that is
-// far from its limit is refused as over it.
-// Sequence: a daemon starts; the home of the limit is stopped, and does not answer the
-// first ask, or no home is known for a moment; the next one answers.
-// Cause: without an answer a daemon goes on by what it has spent itself, and one that has
-// just started has spent nothing: it refused at once.
+// Guards against a daemon without a lease refusing requests within the limit while the
+// owner of the meter is restarting or unknown.
 func TestLeaseRequestIsRetriedWithoutPriorLease(t *testing.T) {
 	w := fleet.Workspace{RequestsPerMinute: 100}
-	for name, unknownFor := range map[string]time.Duration{"home does not answer": 0, "no home is known": 150 * time.Millisecond} {
+	for name, unknownFor := range map[string]time.Duration{"owner does not respond": 0, "no owner is known": 150 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
 				h := &unavailableLessor{lessor: quota.NewLessor(7), availableAt: start.Add(500 * time.Millisecond)}
 				l := limitsWithLessor(h, func() bool { return time.Since(start) >= unknownFor })
 				if _, err := l.reserve(t.Context(), "w", w, 0); err != nil {
-					t.Errorf("after %s and %d asks: %v", time.Since(start), h.requests, err)
+					t.Errorf("after %s and %d lease requests: %v", time.Since(start), h.requests, err)
 				}
 			})
 		})
 	}
 }
 
-// A limit that is used up is refused at once, and a home that stays away is not waited for
-// beyond the time in which another one takes over.
+// Guards against waiting when the limit is exhausted, and against waiting indefinitely
+// for an unavailable owner.
 func TestExhaustedLimitIsRefusedWithoutWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &unavailableLessor{lessor: quota.NewLessor(7)}
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -11,17 +11,16 @@
 	"github.com/damaskrudder/damaskrudder/internal/peer"
 )
 
-// maxEndpoints is how many addresses a caller gets.
+// maxEndpoints is the number of daemon addresses returned to a caller.
 const maxEndpoints = 3
 
-// memberlist exchanges heartbeats with other daemons.
+// memberlist maintains the membership table by heartbeats with other daemons.
 type memberlist struct {
 	d     *Daemon
 	mu    sync.Mutex
 	table *membership.Table
-	// syncedAt is when another daemon's whole table was last adopted. A daemon
-	// that just started knows its seeds only: the others are no news any more,
-	// so no rumor would tell it of them.
+	// syncedAt is when another daemon's full table was last merged. Rumors only
+	// carry recent changes, so a new daemon learns of most members this way.
 	syncedAt time.Time
 }
 
@@ -74,9 +73,9 @@
 	}
 }
 
-// probe exchanges heartbeats with a daemon. A failed call is tried once more on
-// a new connection before it counts: an open connection may have gone silent
-// while the daemon is well.
+// probe exchanges heartbeats with a daemon and records the result. A failed call is
+// retried once on a new connection, because an established connection can fail
+// while the daemon is healthy.
 func (m *memberlist) probe(ctx context.Context, id, address string) {
 	err := m.exchangeHeartbeats(ctx, address)
 	if err != nil {
@@ -105,7 +104,8 @@
 	return nil
 }
 
-// syncTable adopts a daemon's whole table when the last one is old.
+// syncTable merges a daemon's full table if SyncInterval has passed since the last
+// one.
 func (m *memberlist) syncTable(ctx context.Context, address string) {
 	m.mu.Lock()
 	due := time.Since(m.syncedAt) >= membership.SyncInterval
@@ -144,8 +144,8 @@
 	}
 }
 
-// announce tells every live daemon at once, so that no endpoint answer names
-// this daemon from now on.
+// announce sends a heartbeat to every live daemon, so that they stop listing this
+// daemon as an endpoint.
 func (m *memberlist) announce() {
 	members := m.lockTable().Members()
 	m.mu.Unlock()
@@ -172,9 +172,8 @@
 	return m.table.AliveCount()
 }
 
-// lockTable locks the table with the own row brought up to date. Rows of others
-// come with their messages; the own one would be stale between heartbeats, and a
-// daemon without peers sends none.
+// lockTable locks mu, updates the entry of this daemon and returns the table.
+// Callers unlock mu.
 func (m *memberlist) lockTable() *membership.Table {
 	self := m.d.currentInfo()
 	m.mu.Lock()
@@ -193,9 +192,9 @@
 	return len(owners) > 0 && owners[0].ID == m.d.settings.ID
 }
 
-// isDomainOwner reports whether this daemon is one of the n homes of a key in its
-// failure domain. One that holds no role, because it starts or leaves, does for
-// itself what homes do for others.
+// isDomainOwner reports whether this daemon is one of the n owners of a key in its
+// failure domain. It also holds for a daemon that is starting or leaving, because
+// such a daemon cannot rely on owners.
 func (m *memberlist) isDomainOwner(key string, n int) bool {
 	m.lockTable()
 	defer m.mu.Unlock()
@@ -226,7 +225,7 @@
 	return table.Endpoints(maxEndpoints)
 }
 
-// Members returns the daemon's view of all daemons.
+// Members returns all known daemons, including this one.
 func (d *Daemon) Members() []membership.Member {
 	table := d.members.lockTable()
 	defer d.members.mu.Unlock()
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics are the daemon's counters; docs/METRICS.md explains each.
+// metrics are the metrics of a daemon; MetricDescriptions explains each.
 type metrics struct {
 	scope               tally.Scope
 	requests            tally.Counter
@@ -40,39 +40,39 @@
 	panics              tally.Counter
 }
 
-// MetricDescriptions lists every counter, gauge and histogram in use with its meaning.
+// MetricDescriptions returns the description of every registered metric by name.
 func MetricDescriptions() map[string]string {
 	return map[string]string{
 		"requests":             "Requests accepted for routing.",
-		"answered":             "Requests answered in full.",
-		"attempts":             "Runs sent to backend servers.",
-		"retries":              "Attempts after the first one of a request.",
+		"answered":             "Requests completed successfully.",
+		"attempts":             "Attempts sent to backend servers.",
+		"retries":              "Attempts of a request after the first one.",
 		"resumes":              "Streams continued on a new connection.",
-		"frames_dropped":       "Frames dropped as foreign, repeated, after a gap or after the end.",
-		"last_check_refused":   "Attempts stopped right before dispatch because the version is no longer allowed.",
-		"escalations":          "Cascade answers of the cheap model that did not stand.",
+		"frames_dropped":       "Frames dropped because they belong to another run, are duplicates, or follow a gap or the end of the stream.",
+		"last_check_refused":   "Attempts stopped immediately before dispatch because the version is no longer allowed.",
+		"escalations":          "Cascade responses of the cheap model that were not accepted.",
 		"peer_bytes":           "Bytes sent to and received from other daemons.",
-		"peer_refused":         "Peer connections without the right key.",
+		"peer_refused":         "Peer connections that failed authentication.",
 		"peer_calls":           "Calls made to other daemons.",
 		"log_appends":          "Append calls to the log service.",
-		"log_errors":           "Calls to the log service that failed or lost their reply.",
+		"log_errors":           "Calls to the log service that failed.",
 		"billed":               "Usage records written.",
-		"billing_unprotected":  "Answers withheld because neither the log nor a keeper took the usage record.",
-		"usage_adopted":        "Usage records of lost daemons appended by their keeper.",
-		"orders_sent":          "Load and unload orders to backend servers.",
-		"session_pins_moved":   "Sessions moved off a withdrawn version.",
-		"rollout_braked":       "Times this daemon stopped using a new version on its own evidence.",
-		"claims_lost":          "Claims of idempotency keys that another request held.",
-		"limits_homeless":      "Lease requests that no home answered.",
-		"configuration_number": "Configuration number in force.",
+		"billing_unprotected":  "Responses withheld because the usage record was stored neither in the log nor at a replica.",
+		"usage_adopted":        "Usage records of other daemons appended by this daemon as their replica.",
+		"orders_sent":          "Load and unload orders sent to backend servers.",
+		"session_pins_moved":   "Sessions moved to another version than the one they were pinned to.",
+		"rollout_braked":       "Number of times this daemon stopped using a new version on its own evidence.",
+		"claims_lost":          "Claims of idempotency keys that were refused.",
+		"limits_homeless":      "Lease requests that the owner of the meter did not answer.",
+		"configuration_number": "Number of the active configuration.",
 		"in_flight":            "Requests being served.",
-		"usage_pending":        "Usage records the log has not confirmed.",
-		"members_alive":        "Daemons believed alive, this one included.",
+		"usage_pending":        "Usage records not yet confirmed by the log.",
+		"members_alive":        "Members in the alive state, including this daemon.",
 		"first_token_seconds":  "Time to the first token.",
-		"servers_ended":        "Backend servers that ended with requests of this daemon.",
-		"panics":               "Panics of handlers, each a defect; their lines have the stack.",
-		"requests_held":        "Requests that are kept from servers because servers ended that ran them.",
-		"refusals":             "Refusals, tagged by kind.",
+		"servers_ended":        "Backend servers that terminated while running requests of this daemon.",
+		"panics":               "Panics recovered in request handlers; the stack is in the log.",
+		"requests_held":        "Requests held because servers terminated while running them.",
+		"refusals":             "Requests refused, by error kind.",
 	}
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-// RecordRefusal counts a refusal by kind.
+// RecordRefusal counts a refusal by its error kind.
 func (d *Daemon) RecordRefusal(kind string) {
 	d.metrics.scope.Tagged(map[string]string{"kind": kind}).Counter("refusals").Inc(1)
 }
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -15,13 +15,13 @@
 const (
 	// leaseStream is the log stream of leases.
 	leaseStream = "leases"
-	// reconcileInterval is the period of comparing what servers hold with what they should.
+	// reconcileInterval is the period of reconciling the versions that servers hold.
 	reconcileInterval = 2 * time.Second
 )
 
-// orderController loads and unloads versions on the servers of the pools whose lease this
-// daemon holds. Only the home of a pool asks for its lease, so a fleet of any
-// size appends one renewal a pool every lease.RenewAfter.
+// orderController loads and unloads versions on the servers of the pools whose lease
+// this daemon holds. Only the owner of a pool claims its lease, so the rate of lease
+// records does not depend on the number of daemons.
 type orderController struct {
 	d         *Daemon
 	leases    *lease.State
@@ -52,7 +52,8 @@
 	}
 }
 
-// wantedVersions lists what a pool's servers should hold.
+// wantedVersions returns the versions that the servers of a pool should hold, as
+// sorted "model@version" strings.
 func wantedVersions(cfg *fleet.Config, pool string) []string {
 	var wanted []string
 	for model, m := range cfg.Models {
@@ -66,7 +67,8 @@
 	return wanted
 }
 
-// acquireLease claims or renews a lease and reports whether this daemon may act on it.
+// acquireLease claims or renews a lease if due, and reports whether this daemon holds
+// it.
 func (o *orderController) acquireLease(ctx context.Context, name string) bool {
 	if o.readLeases(ctx) != nil {
 		return false
@@ -110,8 +112,8 @@
 	}
 }
 
-// reconcileServer reads back what a server holds and orders the difference. The check of
-// the lease stands right before each order.
+// reconcileServer compares the versions that a server holds with the wanted ones and
+// sends orders for the difference. The lease is checked before each order.
 func (o *orderController) reconcileServer(ctx context.Context, name string, s fleet.Server, wanted []string) {
 	load, err := o.d.engine.Load(ctx, s.Address)
 	if err != nil || load.Versions == nil {
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -16,41 +16,44 @@
 )
 
 const (
-	// loadProbeInterval is the pause between two load probes of a daemon; probes walk
-	// through the servers, so their rate does not grow with the pool.
+	// loadProbeInterval is the pause between two load probes. Servers are probed in
+	// turn, so the rate does not depend on their number.
 	loadProbeInterval = 250 * time.Millisecond
-	// vmListInterval is the period of reading the list of VMs.
+	// vmListInterval is the pause between two reads of the VM list.
 	vmListInterval = time.Second
-	// vmListTimeout bounds one reading: with the pause before it, a list that does not
-	// answer is known to be down while its last word may still be relied on.
+	// vmListTimeout bounds one read. With vmListInterval it stays below
+	// membership.ServersMaxAge, so that an unresponsive list service is detected
+	// before the last result expires.
 	vmListTimeout = 900 * time.Millisecond
 )
 
-// balancer keeps the picture of each pool's servers.
+// balancer picks backend servers and tracks the load and state of each pool.
 type balancer struct {
 	d            *Daemon
 	mu           sync.Mutex
 	configNumber uint64
 	pools        map[string]*pool
 	leaving      map[string]bool
-	// leavingReadAt is when leaving was read from the platform, in Unix ms.
+	// leavingReadAt is when leaving was read from the platform, in Unix milliseconds.
 	leavingReadAt int64
-	// serversUpdatedAt is when the list was last read, heard of, or found to be down.
+	// serversUpdatedAt is when the VM list was last read, received from a peer, or
+	// found to be unavailable.
 	serversUpdatedAt time.Time
 	probeCursor      int
 	rng              *rand.Rand
-	// gate is what every choice of a server passes.
+	// gate limits requests to warming servers and excludes evacuated ones.
 	gate *gate.Gate
-	// startedAt is when the daemon began; the gate's times count from it.
+	// startedAt is the zero of the gate's clock.
 	startedAt time.Time
 }
 
 type pool struct {
 	load *routing.LoadTracker
-	// versions tells the versions each server reported; a server without a report
-	// is tried.
+	// versions lists the versions that each server reported. Servers without a
+	// report are assumed to hold any version.
 	versions map[string][]string
-	// warmAt is when servers have warmed up by their own reports, on the gate's clock.
+	// warmAt is when each server finishes warming by its last report, on the gate's
+	// clock.
 	warmAt map[string]time.Duration
 }
 
@@ -71,7 +74,8 @@
 	wg.Wait()
 }
 
-// syncConfig brings the pictures to the configuration in force. Callers hold mu.
+// syncConfig updates pools and evacuations if the configuration has changed. Callers
+// hold mu.
 func (b *balancer) syncConfig(cfg *fleet.Config) {
 	if b.configNumber == cfg.Number && len(b.pools) > 0 {
 		return
@@ -103,21 +107,22 @@
 	}
 }
 
-// pick is a picked server and what the picture expects of it.
+// pick is a picked server with the expectations its outcome is compared to.
 type pick struct {
 	pool               string
 	candidate          routing.Candidate
 	uncachedTokens     int
 	expectedFirstToken time.Duration
-	// slowStart is what the server bears while it warms up.
+	// slowStart is the limit of the server while it is warming.
 	slowStart slowstart.Limit
-	// hadFreeSlot says that the server had a free slot, so that its speed speaks for
-	// the version and not for the load.
+	// hadFreeSlot is set if the server had a free slot. Only then is its latency
+	// evidence about the version rather than the load.
 	hadFreeSlot bool
 	urgent      bool
 }
 
-// pickServer chooses a server for a version and marks the attempt as dispatched.
+// pickServer picks a server that holds a version and records the dispatch. Servers in
+// tried are excluded.
 func (b *balancer) pickServer(cfg *fleet.Config, poolName, version string, r *routing.Request, tried []string) (pick, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -173,7 +178,8 @@
 	}
 }
 
-// recordFirstToken books a first token and returns the part of it that was a wait.
+// recordFirstToken records the time to the first token and returns the part of it
+// spent in the server's queue.
 func (b *balancer) recordFirstToken(picked pick, elapsed time.Duration) (queueWait time.Duration) {
 	b.withPool(picked.pool, func(p *pool) {
 		queueWait = p.load.RecordFirstToken(picked.candidate.ID, elapsed, picked.uncachedTokens, time.Now())
@@ -182,10 +188,10 @@
 	return queueWait
 }
 
-// recordCompletion books the end of an attempt that held a slot for some time.
-func (b *balancer) recordCompletion(picked pick, held time.Duration, failed bool) {
+// recordCompletion records the end of an attempt and how long it occupied a slot.
+func (b *balancer) recordCompletion(picked pick, slotTime time.Duration, failed bool) {
 	b.withPool(picked.pool, func(p *pool) {
-		p.load.RecordCompletion(picked.candidate.ID, held, failed, picked.urgent, time.Now())
+		p.load.RecordCompletion(picked.candidate.ID, slotTime, failed, picked.urgent, time.Now())
 		if !failed {
 			b.recordResponse(picked)
 		}
@@ -203,7 +209,7 @@
 	})
 }
 
-// recordMissingVersion records that a server refused a version it was thought to hold.
+// recordMissingVersion records that a server refused a version that it had reported.
 func (b *balancer) recordMissingVersion(picked pick, version string) {
 	b.withPool(picked.pool, func(p *pool) {
 		versions := slices.Clone(p.versions[picked.candidate.ID])
@@ -211,7 +217,7 @@
 	})
 }
 
-// probeNext asks the next server for its load.
+// probeNext reads the load of the next server in turn.
 func (b *balancer) probeNext(ctx context.Context) {
 	name, cand, ok := b.nextToProbe()
 	if !ok {
@@ -262,10 +268,10 @@
 	return t.pool, t.c, true
 }
 
-// pollVMs reads the platform's word on leaving servers. Two daemons of each
-// failure domain read it and the others hear it with their heartbeats, since the
-// list names every VM and hundreds of readers would swamp its service. While the
-// list is down the last word stands.
+// pollVMs reads the leaving servers from the VM list. Only readersPerDomain daemons
+// of each failure domain read it, to limit the load on the list service; the others
+// receive the result with heartbeats. While the service is unavailable, the last
+// result stays in use.
 func (b *balancer) pollVMs(ctx context.Context) {
 	if !b.d.members.isDomainOwner("vm_list", readersPerDomain) {
 		return
@@ -293,7 +299,7 @@
 	b.mu.Unlock()
 }
 
-// lastServersUpdate returns when the daemon last heard which servers leave.
+// lastServersUpdate returns when the set of leaving servers was last confirmed.
 func (b *balancer) lastServersUpdate() time.Time {
 	if b.d.deps.VMs == nil {
 		return time.Now()
@@ -303,7 +309,8 @@
 	return b.serversUpdatedAt
 }
 
-// leavingServers returns the newest word on leaving servers and when it was read.
+// leavingServers returns the leaving servers and when they were read, in Unix
+// milliseconds.
 func (b *balancer) leavingServers() (at int64, ids []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -313,7 +320,7 @@
 	return b.leavingReadAt, ids
 }
 
-// applyLeaving applies a word on leaving servers that is newer than the known one.
+// applyLeaving replaces the set of leaving servers if the given one was read later.
 func (b *balancer) applyLeaving(at int64, ids []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -340,14 +347,14 @@
 	b.leaving, b.leavingReadAt = leaving, at
 }
 
-// ServerView is a server as this daemon sees it.
+// ServerView is the state of a server as tracked by this daemon.
 type ServerView struct {
 	Pool string `json:"pool"`
 	routing.Candidate
 	Versions []string `json:"versions"`
 }
 
-// Servers returns the daemon's view of its servers.
+// Servers returns the servers of this daemon, sorted by pool and id.
 func (d *Daemon) Servers() []ServerView {
 	d.balancer.mu.Lock()
 	defer d.balancer.mu.Unlock()
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -15,7 +15,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/settings"
 )
 
-// unresponsiveVMList is a list of VMs that does not answer.
+// unresponsiveVMList is a VM list service that never responds.
 type unresponsiveVMList struct{}
 
 func (unresponsiveVMList) List(ctx context.Context) ([]platform.VM, error) {
@@ -23,11 +23,8 @@
 	return nil, ctx.Err()
 }
 
-// Symptom: daemons refused everything for half of the time while the list of VMs did not
-// answer, although its last word is to stand.
-// Sequence: the service of the list goes silent, without refusing.
-// Cause: a call of the list had the time of any call of the platform, 5 s; that it is down
-// was noticed so late that the word on leaving servers had grown too old.
+// Guards against refusing requests while the VM list service does not respond: its last
+// result must not expire before a read times out.
 func TestVMListTimeoutKeepsServersUpdateFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -37,7 +34,7 @@
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			if age := time.Since(d.balancer.lastServersUpdate()); age > membership.ServersMaxAge {
-				t.Errorf("the word on leaving servers is %s old", age)
+				t.Errorf("the last update of leaving servers is %s old", age)
 				break
 			}
 		}
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -14,14 +14,13 @@
 )
 
 const (
-	// minBroadcastInterval is the least time between two rounds in which this daemon calls others
-	// to broadcast what it has learned of requests that end servers, and broadcastFanOut how many it
-	// calls in each.
+	// minBroadcastInterval is the minimum interval between two broadcasts of
+	// quarantine updates, and broadcastFanOut the number of daemons called in each.
 	minBroadcastInterval = 100 * time.Millisecond
 	broadcastFanOut      = 4
 )
 
-// newGuard returns what keeps requests from servers that end when they run them.
+// newGuard returns the guard that holds requests whose execution terminates servers.
 func newGuard(d *Daemon) *containment.Guard {
 	started := time.Now()
 	return containment.New(containment.Options{
@@ -32,12 +31,12 @@
 	})
 }
 
-// broadcastHolds broadcasts what was learned of requests that end servers, until the context ends.
+// broadcastHolds sends quarantine updates to other daemons until the context ends.
 func (d *Daemon) broadcastHolds(ctx context.Context) {
 	d.guard.Broadcast(ctx, minBroadcastInterval, func(ctx context.Context) { d.members.exchangeWithRandom(ctx, broadcastFanOut) })
 }
 
-// exchangeWithRandom exchanges heartbeats with some daemons that live.
+// exchangeWithRandom exchanges heartbeats with up to n random live daemons.
 func (m *memberlist) exchangeWithRandom(ctx context.Context, n int) {
 	members := m.lockTable().Members()
 	m.mu.Unlock()
@@ -45,13 +44,12 @@
 	for _, member := range members {
 		if n > 0 && member.ID != m.d.settings.ID && member.State == membership.Alive {
 			n--
-			go func() { _ = m.exchangeHeartbeats(ctx, member.PeerAddress) }() // a daemon that does not answer hears it from another
+			go func() { _ = m.exchangeHeartbeats(ctx, member.PeerAddress) }() // errors are ignored: updates also spread through other daemons
 		}
 	}
 }
 
-// checkHold returns the refusal of a request that is kept from servers, or nil. One that ran
-// before is refused as failed, since the other refusal promises that it did not.
+// checkHold returns the refusal of a held request, or nil.
 func (d *Daemon) checkHold(f quarantine.Fingerprint, state *request.RetryState) *fault.Error {
 	status := d.guard.Check(f)
 	if !status.Held {
@@ -61,8 +59,8 @@
 	return withExecutionState(fault.New(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(status)), state)
 }
 
-// withExecutionState returns a refusal that says of the run what is so: a kind that promises that the
-// request has not run is replaced once it may have.
+// withExecutionState sets the execution state of a refusal. A kind that implies that
+// the request has not run is replaced by engine_failed if it may have run.
 func withExecutionState(err *fault.Error, state *request.RetryState) *fault.Error {
 	if state.ExecutionState() != fault.NotRun && fault.Lookup(err.Kind).Execution == fault.NotRun {
 		err = fault.New(fault.EngineFailed, "%s", err.Detail).WithRetryAfter(err.RetryAfter)
@@ -70,13 +68,14 @@
 	return err.WithExecution(state.ExecutionState())
 }
 
-// containmentServer names a server to the guard. Servers keep their name over a start.
+// containmentServer converts a candidate to the guard's type. Server ids are stable
+// across restarts.
 func containmentServer(cand routing.Candidate) containment.Server {
 	return containment.Server{ID: cand.ID, Address: cand.Address}
 }
 
-// containmentOutcome tells what became of an attempt from its last event; started says that the server
-// had begun to answer.
+// containmentOutcome derives the outcome of an attempt from its last event. started
+// is set if the server had begun to respond.
 func containmentOutcome(event request.AttemptEvent, complete, started bool) containment.Outcome {
 	switch {
 	case complete, event == request.AttemptRefused, event == request.RunFailed:
@@ -89,14 +88,15 @@
 	return containment.ConnectionLost
 }
 
-// isLeaving reports whether the platform says that a server leaves.
+// isLeaving reports whether the VM list marks a server as leaving.
 func (b *balancer) isLeaving(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.leaving[id]
 }
 
-// recordTerminated books a server that has ended, under the key that daemons use between them.
+// recordTerminated records that a server has terminated. Daemons identify it by its
+// incarnation key.
 func (b *balancer) recordTerminated(key quarantine.IncarnationKey) {
 	now := time.Now()
 	b.mu.Lock()
@@ -111,11 +111,11 @@
 	}
 }
 
-// Holds lists the requests that are kept from servers.
+// Holds returns the held requests.
 func (d *Daemon) Holds() []quarantine.Hold { return d.guard.Holds() }
 
-// AddHold keeps a request from servers by hand, at all daemons.
+// AddHold holds a request at all daemons, on behalf of an operator.
 func (d *Daemon) AddHold(f quarantine.Fingerprint) { d.guard.ApplyHold(f, quarantine.HoldTTL) }
 
-// ReleaseHold ends a hold by hand, at all daemons.
+// ReleaseHold ends a hold at all daemons, on behalf of an operator.
 func (d *Daemon) ReleaseHold(f quarantine.Fingerprint) { d.guard.Release(f) }
--- a/internal/daemon/choose.go
+++ b/internal/daemon/resolve.go
@@ -9,7 +9,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/session"
 )
 
-// resolveModels resolves the named model or cascade to the models to ask.
+// resolveModels resolves the name of a model, version or cascade to the models to
+// run, and checks that the workspace may use it.
 func resolveModels(cfg *fleet.Config, w fleet.Workspace, name string) ([]string, error) {
 	if cascade, ok := cfg.Cascades[name]; ok {
 		if !slices.Contains(w.Cascades, name) {
@@ -52,7 +53,7 @@
 	return session.Pin{Workspace: workspace, Name: header}, nil
 }
 
-// chooseVersion chooses the version of a model for a session.
+// chooseVersion returns the model and the version that serve a session.
 func (d *Daemon) chooseVersion(cfg *fleet.Config, w fleet.Workspace, name string, pin session.Pin) (model, version string, err error) {
 	model, version, explicit := strings.Cut(name, "@")
 	if explicit {
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// evaluateInterval is the period of reporting evidence and judging it.
+	// evaluateInterval is the period of reporting and evaluating evidence.
 	evaluateInterval = time.Second
-	// maxReportsPerSecond bounds the reports that a roll-out's home gets; daemons of
-	// a large fleet report less often, and brake by themselves meanwhile.
+	// maxReportsPerSecond bounds the reports to the owner of a roll-out. Daemons of
+	// a larger fleet report less often.
 	maxReportsPerSecond = 50
-	// slowRunFactor is the speed, against what the picture expected, from which a run
-	// counts as slow.
+	// slowRunFactor is the ratio of actual to expected time to the first token above
+	// which a run counts as slow.
 	slowRunFactor = 3
-	// minSlowDelay is the least delay that counts as slow, below it timing is noise.
+	// minSlowDelay is the shortest time to the first token that counts as slow.
 	minSlowDelay = 150 * time.Millisecond
 )
 
-// rolloutController gathers evidence, brakes locally and, at the home of a model's
-// roll-out, proposes the next step.
+// rolloutController collects evidence about roll-outs. It stops using a new version
+// on local evidence, and submits the next step of the roll-outs that this daemon
+// owns.
 type rolloutController struct {
 	d             *Daemon
 	mu            sync.Mutex
 	localEvidence map[string]*stageEvidence
-	fleetEvidence map[string]*mergedEvidence
+	fleetEvidence map[string]*fleetStageEvidence
 	stopped       map[string]bool
-	// reportedAt is when this daemon last sent its evidence.
+	// reportedAt is when this daemon last reported its evidence.
 	reportedAt time.Time
 }
 
@@ -43,7 +44,7 @@
 	cells rollout.Evidence
 }
 
-type mergedEvidence struct {
+type fleetStageEvidence struct {
 	stage    string
 	since    time.Time
 	byDaemon map[string]rollout.Evidence
@@ -51,7 +52,7 @@
 }
 
 func newRolloutController(d *Daemon) *rolloutController {
-	return &rolloutController{d: d, localEvidence: map[string]*stageEvidence{}, fleetEvidence: map[string]*mergedEvidence{}, stopped: map[string]bool{}}
+	return &rolloutController{d: d, localEvidence: map[string]*stageEvidence{}, fleetEvidence: map[string]*fleetStageEvidence{}, stopped: map[string]bool{}}
 }
 
 func (r *rolloutController) register(server *peer.Server) {
@@ -63,7 +64,7 @@
 
 func stageKey(ro fleet.Rollout) string { return fmt.Sprintf("%s/%d", ro.TargetVersion, ro.Stage) }
 
-// runObservation is what one finished run says about its version.
+// runObservation is the result of one finished run.
 type runObservation struct {
 	model, version, server, domain string
 	failed, timed, slow            bool
@@ -109,11 +110,11 @@
 	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(evidence.cells); stop && !r.stopped[model+"@"+ro.TargetVersion] {
 		r.stopped[model+"@"+ro.TargetVersion] = true
 		r.d.metrics.rolloutBraked.Inc(1)
-		r.d.log.Warn("stopped using a new version on own evidence", "model", model, "version", ro.TargetVersion, "signal", signal)
+		r.d.log.Warn("stopped using a new version on local evidence", "model", model, "version", ro.TargetVersion, "signal", signal)
 	}
 }
 
-// isStopped reports whether unpinned sessions keep off a version here.
+// isStopped reports whether this daemon keeps sessions without a pin off a version.
 func (r *rolloutController) isStopped(model, version string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +154,7 @@
 	}
 }
 
-// clearStopped lifts the brake on versions that no roll-out moves any more.
+// clearStopped forgets stopped versions whose roll-out has ended.
 func (r *rolloutController) clearStopped(cfg *fleet.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,20 +179,20 @@
 	return report
 }
 
-// applyReport replaces a daemon's cumulative evidence; a late or repeated report does
-// no harm.
+// applyReport replaces the evidence of a daemon. Reports are cumulative, so repeated
+// ones are harmless.
 func (r *rolloutController) applyReport(report peer.EvidenceReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	merged := r.fleetEvidence[report.Model]
-	if merged == nil || merged.stage != report.Stage {
-		merged = &mergedEvidence{stage: report.Stage, since: time.Now(), byDaemon: map[string]rollout.Evidence{}}
-		r.fleetEvidence[report.Model] = merged
+	evidence := r.fleetEvidence[report.Model]
+	if evidence == nil || evidence.stage != report.Stage {
+		evidence = &fleetStageEvidence{stage: report.Stage, since: time.Now(), byDaemon: map[string]rollout.Evidence{}}
+		r.fleetEvidence[report.Model] = evidence
 	}
-	merged.byDaemon[report.Daemon] = report.Cells
+	evidence.byDaemon[report.Daemon] = report.Cells
 }
 
-func (m *mergedEvidence) merged() rollout.Evidence {
+func (m *fleetStageEvidence) merged() rollout.Evidence {
 	var all rollout.Evidence
 	for _, e := range m.byDaemon {
 		all = all.Merge(e)
@@ -201,9 +202,9 @@
 
 func (r *rolloutController) evaluate(ctx context.Context, cfg *fleet.Config, model string, ro fleet.Rollout) {
 	r.mu.Lock()
-	merged := r.fleetEvidence[model]
-	decision := rollout.DefaultStagePolicy().Evaluate(ro, merged.merged(), time.Since(merged.since))
-	merged.decision = decision
+	evidence := r.fleetEvidence[model]
+	decision := rollout.DefaultStagePolicy().Evaluate(ro, evidence.merged(), time.Since(evidence.since))
+	evidence.decision = decision
 	r.mu.Unlock()
 	if decision.Step == rollout.Wait {
 		return
@@ -211,9 +212,9 @@
 	r.submitStep(ctx, cfg, model, ro, decision)
 }
 
-// submitStep appends the step as an ordinary patch. Its id follows from the state
-// it was decided on, so that a step decided twice, by an old and a new home, is
-// one patch; a stale base makes it void.
+// submitStep submits a step as a patch. The patch id is derived from the stage and
+// the configuration number, so that a step submitted by two owners is applied once.
+// A patch on an outdated configuration is refused.
 func (r *rolloutController) submitStep(ctx context.Context, cfg *fleet.Config, model string, ro fleet.Rollout, decision rollout.Decision) {
 	patch, err := stepPatch(cfg, model, ro, decision.Step)
 	if err != nil {
@@ -226,8 +227,8 @@
 	}
 }
 
-// stepPatch writes a step as a patch. A roll-back withdraws the version too:
-// sessions pinned to it would otherwise stay on it.
+// stepPatch encodes a step as a patch. A roll-back also withdraws the version, since
+// pinned sessions would otherwise keep using it.
 func stepPatch(cfg *fleet.Config, model string, ro fleet.Rollout, s rollout.Step) (json.RawMessage, error) {
 	next := rollout.ApplyStep(ro, s)
 	patch := map[string]map[string]any{"rollouts": {model: map[string]any{"stage": next.Stage, "state": next.State}}}
@@ -241,11 +242,11 @@
 	return json.Marshal(patch)
 }
 
-// RolloutView is a roll-out with the evidence this daemon has.
+// RolloutView is a roll-out with the evidence known to this daemon.
 type RolloutView struct {
 	fleet.Rollout
 	Percent float64 `json:"percent"`
-	// Owner is the daemon that judges.
+	// Owner is the id of the daemon that evaluates the roll-out.
 	Owner          string           `json:"home"`
 	Decision       string           `json:"verdict,omitempty"`
 	Reason         string           `json:"reason,omitempty"`
@@ -254,8 +255,8 @@
 	Cells          rollout.Evidence `json:"cells,omitempty"`
 }
 
-// Rollouts returns every roll-out with its evidence: the fleet's at the home,
-// the daemon's own elsewhere.
+// Rollouts returns all roll-outs, sorted by model. The evidence is that of the whole
+// fleet if this daemon owns the roll-out, and its own otherwise.
 func (d *Daemon) Rollouts() []RolloutView {
 	cfg := d.config.current()
 	var out []RolloutView
@@ -265,8 +266,8 @@
 			view.Owner = owners[0].ID
 		}
 		d.rollouts.mu.Lock()
-		if merged := d.rollouts.fleetEvidence[model]; merged != nil && view.Owner == d.settings.ID && merged.stage == stageKey(ro) {
-			view.Cells, view.Decision, view.Reason = merged.merged(), merged.decision.Step.String(), merged.decision.Reason
+		if fleetWide := d.rollouts.fleetEvidence[model]; fleetWide != nil && view.Owner == d.settings.ID && fleetWide.stage == stageKey(ro) {
+			view.Cells, view.Decision, view.Reason = fleetWide.merged(), fleetWide.decision.Step.String(), fleetWide.decision.Reason
 		} else if evidence := d.rollouts.localEvidence[model]; evidence != nil && evidence.stage == stageKey(ro) {
 			view.Cells = slices.Clone(evidence.cells)
 		}
--- a/internal/daemon/call.go
+++ b/internal/daemon/service.go
@@ -17,23 +17,24 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// ServiceRequest is a checked call of a plain service.
+// ServiceRequest is a validated call of a plain service.
 type ServiceRequest struct {
 	Workspace string
 	Service   string
 	Body      []byte
-	// IdempotencyKey is the Idempotency-Key, required for non-repeatable services.
+	// IdempotencyKey is the Idempotency-Key header, required for non-repeatable
+	// services.
 	IdempotencyKey string
 }
 
-// ServiceResponse is a plain service's reply.
+// ServiceResponse is the response of a plain service.
 type ServiceResponse struct {
 	Status   int
 	Body     []byte
 	Replayed bool
 }
 
-// CallService answers a plain service call. Its error is always a *fault.Error.
+// CallService calls a plain service. Errors are of type *fault.Error.
 func (d *Daemon) CallService(ctx context.Context, id string, req ServiceRequest) (*ServiceResponse, error) {
 	done, err := d.admit()
 	if err != nil {
@@ -60,11 +61,11 @@
 	if svc.NonRepeatable && req.IdempotencyKey == "" {
 		return nil, fault.NewField(fault.BadRequest, "Idempotency-Key", "service %q needs a key: its calls may not be repeated", req.Service)
 	}
-	res, err := d.limits.reserve(ctx, req.Workspace, w, 0)
+	reserved, err := d.limits.reserve(ctx, req.Workspace, w, 0)
 	if err != nil {
 		return nil, err
 	}
-	defer res.settle(0)
+	defer reserved.settle(0)
 	if err := d.usage.reserve(); err != nil {
 		return nil, err
 	}
@@ -88,8 +89,8 @@
 	return resp, err
 }
 
-// callWithClaim claims the key, if there is one, and sends the call. Ran says
-// whether a server answered or may have run it.
+// callWithClaim claims the idempotency key, if there is one, and dispatches the call.
+// ran reports whether a server ran the call or may have run it.
 func (d *Daemon) callWithClaim(ctx context.Context, id string, req ServiceRequest, svc fleet.Service, w fleet.Workspace) (resp *ServiceResponse, ran bool, err error) {
 	var cl *claim
 	if req.IdempotencyKey != "" {
@@ -112,7 +113,7 @@
 	return resp, true, nil
 }
 
-// dispatchCall tries servers until one answers or the call may have run.
+// dispatchCall tries servers until one responds or a retry is not allowed.
 func (d *Daemon) dispatchCall(ctx context.Context, id string, req ServiceRequest, svc fleet.Service, w fleet.Workspace) (*ServiceResponse, error) {
 	limit := defaultDeadline
 	if w.DeadlineMillis > 0 {
@@ -157,7 +158,7 @@
 	}
 }
 
-// guardedCall calls a server and tells the guard what became of it.
+// guardedCall calls a server and reports the outcome to the containment guard.
 func (d *Daemon) guardedCall(ctx context.Context, id string, picked pick, fingerprint quarantine.Fingerprint, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/daemon/burn.go
+++ b/internal/daemon/slo.go
@@ -10,32 +10,32 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// sloRecorder keeps the service-level counters.
+// sloRecorder counts requests against service-level objectives.
 type sloRecorder struct {
 	mu       sync.Mutex
 	counters *slo.Counters
 }
 
-func (b *sloRecorder) register(server *peer.Server) {
+func (r *sloRecorder) register(server *peer.Server) {
 	peer.Handle(server, "burn", func(context.Context, string, peer.BurnRequest) (peer.BurnResponse, error) {
-		return peer.BurnResponse{Cells: b.snapshot()}, nil
+		return peer.BurnResponse{Cells: r.snapshot()}, nil
 	})
 }
 
-func (b *sloRecorder) observe(key slo.Key, counts slo.Counts) {
-	b.mu.Lock()
-	b.counters.Observe(time.Now(), key, counts)
-	b.mu.Unlock()
+func (r *sloRecorder) observe(key slo.Key, counts slo.Counts) {
+	r.mu.Lock()
+	r.counters.Observe(time.Now(), key, counts)
+	r.mu.Unlock()
 }
 
-func (b *sloRecorder) snapshot() []slo.WindowCounts {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.counters.Snapshot(time.Now())
+func (r *sloRecorder) snapshot() []slo.WindowCounts {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.counters.Snapshot(time.Now())
 }
 
-// BurnReport merges the counters of all daemons into the burn report. Missing lists
-// the daemons that did not answer.
+// BurnReport merges the counters of all daemons into a report on error budget burn.
+// missing lists the daemons that did not respond.
 func (d *Daemon) BurnReport(ctx context.Context) (lines []slo.ObjectiveBurn, missing []string) {
 	counts := d.slo.snapshot()
 	var mu sync.Mutex
@@ -47,14 +47,14 @@
 		wg.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 			defer cancel()
-			r, err := peer.Call[peer.BurnRequest, peer.BurnResponse](callCtx, d.peers, m.PeerAddress, "burn", peer.BurnRequest{})
+			resp, err := peer.Call[peer.BurnRequest, peer.BurnResponse](callCtx, d.peers, m.PeerAddress, "burn", peer.BurnRequest{})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				missing = append(missing, m.ID)
 				return
 			}
-			counts = append(counts, r.Cells...)
+			counts = append(counts, resp.Cells...)
 		})
 	}
 	wg.Wait()
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -16,39 +16,40 @@
 const (
 	// UsageStream is the log stream of usage records.
 	UsageStream = "usage"
-	// minFlushInterval is the shortest time between two appends of one daemon.
+	// minFlushInterval is the minimum interval between two appends of a daemon.
 	minFlushInterval = 100 * time.Millisecond
-	// maxAppendsPerSecond is what all daemons together spend on usage records; the
-	// flush period grows with their number. Keepers, not the flush, protect a
-	// record in the meantime.
+	// maxAppendsPerSecond bounds the appends of all daemons together; the flush
+	// interval grows with their number. Until then replicas keep the records safe.
 	maxAppendsPerSecond = 150
-	// maxFlushRecords bounds one append in records.
+	// maxFlushRecords is the maximum number of records in one append.
 	maxFlushRecords = 2000
-	// replicaTimeout bounds the wait for the keepers before the log is waited for.
+	// replicaTimeout bounds the wait for replicas, before the wait for the log.
 	replicaTimeout = time.Second
-	// logConfirmTimeout bounds the wait for the log before new requests are refused.
+	// logConfirmTimeout bounds the wait for the log, before new requests are refused.
 	logConfirmTimeout = time.Second
-	// protectTimeout bounds the wait for keepers and log together.
-	protectTimeout = 5 * time.Second
-	// adoptAfter is how long a keeper waits for a confirmation before it appends
+	// storeTimeout bounds the wait for replicas and the log together.
+	storeTimeout = 5 * time.Second
+	// orphanTimeout is how long a replica waits for a confirmation before it appends
 	// the records itself.
-	adoptAfter = 30 * time.Second
+	orphanTimeout = 30 * time.Second
 )
 
-// usageRecorder writes the usage records of this daemon and keeps copies for others.
+// usageRecorder writes the usage records of this daemon to the log and stores replicas
+// of records of other daemons.
 type usageRecorder struct {
 	d         *Daemon
 	mu        sync.Mutex
 	buffer    *billing.Buffer
 	confirmed chan struct{}
 	replicas  map[string]replicaRecord
-	// replicaAddresses are the peer addresses that got own records since the last flush.
+	// replicaAddresses are the peers that stored records of this daemon since the
+	// last flush.
 	replicaAddresses map[string]bool
-	// flushNow asks for a flush at once, for a record that no keeper holds.
+	// flushNow triggers a flush, for a record without a replica.
 	flushNow chan struct{}
 }
 
-// replicaRecord is a copy held for another daemon.
+// replicaRecord is a usage record stored for another daemon.
 type replicaRecord struct {
 	owner       string
 	incarnation uint64
@@ -86,16 +87,17 @@
 	u.mu.Unlock()
 }
 
-// add stores a record and returns once it would survive the loss of this VM: a
-// keeper in another failure domain, or the log, has it. It reports false when
-// neither could be reached; the record stays and is tried on.
+// add stores a record and returns once it would survive the loss of this VM, because
+// a replica, preferably in another failure domain, or the log has it. It returns
+// false if neither could be reached in time; the record stays in the buffer and is
+// retried.
 func (u *usageRecorder) add(ctx context.Context, rec billing.UsageRecord) bool {
 	u.mu.Lock()
 	sequence, pending := u.buffer.Add(rec), u.buffer.Len()
 	u.mu.Unlock()
 	u.d.metrics.billed.Inc(1)
 	u.d.metrics.usagePending.Update(float64(pending))
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), protectTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 	defer cancel()
 	if u.replicate(ctx, sequence, rec) {
 		return true
@@ -104,8 +106,8 @@
 	case u.flushNow <- struct{}{}:
 	default:
 	}
-	// A keeper that was just replaced fails this one record; the log takes it
-	// within a flush. Only when that fails too is the daemon cut off.
+	// A replica may fail while the log is available, so new requests are only
+	// refused if the log does not confirm the record either.
 	if u.awaitConfirmationFor(ctx, sequence, logConfirmTimeout) {
 		return true
 	}
@@ -129,7 +131,8 @@
 	return u.awaitConfirmation(ctx, sequence)
 }
 
-// awaitConfirmation waits until the log has the record of a place.
+// awaitConfirmation waits until the log has confirmed the record with a sequence
+// number. It returns false if the context ends first.
 func (u *usageRecorder) awaitConfirmation(ctx context.Context, sequence uint64) bool {
 	for {
 		u.mu.Lock()
@@ -205,8 +208,8 @@
 	return max(minFlushInterval, time.Duration(u.d.members.aliveCount())*time.Second/maxAppendsPerSecond)
 }
 
-// flush appends what is buffered. A lost reply leaves the records in the
-// buffer; their second copy folds away.
+// flush appends the buffered records. After an error they stay in the buffer and are
+// appended again; the ledger drops duplicates.
 func (u *usageRecorder) flush(ctx context.Context) {
 	u.mu.Lock()
 	batch := u.buffer.NextBatch(maxFlushRecords)
@@ -214,7 +217,7 @@
 	if len(batch) == 0 {
 		return
 	}
-	err := u.appendBatch(ctx, batch)
+	err := u.append(ctx, batch)
 	u.mu.Lock()
 	if err != nil {
 		u.buffer.RetryBatch()
@@ -232,7 +235,7 @@
 	u.notifyReplicas(ctx, replicas, through)
 }
 
-func (u *usageRecorder) appendBatch(ctx context.Context, batch []billing.UsageRecord) error {
+func (u *usageRecorder) append(ctx context.Context, batch []billing.UsageRecord) error {
 	data, err := cbor.Marshal(batch)
 	if err != nil {
 		return err
@@ -244,8 +247,8 @@
 	return err
 }
 
-// notifyReplicas tells the keepers up to which place the log has the records. One that
-// misses it appends its copies again, and they fold away.
+// notifyReplicas lets replicas delete the records up to a sequence number. A replica
+// that misses the call appends them again, and the ledger drops the duplicates.
 func (u *usageRecorder) notifyReplicas(ctx context.Context, replicas map[string]bool, through uint64) {
 	msg := peer.ConfirmUsageRequest{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, ThroughSequence: through}
 	for address := range replicas {
@@ -255,7 +258,8 @@
 	}
 }
 
-// adoptOrphans appends copies whose owner is gone or has not confirmed for long.
+// adoptOrphans appends replicas whose owner is gone or has not confirmed them within
+// orphanTimeout.
 func (u *usageRecorder) adoptOrphans(ctx context.Context) {
 	var batch []billing.UsageRecord
 	now := time.Now()
@@ -263,12 +267,12 @@
 	for _, replica := range u.replicas {
 		m, known := u.d.members.find(replica.owner)
 		gone := !known || m.State == membership.Gone || m.Incarnation != replica.incarnation
-		if gone || now.Sub(replica.storedAt) > adoptAfter {
+		if gone || now.Sub(replica.storedAt) > orphanTimeout {
 			batch = append(batch, replica.record)
 		}
 	}
 	u.mu.Unlock()
-	if len(batch) == 0 || u.appendBatch(ctx, batch) != nil {
+	if len(batch) == 0 || u.append(ctx, batch) != nil {
 		return
 	}
 	u.d.metrics.usageAdopted.Inc(int64(len(batch)))
@@ -285,7 +289,7 @@
 	return u.buffer.Len()
 }
 
-// UsageLedger folds the usage stream that the log still keeps.
+// UsageLedger builds the ledger from the usage records that the log retains.
 func (d *Daemon) UsageLedger(ctx context.Context) (*billing.Ledger, error) {
 	ledger := billing.NewLedger()
 	var from uint64
