--- a/internal/daemon/account.go
+++ b/internal/daemon/account.go
@@ -10,83 +10,84 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// served says what a request ran on, for its bill and the burn report.
-type served struct {
-	model, version, domain string
-	firstToken             time.Duration
-	steps                  []billedStep
-	complete               bool
+// execution records what a request ran on, for billing and the SLO counters.
+type execution struct {
+	model, version, failureDomain string
+	firstToken                    time.Duration
+	steps                         []billedStep
+	complete                      bool
 }
 
 type billedStep struct {
-	model, version      string
-	prompt, answer      int64
-	microsPerKiloTokens int64
+	model, version                 string
+	promptTokens, completionTokens int64
+	microsPerKiloToken             int64
 }
 
-func (st *served) tokens() int64 {
+func (e *execution) tokens() int64 {
 	var n int64
-	for _, s := range st.steps {
-		n += s.prompt + s.answer
+	for _, s := range e.steps {
+		n += s.promptTokens + s.completionTokens
 	}
 	return n
 }
 
-// capacityKinds are refusals for want of a server: they count against objectives.
+// capacityKinds are the refusals caused by missing capacity. Unlike other
+// refusals, they count against service-level objectives.
 var capacityKinds = []fault.Kind{fault.Overloaded, fault.NoServer, fault.Warming, fault.Evacuated}
 
-func (d *Daemon) account(workspace string, st *served, began time.Time, err error) {
+func (d *Daemon) recordOutcome(workspace string, exec *execution, start time.Time, err error) {
 	if err == nil {
 		d.metrics.answered.Inc(1)
 	}
-	if st == nil || err != nil && fault.FromError(err).ExecutionState() == fault.NotRun && !slices.Contains(capacityKinds, fault.FromError(err).Kind) {
+	if exec == nil || err != nil && fault.FromError(err).ExecutionState() == fault.NotRun && !slices.Contains(capacityKinds, fault.FromError(err).Kind) {
 		return
 	}
-	n := slo.Counts{Requests: 1}
+	counts := slo.Counts{Requests: 1}
 	if err != nil && !fault.Is(err, fault.CallerLeft) {
-		n.Failed = 1
+		counts.Failed = 1
 	}
 	limit := time.Duration(d.config.current().Workspaces[workspace].Objectives.FirstTokenMillis) * time.Millisecond
-	if limit > 0 && (st.firstToken > limit || st.firstToken == 0 && time.Since(began) > limit) {
-		n.Late = 1
+	if limit > 0 && (exec.firstToken > limit || exec.firstToken == 0 && time.Since(start) > limit) {
+		counts.Late = 1
 	}
-	d.burn.observe(slo.Key{Workspace: workspace, Model: st.model, Version: st.version, FailureDomain: st.domain}, n)
+	d.slo.observe(slo.Key{Workspace: workspace, Model: exec.model, Version: exec.version, FailureDomain: exec.failureDomain}, counts)
 }
 
-// bill writes the one usage record of a request, over all its steps, and reports
-// whether it is safe. A request that delivered nothing and finished no step
-// costs nothing.
-func (d *Daemon) bill(ctx context.Context, id, workspace string, st *served) bool {
-	if len(st.steps) == 0 {
+// billRequest writes one usage record that covers all steps of a request. It
+// reports whether the record is stored durably. A request without a billable
+// step is not billed.
+func (d *Daemon) billRequest(ctx context.Context, id, workspace string, exec *execution) bool {
+	if len(exec.steps) == 0 {
 		d.usage.cancel()
 		return true
 	}
-	u := billing.UsageRecord{
+	rec := billing.UsageRecord{
 		RequestID: id, Workspace: workspace, Outcome: billing.Truncated, UnixMillis: time.Now().UnixMilli(),
-		Daemon: d.settings.ID, FirstTokenMillis: st.firstToken.Milliseconds(), FailureDomain: st.domain,
+		Daemon: d.settings.ID, FirstTokenMillis: exec.firstToken.Milliseconds(), FailureDomain: exec.failureDomain,
 	}
-	if st.complete {
-		u.Outcome = billing.Complete
+	if exec.complete {
+		rec.Outcome = billing.Complete
 	}
-	for _, s := range st.steps {
-		u.Model, u.Version = s.model, s.version
-		u.PromptTokens += s.prompt
-		u.CompletionTokens += s.answer
-		u.Micros += billing.Price(s.prompt+s.answer, s.microsPerKiloTokens)
+	for _, s := range exec.steps {
+		rec.Model, rec.Version = s.model, s.version
+		rec.PromptTokens += s.promptTokens
+		rec.CompletionTokens += s.completionTokens
+		rec.Micros += billing.Price(s.promptTokens+s.completionTokens, s.microsPerKiloToken)
 	}
-	return d.usage.add(ctx, u)
+	return d.usage.add(ctx, rec)
 }
 
-// unprotected withholds the end of an answer whose usage record would be lost
-// with this VM.
-func unprotected() error {
+// unprotectedError is returned instead of the response when its usage record
+// would be lost with this VM.
+func unprotectedError() error {
 	return fault.New(fault.UsageUnprotected, "the usage record could not be stored safely").WithExecution(fault.Ran)
 }
 
-func reserveTokens(q *Chat) int64 {
-	answer := q.MaxTokens
-	if answer == 0 {
-		answer = defaultAnswerTokens
+func estimateTokens(req *ChatRequest) int64 {
+	completion := req.MaxTokens
+	if completion == 0 {
+		completion = defaultCompletionTokens
 	}
-	return int64(len(q.Prompt)/bytesPerToken) + answer
+	return int64(len(req.Prompt)/bytesPerToken) + completion
 }
--- a/internal/daemon/cascades.go
+++ b/internal/daemon/cascades.go
@@ -13,105 +13,108 @@
 )
 
 const (
-	// planEvery is the period of planning and of collecting ratings.
-	planEvery = time.Second
-	// submitTimeout bounds handing a sample to the rating service.
-	submitTimeout = 2 * time.Second
-	// sampleMemory bounds the samples that await their rating.
-	sampleMemory = 20000
+	// planInterval is the period of collecting ratings and updating plans.
+	planInterval = time.Second
+	// sampleSubmitTimeout bounds one submission to the rating service.
+	sampleSubmitTimeout = 2 * time.Second
+	// maxPendingSamples bounds the samples whose rating is outstanding.
+	maxPendingSamples = 20000
 )
 
-// cascades learns from ratings and plans each workspace's cascades.
-type cascades struct {
-	d       *Daemon
-	mu      sync.Mutex
-	state   map[string]*cascadeState
-	samples map[string]sampleInfo
-	cursor  int
+// cascadePlanner collects ratings and derives the plan of each cascade of each
+// workspace from them.
+type cascadePlanner struct {
+	d            *Daemon
+	mu           sync.Mutex
+	state        map[string]*cascadeState
+	pending      map[string]pendingSample
+	ratingCursor int
 }
 
 type cascadeState struct {
-	classes map[string]*cascade.Class
-	plan    cascade.Plan
-	cheap   string
+	classes    map[string]*cascade.Class
+	plan       cascade.Plan
+	cheapModel string
 }
 
-// sampleInfo remembers what a rating will be about.
-type sampleInfo struct {
+// pendingSample describes a submitted response whose rating is outstanding.
+type pendingSample struct {
 	cascade, class string
 	confidence     float64
-	dear           bool
+	expensive      bool
 }
 
-func newCascades(d *Daemon) *cascades {
-	return &cascades{d: d, state: map[string]*cascadeState{}, samples: map[string]sampleInfo{}}
+func newCascadePlanner(d *Daemon) *cascadePlanner {
+	return &cascadePlanner{d: d, state: map[string]*cascadeState{}, pending: map[string]pendingSample{}}
 }
 
-func (c *cascades) of(key string) *cascadeState {
-	s := c.state[key]
-	if s == nil {
-		s = &cascadeState{classes: map[string]*cascade.Class{}}
-		c.state[key] = s
+func (c *cascadePlanner) stateOf(key string) *cascadeState {
+	state := c.state[key]
+	if state == nil {
+		state = &cascadeState{classes: map[string]*cascade.Class{}}
+		c.state[key] = state
 	}
-	return s
+	return state
 }
 
 func (s *cascadeState) class(name string) *cascade.Class {
-	k := s.classes[name]
-	if k == nil {
-		k = &cascade.Class{}
-		s.classes[name] = k
+	class := s.classes[name]
+	if class == nil {
+		class = &cascade.Class{}
+		s.classes[name] = class
 	}
-	return k
+	return class
 }
 
-// cheapFirst reports whether a request goes to the cheap model first. Cheap
-// names the model and version; a new one resets what was learned of the old.
-func (c *cascades) cheapFirst(key, class, cheap string) bool {
+// useCheapFirst reports whether a request goes to the cheap model first.
+// cheapModel is "model@version"; a change of it discards the collected evidence.
+func (c *cascadePlanner) useCheapFirst(key, class, cheapModel string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(key)
-	if s.cheap != cheap {
-		for _, k := range s.classes {
-			k.Reset()
+	state := c.stateOf(key)
+	if state.cheapModel != cheapModel {
+		for _, cl := range state.classes {
+			cl.Reset()
 		}
-		s.cheap = cheap
+		state.cheapModel = cheapModel
 	}
-	_, known := s.plan.Accept[class]
-	return s.plan.UseCheapFirst(class, known, rand.Float64())
+	_, known := state.plan.Accept[class]
+	return state.plan.UseCheapFirst(class, known, rand.Float64())
 }
 
-// accepts counts a cheap answer and reports whether it may stand.
-func (c *cascades) accepts(key, class string, confidence float64) bool {
+// acceptCheap records the confidence of a response of the cheap model and reports
+// whether the response is accepted.
+func (c *cascadePlanner) acceptCheap(key, class string, confidence float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(key)
-	s.class(class).RecordConfidence(confidence)
-	return s.plan.Accepts(class, confidence)
+	state := c.stateOf(key)
+	state.class(class).RecordConfidence(confidence)
+	return state.plan.Accepts(class, confidence)
 }
 
-// sample hands an answer to the rating service for a share of requests.
-func (c *cascades) sample(info sampleInfo, s platform.Sample) {
-	if c.d.ports.Rater == nil || rand.Float64() >= c.ratingShare(s.Model, s.Version) {
+// submitSample sends a random share of responses to the rating service.
+func (c *cascadePlanner) submitSample(info pendingSample, sample platform.Sample) {
+	if c.d.deps.Rater == nil || rand.Float64() >= c.ratingShare(sample.Model, sample.Version) {
 		return
 	}
 	c.mu.Lock()
-	// Ratings that never come would fill the memory for good and end all
-	// learning; forgetting everything costs the ratings under way.
-	if len(c.samples) >= sampleMemory {
-		clear(c.samples)
+	// Samples that are never rated would otherwise fill the map permanently and
+	// no further rating could be matched. Clearing it loses only the ratings that
+	// are outstanding.
+	if len(c.pending) >= maxPendingSamples {
+		clear(c.pending)
 	}
-	c.samples[s.RequestID+"/"+s.Model] = info
+	c.pending[sample.RequestID+"/"+sample.Model] = info
 	c.mu.Unlock()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), sampleSubmitTimeout)
 		defer cancel()
-		_ = c.d.ports.Rater.Submit(ctx, s)
+		_ = c.d.deps.Rater.Submit(ctx, sample)
 	}()
 }
 
-// ratingShare is the fraction of a version's answers to have rated.
-func (c *cascades) ratingShare(model, version string) float64 {
+// ratingShare returns the fraction of a version's responses to submit for rating.
+func (c *cascadePlanner) ratingShare(model, version string) float64 {
 	budget := c.d.settings.RatingShare
 	ro, ok := c.d.config.current().RolloutFor(model)
 	if !ok || !rollout.CarriesTraffic(ro) {
@@ -120,61 +123,61 @@
 	return rollout.RatingShare(budget, ro.Percent(), version == ro.TargetVersion)
 }
 
-func (c *cascades) loop(ctx context.Context) {
-	every(ctx, planEvery, func(ctx context.Context) {
-		c.collect(ctx)
-		c.plan()
+func (c *cascadePlanner) run(ctx context.Context) {
+	runPeriodically(ctx, planInterval, func(ctx context.Context) {
+		c.collectRatings(ctx)
+		c.updatePlans()
 	})
 }
 
-func (c *cascades) collect(ctx context.Context) {
-	if c.d.ports.Rater == nil {
+func (c *cascadePlanner) collectRatings(ctx context.Context) {
+	if c.d.deps.Rater == nil {
 		return
 	}
-	ratings, next, err := c.d.ports.Rater.Collect(ctx, c.d.raterID(), c.cursor)
+	ratings, next, err := c.d.deps.Rater.Collect(ctx, c.d.sampleOwnerID(), c.ratingCursor)
 	if err != nil {
 		return
 	}
-	c.cursor = next
+	c.ratingCursor = next
 	for _, r := range ratings {
-		c.d.rollouts.rated(r.Sample.Model, r.Sample.Version, r.Sample.Server, r.Good)
-		c.learn(r)
+		c.d.rollouts.recordRating(r.Sample.Model, r.Sample.Version, r.Sample.Server, r.Good)
+		c.recordRating(r)
 	}
 }
 
-func (c *cascades) learn(r platform.Rating) {
+func (c *cascadePlanner) recordRating(r platform.Rating) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := r.Sample.RequestID + "/" + r.Sample.Model
-	info, known := c.samples[id]
-	delete(c.samples, id)
+	info, known := c.pending[id]
+	delete(c.pending, id)
 	if !known || info.cascade == "" {
 		return
 	}
-	k := c.of(info.cascade).class(info.class)
-	if info.dear {
-		k.RecordExpensiveRating(r.Good)
+	class := c.stateOf(info.cascade).class(info.class)
+	if info.expensive {
+		class.RecordExpensiveRating(r.Good)
 	} else {
-		k.RecordRating(info.confidence, r.Good)
+		class.RecordRating(info.confidence, r.Good)
 	}
 }
 
-// plan makes every cascade's plan anew from the evidence.
-func (c *cascades) plan() {
+// updatePlans recomputes the plan of every cascade from the collected evidence.
+func (c *cascadePlanner) updatePlans() {
 	cfg := c.d.config.current()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, k := range cfg.Cascades {
-		costs := cascade.Costs{Cheap: stablePrice(cfg, k.Steps[0]), Expensive: stablePrice(cfg, k.Steps[len(k.Steps)-1])}
-		for ws := range cfg.Workspaces {
-			if s := c.state[ws+"/"+name]; s != nil {
-				s.plan = cascade.NewPlan(s.classes, costs, k.QualityTarget)
+	for name, spec := range cfg.Cascades {
+		costs := cascade.Costs{Cheap: stablePrice(cfg, spec.Steps[0]), Expensive: stablePrice(cfg, spec.Steps[len(spec.Steps)-1])}
+		for workspace := range cfg.Workspaces {
+			if state := c.state[workspace+"/"+name]; state != nil {
+				state.plan = cascade.NewPlan(state.classes, costs, spec.QualityTarget)
 			}
 		}
 	}
 }
 
-func stablePrice(c *fleet.Config, model string) float64 {
-	v, _ := c.Version(model, c.Models[model].Stable)
+func stablePrice(cfg *fleet.Config, model string) float64 {
+	v, _ := cfg.Version(model, cfg.Models[model].Stable)
 	return float64(v.MicrosPerKiloToken)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon wires the decision packages to the clock, the network and the
-// platform. Each file drives one aggregate: it gathers inputs, asks the pure
-// package for a decision, and carries it out. No lock is held over I/O.
+// Package daemon connects the decision packages to the clock, the network and
+// the platform. Each file gathers the inputs of one decision package, calls it
+// and carries out the result. No lock is held during I/O.
 package daemon
 
 import (
@@ -27,79 +27,79 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// Ports are the daemon's connections to its surroundings. Log is required; a
-// nil VMs, Rater or Weights is a platform without that service.
-type Ports struct {
+// Dependencies are the external services of a daemon. Log is required. VMs, Rater
+// and Weights are nil on platforms without that service.
+type Dependencies struct {
 	Log     platform.Log
 	VMs     platform.VMList
 	Rater   platform.Rater
 	Weights platform.WeightStore
 	Logger  *log.Logger
 	Metrics tally.Scope
-	// PeerTLS encrypts links to other daemons when set.
+	// PeerTLS encrypts connections to other daemons when set.
 	PeerTLS *tls.Config
 }
 
-// Daemon is one router process.
+// Daemon routes requests to backend servers.
 type Daemon struct {
 	settings    settings.Settings
 	secrets     settings.Secrets
-	ring        atomic.Pointer[session.Keyring]
+	keyring     atomic.Pointer[session.Keyring]
 	incarnation uint64
-	ports       Ports
+	deps        Dependencies
 	log         *log.Logger
 	metrics     metrics
 	engine      *engine.Client
-	links       *peer.Client
-
-	config   *configuration
-	members  *members
-	pools    *pools
-	usage    *usage
-	claims   *claims
-	limits   *limits
-	rollouts *rollouts
-	cascades *cascades
-	orders   *orders
-	burn     *burn
-	retries  *retries
-	guard    *containment.Guard
-
-	inFlight atomic.Int64
-	leaving  atomic.Bool
-	stopping chan struct{}
-	stopOnce sync.Once
-	running  sync.WaitGroup
+	peers       *peer.Client
+
+	config      *configFollower
+	members     *memberlist
+	balancer    *balancer
+	usage       *usageRecorder
+	claims      *claimManager
+	limits      *rateLimits
+	rollouts    *rolloutController
+	cascades    *cascadePlanner
+	orders      *orderController
+	slo         *sloRecorder
+	retryBudget *retryBudget
+	guard       *containment.Guard
+
+	inFlight       atomic.Int64
+	leaving        atomic.Bool
+	stopping       chan struct{}
+	stopOnce       sync.Once
+	activeRequests sync.WaitGroup
 }
 
-// New returns a daemon that is not running yet.
-func New(s settings.Settings, secrets settings.Secrets, p Ports) *Daemon {
+// New returns a daemon. Run starts its background work.
+func New(s settings.Settings, secrets settings.Secrets, deps Dependencies) *Daemon {
 	d := &Daemon{
-		settings: s, secrets: secrets, ports: p, log: p.Logger,
+		settings: s, secrets: secrets, deps: deps, log: deps.Logger,
 		incarnation: uint64(time.Now().UnixNano()),
-		metrics:     newMetrics(p.Metrics),
+		metrics:     newMetrics(deps.Metrics),
 		engine:      engine.NewClient(time.Duration(s.Silence)),
-		links:       peer.NewClient(s.ID, secrets.PeerKey, p.PeerTLS),
+		peers:       peer.NewClient(s.ID, secrets.PeerKey, deps.PeerTLS),
 		stopping:    make(chan struct{}),
 	}
-	d.ring.Store(secrets.Ring())
-	d.links.OnBytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
-	d.config = newConfiguration(d)
-	d.members = newMembers(d)
-	d.pools = newPools(d)
+	d.keyring.Store(secrets.Ring())
+	d.peers.OnBytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
+	d.config = newConfigFollower(d)
+	d.members = newMemberlist(d)
+	d.balancer = newBalancer(d)
 	d.guard = newGuard(d)
-	d.usage = newUsage(d)
-	d.claims = newClaims(d)
-	d.limits = newLimits(d)
-	d.rollouts = newRollouts(d)
-	d.cascades = newCascades(d)
-	d.orders = newOrders(d)
-	d.retries = &retries{budget: request.NewRetryBudget()}
-	d.burn = &burn{counters: slo.NewCounters()}
+	d.usage = newUsageRecorder(d)
+	d.claims = newClaimManager(d)
+	d.limits = newRateLimits(d)
+	d.rollouts = newRolloutController(d)
+	d.cascades = newCascadePlanner(d)
+	d.orders = newOrderController(d)
+	d.retryBudget = &retryBudget{budget: request.NewRetryBudget()}
+	d.slo = &sloRecorder{counters: slo.NewCounters()}
 	return d
 }
 
-// PeerServer returns the handler for other daemons.
+// PeerServer returns the handler for calls of other daemons.
 func (d *Daemon) PeerServer() *peer.Server {
 	s := peer.NewServer(d.secrets.PeerKey)
 	s.OnRefused = func() { d.metrics.peerRefused.Inc(1) }
@@ -109,15 +109,15 @@
 	d.usage.register(s)
 	d.limits.register(s)
 	d.rollouts.register(s)
-	d.burn.register(s)
+	d.slo.register(s)
 	return s
 }
 
-// Run works until the context ends.
+// Run runs the background loops until the context ends.
 func (d *Daemon) Run(ctx context.Context) {
 	loops := []func(context.Context){
-		d.config.loop, d.members.loop, d.pools.loop, d.usage.loop,
-		d.rollouts.loop, d.cascades.loop, d.orders.loop, d.claims.loop, d.limits.loop,
+		d.config.run, d.members.run, d.balancer.run, d.usage.run,
+		d.rollouts.run, d.cascades.run, d.orders.run, d.claims.run, d.limits.run,
 		d.broadcastHolds,
 	}
 	var wg sync.WaitGroup
@@ -125,25 +125,25 @@
 		wg.Go(func() { loop(ctx) })
 	}
 	wg.Wait()
-	d.links.Close()
+	d.peers.Close()
 }
 
-// SetSecrets replaces the session keys without a restart.
-func (d *Daemon) SetSecrets(s settings.Secrets) { d.ring.Store(s.Ring()) }
+// SetSecrets replaces the session keys. Other secrets change on restart only.
+func (d *Daemon) SetSecrets(s settings.Secrets) { d.keyring.Store(s.Ring()) }
 
 // Settings returns the daemon's settings.
 func (d *Daemon) Settings() settings.Settings { return d.settings }
 
-// OperatorKey returns the key that operators present.
+// OperatorKey returns the key that authorizes operator requests.
 func (d *Daemon) OperatorKey() string { return d.secrets.OperatorKey }
 
 // Ready reports whether the daemon would dispatch a request now.
-func (d *Daemon) Ready() bool { return d.config.sight(d.members).CanServe(time.Now()) }
+func (d *Daemon) Ready() bool { return d.config.readiness(d.members).CanServe(time.Now()) }
 
-// Drain ends the daemon's service without cutting a request: it leaves the
-// endpoint answers at once, serves on while callers may still hold an old one,
-// waits for what runs, and flushes the usage records. It returns the number of
-// requests that were still running and of records still unconfirmed at the limit.
+// Drain shuts the daemon down gracefully. It removes the daemon from the endpoint
+// lists, keeps serving until cached lists have expired, waits for running
+// requests and flushes the usage records. It returns the number of requests still
+// running and of usage records still unconfirmed when the drain limit is reached.
 func (d *Daemon) Drain(ctx context.Context) (running int, unconfirmed int) {
 	d.leaving.Store(true)
 	d.members.announce()
@@ -151,7 +151,7 @@
 	loop.Pause(ctx, time.Duration(d.settings.EndpointTTL+d.settings.DrainGrace))
 	d.stopOnce.Do(func() { close(d.stopping) })
 	done := make(chan struct{})
-	go func() { d.running.Wait(); close(done) }()
+	go func() { d.activeRequests.Wait(); close(done) }()
 	limit := time.NewTimer(time.Duration(d.settings.DrainLimit))
 	defer limit.Stop()
 	select {
@@ -163,53 +163,56 @@
 	return int(d.inFlight.Load()), d.usage.pending()
 }
 
-// Panics counts panics of the handlers that serve for the daemon.
-func (d *Daemon) Panics() tally.Counter { return d.metrics.panics }
+// PanicCounter returns the counter of panics in request handlers.
+func (d *Daemon) PanicCounter() tally.Counter { return d.metrics.panics }
 
 // Leaving reports whether the daemon is draining.
 func (d *Daemon) Leaving() bool { return d.leaving.Load() }
 
-// Endpoints returns the addresses callers should use and for how long.
+// Endpoints returns the daemon addresses that callers should use, and how long
+// they may cache them.
 func (d *Daemon) Endpoints() ([]string, time.Duration) {
 	return d.members.endpoints(), time.Duration(d.settings.EndpointTTL)
 }
 
-// every calls f at a period until the context ends. The first call comes after
-// a random part of the period, so that daemons started together spread out.
-func every(ctx context.Context, period time.Duration, f func(context.Context)) {
-	wait := rand.N(period)
-	for loop.Pause(ctx, wait) {
+// runPeriodically calls f with the given pause until the context ends. The first
+// call is delayed by a random part of the period, so that daemons started together
+// do not run in step.
+func runPeriodically(ctx context.Context, period time.Duration, f func(context.Context)) {
+	delay := rand.N(period)
+	for loop.Pause(ctx, delay) {
 		f(ctx)
-		wait = period
+		delay = period
 	}
 }
 
-// owner names this incarnation in records of the log.
-func (d *Daemon) owner() string {
+// ownerID identifies this incarnation in log records.
+func (d *Daemon) ownerID() string {
 	return d.settings.ID + "/" + strconv.FormatUint(d.incarnation, 10)
 }
 
-// raterID is under which name the rating service keeps our samples. It names the
-// incarnation, because the cursor into them is lost with it.
-func (d *Daemon) raterID() string { return d.owner() }
+// sampleOwnerID identifies this daemon at the rating service. It includes the
+// incarnation, because the rating cursor does not survive a restart.
+func (d *Daemon) sampleOwnerID() string { return d.ownerID() }
 
-// identity is what never changes about this incarnation.
-func (d *Daemon) identity() membership.DaemonInfo {
+// staticInfo returns the part of the membership entry that is fixed for this
+// incarnation.
+func (d *Daemon) staticInfo() membership.DaemonInfo {
 	return membership.DaemonInfo{
 		ID: d.settings.ID, Address: d.settings.Listen, PeerAddress: d.settings.PeerListen,
 		FailureDomain: d.settings.FailureDomain, Incarnation: d.incarnation,
 	}
 }
 
-// self is what this daemon says of itself now.
-func (d *Daemon) self() membership.DaemonInfo {
-	b := d.identity()
-	b.ConfigNumber = d.config.current().Number
-	b.Serving, b.Leaving = d.Ready(), d.leaving.Load()
-	b.InFlight = int(d.inFlight.Load())
-	b.LogAgeMillis = membership.LogAgeUnknown
-	if heard := d.config.heard(); !heard.IsZero() {
-		b.LogAgeMillis = time.Since(heard).Milliseconds()
+// currentInfo returns the membership entry of this daemon.
+func (d *Daemon) currentInfo() membership.DaemonInfo {
+	info := d.staticInfo()
+	info.ConfigNumber = d.config.current().Number
+	info.Serving, info.Leaving = d.Ready(), d.leaving.Load()
+	info.InFlight = int(d.inFlight.Load())
+	info.LogAgeMillis = membership.LogAgeUnknown
+	if readAt := d.config.lastLogRead(); !readAt.IsZero() {
+		info.LogAgeMillis = time.Since(readAt).Milliseconds()
 	}
-	return b
+	return info
 }
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -17,111 +17,114 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// step is one model's turn to answer a request.
+// step is the execution of a request on one model.
 type step struct {
 	requestID string
 	workspace string
 	model     string
 	version   string
-	// fallback is the version for a further attempt when a run failed: the
-	// running one, for a session that a roll-out moved and that has no answer
-	// yet. Empty keeps the version.
-	fallback string
-	priority int
-	prompt   string
-	body     map[string]json.RawMessage
-	life     *request.RetryState
-	deadline time.Time
-	// fingerprint is the same for every repeat of the request by its caller.
+	// fallbackVersion replaces version after a failed attempt. It is the stable
+	// version, for a session without a pin that a roll-out moved to the new one.
+	// Empty keeps version.
+	fallbackVersion string
+	priority        int
+	prompt          string
+	body            map[string]json.RawMessage
+	retryState      *request.RetryState
+	deadline        time.Time
+	// fingerprint identifies the request across repeats by the caller.
 	fingerprint quarantine.Fingerprint
-	// deliver gets each piece of the answer; its error means the caller left.
-	deliver func(text string) error
+	// onText receives each piece of the response. An error means that the caller
+	// disconnected.
+	onText func(text string) error
 }
 
-// stepResult is what a step gave.
 type stepResult struct {
 	text       strings.Builder
 	usage      engine.Usage
 	firstToken time.Duration
-	// wait is the part of firstToken spent in the server's queue.
-	wait     time.Duration
-	choice   choice
-	finish   string
-	complete bool
+	// queueWait is the part of firstToken spent in the queue of the server.
+	queueWait    time.Duration
+	pick         pick
+	finishReason string
+	complete     bool
 }
 
-// run drives the attempts of a step until its answer is whole or it fails.
-func (d *Daemon) run(ctx context.Context, s *step) (*stepResult, error) {
+// runStep makes attempts until the response is complete or the step fails.
+func (d *Daemon) runStep(ctx context.Context, s *step) (*stepResult, error) {
 	res := &stepResult{}
 	var tried []string
-	d.retries.earn()
-	rr := routing.Request{PromptTokens: (len(s.prompt) + 3) / 4, BlockTokens: routing.BlockTokens, Urgent: s.priority == 0}
-	rr.Blocks = routing.Blocks(nil, s.model+"@"+s.version, s.prompt)
+	d.retryBudget.deposit()
+	routeReq := routing.Request{PromptTokens: (len(s.prompt) + 3) / 4, BlockTokens: routing.BlockTokens, Urgent: s.priority == 0}
+	routeReq.Blocks = routing.Blocks(nil, s.model+"@"+s.version, s.prompt)
 	for {
-		if refusal := d.held(s.fingerprint, s.life); refusal != nil {
+		if refusal := d.checkHold(s.fingerprint, s.retryState); refusal != nil {
 			return res, refusal
 		}
-		if s.life.Attempts() > 0 && s.fallback != "" {
-			s.version = s.fallback
-			rr.Blocks = routing.Blocks(rr.Blocks[:0], s.model+"@"+s.version, s.prompt)
+		if s.retryState.Attempts() > 0 && s.fallbackVersion != "" {
+			s.version = s.fallbackVersion
+			routeReq.Blocks = routing.Blocks(routeReq.Blocks[:0], s.model+"@"+s.version, s.prompt)
 		}
-		c := d.config.current()
-		v, ok := c.Version(s.model, s.version)
-		if !ok || !c.MayDispatch(s.workspace, s.model, s.version) {
-			return res, d.lastCheck(s)
+		cfg := d.config.current()
+		v, ok := cfg.Version(s.model, s.version)
+		if !ok || !cfg.MayDispatch(s.workspace, s.model, s.version) {
+			return res, d.versionDisallowed(s)
 		}
-		rr.Budget = time.Until(s.deadline)
-		ch, err := d.pools.pick(c, v.Pool, s.model+"@"+s.version, &rr, tried)
+		routeReq.Budget = time.Until(s.deadline)
+		picked, err := d.balancer.pickServer(cfg, v.Pool, s.model+"@"+s.version, &routeReq, tried)
 		if err != nil {
-			return res, truthful(fault.FromError(err), s.life)
+			return res, withExecutionState(fault.FromError(err), s.retryState)
 		}
-		tried = append(tried, ch.candidate.ID)
-		s.life.RecordAttempt()
-		if s.life.Attempts() > 1 {
+		tried = append(tried, picked.candidate.ID)
+		s.retryState.RecordAttempt()
+		if s.retryState.Attempts() > 1 {
 			d.metrics.retries.Inc(1)
 		}
-		dec := d.attempt(ctx, s, res, ch)
+		decision := d.runAttempt(ctx, s, res, picked)
 		if res.complete {
 			return res, nil
 		}
-		if dec.Action != request.Retry {
-			return res, dec.Error
+		if decision.Action != request.Retry {
+			return res, decision.Error
 		}
 	}
 }
 
-// lastCheck refuses an attempt whose version lost its permission while the
-// request was queued, retried or escalated.
-func (d *Daemon) lastCheck(s *step) error {
-	d.metrics.lastCheck.Inc(1)
-	return fault.New(fault.VersionWithdrawn, "%s@%s is no longer allowed", s.model, s.version).WithExecution(s.life.ExecutionState())
+// versionDisallowed returns the error for a version that the workspace may no
+// longer use, after a configuration change during the request.
+func (d *Daemon) versionDisallowed(s *step) error {
+	d.metrics.lastCheckRefused.Inc(1)
+	return fault.New(fault.VersionWithdrawn, "%s@%s is no longer allowed", s.model, s.version).WithExecution(s.retryState.ExecutionState())
 }
 
-// attempt runs once on one server, resuming its stream as often as needed.
-func (d *Daemon) attempt(ctx context.Context, s *step, res *stepResult, ch choice) request.Decision {
-	began := time.Now()
+// runAttempt makes one attempt on one server. It resumes the stream on a new
+// connection when the current one is lost.
+func (d *Daemon) runAttempt(ctx context.Context, s *step, res *stepResult, picked pick) request.Decision {
+	start := time.Now()
 	res.text.Reset()
-	runID := fmt.Sprintf("%s-%d", s.requestID, s.life.Attempts())
+	runID := fmt.Sprintf("%s-%d", s.requestID, s.retryState.Attempts())
 	asm := request.NewAssembler(runID)
 	d.metrics.attempts.Inc(1)
 	failed, event, started := true, request.ConnectFailed, false
-	defer func() { d.finishAttempt(s, ch, began, res, failed) }()
+	defer func() { d.finishAttempt(s, picked, start, res, failed) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	u := d.guard.Begin(guarded(ch.candidate), s.fingerprint, cancel)
-	defer func() { d.guard.End(ctx, u, guarded(ch.candidate), fateOf(event, res.complete, started)) }()
-	// The configuration may have changed since the pick; this check is the last
-	// thing before the request leaves.
+	guarded := d.guard.Begin(containmentServer(picked.candidate), s.fingerprint, cancel)
+	defer func() {
+		d.guard.End(ctx, guarded, containmentServer(picked.candidate), containmentOutcome(event, res.complete, started))
+	}()
+	// The configuration may have changed since the server was picked, so this is
+	// checked again immediately before the request is sent.
 	if !d.config.current().MayDispatch(s.workspace, s.model, s.version) {
 		failed = false
-		return request.Decision{Action: request.Fail, Error: fault.FromError(d.lastCheck(s))}
+		return request.Decision{Action: request.Fail, Error: fault.FromError(d.versionDisallowed(s))}
 	}
-	stream, err := d.engine.Start(ctx, ch.candidate.Address, engine.Run{
+	stream, err := d.engine.Start(ctx, picked.candidate.Address, engine.Run{
 		ID: runID, Version: s.model + "@" + s.version, Priority: s.priority, Body: s.body,
 	})
 	for {
 		started = started || err == nil
-		event = d.pump(s, res, ch, asm, stream, err, began)
+		event = d.readFrames(s, res, picked, asm, stream, err, start)
 		if res.complete {
 			failed = false
 			d.guard.RecordSuccess(s.fingerprint)
@@ -132,74 +135,74 @@
 		}
 		switch event {
 		case request.AttemptRefused:
-			d.pools.lacks(ch, s.model+"@"+s.version)
+			d.balancer.recordMissingVersion(picked, s.model+"@"+s.version)
 		case request.ConnectFailed, request.RunNotFound:
-			d.pools.unreachable(ch)
+			d.balancer.recordUnreachable(picked)
 		}
-		dec := d.decide(s.life, event)
+		decision := d.nextAction(s.retryState, event)
 		if errors.Is(context.Cause(ctx), containment.ErrHeld) {
-			dec = request.Decision{Action: request.Retry} // the next try is refused
+			decision = request.Decision{Action: request.Retry} // runStep then refuses the held request
 		}
-		if dec.Action != request.Resume {
-			d.abandonRun(ch, runID, event)
+		if decision.Action != request.Resume {
+			d.cancelRun(picked, runID, event)
 			failed = event != request.CallerDisconnected
-			return dec
+			return decision
 		}
 		d.metrics.resumes.Inc(1)
-		stream, err = d.engine.Resume(ctx, ch.candidate.Address, runID, asm.LastOffset())
+		stream, err = d.engine.Resume(ctx, picked.candidate.Address, runID, asm.LastOffset())
 	}
 }
 
-func (d *Daemon) decide(life *request.RetryState, e request.AttemptEvent) request.Decision {
-	d.retries.mu.Lock()
-	defer d.retries.mu.Unlock()
-	return life.Next(e, time.Now(), d.retries.budget)
+func (d *Daemon) nextAction(state *request.RetryState, event request.AttemptEvent) request.Decision {
+	d.retryBudget.mu.Lock()
+	defer d.retryBudget.mu.Unlock()
+	return state.Next(event, time.Now(), d.retryBudget.budget)
 }
 
-// retries is the retry budget of all requests of this daemon.
-type retries struct {
+// retryBudget is the retry budget shared by all requests of this daemon.
+type retryBudget struct {
 	mu     sync.Mutex
 	budget *request.RetryBudget
 }
 
-func (r *retries) earn() {
+func (r *retryBudget) deposit() {
 	r.mu.Lock()
 	r.budget.Deposit()
 	r.mu.Unlock()
 }
 
-// abandonRun cancels a run that will not be resumed. A run nobody waits for
-// would hold a slot, and its answer could not be billed.
-func (d *Daemon) abandonRun(ch choice, runID string, e request.AttemptEvent) {
-	if e == request.AttemptRefused || e == request.ConnectFailed || e == request.RunFailed || e == request.RunNotFound {
+// cancelRun cancels a run that will not be resumed. It would otherwise occupy a
+// slot of the server, and its response could not be billed.
+func (d *Daemon) cancelRun(picked pick, runID string, event request.AttemptEvent) {
+	if event == request.AttemptRefused || event == request.ConnectFailed || event == request.RunFailed || event == request.RunNotFound {
 		return
 	}
-	go func() { _ = d.engine.Cancel(ch.candidate.Address, runID) }()
+	go func() { _ = d.engine.Cancel(picked.candidate.Address, runID) }()
 }
 
-func (d *Daemon) finishAttempt(s *step, ch choice, began time.Time, res *stepResult, failed bool) {
-	d.pools.completed(ch, max(0, time.Since(began)-res.wait), failed)
+func (d *Daemon) finishAttempt(s *step, picked pick, start time.Time, res *stepResult, failed bool) {
+	d.balancer.recordCompletion(picked, max(0, time.Since(start)-res.queueWait), failed)
 	if !res.complete {
 		return
 	}
-	res.choice = ch
+	res.pick = picked
 }
 
-// pump passes the frames of one connection on until the answer is whole or the
-// connection is of no more use.
-func (d *Daemon) pump(s *step, res *stepResult, ch choice, asm *request.Assembler, stream *engine.Stream, err error, began time.Time) request.AttemptEvent {
+// readFrames processes the frames of one connection until the response is complete
+// or the connection cannot be used any more.
+func (d *Daemon) readFrames(s *step, res *stepResult, picked pick, asm *request.Assembler, stream *engine.Stream, err error, start time.Time) request.AttemptEvent {
 	if err != nil {
 		return startEvent(err)
 	}
 	defer stream.Close()
-	s.life.RecordExecution()
+	s.retryState.RecordExecution()
 	for {
-		f, err := stream.Next()
+		frame, err := stream.Next()
 		if err != nil {
-			d.pools.silent(ch)
+			d.balancer.recordTimeout(picked)
 			return request.ConnectionLost
 		}
-		switch asm.Accept(f.Frame) {
+		switch asm.Accept(frame.Frame) {
 		case request.Deliver:
 		case request.SequenceGap:
 			d.metrics.framesDropped.Inc(1)
@@ -208,11 +211,11 @@
 			d.metrics.framesDropped.Inc(1)
 			continue
 		}
-		if f.Failed {
-			d.observeRun(s, ch, true, res.firstToken)
+		if frame.Failed {
+			d.recordRun(s, picked, true, res.firstToken)
 			return request.RunFailed
 		}
-		if err := d.take(s, res, ch, f, began); err != nil {
+		if err := d.handleFrame(s, res, picked, frame, start); err != nil {
 			return request.CallerDisconnected
 		}
 		if res.complete {
@@ -233,30 +236,30 @@
 	return request.ConnectionLost
 }
 
-// take books a delivered frame and hands its text to the caller.
-func (d *Daemon) take(s *step, res *stepResult, ch choice, f engine.Frame, began time.Time) error {
+// handleFrame adds a frame to the result and passes its text to the caller.
+func (d *Daemon) handleFrame(s *step, res *stepResult, picked pick, frame engine.Frame, start time.Time) error {
 	if res.firstToken == 0 {
-		res.firstToken = time.Since(began)
-		res.wait = d.pools.firstToken(ch, res.firstToken)
+		res.firstToken = time.Since(start)
+		res.queueWait = d.balancer.recordFirstToken(picked, res.firstToken)
 		d.metrics.firstToken.RecordDuration(res.firstToken)
 	}
-	if f.End {
-		res.complete, res.usage, res.finish = true, f.Usage, f.Finish
-		d.observeRun(s, ch, false, res.firstToken)
+	if frame.End {
+		res.complete, res.usage, res.finishReason = true, frame.Usage, frame.Finish
+		d.recordRun(s, picked, false, res.firstToken)
 		return nil
 	}
-	res.text.WriteString(f.Delta)
-	if s.deliver == nil || f.Delta == "" {
+	res.text.WriteString(frame.Delta)
+	if s.onText == nil || frame.Delta == "" {
 		return nil
 	}
-	s.life.RecordDelivery()
-	return s.deliver(f.Delta)
+	s.retryState.RecordDelivery()
+	return s.onText(frame.Delta)
 }
 
-func (d *Daemon) observeRun(s *step, ch choice, failed bool, first time.Duration) {
-	slow := first > slowRun*ch.expected && first > slowFloor
-	d.rollouts.observe(observation{
-		model: s.model, version: s.version, server: ch.candidate.ID, domain: ch.candidate.FailureDomain,
-		failed: failed, timed: !failed && ch.spare, slow: slow,
+func (d *Daemon) recordRun(s *step, picked pick, failed bool, firstToken time.Duration) {
+	slow := firstToken > slowRunFactor*picked.expectedFirstToken && firstToken > minSlowDelay
+	d.rollouts.recordRun(runObservation{
+		model: s.model, version: s.version, server: picked.candidate.ID, domain: picked.candidate.FailureDomain,
+		failed: failed, timed: !failed && picked.hadFreeSlot, slow: slow,
 	})
 }
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -7,57 +7,59 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// Explanation says how a request would be routed at this moment.
+// Explanation describes how a request would be routed with the current
+// configuration and load.
 type Explanation struct {
-	Number  uint64               `json:"number"`
-	Model   string               `json:"model"`
-	Version string               `json:"version"`
-	Why     string               `json:"why"`
-	Pool    string               `json:"pool"`
-	Chosen  string               `json:"chosen,omitempty"`
-	Reasons []routing.RuleResult `json:"reasons"`
+	Number        uint64               `json:"number"`
+	Model         string               `json:"model"`
+	Version       string               `json:"version"`
+	VersionReason string               `json:"why"`
+	Pool          string               `json:"pool"`
+	Chosen        string               `json:"chosen,omitempty"`
+	RuleResults   []routing.RuleResult `json:"reasons"`
 }
 
-// Explain routes a request without sending it and returns each rule's word.
+// Explain routes a request without sending it and returns the result of each
+// routing rule. Errors are of type *fault.Error.
 func (d *Daemon) Explain(workspace, name, sessionHeader, prompt string) (*Explanation, error) {
-	c := d.config.current()
-	w, ok := c.Workspaces[workspace]
+	cfg := d.config.current()
+	w, ok := cfg.Workspaces[workspace]
 	if !ok {
 		return nil, fault.NewField(fault.NotFound, "workspace", "no workspace %q", workspace)
 	}
-	models, err := entitled(c, w, name)
+	models, err := resolveModels(cfg, w, name)
 	if err != nil {
 		return nil, err
 	}
-	pin, err := d.pin(workspace, sessionHeader)
+	pin, err := d.resolvePin(workspace, sessionHeader)
 	if err != nil {
 		return nil, err
 	}
-	model, version, err := d.version(c, w, models[0], pin)
+	model, version, err := d.chooseVersion(cfg, w, models[0], pin)
 	if err != nil {
 		return nil, err
 	}
-	v, _ := c.Version(model, version)
-	e := &Explanation{Number: c.Number, Model: model, Version: version, Pool: v.Pool, Why: "the stable version"}
-	switch ro, moving := c.RolloutFor(model); {
+	v, _ := cfg.Version(model, version)
+	e := &Explanation{Number: cfg.Number, Model: model, Version: version, Pool: v.Pool, VersionReason: "the stable version"}
+	switch ro, active := cfg.RolloutFor(model); {
 	case pin.VersionOf(model) != "":
-		e.Why = "the session is pinned"
-	case moving && version == ro.TargetVersion:
-		e.Why = "the roll-out's share"
+		e.VersionReason = "the session is pinned"
+	case active && version == ro.TargetVersion:
+		e.VersionReason = "the roll-out's share"
 	}
-	r := routing.Request{PromptTokens: len(prompt) / bytesPerToken, BlockTokens: routing.BlockTokens, Blocks: routing.Blocks(nil, model+"@"+version, prompt)}
-	d.pools.mu.Lock()
-	defer d.pools.mu.Unlock()
-	d.pools.sync(c)
-	st := d.pools.byName[v.Pool]
-	if st == nil {
+	req := routing.Request{PromptTokens: len(prompt) / bytesPerToken, BlockTokens: routing.BlockTokens, Blocks: routing.Blocks(nil, model+"@"+version, prompt)}
+	d.balancer.mu.Lock()
+	defer d.balancer.mu.Unlock()
+	d.balancer.syncConfig(cfg)
+	p := d.balancer.pools[v.Pool]
+	if p == nil {
 		return e, nil
 	}
-	candidates := st.picture.Snapshot(nil, time.Now())
-	st.picture.Prefix.Lookup(&r)
-	e.Reasons = routing.DefaultPipeline().Explain(&r, candidates)
-	if dec := routing.DefaultPipeline().Pick(&r, candidates, d.pools.rng); dec.Index >= 0 {
-		e.Chosen = candidates[dec.Index].ID
+	candidates := p.load.Snapshot(nil, time.Now())
+	p.load.Prefix.Lookup(&req)
+	e.RuleResults = routing.DefaultPipeline().Explain(&req, candidates)
+	if decision := routing.DefaultPipeline().Pick(&req, candidates, d.balancer.rng); decision.Index >= 0 {
+		e.Chosen = candidates[decision.Index].ID
 	}
 	return e, nil
 }
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -13,81 +13,88 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// viewEvery is how often a daemon looks with whom it shares the limits of warming servers.
-const viewEvery = 250 * time.Millisecond
+// peerViewInterval is the period of updating the set of daemons that share the
+// limits of warming servers.
+const peerViewInterval = 250 * time.Millisecond
 
-// boot reads the clock that the gate goes by.
-func (p *pools) boot() time.Duration { return time.Since(p.born) }
+// uptime returns the time since the start of the daemon, the clock of the gate.
+func (b *balancer) uptime() time.Duration { return time.Since(b.startedAt) }
 
-// limitOf is what a warming server of a pool bears.
-func limitOf(s *fleet.SlowStart) slowstart.Limit {
+// slowStartLimit converts the slow-start settings of a pool to a limit.
+func slowStartLimit(s *fleet.SlowStart) slowstart.Limit {
 	if s == nil {
 		return slowstart.Limit{}
 	}
 	return slowstart.Limit{WarmupPeriod: time.Duration(s.Seconds * float64(time.Second)), PerSecond: s.PerSecond, BurstFactor: 1, BurstSlack: s.Burst}
 }
 
-// gated is a server as the gate sees it. Callers hold mu.
-func (p *pools) gated(st *pool, s *fleet.SlowStart, c *routing.Candidate) gate.Server {
-	return gate.Server{ID: c.ID, Hash: c.Hash, FailureDomain: c.FailureDomain, Leaving: c.Leaving, WarmAt: st.warmAt[c.ID], Limit: limitOf(s)}
+// gateServer converts a candidate to the input of the gate. Callers hold mu.
+func (b *balancer) gateServer(p *pool, s *fleet.SlowStart, cand *routing.Candidate) gate.Server {
+	return gate.Server{ID: cand.ID, Hash: cand.Hash, FailureDomain: cand.FailureDomain, Leaving: cand.Leaving, WarmAt: p.warmAt[cand.ID], Limit: slowStartLimit(s)}
 }
 
-// bar excludes the servers that may get nothing now, and counts why. Callers hold mu.
-func (p *pools) bar(st *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Refusals) {
-	now := p.boot()
+// excludeRefused marks the candidates that the gate refuses as tried and returns
+// the counts of reasons. Callers hold mu.
+func (b *balancer) excludeRefused(p *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Refusals) {
+	now := b.uptime()
 	for i := range candidates {
 		if candidates[i].ID == "" {
 			continue
 		}
-		if !p.gate.Admit(gate.Request{}, p.gated(st, s, &candidates[i]), now, &refused) {
+		if !b.gate.Admit(gate.Request{}, b.gateServer(p, s, &candidates[i]), now, &refused) {
 			r.Tried.Add(i)
 		}
 	}
 	return refused
 }
 
-// answered records at the gate that a server has answered. Callers hold mu.
-func (p *pools) answered(c choice) { p.gate.ServerResponded(c.candidate.ID, c.limit, p.boot()) }
+// recordResponse records at the gate that a server has responded. Callers hold mu.
+func (b *balancer) recordResponse(picked pick) {
+	b.gate.ServerResponded(picked.candidate.ID, picked.slowStart, b.uptime())
+}
 
-// pass records at the gate that a request is sent to a server. Callers hold mu.
-func (p *pools) pass(st *pool, s *fleet.SlowStart, c *routing.Candidate) {
-	p.gate.RecordSend(p.gated(st, s, c), p.boot())
+// recordSend records at the gate that a request is sent to a server. Callers
+// hold mu.
+func (b *balancer) recordSend(p *pool, s *fleet.SlowStart, cand *routing.Candidate) {
+	b.gate.RecordSend(b.gateServer(p, s, cand), b.uptime())
 }
 
-// syncEvacuations brings the gate to the configuration in force. Callers hold mu.
-func (p *pools) syncEvacuations(c *fleet.Config) {
-	now := p.boot()
-	for domain, e := range c.Evacuations {
-		if p.gate.Evacuate(domain, now) {
-			p.d.log.Warn("failure domain evacuated", "failure_domain", domain, "reason", e.Reason, "config", c.Number)
+// syncEvacuations applies the evacuations of the configuration to the gate.
+// Callers hold mu.
+func (b *balancer) syncEvacuations(cfg *fleet.Config) {
+	now := b.uptime()
+	for domain, e := range cfg.Evacuations {
+		if b.gate.Evacuate(domain, now) {
+			b.d.log.Warn("failure domain evacuated", "failure_domain", domain, "reason", e.Reason, "config", cfg.Number)
 		}
 	}
-	for _, e := range p.gate.Evacuations() {
-		if _, stays := c.Evacuations[e.FailureDomain]; !stays && p.gate.Readmit(e.FailureDomain, now) {
-			p.d.log.Warn("failure domain readmitted", "failure_domain", e.FailureDomain, "config", c.Number)
+	for _, e := range b.gate.Evacuations() {
+		if _, listed := cfg.Evacuations[e.FailureDomain]; !listed && b.gate.Readmit(e.FailureDomain, now) {
+			b.d.log.Warn("failure domain readmitted", "failure_domain", e.FailureDomain, "config", cfg.Number)
 		}
 	}
 }
 
-// viewPeers looks with whom this daemon shares the limits of warming servers.
-func (p *pools) viewPeers(context.Context) {
-	v := p.d.members.view()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.gate.SetView(v, p.boot())
+// updatePeerView passes the current set of live daemons to the gate.
+func (b *balancer) updatePeerView(context.Context) {
+	view := b.d.members.peerView()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.gate.SetView(view, b.uptime())
 }
 
-// view returns the daemons that live. A daemon without configured peers is trusted alone.
-func (m *members) view() slowstart.View {
-	own := m.d.settings.ID
-	trusted := m.hearsMost()
-	rows := m.current().Members()
+// peerView returns the live daemons. The view is trusted if this daemon is in the
+// majority or runs alone without configured peers.
+func (m *memberlist) peerView() slowstart.View {
+	self := m.d.settings.ID
+	majority := m.inMajority()
+	members := m.lockTable().Members()
 	m.mu.Unlock()
-	v := slowstart.View{Self: xxhash.Sum64String(own), Trusted: trusted || len(rows) == 1 && len(m.d.settings.Peers) == 0}
-	for _, r := range rows {
-		if r.ID != own && r.State == membership.Alive && !r.Leaving {
-			v.Peers = append(v.Peers, xxhash.Sum64String(r.ID))
+	view := slowstart.View{Self: xxhash.Sum64String(self), Trusted: majority || len(members) == 1 && len(m.d.settings.Peers) == 0}
+	for _, member := range members {
+		if member.ID != self && member.State == membership.Alive && !member.Leaving {
+			view.Peers = append(view.Peers, xxhash.Sum64String(member.ID))
 		}
 	}
-	return v
+	return view
 }
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -18,89 +18,91 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// gatedPools has servers of a pool in two failure domains, and is the only daemon.
-func gatedPools(t *testing.T) (*pools, *fleet.Config) {
+// newSlowStartBalancer returns the balancer of a single daemon, and a configuration
+// with a pool of two servers in two failure domains.
+func newSlowStartBalancer(t *testing.T) (*balancer, *fleet.Config) {
 	t.Helper()
-	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Ports{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
-	c := fleet.NewConfig()
+	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Dependencies{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
+	cfg := fleet.NewConfig()
 	pool := fleet.Pool{SlowStart: &fleet.SlowStart{Seconds: 3, PerSecond: 15, Burst: 5}}
 	for i, domain := range []string{"east", "west"} {
 		pool.Servers = append(pool.Servers, fleet.Server{ID: domain, Address: fmt.Sprint("10.0.0.", i, ":1"), FailureDomain: domain})
 	}
-	c.Pools["p"] = pool
-	d.pools.gate.SetView(slowstart.View{Self: 1, Trusted: true}, 0)
-	return d.pools, c
+	cfg.Pools["p"] = pool
+	d.balancer.gate.SetView(slowstart.View{Self: 1, Trusted: true}, 0)
+	return d.balancer, cfg
 }
 
-func (p *pools) sendTo(c *fleet.Config) (choice, error) {
-	return p.pick(c, "p", "", &routing.Request{}, nil)
+func (b *balancer) sendOne(cfg *fleet.Config) (pick, error) {
+	return b.pickServer(cfg, "p", "", &routing.Request{}, nil)
 }
 
-// Guards against sends of the own interface to an evacuated domain, and one that stays closed.
-func TestOwnInterfaceKeepsEvacuations(t *testing.T) {
+// Guards against requests to an evacuated failure domain, and against a domain that
+// stays excluded after its evacuation ended.
+func TestPickExcludesEvacuatedDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, c := gatedPools(t)
-		c.Number, c.Evacuations = 1, map[string]fleet.Evacuation{"east": {}}
+		b, cfg := newSlowStartBalancer(t)
+		cfg.Number, cfg.Evacuations = 1, map[string]fleet.Evacuation{"east": {}}
 		for range 50 {
-			if ch, err := p.sendTo(c); err != nil || ch.candidate.ID != "west" {
-				t.Fatalf("sent to %s, %v", ch.candidate.ID, err)
+			if picked, err := b.sendOne(cfg); err != nil || picked.candidate.ID != "west" {
+				t.Fatalf("sent to %s, %v", picked.candidate.ID, err)
 			}
 		}
-		c.Number, c.Evacuations = 2, map[string]fleet.Evacuation{"east": {}, "west": {}}
-		if _, err := p.sendTo(c); !fault.Is(err, fault.Evacuated) {
+		cfg.Number, cfg.Evacuations = 2, map[string]fleet.Evacuation{"east": {}, "west": {}}
+		if _, err := b.sendOne(cfg); !fault.Is(err, fault.Evacuated) {
 			t.Errorf("all domains evacuated: %v", err)
 		}
-		c.Number, c.Evacuations = 3, nil
+		cfg.Number, cfg.Evacuations = 3, nil
 		time.Sleep(4 * time.Second)
 		seen := map[string]bool{}
 		for range 50 {
-			ch, err := p.sendTo(c)
+			picked, err := b.sendOne(cfg)
 			if err == nil {
-				seen[ch.candidate.ID] = true
+				seen[picked.candidate.ID] = true
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		if len(seen) != 2 {
-			t.Errorf("used after the order was taken back: %v", seen)
+			t.Errorf("servers used after the evacuations ended: %v", seen)
 		}
 	})
 }
 
-// Guards against a rush of the own interface at a server that comes back.
-func TestOwnInterfaceLimitsAServerThatComesBack(t *testing.T) {
+// Guards against exceeding the slow-start limit of a restarted server.
+func TestPickLimitsRestartedServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, c := gatedPools(t)
-		ch, err := p.sendTo(c)
+		b, cfg := newSlowStartBalancer(t)
+		picked, err := b.sendOne(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.unreachable(ch)
+		b.recordUnreachable(picked)
 		time.Sleep(5 * time.Second)
 		sent := 0
 		for range 100 {
-			if got, err := p.sendTo(c); err == nil && got.candidate.ID == ch.candidate.ID {
+			if got, err := b.sendOne(cfg); err == nil && got.candidate.ID == picked.candidate.ID {
 				sent++
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if bound := limitOf(c.Pools["p"].SlowStart).Bound(); sent == 0 || sent > bound/2 {
-			t.Errorf("%d sends in the first second, %d are borne", sent, bound)
+		if bound := slowStartLimit(cfg.Pools["p"].SlowStart).Bound(); sent == 0 || sent > bound/2 {
+			t.Errorf("%d requests sent in the first second, limit %d", sent, bound)
 		}
 	})
 }
 
-// Guards against a refusal that promises that a request has not run although an earlier attempt
-// may have.
-func TestRefusalAfterARunDoesNotPromiseThatItDidNotRun(t *testing.T) {
+// Guards against refusing a request as not run although an earlier attempt may have
+// run it.
+func TestRefusalAfterRunIsNotReportedAsNotRun(t *testing.T) {
 	for _, kind := range []fault.Kind{fault.Warming, fault.Evacuated, fault.NoServer, fault.Quarantined} {
-		life := &request.RetryState{Repeatable: true}
-		if got := truthful(fault.New(kind, "none"), life); got.Kind != kind || got.ExecutionState() != fault.NotRun {
+		state := &request.RetryState{Repeatable: true}
+		if got := withExecutionState(fault.New(kind, "none"), state); got.Kind != kind || got.ExecutionState() != fault.NotRun {
 			t.Errorf("%s before a run: %v", kind, got)
 		}
-		life.RecordAttempt()
-		life.RecordExecution()
-		life.Next(request.RunNotFound, time.Now(), request.NewRetryBudget())
-		if got := truthful(fault.New(kind, "none"), life); got.Kind != fault.EngineFailed || got.ExecutionState() == fault.NotRun {
+		state.RecordAttempt()
+		state.RecordExecution()
+		state.Next(request.RunNotFound, time.Now(), request.NewRetryBudget())
+		if got := withExecutionState(fault.New(kind, "none"), state); got.Kind != fault.EngineFailed || got.ExecutionState() == fault.NotRun {
 			t.Errorf("%s after a run: %v", kind, got)
 		}
 	}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -15,107 +15,111 @@
 )
 
 const (
-	// leaseTimeout bounds the wait for a meter's home.
+	// leaseTimeout bounds a lease request to the owner of a meter.
 	leaseTimeout = 300 * time.Millisecond
-	// settleEvery is the period of telling homes what was spent without them.
-	settleEvery = time.Second
+	// settleInterval is the period of reporting unleased spend to meter owners.
+	settleInterval = time.Second
 )
 
-// limits spends leased shares of workspace limits, and leases as home.
-type limits struct {
+// rateLimits enforces workspace limits with shares leased from the owner of each
+// meter, and grants leases for the meters that this daemon owns.
+type rateLimits struct {
 	d *Daemon
-	// homeOf returns the home of a meter, if there is one, and ask asks it.
-	homeOf func(meter string) (membership.Member, bool)
-	ask    func(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error)
-	mu     sync.Mutex
-	shares map[string]*share
-	home   *quota.Lessor
+	// findOwner returns the owner of a meter, and requestLease sends a lease
+	// request to it. Tests replace them.
+	findOwner    func(meter string) (membership.Member, bool)
+	requestLease func(ctx context.Context, owner membership.Member, req quota.LeaseRequest) (quota.Lease, error)
+	mu           sync.Mutex
+	limiters     map[string]*meterLimiter
+	lessor       *quota.Lessor
 }
 
-type share struct {
+type meterLimiter struct {
 	*quota.Limiter
-	// asking is held while one request fetches a lease for all.
-	asking sync.Mutex
+	// leaseMu serializes lease requests, so that one serves all waiting requests.
+	leaseMu sync.Mutex
 }
 
-func newLimits(d *Daemon) *limits {
-	l := &limits{d: d, shares: map[string]*share{}, home: quota.NewLessor(d.incarnation)}
-	l.homeOf, l.ask = l.currentHome, l.askHome
+func newRateLimits(d *Daemon) *rateLimits {
+	l := &rateLimits{d: d, limiters: map[string]*meterLimiter{}, lessor: quota.NewLessor(d.incarnation)}
+	l.findOwner, l.requestLease = l.meterOwner, l.requestLeaseFrom
 	return l
 }
 
-// currentHome returns a meter's home as this daemon sees it.
-func (l *limits) currentHome(meter string) (membership.Member, bool) {
-	homes := l.d.members.homes(meter, 1)
-	if len(homes) == 0 {
+// meterOwner returns the owner of a meter by the membership table.
+func (l *rateLimits) meterOwner(meter string) (membership.Member, bool) {
+	owners := l.d.members.owners(meter, 1)
+	if len(owners) == 0 {
 		return membership.Member{}, false
 	}
-	return homes[0], true
+	return owners[0], true
 }
 
-// askHome asks a meter's home for a lease, this daemon included.
-func (l *limits) askHome(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error) {
-	if home.ID == l.d.settings.ID {
+// requestLeaseFrom requests a lease from the owner of a meter, which may be this
+// daemon.
+func (l *rateLimits) requestLeaseFrom(ctx context.Context, owner membership.Member, req quota.LeaseRequest) (quota.Lease, error) {
+	if owner.ID == l.d.settings.ID {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.home.Grant(time.Now(), a), nil
+		return l.lessor.Grant(time.Now(), req), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	return peer.Call[peer.LeaseRequest, quota.Lease](ctx, l.d.links, home.PeerAddress, "lease", peer.LeaseRequest{Request: a})
+	return peer.Call[peer.LeaseRequest, quota.Lease](ctx, l.d.peers, owner.PeerAddress, "lease", peer.LeaseRequest{Request: req})
 }
 
-func (l *limits) register(s *peer.Server) {
-	peer.Handle(s, "lease", func(_ context.Context, _ string, q peer.LeaseRequest) (quota.Lease, error) {
+func (l *rateLimits) register(server *peer.Server) {
+	peer.Handle(server, "lease", func(_ context.Context, _ string, req peer.LeaseRequest) (quota.Lease, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.home.Grant(time.Now(), q.Request), nil
+		return l.lessor.Grant(time.Now(), req.Request), nil
 	})
 }
 
-// loop tells homes what was spent while none answered.
-func (l *limits) loop(ctx context.Context) {
-	every(ctx, settleEvery, func(ctx context.Context) {
+// run reports spend without a lease to the owners of the meters.
+func (l *rateLimits) run(ctx context.Context) {
+	runPeriodically(ctx, settleInterval, func(ctx context.Context) {
 		cfg := l.d.config.current()
-		for _, meter := range l.owing() {
-			workspace, what, _ := strings.Cut(meter, "/")
+		for _, meter := range l.unleasedMeters() {
+			workspace, kind, _ := strings.Cut(meter, "/")
 			limit := cfg.Workspaces[workspace].TokensPerMinute
-			if what == "requests" {
+			if kind == "requests" {
 				limit = cfg.Workspaces[workspace].RequestsPerMinute
 			}
 			l.mu.Lock()
-			s := l.shares[meter]
+			limiter := l.limiters[meter]
 			l.mu.Unlock()
-			_, _ = l.fetch(ctx, s, meter, 0, limit) // tried again at the next turn
+			_, _ = l.fetchLease(ctx, limiter, meter, 0, limit) // retried in the next period
 		}
 	})
 }
 
-func (l *limits) owing() []string {
+func (l *rateLimits) unleasedMeters() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []string
-	for meter, s := range l.shares {
-		if s.HasUnleasedSpend() {
-			out = append(out, meter)
+	var meters []string
+	for meter, limiter := range l.limiters {
+		if limiter.HasUnleasedSpend() {
+			meters = append(meters, meter)
 		}
 	}
-	return out
+	return meters
 }
 
-// reservation is what a request took from its workspace's limits.
+// reservation holds the tokens that a request acquired from its workspace's limit.
 type reservation struct {
-	limits *limits
+	limits *rateLimits
 	meter  string
 	tokens int64
 }
 
-// reserve takes one request and an upper bound of its tokens.
-func (l *limits) reserve(ctx context.Context, workspace string, w fleet.Workspace, tokens int64) (*reservation, error) {
-	if err := l.spend(ctx, workspace+"/requests", 1, w.RequestsPerMinute); err != nil {
+// reserve acquires one request and the estimated tokens from the limits of a
+// workspace.
+func (l *rateLimits) reserve(ctx context.Context, workspace string, w fleet.Workspace, tokens int64) (*reservation, error) {
+	if err := l.acquire(ctx, workspace+"/requests", 1, w.RequestsPerMinute); err != nil {
 		return nil, err
 	}
-	if err := l.spend(ctx, workspace+"/tokens", tokens, w.TokensPerMinute); err != nil {
+	if err := l.acquire(ctx, workspace+"/tokens", tokens, w.TokensPerMinute); err != nil {
 		l.settle(workspace+"/requests", 1, 0)
 		return nil, err
 	}
@@ -126,105 +130,104 @@
 	return r, nil
 }
 
-// settle gives back what was reserved and not used.
+// settle returns unused tokens and charges those beyond the reservation.
 func (r *reservation) settle(used int64) {
 	if r != nil && r.meter != "" {
 		r.limits.settle(r.meter, r.tokens, used)
 	}
 }
 
-func (l *limits) settle(meter string, reserved, used int64) {
+func (l *rateLimits) settle(meter string, reserved, used int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s := l.shares[meter]; s != nil {
-		s.Settle(time.Now(), reserved, used)
+	if limiter := l.limiters[meter]; limiter != nil {
+		limiter.Settle(time.Now(), reserved, used)
 	}
 }
 
-func (l *limits) spend(ctx context.Context, meter string, n, limit int64) error {
+func (l *rateLimits) acquire(ctx context.Context, meter string, n, limit int64) error {
 	if limit == 0 {
 		return nil
 	}
 	if n > limit {
 		return fault.New(fault.RateLimited, "%d exceeds the whole limit of %d a minute for %s", n, limit, meter)
 	}
-	s, ok := l.try(meter, n)
+	limiter, ok := l.tryAcquire(meter, n)
 	if ok {
 		return nil
 	}
-	s.asking.Lock()
-	defer s.asking.Unlock()
-	if _, ok := l.try(meter, n); ok {
+	limiter.leaseMu.Lock()
+	defer limiter.leaseMu.Unlock()
+	if _, ok := l.tryAcquire(meter, n); ok {
 		return nil
 	}
-	retry := time.Duration(0)
-	for tries := homeTries; tries > 0 && !l.denied(s); tries-- {
-		var answered bool
-		retry, answered = l.fetch(ctx, s, meter, n, limit)
-		if _, ok := l.try(meter, n); ok {
+	retryAfter := time.Duration(0)
+	for attempts := maxLeaseAttempts; attempts > 0 && !l.denied(limiter); attempts-- {
+		var responded bool
+		retryAfter, responded = l.fetchLease(ctx, limiter, meter, n, limit)
+		if _, ok := l.tryAcquire(meter, n); ok {
 			return nil
 		}
-		if answered || l.leased(s) {
+		if responded || l.everLeased(limiter) {
 			break
 		}
-		loop.Pause(ctx, homeRetry)
+		loop.Pause(ctx, leaseRetryDelay)
 	}
-	return fault.New(fault.RateLimited, "the limit of %d a minute for %s is used up", limit, meter).WithRetryAfter(max(retry, time.Second))
+	return fault.New(fault.RateLimited, "the limit of %d a minute for %s is used up", limit, meter).WithRetryAfter(max(retryAfter, time.Second))
 }
 
 const (
-	// homeTries is how often a daemon that was never told anything of a meter asks its
-	// home, and homeRetry the pause between. It has no window of its own to go on by, so
-	// that it would refuse what the limit has room for: a daemon that had just started
-	// refused the requests of a workspace while the home of its limit was restarted too.
-	// Other daemons hear within a second that a home has left or is back, and a caller
-	// that is refused comes back after a second at the earliest.
-	homeTries = 4
-	homeRetry = 100 * time.Millisecond
+	// maxLeaseAttempts and leaseRetryDelay bound the retries of a daemon that has
+	// never had a lease of the meter. It has no usage history to fall back on, so
+	// without retries it would refuse requests within the limit while the owner
+	// restarts.
+	maxLeaseAttempts = 4
+	leaseRetryDelay  = 100 * time.Millisecond
 )
 
-// leased reports whether a home has ever told this daemon of the meter.
-func (l *limits) leased(s *share) bool {
+// everLeased reports whether this daemon has ever been granted a lease of the meter.
+func (l *rateLimits) everLeased(limiter *meterLimiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return s.LessorEpoch() != 0
+	return limiter.LessorEpoch() != 0
 }
 
-func (l *limits) try(meter string, n int64) (*share, bool) {
+func (l *rateLimits) tryAcquire(meter string, n int64) (*meterLimiter, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.shares[meter]
-	if s == nil {
-		s = &share{Limiter: quota.NewLimiter(meter)}
-		l.shares[meter] = s
+	limiter := l.limiters[meter]
+	if limiter == nil {
+		limiter = &meterLimiter{Limiter: quota.NewLimiter(meter)}
+		l.limiters[meter] = limiter
 	}
-	return s, s.TryAcquire(time.Now(), n)
+	return limiter, limiter.TryAcquire(time.Now(), n)
 }
 
-func (l *limits) denied(s *share) bool {
+func (l *rateLimits) denied(limiter *meterLimiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return s.Denied(time.Now())
+	return limiter.Denied(time.Now())
 }
 
-// fetch asks the meter's home for a lease, and reports whether one answered.
-func (l *limits) fetch(ctx context.Context, s *share, meter string, need, limit int64) (retry time.Duration, answered bool) {
-	home, any := l.homeOf(meter)
-	if !any {
+// fetchLease requests a lease and applies it. It reports whether the owner
+// responded, and the delay after which a refused request may be retried.
+func (l *rateLimits) fetchLease(ctx context.Context, limiter *meterLimiter, meter string, need, limit int64) (retryAfter time.Duration, responded bool) {
+	owner, found := l.findOwner(meter)
+	if !found {
 		return 0, false
 	}
 	now := time.Now()
 	l.mu.Lock()
-	ask := s.NewLeaseRequest(now, need, limit, home.Incarnation)
+	req := limiter.NewLeaseRequest(now, need, limit, owner.Incarnation)
 	l.mu.Unlock()
-	lease, err := l.ask(ctx, home, ask)
+	lease, err := l.requestLease(ctx, owner, req)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
 		l.d.metrics.limitsHomeless.Inc(1)
-		s.LeaseRequestFailed(now, ask)
+		limiter.LeaseRequestFailed(now, req)
 		return 0, false
 	}
-	s.ApplyLease(now, lease)
+	limiter.ApplyLease(now, lease)
 	return lease.RetryAfter, true
 }
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -16,229 +16,235 @@
 )
 
 const (
-	// probeEvery is the pause between two load probes of a daemon; probes walk
-	// through the servers, so their rate does not grow with the pool.
-	probeEvery = 250 * time.Millisecond
-	// vmListEvery is the period of reading the list of VMs.
-	vmListEvery = time.Second
-	// vmListLimit bounds one reading: with the pause before it, a list that does not
-	// answer is known to be down while its last word may still be relied on.
-	vmListLimit = 900 * time.Millisecond
+	// loadProbeInterval is the pause between two load probes. Servers are probed in
+	// turn, so the rate does not depend on their number.
+	loadProbeInterval = 250 * time.Millisecond
+	// vmListInterval is the pause between two reads of the VM list.
+	vmListInterval = time.Second
+	// vmListTimeout bounds one read. With vmListInterval it stays below
+	// membership.ServersMaxAge, so that an unresponsive list service is detected
+	// before the last result expires.
+	vmListTimeout = 900 * time.Millisecond
 )
 
-// pools keeps the picture of each pool's servers.
-type pools struct {
-	d       *Daemon
-	mu      sync.Mutex
-	number  uint64
-	byName  map[string]*pool
-	leaving map[string]bool
-	// leavingAt is when leaving was read from the platform, in Unix ms.
-	leavingAt int64
-	// heardAt is when the list was last read, heard of, or found to be down.
-	heardAt time.Time
-	turn    int
-	rng     *rand.Rand
-	// gate is what every choice of a server passes.
+// balancer picks backend servers and tracks the load and state of each pool.
+type balancer struct {
+	d            *Daemon
+	mu           sync.Mutex
+	configNumber uint64
+	pools        map[string]*pool
+	leaving      map[string]bool
+	// leavingReadAt is when leaving was read from the platform, in Unix milliseconds.
+	leavingReadAt int64
+	// serversUpdatedAt is when the VM list was last read, received from a peer, or
+	// found to be unavailable.
+	serversUpdatedAt time.Time
+	probeCursor      int
+	rng              *rand.Rand
+	// gate limits requests to warming servers and excludes evacuated ones.
 	gate *gate.Gate
-	// born is when the daemon began; the gate's times count from it.
-	born time.Time
+	// startedAt is the zero of the gate's clock.
+	startedAt time.Time
 }
 
 type pool struct {
-	picture *routing.LoadTracker
-	// holds tells the versions each server reported; a server without a report
-	// is tried.
-	holds map[string][]string
-	// warmAt is when servers have warmed up by their own reports, on the gate's clock.
+	load *routing.LoadTracker
+	// versions lists the versions that each server reported. Servers without a
+	// report are assumed to hold any version.
+	versions map[string][]string
+	// warmAt is when each server finishes warming by its last report, on the gate's
+	// clock.
 	warmAt map[string]time.Duration
 }
 
-func newPools(d *Daemon) *pools {
-	return &pools{
-		d: d, byName: map[string]*pool{}, leaving: map[string]bool{}, gate: gate.New(), born: time.Now(),
+func newBalancer(d *Daemon) *balancer {
+	return &balancer{
+		d: d, pools: map[string]*pool{}, leaving: map[string]bool{}, gate: gate.New(), startedAt: time.Now(),
 		rng: rand.New(rand.NewPCG(d.incarnation, uint64(len(d.settings.ID)))),
 	}
 }
 
-func (p *pools) loop(ctx context.Context) {
+func (b *balancer) run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { every(ctx, probeEvery, p.probe) })
-	wg.Go(func() { every(ctx, viewEvery, p.viewPeers) })
-	if p.d.ports.VMs != nil {
-		wg.Go(func() { every(ctx, vmListEvery, p.listVMs) })
+	wg.Go(func() { runPeriodically(ctx, loadProbeInterval, b.probeNext) })
+	wg.Go(func() { runPeriodically(ctx, peerViewInterval, b.updatePeerView) })
+	if b.d.deps.VMs != nil {
+		wg.Go(func() { runPeriodically(ctx, vmListInterval, b.pollVMs) })
 	}
 	wg.Wait()
 }
 
-// sync brings the pictures to the configuration in force. Callers hold mu.
-func (p *pools) sync(c *fleet.Config) {
-	if p.number == c.Number && len(p.byName) > 0 {
+// syncConfig updates pools and evacuations if the configuration has changed. Callers
+// hold mu.
+func (b *balancer) syncConfig(cfg *fleet.Config) {
+	if b.configNumber == cfg.Number && len(b.pools) > 0 {
 		return
 	}
-	p.number = c.Number
-	p.syncEvacuations(c)
-	for name, cp := range c.Pools {
-		if len(p.d.settings.Pools) > 0 && !slices.Contains(p.d.settings.Pools, name) {
+	b.configNumber = cfg.Number
+	b.syncEvacuations(cfg)
+	for name, poolCfg := range cfg.Pools {
+		if len(b.d.settings.Pools) > 0 && !slices.Contains(b.d.settings.Pools, name) {
 			continue
 		}
-		st := p.byName[name]
-		if st == nil {
-			st = &pool{picture: routing.NewLoadTracker(), holds: map[string][]string{}, warmAt: map[string]time.Duration{}}
-			p.byName[name] = st
+		p := b.pools[name]
+		if p == nil {
+			p = &pool{load: routing.NewLoadTracker(), versions: map[string][]string{}, warmAt: map[string]time.Duration{}}
+			b.pools[name] = p
 		}
-		members := make([]routing.Member, len(cp.Servers))
-		for i, s := range cp.Servers {
+		members := make([]routing.Member, len(poolCfg.Servers))
+		for i, s := range poolCfg.Servers {
 			members[i] = routing.Member{ID: s.ID, Address: s.Address, FailureDomain: s.FailureDomain, Slots: s.Slots}
 		}
-		st.picture.Update(routing.Subset(p.d.settings.ID, members, p.d.settings.Subset))
-		for id := range p.leaving {
-			st.picture.SetLeaving(id, true)
+		p.load.Update(routing.Subset(b.d.settings.ID, members, b.d.settings.Subset))
+		for id := range b.leaving {
+			p.load.SetLeaving(id, true)
 		}
 	}
-	for name := range p.byName {
-		if _, stays := c.Pools[name]; !stays {
-			delete(p.byName, name)
+	for name := range b.pools {
+		if _, configured := cfg.Pools[name]; !configured {
+			delete(b.pools, name)
 		}
 	}
 }
 
-// choice is a picked server and what the picture expects of it.
-type choice struct {
-	pool      string
-	candidate routing.Candidate
-	uncached  int
-	expected  time.Duration
-	// limit is what the server bears while it warms up.
-	limit slowstart.Limit
-	// spare says that the server had a free slot, so that its speed speaks for
-	// the version and not for the load.
-	spare  bool
-	urgent bool
+// pick is a picked server with the expectations its outcome is compared to.
+type pick struct {
+	pool               string
+	candidate          routing.Candidate
+	uncachedTokens     int
+	expectedFirstToken time.Duration
+	// slowStart is the limit of the server while it is warming.
+	slowStart slowstart.Limit
+	// hadFreeSlot is set if the server had a free slot. Only then is its latency
+	// evidence about the version rather than the load.
+	hadFreeSlot bool
+	urgent      bool
 }
 
-// pick chooses a server for a version and marks the attempt as dispatched.
-func (p *pools) pick(c *fleet.Config, poolName, version string, r *routing.Request, tried []string) (choice, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.sync(c)
-	st := p.byName[poolName]
-	if st == nil {
-		return choice{}, fault.New(fault.NoServer, "pool %s is not served here", poolName)
+// pickServer picks a server that holds a version and records the dispatch. Servers in
+// tried are excluded.
+func (b *balancer) pickServer(cfg *fleet.Config, poolName, version string, r *routing.Request, tried []string) (pick, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.syncConfig(cfg)
+	p := b.pools[poolName]
+	if p == nil {
+		return pick{}, fault.New(fault.NoServer, "pool %s is not served here", poolName)
 	}
-	var room [routing.MaxCandidates]routing.Candidate
-	candidates := st.picture.Snapshot(room[:0], time.Now())
+	var buf [routing.MaxCandidates]routing.Candidate
+	candidates := p.load.Snapshot(buf[:0], time.Now())
 	r.Tried = routing.Set{}
 	for i, cand := range candidates {
-		held, reported := st.holds[cand.ID]
-		if slices.Contains(tried, cand.ID) || reported && version != "" && !slices.Contains(held, version) {
+		versions, reported := p.versions[cand.ID]
+		if slices.Contains(tried, cand.ID) || reported && version != "" && !slices.Contains(versions, version) {
 			r.Tried.Add(i)
 		}
 	}
-	refused := p.bar(st, c.Pools[poolName].SlowStart, candidates, r)
+	refused := b.excludeRefused(p, cfg.Pools[poolName].SlowStart, candidates, r)
 	r.CachedBlocks = [routing.MaxCandidates]uint8{}
-	st.picture.Prefix.Lookup(r)
-	dec := routing.DefaultPipeline().Pick(r, candidates, p.rng)
-	if dec.Index < 0 {
-		return choice{}, refusal(dec, poolName, &refused)
+	p.load.Prefix.Lookup(r)
+	decision := routing.DefaultPipeline().Pick(r, candidates, b.rng)
+	if decision.Index < 0 {
+		return pick{}, pickError(decision, poolName, &refused)
 	}
-	chosen := candidates[dec.Index]
-	p.pass(st, c.Pools[poolName].SlowStart, &chosen)
-	st.picture.RecordDispatch(chosen.ID, r.Blocks, r.Urgent, time.Now())
-	return choice{
-		pool: poolName, candidate: chosen, expected: dec.Expected, urgent: r.Urgent, limit: limitOf(c.Pools[poolName].SlowStart),
-		uncached: max(0, r.PromptTokens-int(r.CachedBlocks[dec.Index])*r.BlockTokens),
-		spare:    float64(chosen.InFlight)+chosen.OthersInFlight < float64(chosen.Slots),
+	chosen := candidates[decision.Index]
+	b.recordSend(p, cfg.Pools[poolName].SlowStart, &chosen)
+	p.load.RecordDispatch(chosen.ID, r.Blocks, r.Urgent, time.Now())
+	return pick{
+		pool: poolName, candidate: chosen, expectedFirstToken: decision.Expected, urgent: r.Urgent, slowStart: slowStartLimit(cfg.Pools[poolName].SlowStart),
+		uncachedTokens: max(0, r.PromptTokens-int(r.CachedBlocks[decision.Index])*r.BlockTokens),
+		hadFreeSlot:    float64(chosen.InFlight)+chosen.OthersInFlight < float64(chosen.Slots),
 	}, nil
 }
 
-func refusal(dec routing.Decision, pool string, refused *gate.Refusals) *fault.Error {
-	if dec.Refusal == routing.BudgetExceeded {
-		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, dec.Expected.Round(time.Millisecond)).WithRetryAfter(max(time.Second, dec.Expected/2))
+func pickError(decision routing.Decision, pool string, refused *gate.Refusals) *fault.Error {
+	if decision.Refusal == routing.BudgetExceeded {
+		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, decision.Expected.Round(time.Millisecond)).WithRetryAfter(max(time.Second, decision.Expected/2))
 	}
-	switch reason, left := refused.Primary(); reason {
+	switch reason, remaining := refused.Primary(); reason {
 	case gate.Warming:
-		return fault.New(fault.Warming, "the servers of pool %s that are left are warming up", pool).WithRetryAfter(left)
+		return fault.New(fault.Warming, "the servers of pool %s that are left are warming up", pool).WithRetryAfter(remaining)
 	case gate.Evacuated:
 		return fault.New(fault.Evacuated, "the servers of pool %s that are left stand in evacuated failure domains", pool)
 	}
 	return fault.New(fault.NoServer, "no live server of pool %s is left", pool)
 }
 
-func (p *pools) with(name string, f func(*pool)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if st := p.byName[name]; st != nil {
-		f(st)
+func (b *balancer) withPool(name string, f func(*pool)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if p := b.pools[name]; p != nil {
+		f(p)
 	}
 }
 
-// firstToken books a first token and returns the part of it that was a wait.
-func (p *pools) firstToken(c choice, took time.Duration) (wait time.Duration) {
-	p.with(c.pool, func(st *pool) {
-		wait = st.picture.RecordFirstToken(c.candidate.ID, took, c.uncached, time.Now())
-		p.answered(c)
+// recordFirstToken records the time to the first token and returns the part of it
+// spent in the server's queue.
+func (b *balancer) recordFirstToken(picked pick, elapsed time.Duration) (queueWait time.Duration) {
+	b.withPool(picked.pool, func(p *pool) {
+		queueWait = p.load.RecordFirstToken(picked.candidate.ID, elapsed, picked.uncachedTokens, time.Now())
+		b.recordResponse(picked)
 	})
-	return wait
+	return queueWait
 }
 
-// completed books the end of an attempt that held a slot for some time.
-func (p *pools) completed(c choice, held time.Duration, failed bool) {
-	p.with(c.pool, func(st *pool) {
-		st.picture.RecordCompletion(c.candidate.ID, held, failed, c.urgent, time.Now())
+// recordCompletion records the end of an attempt and how long it occupied a slot.
+func (b *balancer) recordCompletion(picked pick, slotTime time.Duration, failed bool) {
+	b.withPool(picked.pool, func(p *pool) {
+		p.load.RecordCompletion(picked.candidate.ID, slotTime, failed, picked.urgent, time.Now())
 		if !failed {
-			p.answered(c)
+			b.recordResponse(picked)
 		}
 	})
 }
 
-func (p *pools) silent(c choice) {
-	p.with(c.pool, func(st *pool) { st.picture.RecordTimeout(c.candidate.ID, time.Now()) })
+func (b *balancer) recordTimeout(picked pick) {
+	b.withPool(picked.pool, func(p *pool) { p.load.RecordTimeout(picked.candidate.ID, time.Now()) })
 }
 
-func (p *pools) unreachable(c choice) {
-	p.with(c.pool, func(st *pool) {
-		st.picture.RecordUnreachable(c.candidate.ID, time.Now())
-		p.gate.ServerTerminated(c.candidate.ID, p.boot())
+func (b *balancer) recordUnreachable(picked pick) {
+	b.withPool(picked.pool, func(p *pool) {
+		p.load.RecordUnreachable(picked.candidate.ID, time.Now())
+		b.gate.ServerTerminated(picked.candidate.ID, b.uptime())
 	})
 }
 
-// lacks records that a server refused a version it was thought to hold.
-func (p *pools) lacks(c choice, version string) {
-	p.with(c.pool, func(st *pool) {
-		held := slices.Clone(st.holds[c.candidate.ID])
-		st.holds[c.candidate.ID] = slices.DeleteFunc(held, func(v string) bool { return v == version })
+// recordMissingVersion records that a server refused a version that it had reported.
+func (b *balancer) recordMissingVersion(picked pick, version string) {
+	b.withPool(picked.pool, func(p *pool) {
+		versions := slices.Clone(p.versions[picked.candidate.ID])
+		p.versions[picked.candidate.ID] = slices.DeleteFunc(versions, func(v string) bool { return v == version })
 	})
 }
 
-// probe asks the next server for its load.
-func (p *pools) probe(ctx context.Context) {
-	name, cand, ok := p.nextToProbe()
+// probeNext reads the load of the next server in turn.
+func (b *balancer) probeNext(ctx context.Context) {
+	name, cand, ok := b.nextToProbe()
 	if !ok {
 		return
 	}
-	l, err := p.d.engine.Load(ctx, cand.Address)
+	load, err := b.d.engine.Load(ctx, cand.Address)
 	if err != nil {
 		return
 	}
-	p.with(name, func(st *pool) {
-		st.picture.RecordReport(cand.ID, l.Running+l.Waiting, time.Now())
-		if l.Versions != nil {
-			st.holds[cand.ID] = l.Versions
+	b.withPool(name, func(p *pool) {
+		p.load.RecordReport(cand.ID, load.Running+load.Waiting, time.Now())
+		if load.Versions != nil {
+			p.versions[cand.ID] = load.Versions
 		}
-		st.picture.SetLeaving(cand.ID, l.Draining || p.leaving[cand.ID])
-		if l.WarmingMillis > 0 {
-			st.warmAt[cand.ID] = p.boot() + time.Duration(l.WarmingMillis)*time.Millisecond
+		p.load.SetLeaving(cand.ID, load.Draining || b.leaving[cand.ID])
+		if load.WarmingMillis > 0 {
+			p.warmAt[cand.ID] = b.uptime() + time.Duration(load.WarmingMillis)*time.Millisecond
 		}
 	})
 }
 
-func (p *pools) nextToProbe() (string, routing.Candidate, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.sync(p.d.config.current())
-	names := make([]string, 0, len(p.byName))
-	for n := range p.byName {
+func (b *balancer) nextToProbe() (string, routing.Candidate, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.syncConfig(b.d.config.current())
+	names := make([]string, 0, len(b.pools))
+	for n := range b.pools {
 		names = append(names, n)
 	}
 	slices.Sort(names)
@@ -248,7 +254,7 @@
 	}
 	var all []target
 	for _, n := range names {
-		for _, c := range p.byName[n].picture.Snapshot(nil, time.Now()) {
+		for _, c := range b.pools[n].load.Snapshot(nil, time.Now()) {
 			if c.ID != "" {
 				all = append(all, target{n, c})
 			}
@@ -257,24 +263,24 @@
 	if len(all) == 0 {
 		return "", routing.Candidate{}, false
 	}
-	p.turn++
-	t := all[p.turn%len(all)]
+	b.probeCursor++
+	t := all[b.probeCursor%len(all)]
 	return t.pool, t.c, true
 }
 
-// listVMs reads the platform's word on leaving servers. Two daemons of each
-// failure domain read it and the others hear it with their heartbeats, since the
-// list names every VM and hundreds of readers would swamp its service. While the
-// list is down the last word stands.
-func (p *pools) listVMs(ctx context.Context) {
-	if !p.d.members.isHomeIn("vm_list", readersPerDomain) {
+// pollVMs reads the leaving servers from the VM list. Only readersPerDomain daemons
+// of each failure domain read it, to limit the load on the list service; the others
+// receive the result with heartbeats. While the service is unavailable, the last
+// result stays in use.
+func (b *balancer) pollVMs(ctx context.Context) {
+	if !b.d.members.isDomainOwner("vm_list", readersPerDomain) {
 		return
 	}
 	at := time.Now().UnixMilli()
-	ctx, cancel := context.WithTimeout(ctx, vmListLimit)
+	ctx, cancel := context.WithTimeout(ctx, vmListTimeout)
 	defer cancel()
-	vms, err := p.d.ports.VMs.List(ctx)
-	p.heard()
+	vms, err := b.d.deps.VMs.List(ctx)
+	b.markServersUpdated()
 	if err != nil {
 		return
 	}
@@ -284,79 +290,80 @@
 			ids = append(ids, vm.ID)
 		}
 	}
-	p.takeLeaving(at, ids)
+	b.applyLeaving(at, ids)
 }
 
-func (p *pools) heard() {
-	p.mu.Lock()
-	p.heardAt = time.Now()
-	p.mu.Unlock()
+func (b *balancer) markServersUpdated() {
+	b.mu.Lock()
+	b.serversUpdatedAt = time.Now()
+	b.mu.Unlock()
 }
 
-// serversHeard returns when the daemon last heard which servers leave.
-func (p *pools) serversHeard() time.Time {
-	if p.d.ports.VMs == nil {
+// lastServersUpdate returns when the set of leaving servers was last confirmed.
+func (b *balancer) lastServersUpdate() time.Time {
+	if b.d.deps.VMs == nil {
 		return time.Now()
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.heardAt
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.serversUpdatedAt
 }
 
-// leavingWord returns the newest word on leaving servers and when it was read.
-func (p *pools) leavingWord() (at int64, ids []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for id := range p.leaving {
+// leavingServers returns the leaving servers and when they were read, in Unix
+// milliseconds.
+func (b *balancer) leavingServers() (at int64, ids []string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for id := range b.leaving {
 		ids = append(ids, id)
 	}
-	return p.leavingAt, ids
+	return b.leavingReadAt, ids
 }
 
-// takeLeaving applies a word on leaving servers that is newer than the known one.
-func (p *pools) takeLeaving(at int64, ids []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// applyLeaving replaces the set of leaving servers if the given one was read later.
+func (b *balancer) applyLeaving(at int64, ids []string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if at > 0 {
-		p.heardAt = time.Now()
+		b.serversUpdatedAt = time.Now()
 	}
-	if at <= p.leavingAt {
+	if at <= b.leavingReadAt {
 		return
 	}
-	now := make(map[string]bool, len(ids))
+	leaving := make(map[string]bool, len(ids))
 	for _, id := range ids {
-		now[id] = true
+		leaving[id] = true
 	}
-	for _, st := range p.byName {
-		for id := range p.leaving {
-			if !now[id] {
-				st.picture.SetLeaving(id, false)
+	for _, p := range b.pools {
+		for id := range b.leaving {
+			if !leaving[id] {
+				p.load.SetLeaving(id, false)
 			}
 		}
-		for id := range now {
-			st.picture.SetLeaving(id, true)
+		for id := range leaving {
+			p.load.SetLeaving(id, true)
 		}
 	}
-	p.leaving, p.leavingAt = now, at
+	b.leaving, b.leavingReadAt = leaving, at
 }
 
-// ServerView is a server as this daemon sees it.
+// ServerView is the state of a server as tracked by this daemon.
 type ServerView struct {
 	Pool string `json:"pool"`
 	routing.Candidate
 	Versions []string `json:"versions"`
 }
 
-// Servers returns the daemon's view of its servers.
+// Servers returns the servers of this daemon, sorted by pool and id.
 func (d *Daemon) Servers() []ServerView {
-	d.pools.mu.Lock()
-	defer d.pools.mu.Unlock()
-	d.pools.sync(d.config.current())
+	d.balancer.mu.Lock()
+	defer d.balancer.mu.Unlock()
+	d.balancer.syncConfig(d.config.current())
 	var out []ServerView
-	for name, st := range d.pools.byName {
-		for _, c := range st.picture.Snapshot(nil, time.Now()) {
+	for name, p := range d.balancer.pools {
+		for _, c := range p.load.Snapshot(nil, time.Now()) {
 			if c.ID != "" {
-				out = append(out, ServerView{name, c, st.holds[c.ID]})
+				out = append(out, ServerView{name, c, p.versions[c.ID]})
 			}
 		}
 	}
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -14,108 +14,108 @@
 )
 
 const (
-	// minBroadcastInterval is the least time between two rounds in which this daemon calls others
-	// to broadcast what it has learned of requests that end servers, and broadcastFanOut how many it
-	// calls in each.
+	// minBroadcastInterval is the minimum interval between two broadcasts of
+	// quarantine updates, and broadcastFanOut the number of daemons called in each.
 	minBroadcastInterval = 100 * time.Millisecond
 	broadcastFanOut      = 4
 )
 
-// newGuard returns what keeps requests from servers that end when they run them.
+// newGuard returns the guard that holds requests whose execution terminates servers.
 func newGuard(d *Daemon) *containment.Guard {
 	started := time.Now()
 	return containment.New(containment.Options{
 		BootTime: func() time.Duration { return time.Since(started) }, Logger: d.log,
 		RefusesConnections: func(ctx context.Context, s containment.Server) bool { return d.engine.Refuses(ctx, s.Address) },
-		Leaving:            func(s containment.Server) bool { return d.pools.isLeaving(s.ID) },
-		OnTerminated:       d.pools.lost, ServersTerminated: d.metrics.serversEnded, RequestsHeld: d.metrics.requestsHeld,
+		Leaving:            func(s containment.Server) bool { return d.balancer.isLeaving(s.ID) },
+		OnTerminated:       d.balancer.recordTerminated, ServersTerminated: d.metrics.serversEnded, RequestsHeld: d.metrics.requestsHeld,
 	})
 }
 
-// broadcastHolds broadcasts what was learned of requests that end servers, until the context ends.
+// broadcastHolds sends quarantine updates to other daemons until the context ends.
 func (d *Daemon) broadcastHolds(ctx context.Context) {
-	d.guard.Broadcast(ctx, minBroadcastInterval, func(ctx context.Context) { d.members.exchangeWithSome(ctx, broadcastFanOut) })
+	d.guard.Broadcast(ctx, minBroadcastInterval, func(ctx context.Context) { d.members.exchangeWithRandom(ctx, broadcastFanOut) })
 }
 
-// exchangeWithSome exchanges heartbeats with some daemons that live.
-func (m *members) exchangeWithSome(ctx context.Context, n int) {
-	rows := m.current().Members()
+// exchangeWithRandom exchanges heartbeats with up to n random live daemons.
+func (m *memberlist) exchangeWithRandom(ctx context.Context, n int) {
+	members := m.lockTable().Members()
 	m.mu.Unlock()
-	rand.Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
-	for _, r := range rows {
-		if n > 0 && r.ID != m.d.settings.ID && r.State == membership.Alive {
+	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+	for _, member := range members {
+		if n > 0 && member.ID != m.d.settings.ID && member.State == membership.Alive {
 			n--
-			go func() { _ = m.exchange(ctx, r.PeerAddress) }() // a daemon that does not answer hears it from another
+			go func() { _ = m.exchangeHeartbeats(ctx, member.PeerAddress) }() // errors are ignored: updates also spread through other daemons
 		}
 	}
 }
 
-// held returns the refusal of a request that is kept from servers, or nil. One that ran
-// before is refused as failed, since the other refusal promises that it did not.
-func (d *Daemon) held(f quarantine.Fingerprint, life *request.RetryState) *fault.Error {
-	s := d.guard.Check(f)
-	if !s.Held {
+// checkHold returns the refusal of a held request, or nil.
+func (d *Daemon) checkHold(f quarantine.Fingerprint, state *request.RetryState) *fault.Error {
+	status := d.guard.Check(f)
+	if !status.Held {
 		return nil
 	}
-	d.log.Info("held", "fingerprint", f, "left_ms", s.Remaining.Milliseconds(), "attempts", life.Attempts())
-	return truthful(fault.New(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(s)), life)
+	d.log.Info("held", "fingerprint", f, "left_ms", status.Remaining.Milliseconds(), "attempts", state.Attempts())
+	return withExecutionState(fault.New(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(status)), state)
 }
 
-// truthful returns a refusal that says of the run what is so: a kind that promises that the
-// request has not run is replaced once it may have.
-func truthful(e *fault.Error, life *request.RetryState) *fault.Error {
-	if life.ExecutionState() != fault.NotRun && fault.Lookup(e.Kind).Execution == fault.NotRun {
-		e = fault.New(fault.EngineFailed, "%s", e.Detail).WithRetryAfter(e.RetryAfter)
+// withExecutionState sets the execution state of a refusal. A kind that implies that
+// the request has not run is replaced by engine_failed if it may have run.
+func withExecutionState(err *fault.Error, state *request.RetryState) *fault.Error {
+	if state.ExecutionState() != fault.NotRun && fault.Lookup(err.Kind).Execution == fault.NotRun {
+		err = fault.New(fault.EngineFailed, "%s", err.Detail).WithRetryAfter(err.RetryAfter)
 	}
-	return e.WithExecution(life.ExecutionState())
+	return err.WithExecution(state.ExecutionState())
 }
 
-// guarded names a server to the guard. Servers keep their name over a start.
-func guarded(c routing.Candidate) containment.Server {
-	return containment.Server{ID: c.ID, Address: c.Address}
+// containmentServer converts a candidate to the guard's type. Server ids are stable
+// across restarts.
+func containmentServer(cand routing.Candidate) containment.Server {
+	return containment.Server{ID: cand.ID, Address: cand.Address}
 }
 
-// fateOf tells what became of an attempt from its last event; started says that the server
-// had begun to answer.
-func fateOf(e request.AttemptEvent, complete, started bool) containment.Outcome {
+// containmentOutcome derives the outcome of an attempt from its last event. started
+// is set if the server had begun to respond.
+func containmentOutcome(event request.AttemptEvent, complete, started bool) containment.Outcome {
 	switch {
-	case complete, e == request.AttemptRefused, e == request.RunFailed:
+	case complete, event == request.AttemptRefused, event == request.RunFailed:
 		return containment.Completed
-	case e == request.CallerDisconnected:
+	case event == request.CallerDisconnected:
 		return containment.Canceled
-	case e == request.ConnectFailed && !started:
+	case event == request.ConnectFailed && !started:
 		return containment.Completed
 	}
 	return containment.ConnectionLost
 }
 
-// isLeaving reports whether the platform says that a server leaves.
-func (p *pools) isLeaving(id string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.leaving[id]
+// isLeaving reports whether the VM list marks a server as leaving.
+func (b *balancer) isLeaving(id string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.leaving[id]
 }
 
-// lost books a server that has ended, under the key that daemons use between them.
-func (p *pools) lost(run quarantine.IncarnationKey) {
+// recordTerminated records that a server has terminated. Daemons identify it by its
+// incarnation key.
+func (b *balancer) recordTerminated(key quarantine.IncarnationKey) {
 	now := time.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, st := range p.byName {
-		for _, c := range st.picture.Snapshot(nil, now) {
-			if c.ID != "" && containment.IncarnationKey(c.ID) == run {
-				st.picture.RecordUnreachable(c.ID, now)
-				p.gate.ServerTerminated(c.ID, p.boot())
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, p := range b.pools {
+		for _, cand := range p.load.Snapshot(nil, now) {
+			if cand.ID != "" && containment.IncarnationKey(cand.ID) == key {
+				p.load.RecordUnreachable(cand.ID, now)
+				b.gate.ServerTerminated(cand.ID, b.uptime())
 			}
 		}
 	}
 }
 
-// Holds lists the requests that are kept from servers.
+// Holds returns the held requests.
 func (d *Daemon) Holds() []quarantine.Hold { return d.guard.Holds() }
 
-// Hold keeps a request from servers by hand, at all daemons.
-func (d *Daemon) Hold(f quarantine.Fingerprint) { d.guard.ApplyHold(f, quarantine.HoldTTL) }
+// AddHold holds a request at all daemons, on behalf of an operator.
+func (d *Daemon) AddHold(f quarantine.Fingerprint) { d.guard.ApplyHold(f, quarantine.HoldTTL) }
 
-// Release ends a hold by hand, at all daemons.
-func (d *Daemon) Release(f quarantine.Fingerprint) { d.guard.Release(f) }
+// ReleaseHold ends a hold at all daemons, on behalf of an operator.
+func (d *Daemon) ReleaseHold(f quarantine.Fingerprint) { d.guard.Release(f) }
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// judgeEvery is the period of reporting evidence and judging it.
-	judgeEvery = time.Second
-	// reportsPerSecond bounds the reports that a roll-out's home gets; daemons of
-	// a large fleet report less often, and brake by themselves meanwhile.
-	reportsPerSecond = 50
-	// slowRun is the speed, against what the picture expected, from which a run
-	// counts as slow.
-	slowRun = 3
-	// slowFloor is the least delay that counts as slow, below it timing is noise.
-	slowFloor = 150 * time.Millisecond
+	// evaluateInterval is the period of reporting and evaluating evidence.
+	evaluateInterval = time.Second
+	// maxReportsPerSecond bounds the reports to the owner of a roll-out. Daemons of
+	// a larger fleet report less often.
+	maxReportsPerSecond = 50
+	// slowRunFactor is the ratio of actual to expected time to the first token above
+	// which a run counts as slow.
+	slowRunFactor = 3
+	// minSlowDelay is the shortest time to the first token that counts as slow.
+	minSlowDelay = 150 * time.Millisecond
 )
 
-// rollouts gathers evidence, brakes locally and, at the home of a model's
-// roll-out, proposes the next step.
-type rollouts struct {
-	d      *Daemon
-	mu     sync.Mutex
-	own    map[string]*stageEvidence
-	fleet  map[string]*fleetEvidence
-	braked map[string]bool
-	// reported is when this daemon last sent its evidence.
-	reported time.Time
+// rolloutController collects evidence about roll-outs. It stops using a new version
+// on local evidence, and submits the next step of the roll-outs that this daemon
+// owns.
+type rolloutController struct {
+	d             *Daemon
+	mu            sync.Mutex
+	localEvidence map[string]*stageEvidence
+	fleetEvidence map[string]*fleetStageEvidence
+	stopped       map[string]bool
+	// reportedAt is when this daemon last reported its evidence.
+	reportedAt time.Time
 }
 
 type stageEvidence struct {
@@ -43,234 +44,236 @@
 	cells rollout.Evidence
 }
 
-type fleetEvidence struct {
+type fleetStageEvidence struct {
 	stage    string
 	since    time.Time
 	byDaemon map[string]rollout.Evidence
-	verdict  rollout.Decision
+	decision rollout.Decision
 }
 
-func newRollouts(d *Daemon) *rollouts {
-	return &rollouts{d: d, own: map[string]*stageEvidence{}, fleet: map[string]*fleetEvidence{}, braked: map[string]bool{}}
+func newRolloutController(d *Daemon) *rolloutController {
+	return &rolloutController{d: d, localEvidence: map[string]*stageEvidence{}, fleetEvidence: map[string]*fleetStageEvidence{}, stopped: map[string]bool{}}
 }
 
-func (r *rollouts) register(s *peer.Server) {
-	peer.Handle(s, "evidence", func(_ context.Context, _ string, q peer.EvidenceReport) (peer.Empty, error) {
-		r.take(q)
+func (r *rolloutController) register(server *peer.Server) {
+	peer.Handle(server, "evidence", func(_ context.Context, _ string, report peer.EvidenceReport) (peer.Empty, error) {
+		r.applyReport(report)
 		return peer.Empty{}, nil
 	})
 }
 
-func stageOf(ro fleet.Rollout) string { return fmt.Sprintf("%s/%d", ro.TargetVersion, ro.Stage) }
+func stageKey(ro fleet.Rollout) string { return fmt.Sprintf("%s/%d", ro.TargetVersion, ro.Stage) }
 
-// observation is what one finished run says about its version.
-type observation struct {
+// runObservation is the result of one finished run.
+type runObservation struct {
 	model, version, server, domain string
 	failed, timed, slow            bool
 }
 
-func (r *rollouts) observe(o observation) {
-	n := rollout.Counts{Requests: 1}
+func (r *rolloutController) recordRun(o runObservation) {
+	counts := rollout.Counts{Requests: 1}
 	if o.failed {
-		n.Errors = 1
+		counts.Errors = 1
 	}
 	if o.timed {
-		n.Timed = 1
+		counts.Timed = 1
 	}
 	if o.timed && o.slow {
-		n.Slow = 1
+		counts.Slow = 1
 	}
-	r.count(o.model, o.version, o.server, o.domain, n)
+	r.addCounts(o.model, o.version, o.server, o.domain, counts)
 }
 
-func (r *rollouts) rated(model, version, server string, good bool) {
-	n := rollout.Counts{Rated: 1}
+func (r *rolloutController) recordRating(model, version, server string, good bool) {
+	counts := rollout.Counts{Rated: 1}
 	if !good {
-		n.Bad = 1
+		counts.Bad = 1
 	}
-	r.count(model, version, server, "", n)
+	r.addCounts(model, version, server, "", counts)
 }
 
-func (r *rollouts) count(model, version, server, domain string, n rollout.Counts) {
-	c := r.d.config.current()
-	ro, active := c.RolloutFor(model)
+func (r *rolloutController) addCounts(model, version, server, domain string, counts rollout.Counts) {
+	cfg := r.d.config.current()
+	ro, active := cfg.RolloutFor(model)
 	isNew := version == ro.TargetVersion
-	if !active || !rollout.CarriesTraffic(ro) || !isNew && version != c.Models[model].Stable {
+	if !active || !rollout.CarriesTraffic(ro) || !isNew && version != cfg.Models[model].Stable {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st := r.own[model]
-	if st == nil || st.stage != stageOf(ro) {
-		st = &stageEvidence{stage: stageOf(ro)}
-		r.own[model] = st
+	evidence := r.localEvidence[model]
+	if evidence == nil || evidence.stage != stageKey(ro) {
+		evidence = &stageEvidence{stage: stageKey(ro)}
+		r.localEvidence[model] = evidence
 	}
-	st.cells = st.cells.Merge(rollout.Evidence{{Server: server, FailureDomain: domain, New: isNew, Counts: n}})
-	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(st.cells); stop && !r.braked[model+"@"+ro.TargetVersion] {
-		r.braked[model+"@"+ro.TargetVersion] = true
-		r.d.metrics.braked.Inc(1)
-		r.d.log.Warn("stopped using a new version on own evidence", "model", model, "version", ro.TargetVersion, "signal", signal)
+	evidence.cells = evidence.cells.Merge(rollout.Evidence{{Server: server, FailureDomain: domain, New: isNew, Counts: counts}})
+	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(evidence.cells); stop && !r.stopped[model+"@"+ro.TargetVersion] {
+		r.stopped[model+"@"+ro.TargetVersion] = true
+		r.d.metrics.rolloutBraked.Inc(1)
+		r.d.log.Warn("stopped using a new version on local evidence", "model", model, "version", ro.TargetVersion, "signal", signal)
 	}
 }
 
-// avoided reports whether unpinned sessions keep off a version here.
-func (r *rollouts) avoided(model, version string) bool {
+// isStopped reports whether this daemon keeps sessions without a pin off a version.
+func (r *rolloutController) isStopped(model, version string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.braked[model+"@"+version]
+	return r.stopped[model+"@"+version]
 }
 
-func (r *rollouts) loop(ctx context.Context) { every(ctx, judgeEvery, r.round) }
+func (r *rolloutController) run(ctx context.Context) {
+	runPeriodically(ctx, evaluateInterval, r.evaluateAll)
+}
 
-func (r *rollouts) round(ctx context.Context) {
-	c := r.d.config.current()
-	r.releaseBrakes(c)
-	due := time.Since(r.reported) >= time.Duration(r.d.members.size())*time.Second/reportsPerSecond
+func (r *rolloutController) evaluateAll(ctx context.Context) {
+	cfg := r.d.config.current()
+	r.clearStopped(cfg)
+	due := time.Since(r.reportedAt) >= time.Duration(r.d.members.aliveCount())*time.Second/maxReportsPerSecond
 	if due {
-		r.reported = time.Now()
+		r.reportedAt = time.Now()
 	}
-	for model, ro := range c.Rollouts {
+	for model, ro := range cfg.Rollouts {
 		if !rollout.CarriesTraffic(ro) {
 			continue
 		}
-		homes := r.d.members.homes("rollout/"+model, 1)
-		if len(homes) == 0 {
+		owners := r.d.members.owners("rollout/"+model, 1)
+		if len(owners) == 0 {
 			continue
 		}
-		report := r.report(model, ro)
-		if homes[0].ID != r.d.settings.ID {
+		report := r.localReport(model, ro)
+		if owners[0].ID != r.d.settings.ID {
 			if due && len(report.Cells) > 0 {
 				callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
-				_, _ = peer.Call[peer.EvidenceReport, peer.Empty](callCtx, r.d.links, homes[0].PeerAddress, "evidence", report)
+				_, _ = peer.Call[peer.EvidenceReport, peer.Empty](callCtx, r.d.peers, owners[0].PeerAddress, "evidence", report)
 				cancel()
 			}
 			continue
 		}
-		r.take(report)
-		r.judge(ctx, c, model, ro)
+		r.applyReport(report)
+		r.evaluate(ctx, cfg, model, ro)
 	}
 }
 
-// releaseBrakes lifts the brake on versions that no roll-out moves any more.
-func (r *rollouts) releaseBrakes(c *fleet.Config) {
+// clearStopped forgets stopped versions whose roll-out has ended.
+func (r *rolloutController) clearStopped(cfg *fleet.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for mv := range r.braked {
-		running := false
-		for model, ro := range c.Rollouts {
-			running = running || mv == model+"@"+ro.TargetVersion && ro.State != fleet.RolloutDone && ro.State != fleet.RolloutRolledBack
+	for modelVersion := range r.stopped {
+		active := false
+		for model, ro := range cfg.Rollouts {
+			active = active || modelVersion == model+"@"+ro.TargetVersion && ro.State != fleet.RolloutDone && ro.State != fleet.RolloutRolledBack
 		}
-		if !running {
-			delete(r.braked, mv)
+		if !active {
+			delete(r.stopped, modelVersion)
 		}
 	}
 }
 
-func (r *rollouts) report(model string, ro fleet.Rollout) peer.EvidenceReport {
+func (r *rolloutController) localReport(model string, ro fleet.Rollout) peer.EvidenceReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := peer.EvidenceReport{Daemon: r.d.settings.ID, Model: model, Stage: stageOf(ro)}
-	if st := r.own[model]; st != nil && st.stage == out.Stage {
-		out.Cells = slices.Clone(st.cells)
+	report := peer.EvidenceReport{Daemon: r.d.settings.ID, Model: model, Stage: stageKey(ro)}
+	if evidence := r.localEvidence[model]; evidence != nil && evidence.stage == report.Stage {
+		report.Cells = slices.Clone(evidence.cells)
 	}
-	return out
+	return report
 }
 
-// take replaces a daemon's cumulative evidence; a late or repeated report does
-// no harm.
-func (r *rollouts) take(q peer.EvidenceReport) {
+// applyReport replaces the evidence of a daemon. Reports are cumulative, so repeated
+// ones are harmless.
+func (r *rolloutController) applyReport(report peer.EvidenceReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.fleet[q.Model]
-	if f == nil || f.stage != q.Stage {
-		f = &fleetEvidence{stage: q.Stage, since: time.Now(), byDaemon: map[string]rollout.Evidence{}}
-		r.fleet[q.Model] = f
+	evidence := r.fleetEvidence[report.Model]
+	if evidence == nil || evidence.stage != report.Stage {
+		evidence = &fleetStageEvidence{stage: report.Stage, since: time.Now(), byDaemon: map[string]rollout.Evidence{}}
+		r.fleetEvidence[report.Model] = evidence
 	}
-	f.byDaemon[q.Daemon] = q.Cells
+	evidence.byDaemon[report.Daemon] = report.Cells
 }
 
-func (f *fleetEvidence) merged() rollout.Evidence {
+func (m *fleetStageEvidence) merged() rollout.Evidence {
 	var all rollout.Evidence
-	for _, e := range f.byDaemon {
+	for _, e := range m.byDaemon {
 		all = all.Merge(e)
 	}
 	return all
 }
 
-func (r *rollouts) judge(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout) {
+func (r *rolloutController) evaluate(ctx context.Context, cfg *fleet.Config, model string, ro fleet.Rollout) {
 	r.mu.Lock()
-	f := r.fleet[model]
-	v := rollout.DefaultStagePolicy().Evaluate(ro, f.merged(), time.Since(f.since))
-	f.verdict = v
+	evidence := r.fleetEvidence[model]
+	decision := rollout.DefaultStagePolicy().Evaluate(ro, evidence.merged(), time.Since(evidence.since))
+	evidence.decision = decision
 	r.mu.Unlock()
-	if v.Step == rollout.Wait {
+	if decision.Step == rollout.Wait {
 		return
 	}
-	r.propose(ctx, c, model, ro, v)
+	r.submitStep(ctx, cfg, model, ro, decision)
 }
 
-// propose appends the step as an ordinary patch. Its id follows from the state
-// it was decided on, so that a step decided twice, by an old and a new home, is
-// one patch; a stale base makes it void.
-func (r *rollouts) propose(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout, v rollout.Decision) {
-	patch, err := stepPatch(c, model, ro, v.Step)
+// submitStep submits a step as a patch. The patch id is derived from the stage and
+// the configuration number, so that a step submitted by two owners is applied once.
+// A patch on an outdated configuration is refused.
+func (r *rolloutController) submitStep(ctx context.Context, cfg *fleet.Config, model string, ro fleet.Rollout, decision rollout.Decision) {
+	patch, err := stepPatch(cfg, model, ro, decision.Step)
 	if err != nil {
 		return
 	}
-	id := fmt.Sprintf("rollout/%s/%s/%s@%d", model, stageOf(ro), v.Step, c.Number)
-	out, err := r.d.Submit(ctx, fleet.Record{PatchID: id, Base: c.Number, Author: "rollout: " + v.Reason, Patch: patch})
-	if err == nil && out.Accepted {
-		r.d.log.Info("roll-out step", "model", model, "step", v.Step, "reason", v.Reason, "number", out.Number)
+	id := fmt.Sprintf("rollout/%s/%s/%s@%d", model, stageKey(ro), decision.Step, cfg.Number)
+	outcome, err := r.d.SubmitPatch(ctx, fleet.Record{PatchID: id, Base: cfg.Number, Author: "rollout: " + decision.Reason, Patch: patch})
+	if err == nil && outcome.Accepted {
+		r.d.log.Info("roll-out step", "model", model, "step", decision.Step, "reason", decision.Reason, "number", outcome.Number)
 	}
 }
 
-// stepPatch writes a step as a patch. A roll-back withdraws the version too:
-// sessions pinned to it would otherwise stay on it.
-func stepPatch(c *fleet.Config, model string, ro fleet.Rollout, s rollout.Step) (json.RawMessage, error) {
+// stepPatch encodes a step as a patch. A roll-back also withdraws the version, since
+// pinned sessions would otherwise keep using it.
+func stepPatch(cfg *fleet.Config, model string, ro fleet.Rollout, s rollout.Step) (json.RawMessage, error) {
 	next := rollout.ApplyStep(ro, s)
-	p := map[string]map[string]any{"rollouts": {model: map[string]any{"stage": next.Stage, "state": next.State}}}
+	patch := map[string]map[string]any{"rollouts": {model: map[string]any{"stage": next.Stage, "state": next.State}}}
 	switch {
 	case s == rollout.RollBack:
-		gone := map[string]any{"state": fleet.Withdrawn, "successor": c.Models[model].Stable}
-		p["models"] = map[string]any{model: map[string]any{"versions": map[string]any{ro.TargetVersion: gone}}}
+		withdrawn := map[string]any{"state": fleet.Withdrawn, "successor": cfg.Models[model].Stable}
+		patch["models"] = map[string]any{model: map[string]any{"versions": map[string]any{ro.TargetVersion: withdrawn}}}
 	case next.State == fleet.RolloutDone:
-		p["models"] = map[string]any{model: map[string]any{"stable": ro.TargetVersion}}
+		patch["models"] = map[string]any{model: map[string]any{"stable": ro.TargetVersion}}
 	}
-	return json.Marshal(p)
+	return json.Marshal(patch)
 }
 
-// RolloutView is a roll-out with the evidence this daemon has.
+// RolloutView is a roll-out with the evidence known to this daemon.
 type RolloutView struct {
 	fleet.Rollout
 	Percent float64 `json:"percent"`
-	// Home is the daemon that judges.
-	Home    string           `json:"home"`
-	Verdict string           `json:"verdict,omitempty"`
-	Reason  string           `json:"reason,omitempty"`
-	Fresh   rollout.Counts   `json:"new_version"`
-	Running rollout.Counts   `json:"running_version"`
-	Cells   rollout.Evidence `json:"cells,omitempty"`
+	// Owner is the id of the daemon that evaluates the roll-out.
+	Owner          string           `json:"home"`
+	Decision       string           `json:"verdict,omitempty"`
+	Reason         string           `json:"reason,omitempty"`
+	NewVersion     rollout.Counts   `json:"new_version"`
+	RunningVersion rollout.Counts   `json:"running_version"`
+	Cells          rollout.Evidence `json:"cells,omitempty"`
 }
 
-// Rollouts returns every roll-out with its evidence: the fleet's at the home,
-// the daemon's own elsewhere.
+// Rollouts returns all roll-outs, sorted by model. The evidence is that of the whole
+// fleet if this daemon owns the roll-out, and its own otherwise.
 func (d *Daemon) Rollouts() []RolloutView {
-	c := d.config.current()
+	cfg := d.config.current()
 	var out []RolloutView
-	for model, ro := range c.Rollouts {
-		v := RolloutView{Rollout: ro, Percent: ro.Percent()}
-		if h := d.members.homes("rollout/"+model, 1); len(h) > 0 {
-			v.Home = h[0].ID
+	for model, ro := range cfg.Rollouts {
+		view := RolloutView{Rollout: ro, Percent: ro.Percent()}
+		if owners := d.members.owners("rollout/"+model, 1); len(owners) > 0 {
+			view.Owner = owners[0].ID
 		}
 		d.rollouts.mu.Lock()
-		if f := d.rollouts.fleet[model]; f != nil && v.Home == d.settings.ID && f.stage == stageOf(ro) {
-			v.Cells, v.Verdict, v.Reason = f.merged(), f.verdict.Step.String(), f.verdict.Reason
-		} else if st := d.rollouts.own[model]; st != nil && st.stage == stageOf(ro) {
-			v.Cells = slices.Clone(st.cells)
+		if fleetWide := d.rollouts.fleetEvidence[model]; fleetWide != nil && view.Owner == d.settings.ID && fleetWide.stage == stageKey(ro) {
+			view.Cells, view.Decision, view.Reason = fleetWide.merged(), fleetWide.decision.Step.String(), fleetWide.decision.Reason
+		} else if evidence := d.rollouts.localEvidence[model]; evidence != nil && evidence.stage == stageKey(ro) {
+			view.Cells = slices.Clone(evidence.cells)
 		}
 		d.rollouts.mu.Unlock()
-		v.Fresh, v.Running = v.Cells.Totals(nil)
-		out = append(out, v)
+		view.NewVersion, view.RunningVersion = view.Cells.Totals(nil)
+		out = append(out, view)
 	}
 	slices.SortFunc(out, func(a, b RolloutView) int {
 		if a.Model < b.Model {
