--- a/internal/containment/guard.go
+++ b/internal/containment/guard.go
@@ -83,7 +83,7 @@
 		case <-g.pending:
 			send(ctx)
 		}
-		loop.Pause(ctx, pause)
+		loop.Sleep(ctx, pause)
 	}
 }
 
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -140,7 +140,7 @@
 				return v, nil
 			}
 		}
-		if !loop.Pause(ctx, readRetry/5) {
+		if !loop.Sleep(ctx, readRetry/5) {
 			c.abandon(rec)
 			return request.ClaimResult{}, request.ClaimResult{}.Err()
 		}
@@ -203,7 +203,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 		defer cancel()
 		for wait := readRetry; c.append(ctx, partitionOf(rec.Key), rec) != nil; wait = min(2*wait, 30*time.Second) {
-			if !loop.Pause(ctx, wait) {
+			if !loop.Sleep(ctx, wait) {
 				return
 			}
 		}
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -93,12 +93,12 @@
 
 func (c *configuration) loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !c.reader() && !loop.Pause(ctx, rareRead) {
+		if !c.reader() && !loop.Sleep(ctx, rareRead) {
 			return
 		}
 		if err := c.read(ctx); err != nil && ctx.Err() == nil {
 			c.d.metrics.logErrors.Inc(1)
-			loop.Pause(ctx, readRetry)
+			loop.Sleep(ctx, readRetry)
 		}
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -32,7 +32,7 @@
 type Ports struct {
 	Log     platform.Log
 	VMs     platform.VMList
-	Rater   platform.Rater
+	Rater   platform.RatingService
 	Weights platform.WeightStore
 	Logger  *log.Logger
 	Metrics tally.Scope
@@ -148,7 +148,7 @@
 	d.leaving.Store(true)
 	d.members.announce()
 	d.log.Info("draining", "in_flight", d.inFlight.Load())
-	loop.Pause(ctx, time.Duration(d.settings.EndpointTTL+d.settings.DrainGrace))
+	loop.Sleep(ctx, time.Duration(d.settings.EndpointTTL+d.settings.DrainGrace))
 	d.stopOnce.Do(func() { close(d.stopping) })
 	done := make(chan struct{})
 	go func() { d.running.Wait(); close(done) }()
@@ -178,7 +178,7 @@
 // a random part of the period, so that daemons started together spread out.
 func every(ctx context.Context, period time.Duration, f func(context.Context)) {
 	wait := rand.N(period)
-	for loop.Pause(ctx, wait) {
+	for loop.Sleep(ctx, wait) {
 		f(ctx)
 		wait = period
 	}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -167,7 +167,7 @@
 		if answered || l.leased(s) {
 			break
 		}
-		loop.Pause(ctx, homeRetry)
+		loop.Sleep(ctx, homeRetry)
 	}
 	return fault.New(fault.RateLimited, "the limit of %d a minute for %s is used up", limit, meter).WithRetryAfter(max(retry, time.Second))
 }
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -158,7 +158,7 @@
 // Run follows the topic until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for f.Enabled != nil && !f.Enabled() && ctx.Err() == nil {
-		loop.Pause(ctx, wantedStep)
+		loop.Sleep(ctx, wantedStep)
 	}
 	for ctx.Err() == nil {
 		f.fromPeers(ctx)
@@ -175,7 +175,7 @@
 			f.rest(ctx, f.failed(ctx, err), alone)
 			f.await(ctx)
 		} else if f.Next() != before {
-			loop.Pause(ctx, f.BatchDelay)
+			loop.Sleep(ctx, f.BatchDelay)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 		pause = min(pause, longestAlonePause)
 	}
 	for end := time.Now().Add(pause); ctx.Err() == nil && time.Now().Before(end); {
-		loop.Pause(ctx, min(peerEvery, time.Until(end)))
+		loop.Sleep(ctx, min(peerEvery, time.Until(end)))
 		f.catchUp(ctx)
 		if backup && (f.IsDesignatedReader() || f.loaded.Load() && !f.ReadsLog()) {
 			return
@@ -212,7 +212,7 @@
 		f.Logger.Info("reading waits for another reading", "topic", f.Topic, "next", f.Next(), "other", f.DependsOn.Topic)
 	}
 	for f.DependsOn != nil && f.DependsOn.away.Load() && ctx.Err() == nil {
-		loop.Pause(ctx, awaitStep)
+		loop.Sleep(ctx, awaitStep)
 		f.catchUp(ctx)
 	}
 }
--- a/internal/feedtest/store.go
+++ b/internal/feedtest/store.go
@@ -228,7 +228,7 @@
 
 // half takes half of a round trip.
 func half(ctx context.Context) error {
-	loop.Pause(ctx, roundTrip/2)
+	loop.Sleep(ctx, roundTrip/2)
 	return ctx.Err()
 }
 
--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -12,35 +12,35 @@
 	// queueLines bounds the lines that wait to be written: about a second of a
 	// busy daemon, under 500 KB.
 	queueLines = 2048
-	// closeLimit bounds the wait for the last lines at the end of the process.
-	closeLimit = 200 * time.Millisecond
+	// closeTimeout bounds the wait for the last lines at the end of the process.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Async passes lines on to a writer from a bounded queue. A reader that stands
+// AsyncWriter passes lines on to a writer from a bounded queue. A reader that stands
 // still would otherwise stop the daemon at its next line; instead lines are
 // dropped and counted.
-type Async struct {
+type AsyncWriter struct {
 	out   io.Writer
 	lines chan []byte
 	// closing is closed when no further line is taken, and done when the last is written.
 	closing, done chan struct{}
-	once          sync.Once
+	closeOnce     sync.Once
 	dropped       atomic.Int64
 }
 
-// NewAsync returns a writer before w.
-func NewAsync(w io.Writer) *Async {
-	a := &Async{out: w, lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
+// NewAsyncWriter returns a writer before w.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	a := &AsyncWriter{out: w, lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-func (a *Async) run() {
+func (a *AsyncWriter) run() {
 	defer close(a.done)
 	for {
 		select {
 		case line := <-a.lines:
-			a.put(line)
+			a.write(line)
 		case <-a.closing:
 			a.drain()
 			return
@@ -49,18 +49,18 @@
 }
 
 // drain writes what waits.
-func (a *Async) drain() {
+func (a *AsyncWriter) drain() {
 	for {
 		select {
 		case line := <-a.lines:
-			a.put(line)
+			a.write(line)
 		default:
 			return
 		}
 	}
 }
 
-func (a *Async) put(line []byte) {
+func (a *AsyncWriter) write(line []byte) {
 	if _, err := a.out.Write(line); err != nil {
 		a.dropped.Add(1)
 	}
@@ -68,7 +68,7 @@
 
 // Write implements io.Writer. It never waits and never fails. Lines after Close are dropped:
 // at the end of the process handlers still run.
-func (a *Async) Write(p []byte) (int, error) {
+func (a *AsyncWriter) Write(p []byte) (int, error) {
 	select {
 	case <-a.closing:
 		a.dropped.Add(1)
@@ -84,13 +84,13 @@
 }
 
 // Dropped returns how many lines were lost.
-func (a *Async) Dropped() int64 { return a.dropped.Load() }
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
 // Close writes what waits, for a short time.
-func (a *Async) Close() {
-	a.once.Do(func() { close(a.closing) })
+func (a *AsyncWriter) Close() {
+	a.closeOnce.Do(func() { close(a.closing) })
 	select {
 	case <-a.done:
-	case <-time.After(closeLimit):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/logs/async_test.go
+++ b/internal/logs/async_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// stuck is a reader of standard output that stands still.
-type stuck struct{ free chan struct{} }
+// blockedWriter is a reader of standard output that stands still.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) { <-s.free; return len(p), nil }
+func (s blockedWriter) Write(p []byte) (int, error) { <-s.unblock; return len(p), nil }
 
 // Symptom: a daemon stopped serving.
 // Sequence: whatever reads its standard output stands still; the pipe is full.
 // Cause: the next line waited for it.
-func TestStuckReaderBlocksNothing(t *testing.T) {
-	s := stuck{make(chan struct{})}
-	a := NewAsync(s)
+func TestBlockedOutputDoesNotBlockWrite(t *testing.T) {
+	s := blockedWriter{make(chan struct{})}
+	a := NewAsyncWriter(s)
 	for range 3 * queueLines {
 		if _, err := a.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
@@ -27,24 +27,24 @@
 	if a.Dropped() == 0 {
 		t.Error("no line counts as dropped")
 	}
-	close(s.free)
+	close(s.unblock)
 	a.Close()
 }
 
-type buffer struct {
+type syncBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func TestLinesComeInOrder(t *testing.T) {
-	var b buffer
-	a := NewAsync(&b)
+func TestLinesAreWrittenInOrder(t *testing.T) {
+	var b syncBuffer
+	a := NewAsyncWriter(&b)
 	want := ""
 	for i := range 100 {
 		line := fmt.Sprintln("line", i)
@@ -58,9 +58,9 @@
 }
 
 // Guards against a panic of a handler that logs while the process ends.
-func TestLineAfterTheEndIsDropped(t *testing.T) {
+func TestWriteAfterCloseIsDropped(t *testing.T) {
 	var out bytes.Buffer
-	a := NewAsync(&out)
+	a := NewAsyncWriter(&out)
 	var writers sync.WaitGroup
 	for range 4 {
 		writers.Go(func() {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -21,10 +21,10 @@
 	}
 }
 
-// Pause waits for a time, and reports whether it passed before the context's end. No time
+// Sleep waits for a time, and reports whether it passed before the context's end. No time
 // needs no timer: one that is due at once crashes the runtime now and then in a test that
 // has virtual time and the race detector.
-func Pause(ctx context.Context, d time.Duration) bool {
+func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestEveryCallsUntilTheContextEnds(t *testing.T) {
+func TestEveryStopsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	calls := 0
 	Every(ctx, time.Millisecond, func(context.Context, time.Time) {
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -18,15 +18,15 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Text is a tally reporter that serves what it was told. It implements
+// TextReporter is a tally reporter that serves what it was told. It implements
 // tally.CachedStatsReporter and http.Handler.
-type Text struct {
-	mu     sync.Mutex
-	values map[string]*value
+type TextReporter struct {
+	mu      sync.Mutex
+	metrics map[string]*metric
 }
 
-// value is one line: a count, or a gauge's bits.
-type value struct {
+// metric is one line: a count, or a gauge's bits.
+type metric struct {
 	count atomic.Int64
 	gauge atomic.Uint64
 	kind  kind
@@ -40,16 +40,16 @@
 )
 
 // New returns an empty reporter.
-func New() *Text { return &Text{values: map[string]*value{}} }
+func New() *TextReporter { return &TextReporter{metrics: map[string]*metric{}} }
 
 // Scope returns a scope that reports to t at a period; the closer ends it.
-func (t *Text) Scope(prefix string, period time.Duration) (tally.Scope, io.Closer) {
+func (t *TextReporter) Scope(prefix string, period time.Duration) (tally.Scope, io.Closer) {
 	return tally.NewRootScope(tally.ScopeOptions{
 		Prefix: prefix, Separator: "_", CachedReporter: t, OmitCardinalityMetrics: true,
 	}, period)
 }
 
-func line(name string, tags map[string]string) string {
+func seriesKey(name string, tags map[string]string) string {
 	if len(tags) == 0 {
 		return name
 	}
@@ -60,65 +60,65 @@
 	return name + "{" + strings.Join(parts, ",") + "}"
 }
 
-func (t *Text) value(name string, tags map[string]string, k kind) *value {
-	key := line(name, tags)
+func (t *TextReporter) metric(name string, tags map[string]string, k kind) *metric {
+	key := seriesKey(name, tags)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := t.values[key]
+	v := t.metrics[key]
 	if v == nil {
-		v = &value{kind: k}
-		t.values[key] = v
+		v = &metric{kind: k}
+		t.metrics[key] = v
 	}
 	return v
 }
 
 // AllocateCounter implements tally.CachedStatsReporter.
-func (t *Text) AllocateCounter(name string, tags map[string]string) tally.CachedCount {
-	return t.value(name, tags, counter)
+func (t *TextReporter) AllocateCounter(name string, tags map[string]string) tally.CachedCount {
+	return t.metric(name, tags, counter)
 }
 
 // AllocateGauge implements tally.CachedStatsReporter.
-func (t *Text) AllocateGauge(name string, tags map[string]string) tally.CachedGauge {
-	return t.value(name, tags, gauge)
+func (t *TextReporter) AllocateGauge(name string, tags map[string]string) tally.CachedGauge {
+	return t.metric(name, tags, gauge)
 }
 
 // AllocateTimer implements tally.CachedStatsReporter. Only the number of timings
 // is kept; durations go to histograms.
-func (t *Text) AllocateTimer(name string, tags map[string]string) tally.CachedTimer {
-	return t.value(name+"_count", tags, counter)
+func (t *TextReporter) AllocateTimer(name string, tags map[string]string) tally.CachedTimer {
+	return t.metric(name+"_count", tags, counter)
 }
 
 // AllocateHistogram implements tally.CachedStatsReporter.
-func (t *Text) AllocateHistogram(name string, tags map[string]string, _ tally.Buckets) tally.CachedHistogram {
+func (t *TextReporter) AllocateHistogram(name string, tags map[string]string, _ tally.Buckets) tally.CachedHistogram {
 	return histogram{t, name, tags}
 }
 
 // Capabilities implements tally.BaseStatsReporter.
-func (t *Text) Capabilities() tally.Capabilities { return t }
+func (t *TextReporter) Capabilities() tally.Capabilities { return t }
 
 // Reporting implements tally.Capabilities.
-func (t *Text) Reporting() bool { return true }
+func (t *TextReporter) Reporting() bool { return true }
 
 // Tagging implements tally.Capabilities.
-func (t *Text) Tagging() bool { return true }
+func (t *TextReporter) Tagging() bool { return true }
 
 // Flush implements tally.BaseStatsReporter.
-func (t *Text) Flush() {}
+func (t *TextReporter) Flush() {}
 
 // ReportCount implements tally.CachedCount.
-func (v *value) ReportCount(n int64) { v.count.Add(n) }
+func (v *metric) ReportCount(n int64) { v.count.Add(n) }
 
 // ReportGauge implements tally.CachedGauge.
-func (v *value) ReportGauge(g float64) { v.gauge.Store(math.Float64bits(g)) }
+func (v *metric) ReportGauge(g float64) { v.gauge.Store(math.Float64bits(g)) }
 
 // ReportTimer implements tally.CachedTimer.
-func (v *value) ReportTimer(time.Duration) { v.count.Add(1) }
+func (v *metric) ReportTimer(time.Duration) { v.count.Add(1) }
 
 // ReportSamples implements tally.CachedHistogramBucket.
-func (v *value) ReportSamples(n int64) { v.count.Add(n) }
+func (v *metric) ReportSamples(n int64) { v.count.Add(n) }
 
 type histogram struct {
-	text *Text
+	text *TextReporter
 	name string
 	tags map[string]string
 }
@@ -142,14 +142,14 @@
 		tags = map[string]string{}
 	}
 	tags["up_to"] = upper
-	return h.text.value(h.name+"_bucket", tags, counter)
+	return h.text.metric(h.name+"_bucket", tags, counter)
 }
 
 // ServeHTTP implements http.Handler. Buckets count what fell into them alone.
-func (t *Text) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (t *TextReporter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	t.mu.Lock()
-	lines := make([]string, 0, len(t.values))
-	for key, v := range t.values {
+	lines := make([]string, 0, len(t.metrics))
+	for key, v := range t.metrics {
 		if v.kind == gauge {
 			lines = append(lines, fmt.Sprintf("%s %g\n", key, math.Float64frombits(v.gauge.Load())))
 		} else {
--- a/internal/metrics/text_test.go
+++ b/internal/metrics/text_test.go
@@ -9,7 +9,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-func TestTextServesWhatWasCounted(t *testing.T) {
+func TestTextReporterServesMetrics(t *testing.T) {
 	text := New()
 	scope, closer := text.Scope("d", time.Hour)
 	scope.Counter("requests").Inc(3)
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -10,19 +10,19 @@
 	"github.com/damaskrudder/damaskrudder/internal/loop"
 )
 
-// evacuations applies the operator's records on failure domains. Complete records name all
+// applyEvacuations applies the operator's records on failure domains. Complete records name all
 // domains that are evacuated, unless they are an older copy's: what a copy lacks may have been
 // lost with its tail, and holds until the operator writes again.
-func (n *Node) evacuations(records []feed.Record, complete bool) {
-	restored := n.returned.take(freshness.Configuration)
+func (n *Node) applyEvacuations(records []feed.Record, complete bool) {
+	restored := n.restored.consume(freshness.Configuration)
 	listed := map[string]bool{}
 	for _, r := range records {
-		e, about := n.ports.Translator.Evacuation(r)
+		e, about := n.deps.Codec.DecodeEvacuation(r)
 		if !about {
 			continue
 		}
-		listed[e.FailureDomain] = !e.Over
-		if e.Over {
+		listed[e.FailureDomain] = !e.Revoked
+		if e.Revoked {
 			n.readmit(e.FailureDomain, r.At)
 			continue
 		}
@@ -46,14 +46,14 @@
 	}
 }
 
-// viewPeers keeps up to date with whom this daemon shares the limits of warming servers, until
+// refreshSlowStartView keeps up to date with whom this daemon shares the limits of warming servers, until
 // the context ends.
-func (n *Node) viewPeers(ctx context.Context) {
+func (n *Node) refreshSlowStartView(ctx context.Context) {
 	loop.Every(ctx, gossip.Interval, func(context.Context, time.Time) {
 		v := n.members.SlowStartView()
-		v.Trusted = v.Trusted && n.inTouchFor(placedAfter)
+		v.Trusted = v.Trusted && n.inContactFor(rankStableAfter)
 		n.state.SetSlowStartView(v)
-		n.ports.Metrics.DomainsEvacuated.Update(float64(len(n.state.Evacuations())))
-		n.ports.Metrics.ServersWarming.Update(float64(n.state.WarmingServers()))
+		n.deps.Metrics.DomainsEvacuated.Update(float64(len(n.state.Evacuations())))
+		n.deps.Metrics.ServersWarming.Update(float64(n.state.WarmingServers()))
 	})
 }
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -21,37 +21,37 @@
 	return false
 }
 
-// order writes or removes an evacuation and returns the time until each daemon acts on it.
-func (f *fleet) order(domain string, on bool) spread {
+// setEvacuated writes or removes an evacuation and returns the time until each daemon acts on it.
+func (f *fleet) setEvacuated(domain string, on bool) delays {
 	var value []byte
 	if on {
 		value = []byte("{}")
 	}
 	f.store.Put("op", "evacuate/"+domain, value)
-	return f.untilEach(func(m *member) bool { return m.evacuated(domain) == on })
+	return f.waitEach(func(m *member) bool { return m.evacuated(domain) == on })
 }
 
-// evacuateBound is the time within which an evacuation is in force on the smallest deployments.
-const evacuateBound = 5 * time.Second
+// evacuationLimit is the time within which an evacuation is in force on the smallest deployments.
+const evacuationLimit = 5 * time.Second
 
 // Guards against a daemon that goes on sending to an evacuated failure domain, whatever the
 // store did before the order.
-func TestEvacuationIsInForceInHalfOfTheTimeAllowed(t *testing.T) {
-	for _, daemons := range sizes() {
-		for _, trouble := range troubles {
+func TestEvacuationPropagatesWithinLimit(t *testing.T) {
+	for _, daemons := range smallFleetSizes() {
+		for _, trouble := range storeFaults {
 			t.Run(fmt.Sprint(daemons, " daemons/", trouble.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, daemons)
 					time.Sleep(9 * time.Second)
-					trouble.do(f)
-					var all spread
+					trouble.inject(f)
+					var all delays
 					for i := range 4 {
 						time.Sleep(3 * time.Second)
-						all = append(all, f.order("east", i%2 == 0)...)
+						all = append(all, f.setEvacuated("east", i%2 == 0)...)
 					}
 					slices.Sort(all)
 					t.Logf("%s", all)
-					if worst := all[len(all)-1]; worst > evacuateBound/2 {
+					if worst := all[len(all)-1]; worst > evacuationLimit/2 {
 						t.Errorf("the last daemon acts after %s", worst)
 					}
 				})
@@ -62,21 +62,21 @@
 
 // Guards against a daemon that starts, or reads all records again, and sends to a domain that
 // is evacuated, or to none for good after the order was taken back.
-func TestEvacuationOutlastsRestartsAndEndsWithItsRecord(t *testing.T) {
+func TestEvacuationSurvivesRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6)
 		time.Sleep(5 * time.Second)
-		f.order("east", true)
+		f.setEvacuated("east", true)
 		for i := range 6 {
 			f.kill(i)
 		}
 		for i := range 6 {
 			f.start(i)
 		}
-		within(t, evacuateBound/2, "all know after a restart", func() bool {
+		waitFor(t, evacuationLimit/2, "all know after a restart", func() bool {
 			return f.count(func(m *member) bool { return m.evacuated("east") }) == 6
 		})
-		f.order("east", false)
+		f.setEvacuated("east", false)
 		f.kill(0)
 		f.start(0)
 		time.Sleep(5 * time.Second)
@@ -87,15 +87,15 @@
 }
 
 // Guards against a store that comes back from a copy without the order and so ends it.
-func TestCopyWithoutTheEvacuationDoesNotEndIt(t *testing.T) {
+func TestRestoredStoreDoesNotEndEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6)
 		time.Sleep(5 * time.Second)
-		f.order("east", true)
+		f.setEvacuated("east", true)
 		time.Sleep(time.Second)
 		f.store.SetMode(feedtest.Unresponsive)
 		time.Sleep(2 * time.Second)
-		f.store.Restore(f.copied)
+		f.store.Restore(f.snapshot)
 		f.store.SetMode(feedtest.Serving)
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
@@ -105,7 +105,7 @@
 		}
 		f.store.Put("op", "evacuate/east", []byte("{}"))
 		time.Sleep(time.Second)
-		f.order("east", false)
+		f.setEvacuated("east", false)
 		if n := f.count(func(m *member) bool { return m.evacuated("east") }); n > 0 {
 			t.Errorf("%d daemons keep a domain closed", n)
 		}
@@ -113,17 +113,17 @@
 }
 
 // Guards against a removal that is lost because the records are read in one piece.
-func TestCompleteRecordsWithoutAnOrderEndIt(t *testing.T) {
-	n, _ := testNode(t)
-	n.operator([]feed.Record{{Key: "evacuate/east", Value: []byte("{}")}}, true)
+func TestSnapshotWithoutEvacuationEndsIt(t *testing.T) {
+	n, _ := newTestNode(t)
+	n.applyOperatorRecords([]feed.Record{{Key: "evacuate/east", Value: []byte("{}")}}, true)
 	if !n.evacuated("east") {
 		t.Fatal("the order is not taken")
 	}
-	n.operator([]feed.Record{{Key: "config", Value: []byte("5")}}, false)
+	n.applyOperatorRecords([]feed.Record{{Key: "config", Value: []byte("5")}}, false)
 	if !n.evacuated("east") {
 		t.Error("ended by records that do not mention it")
 	}
-	n.operator([]feed.Record{{Key: "config", Value: []byte("6")}}, true)
+	n.applyOperatorRecords([]feed.Record{{Key: "config", Value: []byte("6")}}, true)
 	if n.evacuated("east") {
 		t.Error("kept although the complete records lack it")
 	}
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -26,91 +26,91 @@
 
 	mu    sync.Mutex
 	nodes map[string]*member
-	bound time.Duration
-	// changes are made to each daemon before it runs.
-	changes []func(n *Node)
+	limit time.Duration
+	// setup are made to each daemon before it runs.
+	setup []func(n *Node)
 	// seeds are what each daemon is told of others.
 	seeds []string
-	// copied is the store's content before the first daemon ran.
-	copied *feedtest.Snapshot
-	// pulses counts the calls between daemons.
-	pulses atomic.Int64
+	// snapshot is the store's content before the first daemon ran.
+	snapshot *feedtest.Snapshot
+	// exchanges counts the calls between daemons.
+	exchanges atomic.Int64
 	// backend are the backend servers of all daemons; nil has none that answers.
 	backend relay.Backend
-	// refuses says that a call to a daemon that does not run is refused at once, as by a VM
+	// refuseStopped says that a call to a daemon that does not run is refused at once, as by a VM
 	// that is up; it hangs else, as to one that is gone.
-	refuses bool
+	refuseStopped bool
 }
 
 // isolate has what a daemon asks, and what it is asked and told, stand still, and go on.
 func (f *fleet) isolate(i int, on bool) {
 	m := f.member(address(i))
 	f.mu.Lock()
-	m.deaf = on
+	m.isolated = on
 	f.mu.Unlock()
-	m.caller.DelayResponses(on)
+	m.storeClient.DelayResponses(on)
 }
 
 // member is one daemon of a fleet.
 type member struct {
 	*Node
-	caller *feedtest.Client
-	stop   context.CancelFunc
-	// deaf daemons are reached by no other, and reach none.
-	deaf bool
+	storeClient *feedtest.Client
+	stop        context.CancelFunc
+	// isolated daemons are reached by no other, and reach none.
+	isolated bool
 }
 
 const (
-	// oneWay is the time between two daemons.
-	oneWay = time.Millisecond
-	// inForce and leaveBound are what the smallest deployments ask for.
-	inForce    = 2 * time.Second
-	leaveBound = 2 * time.Second
+	// latency is the time between two daemons.
+	latency = time.Millisecond
+	// configLimit and leaveBound are what the smallest deployments ask for.
+	configLimit = 2 * time.Second
+	drainLimit  = 2 * time.Second
 )
 
-// bound is the time that deployments of a size allow for a configuration and for a
+// limitFor is the time that deployments of a size allow for a configuration and for a
 // server that leaves.
-func bound(daemons int) time.Duration {
+func limitFor(daemons int) time.Duration {
 	switch {
 	case daemons < 50:
-		return leaveBound
+		return drainLimit
 	case daemons < 150:
-		return leaveBound + time.Second
+		return drainLimit + time.Second
 	}
-	return leaveBound + 2*time.Second
+	return drainLimit + 2*time.Second
 }
 
 // newFleet starts daemons on a store with a configuration and servers a and b. Changes
 // are made to each daemon before it runs.
 func newFleet(t *testing.T, daemons int, changes ...func(n *Node)) *fleet {
 	t.Helper()
-	return newFleetWith(t, daemons, []string{address(0), address(1), address(2)}, changes...)
+	return newFleetWithSeeds(t, daemons, []string{address(0), address(1), address(2)}, changes...)
 }
 
-// newFleetWith is newFleet with other seeds.
-func newFleetWith(t *testing.T, daemons int, seeds []string, changes ...func(n *Node)) *fleet {
+// newFleetWithSeeds is newFleet with other seeds.
+func newFleetWithSeeds(t *testing.T, daemons int, seeds []string, changes ...func(n *Node)) *fleet {
 	t.Helper()
-	f := newStore(t, daemons, seeds, changes...)
+	f := newStoppedFleet(t, daemons, seeds, changes...)
 	for i := range daemons {
 		f.start(i)
 	}
 	return f
 }
 
-// newStore is a fleet of which no daemon runs yet.
-func newStore(t *testing.T, daemons int, seeds []string, changes ...func(n *Node)) *fleet {
+// newStoppedFleet is a fleet of which no daemon runs yet.
+func newStoppedFleet(t *testing.T, daemons int, seeds []string, changes ...func(n *Node)) *fleet {
 	t.Helper()
-	f := &fleet{t: t, changes: changes, store: feedtest.New(), nodes: map[string]*member{}, bound: bound(daemons), seeds: seeds}
+	f := &fleet{t: t, setup: changes, store: feedtest.New(), nodes: map[string]*member{}, limit: limitFor(daemons), seeds: seeds}
 	f.store.Put("op", "config", []byte("5"))
 	f.store.Put("servers", "a", []byte("ready"))
 	f.store.Put("servers", "b", []byte("ready"))
-	f.copied = f.store.TakeSnapshot()
-	t.Cleanup(f.end)
+	f.snapshot = f.store.TakeSnapshot()
+	t.Cleanup(f.stopAll)
 	return f
 }
 
-// end stops all daemons, and lets calls that are on their way end.
-func (f *fleet) end() {
+// stopAll stops all daemons, and lets calls that are on their way end.
+func (f *fleet) stopAll() {
 	f.each(func(m *member) { m.stop() })
 	time.Sleep(time.Second)
 }
@@ -122,24 +122,24 @@
 	f.t.Helper()
 	began := time.Now()
 	ctx, stop := context.WithCancel(f.t.Context())
-	m := &member{caller: f.store.NewClient(), stop: stop}
+	m := &member{storeClient: f.store.NewClient(), stop: stop}
 	c := Config{
-		Name: fmt.Sprintf("d%03d", i), Control: address(i), Front: fmt.Sprintf("f%03d", i), Seeds: f.seeds,
-		InForce: f.bound, Leave: f.bound,
-		Rules: relay.Options{RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50},
+		Name: fmt.Sprintf("d%03d", i), ControlAddress: address(i), ClientAddress: fmt.Sprintf("f%03d", i), Seeds: f.seeds,
+		ConfigPropagationLimit: f.limit, ServerDrainLimit: f.limit,
+		RelayOptions: relay.Options{RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50},
 	}
-	var servers relay.Backend = noBackend{}
+	var servers relay.Backend = unavailableBackend{}
 	if f.backend != nil {
 		servers = f.backend
 	}
-	m.Node = New(ctx, c, Ports{
-		Log: m.caller, Backend: servers, Translator: words{}, Metrics: relay.NewMetrics(tally.NoopScope), Logger: log.New(io.Discard),
-		Boot: func() time.Duration { return time.Minute + time.Since(began) }, Peers: &path{f, address(i)},
+	m.Node = New(ctx, c, Dependencies{
+		Log: m.storeClient, Backend: servers, Codec: fakeCodec{}, Metrics: relay.NewMetrics(tally.NoopScope), Logger: log.New(io.Discard),
+		BootTime: func() time.Duration { return time.Minute + time.Since(began) }, PeerTransport: &fakeTransport{f, address(i)},
 	})
 	f.mu.Lock()
 	f.nodes[address(i)] = m
 	f.mu.Unlock()
-	for _, change := range f.changes {
+	for _, change := range f.setup {
 		change(m.Node)
 	}
 	m.Run(ctx)
@@ -173,52 +173,52 @@
 	}
 }
 
-// path is a daemon's way to the others. It implements gossip.Caller.
-type path struct {
-	fleet *fleet
-	own   string
+// fakeTransport is a daemon's way to the others. It implements gossip.Caller.
+type fakeTransport struct {
+	fleet      *fleet
+	ownAddress string
 }
 
-var errCut = errors.New("no way to the daemon")
+var errUnreachable = errors.New("no way to the daemon")
 
-// to returns the daemon at an address after the time that a call takes to it. Between
+// connect returns the daemon at an address after the time that a call takes to it. Between
 // daemons that are cut off from each other a call hangs.
-func (p *path) to(ctx context.Context, address string) (*member, error) {
-	m, self := p.fleet.member(address), p.fleet.member(p.own)
+func (p *fakeTransport) connect(ctx context.Context, address string) (*member, error) {
+	m, self := p.fleet.member(address), p.fleet.member(p.ownAddress)
 	p.fleet.mu.Lock()
-	cut := m == nil || self == nil || m.deaf || self.deaf
-	refused := m == nil && p.fleet.refuses
+	cut := m == nil || self == nil || m.isolated || self.isolated
+	refused := m == nil && p.fleet.refuseStopped
 	p.fleet.mu.Unlock()
 	if refused {
-		time.Sleep(2 * oneWay)
-		return nil, errCut
+		time.Sleep(2 * latency)
+		return nil, errUnreachable
 	}
 	if cut {
 		<-ctx.Done()
-		return nil, errCut
+		return nil, errUnreachable
 	}
-	time.Sleep(oneWay)
+	time.Sleep(latency)
 	return m, ctx.Err()
 }
 
-func (p *path) Pulse(ctx context.Context, address string, pulse gossip.Message) (gossip.Message, error) {
-	p.fleet.pulses.Add(1)
-	m, err := p.to(ctx, address)
+func (p *fakeTransport) Pulse(ctx context.Context, address string, pulse gossip.Message) (gossip.Message, error) {
+	p.fleet.exchanges.Add(1)
+	m, err := p.connect(ctx, address)
 	if err != nil {
 		return gossip.Message{}, err
 	}
 	answer := m.members.HandleExchange(pulse)
-	time.Sleep(oneWay)
+	time.Sleep(latency)
 	return answer, nil
 }
 
-func (p *path) Records(ctx context.Context, address string, q gossip.RecordsRequest) (gossip.RecordsResponse, error) {
-	m, err := p.to(ctx, address)
+func (p *fakeTransport) Records(ctx context.Context, address string, q gossip.RecordsRequest) (gossip.RecordsResponse, error) {
+	m, err := p.connect(ctx, address)
 	if err != nil {
 		return gossip.RecordsResponse{}, err
 	}
 	answer := gossip.HandleRecords(q, m.recordsSince)
-	time.Sleep(oneWay)
+	time.Sleep(latency)
 	return answer, nil
 }
 
@@ -238,15 +238,15 @@
 	return n
 }
 
-// using counts the daemons that may send to a server.
-func (f *fleet) using(id string) int { return f.count(func(m *member) bool { return m.uses(id) }) }
+// countUsing counts the daemons that may send to a server.
+func (f *fleet) countUsing(id string) int { return f.count(func(m *member) bool { return m.uses(id) }) }
 
-// look is how often a test looks whether something has come about.
-const look = 5 * time.Millisecond
+// pollInterval is how often a test looks whether something has come about.
+const pollInterval = 5 * time.Millisecond
 
-// within waits until something is so and returns how long that took. It fails after a
+// waitFor waits until something is so and returns how long that took. It fails after a
 // limit.
-func within(t *testing.T, limit time.Duration, what string, so func() bool) time.Duration {
+func waitFor(t *testing.T, limit time.Duration, what string, so func() bool) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for !so() {
@@ -254,7 +254,7 @@
 			t.Errorf("%s: not within %s", what, limit)
 			break
 		}
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 	}
 	return time.Since(began)
 }
--- a/internal/node/crowd_test.go
+++ b/internal/node/gossip_cost_test.go
@@ -8,8 +8,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/relay"
 )
 
-// crowd has a daemon hear others, each with work on six servers, and returns their pulses.
-func crowd(n *Node, others int) []gossip.Message {
+// addPeers has a daemon hear others, each with work on six servers, and returns their pulses.
+func addPeers(n *Node, others int) []gossip.Message {
 	out := make([]gossip.Message, others)
 	for i := range out {
 		name := fmt.Sprintf("d%03d", i+1)
@@ -27,17 +27,17 @@
 // One pulse heard and the questions that its answer asks: 28 us at 6 daemons, 1,360 us at
 // 195 and 8,040 us at 1,000 before the roster kept their answers, 3 us at each of them
 // with it.
-func BenchmarkPulseHeard(b *testing.B) {
+func BenchmarkReceiveMessage(b *testing.B) {
 	for _, daemons := range []int{6, 60, 195, 520, 1000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
-			n, _ := testNode(b)
-			n.know()
-			pulses := crowd(n, daemons-1)
+			n, _ := newTestNode(b)
+			n.loadTestState()
+			pulses := addPeers(n, daemons-1)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				p := pulses[i%len(pulses)]
 				n.members.Receive(p.Address, p)
-				_, _ = n.rank(), n.pulse(false)
+				_, _ = n.rank(), n.buildMessage(false)
 			}
 		})
 	}
@@ -45,15 +45,15 @@
 
 // Guards against this failure: a deployment of 195 daemons spent all of its processor time
 // before it had served anything.
-func TestPulseCostsTheSameAtEverySize(t *testing.T) {
+func TestMessageCostIsIndependentOfFleetSize(t *testing.T) {
 	cost := func(daemons int) float64 {
-		n, _ := testNode(t)
-		n.know()
-		pulses, i := crowd(n, daemons-1), 0
+		n, _ := newTestNode(t)
+		n.loadTestState()
+		pulses, i := addPeers(n, daemons-1), 0
 		return testing.AllocsPerRun(2000, func() {
 			p := pulses[i%len(pulses)]
 			n.members.Receive(p.Address, p)
-			_, _ = n.rank(), n.pulse(false)
+			_, _ = n.rank(), n.buildMessage(false)
 			i++
 		})
 	}
--- a/internal/node/holds.go
+++ b/internal/node/holds.go
@@ -10,10 +10,10 @@
 	"github.com/damaskrudder/damaskrudder/internal/quarantine"
 )
 
-// Held says in the store that a request is kept from servers, for daemons that start: when
+// HoldRecord says in the store that a request is kept from servers, for daemons that start: when
 // all were stopped at once, nobody else knows, and the request would have to end three servers
 // again.
-type Held struct {
+type HoldRecord struct {
 	Fingerprint quarantine.Fingerprint
 	// Until is when the hold ends, by the time of day.
 	Until time.Time
@@ -22,80 +22,80 @@
 }
 
 const (
-	// holdsEvery is how often it is looked at whether the store says what is held.
-	holdsEvery = 500 * time.Millisecond
-	// holdWrittenAfter is the age from which a hold is written, and holdWrittenEach how
+	// holdSyncInterval is how often it is looked at whether the store says what is held.
+	holdSyncInterval = 500 * time.Millisecond
+	// holdWriteDelay is the age from which a hold is written, and holdWrittenEach how
 	// much later each further daemon by rank does it that has not heard of the record.
-	holdWrittenAfter = time.Second
-	holdWrittenEach  = 1500 * time.Millisecond
+	holdWriteDelay        = time.Second
+	holdWriteDelayPerRank = 1500 * time.Millisecond
 )
 
 // storedHolds are the holds that the store is known to have.
 type storedHolds struct {
 	mu sync.Mutex
-	// until is when each ends, by the time of day.
-	until map[quarantine.Fingerprint]time.Time
-	// differs is since when the store has said something else of each than this daemon.
-	differs map[quarantine.Fingerprint]time.Duration
+	// expiry is when each ends, by the time of day.
+	expiry map[quarantine.Fingerprint]time.Time
+	// differsSince is since when the store has said something else of each than this daemon.
+	differsSince map[quarantine.Fingerprint]time.Duration
 }
 
 func newStoredHolds() *storedHolds {
-	return &storedHolds{until: map[quarantine.Fingerprint]time.Time{}, differs: map[quarantine.Fingerprint]time.Duration{}}
+	return &storedHolds{expiry: map[quarantine.Fingerprint]time.Time{}, differsSince: map[quarantine.Fingerprint]time.Duration{}}
 }
 
-func (s *storedHolds) note(h Held) {
+func (s *storedHolds) record(h HoldRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.differs, h.Fingerprint)
+	delete(s.differsSince, h.Fingerprint)
 	if h.Released {
-		delete(s.until, h.Fingerprint)
+		delete(s.expiry, h.Fingerprint)
 		return
 	}
-	s.until[h.Fingerprint] = h.Until
+	s.expiry[h.Fingerprint] = h.Until
 }
 
-// forget forgets what the store says, before all of it is read again.
-func (s *storedHolds) forget() {
+// reset forgets what the store says, before all of it is read again.
+func (s *storedHolds) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	clear(s.until)
-	clear(s.differs)
+	clear(s.expiry)
+	clear(s.differsSince)
 }
 
-// differences returns what the store does not say yet of the requests that are held, and what
+// diff returns what the store does not say yet of the requests that are held, and what
 // it says of others, with how long that has been so.
-func (s *storedHolds) differences(held []quarantine.Hold, now time.Duration, at time.Time) map[Held]time.Duration {
+func (s *storedHolds) diff(held []quarantine.Hold, now time.Duration, at time.Time) map[HoldRecord]time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out, known := map[Held]time.Duration{}, map[quarantine.Fingerprint]bool{}
+	out, known := map[HoldRecord]time.Duration{}, map[quarantine.Fingerprint]bool{}
 	for _, h := range held {
 		known[h.Fingerprint] = true
-		if s.until[h.Fingerprint].After(at) {
-			delete(s.differs, h.Fingerprint)
+		if s.expiry[h.Fingerprint].After(at) {
+			delete(s.differsSince, h.Fingerprint)
 			continue
 		}
 		until := at.Add(time.Duration(h.RemainingMs) * time.Millisecond)
-		out[Held{Fingerprint: h.Fingerprint, Until: until}] = s.since(h.Fingerprint, now)
+		out[HoldRecord{Fingerprint: h.Fingerprint, Until: until}] = s.differsFor(h.Fingerprint, now)
 	}
-	for f, until := range s.until {
+	for f, until := range s.expiry {
 		if !known[f] && until.After(at) {
-			out[Held{Fingerprint: f, Released: true}] = s.since(f, now)
+			out[HoldRecord{Fingerprint: f, Released: true}] = s.differsFor(f, now)
 		}
 	}
 	return out
 }
 
-// since returns for how long the store has differed on a request. Callers hold mu.
-func (s *storedHolds) since(f quarantine.Fingerprint, now time.Duration) time.Duration {
-	if _, known := s.differs[f]; !known {
-		s.differs[f] = now
+// differsFor returns for how long the store has differed on a request. Callers hold mu.
+func (s *storedHolds) differsFor(f quarantine.Fingerprint, now time.Duration) time.Duration {
+	if _, known := s.differsSince[f]; !known {
+		s.differsSince[f] = now
 	}
-	return now - s.differs[f]
+	return now - s.differsSince[f]
 }
 
-// takeHeld takes a record on a held request.
-func (n *Node) takeHeld(h Held) {
-	n.stored.note(h)
+// applyHold takes a record on a held request.
+func (n *Node) applyHold(h HoldRecord) {
+	n.storedHolds.record(h)
 	if h.Released {
 		n.Relay.Guard.Release(h.Fingerprint)
 		return
@@ -105,32 +105,32 @@
 	}
 }
 
-// keepHolds has the store say which requests are held, until the context ends. The first of
+// syncHolds has the store say which requests are held, until the context ends. The first of
 // the contacts that notices writes; the others hear of the record before it is their turn.
-func (n *Node) keepHolds(ctx context.Context) {
-	loop.Every(ctx, holdsEvery, func(ctx context.Context, at time.Time) {
-		differ := n.stored.differences(n.Relay.Guard.Holds(), n.ports.Boot(), at)
-		if len(differ) == 0 || !n.contact() || !n.others.Loaded() {
+func (n *Node) syncHolds(ctx context.Context) {
+	loop.Every(ctx, holdSyncInterval, func(ctx context.Context, at time.Time) {
+		differ := n.storedHolds.diff(n.Relay.Guard.Holds(), n.deps.BootTime(), at)
+		if len(differ) == 0 || !n.isBootstrapPeer() || !n.daemonFollower.Loaded() {
 			return
 		}
-		due := holdWrittenAfter + time.Duration(n.rank())*holdWrittenEach
+		due := holdWriteDelay + time.Duration(n.rank())*holdWriteDelayPerRank
 		for h, since := range differ {
 			if since >= due {
-				n.writeHeld(ctx, h)
+				n.writeHold(ctx, h)
 			}
 		}
 	})
 }
 
-func (n *Node) writeHeld(ctx context.Context, h Held) {
-	key, value, err := n.ports.Translator.EncodeHeld(h)
+func (n *Node) writeHold(ctx context.Context, h HoldRecord) {
+	key, value, err := n.deps.Codec.EncodeHold(h)
 	if err == nil {
-		err = feed.AppendWithTimeout(ctx, n.ports.Log, n.topics.Daemons, key, value, nil)
+		err = feed.AppendWithTimeout(ctx, n.deps.Log, n.topics.Daemons, key, value, nil)
 	}
 	if err != nil {
 		n.log.Warn("held request not written", "fingerprint", h.Fingerprint, "released", h.Released, "err", err)
 		return
 	}
-	n.stored.note(h)
+	n.storedHolds.record(h)
 	n.log.Info("held request written", "fingerprint", h.Fingerprint, "released", h.Released, "until", h.Until)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,18 +29,18 @@
 	// Name stays the same over restarts.
 	Name          string
 	FailureDomain string
-	// Front is where callers connect, and Control where other daemons do.
-	Front, Control string
+	// ClientAddress is where callers connect, and Control where other daemons do.
+	ClientAddress, ControlAddress string
 	// Seeds are control addresses of other daemons; they may be stale.
 	Seeds []string
-	// Grace is the time from the word to leave to the end of the process.
-	Grace time.Duration
-	// InForce is the time within which a configuration must be in force everywhere.
-	InForce time.Duration
-	// Leave is the time within which a backend server that has said that it leaves, or
+	// GracePeriod is the time from the word to leave to the end of the process.
+	GracePeriod time.Duration
+	// ConfigPropagationLimit is the time within which a configuration must be in force everywhere.
+	ConfigPropagationLimit time.Duration
+	// ServerDrainLimit is the time within which a backend server that has said that it leaves, or
 	// whose entry is gone, must get nothing new.
-	Leave time.Duration
-	Rules relay.Options
+	ServerDrainLimit time.Duration
+	RelayOptions     relay.Options
 }
 
 // Topics name the log's topics.
@@ -51,9 +51,9 @@
 	Operator, Servers, Status, Daemons string
 }
 
-// Instruction is what one of the operator's records says; both fields are nil for a
+// OperatorRecord is what one of the operator's records says; both fields are nil for a
 // record that is about something else.
-type Instruction struct {
+type OperatorRecord struct {
 	Table *route.Table
 	Order *rollout.Order
 }
@@ -61,52 +61,52 @@
 // Evacuation is the operator's order that the servers of a failure domain get nothing new.
 type Evacuation struct {
 	FailureDomain string
-	// Over says that the order was taken back: its record was removed.
-	Over bool
+	// Revoked says that the order was taken back: its record was removed.
+	Revoked bool
 }
 
-// Status is how far an order had come when it was written.
-type Status struct {
+// RolloutStatus is how far an order had come when it was written.
+type RolloutStatus struct {
 	Service string
-	// Order is the position of the order, and Target the version that it names.
-	Order  uint64
-	Target string
-	Phase  rollout.Phase
-	// Since is the time from the order to the writing.
-	Since time.Duration
+	// OrderOffset is the position of the order, and Target the version that it names.
+	OrderOffset uint64
+	Target      string
+	Phase       rollout.Phase
+	// OrderAge is the time from the order to the writing.
+	OrderAge time.Duration
 }
 
-// Translator knows how the platform writes records.
-type Translator interface {
+// Codec knows how the platform writes records.
+type Codec interface {
 	Topics() Topics
-	Operator(r feed.Record) (Instruction, error)
-	// Evacuation returns false for a record that is about something else.
-	Evacuation(r feed.Record) (Evacuation, bool)
-	// Server returns what a server says of itself, or a *backend.BadEntry.
-	Server(r feed.Record) (backend.Server, error)
-	// Status returns false for a record that is about something else.
-	Status(r feed.Record) (Status, bool, error)
-	// Daemon returns the control address that a daemon's entry holds.
-	Daemon(r feed.Record) (string, error)
+	DecodeOperator(r feed.Record) (OperatorRecord, error)
+	// DecodeEvacuation returns false for a record that is about something else.
+	DecodeEvacuation(r feed.Record) (Evacuation, bool)
+	// DecodeServer returns what a server says of itself, or a *backend.BadEntry.
+	DecodeServer(r feed.Record) (backend.Server, error)
+	// DecodeStatus returns false for a record that is about something else.
+	DecodeStatus(r feed.Record) (RolloutStatus, bool, error)
+	// DecodeDaemon returns the control address that a daemon's entry holds.
+	DecodeDaemon(r feed.Record) (string, error)
 	EncodeStatus(o rollout.Order, p rollout.Phase, since time.Duration) (key string, value []byte, err error)
 	EncodeDaemon(control string) ([]byte, error)
-	// Held returns false for a record that is about something else.
-	Held(r feed.Record) (Held, bool, error)
-	// EncodeHeld returns no value for a request that is released: the record is removed.
-	EncodeHeld(h Held) (key string, value []byte, err error)
+	// DecodeHold returns false for a record that is about something else.
+	DecodeHold(r feed.Record) (HoldRecord, bool, error)
+	// EncodeHold returns no value for a request that is released: the record is removed.
+	EncodeHold(h HoldRecord) (key string, value []byte, err error)
 }
 
-// Ports are the daemon's connections to its surroundings.
-type Ports struct {
-	Log        feed.Log
-	Translator Translator
-	Backend    relay.Backend
-	Metrics    *relay.Metrics
-	Logger     *log.Logger
-	// Boot reads a clock that counts while the VM is suspended.
-	Boot func() time.Duration
-	// Peers calls other daemons; nil calls them over the network.
-	Peers gossip.Transport
+// Dependencies are the daemon's connections to its surroundings.
+type Dependencies struct {
+	Log     feed.Log
+	Codec   Codec
+	Backend relay.Backend
+	Metrics *relay.Metrics
+	Logger  *log.Logger
+	// BootTime reads a clock that counts while the VM is suspended.
+	BootTime func() time.Duration
+	// PeerTransport calls other daemons; nil calls them over the network.
+	PeerTransport gossip.Transport
 }
 
 // Node is one daemon.
@@ -114,71 +114,71 @@
 	Relay *relay.Relay
 
 	config      Config
-	ports       Ports
+	deps        Dependencies
 	log         *log.Logger
 	incarnation string
 	topics      Topics
 	state       *relay.State
 	members     *gossip.Members
-	links       *peer.Client
+	peerClient  *peer.Client
 	// followers read the topics, in the order in which pulses tell how far.
-	followers  []*feed.Follower
-	operators  *feed.Follower
-	statuses   *feed.Follower
-	others     *feed.Follower
-	placements gossip.Placements
-	// faults are the entries of servers that cannot be used.
-	faults   faults
-	enrolled atomic.Bool
-	leaving  atomic.Bool
-	// ownContact is the boot clock's reading when the newest read was sent that
+	followers        []*feed.Follower
+	operatorFollower *feed.Follower
+	statusFollower   *feed.Follower
+	daemonFollower   *feed.Follower
+	placements       gossip.Placements
+	// invalidEntries are the entries of servers that cannot be used.
+	invalidEntries invalidEntries
+	registered     atomic.Bool
+	leaving        atomic.Bool
+	// lastStoreContact is the boot clock's reading when the newest read was sent that
 	// the log itself answered and that found this daemon current.
-	ownContact atomic.Int64
-	// unanswered is the boot clock's reading when the store first did not answer a call
+	lastStoreContact atomic.Int64
+	// unansweredSince is the boot clock's reading when the store first did not answer a call
 	// of this daemon, or zero since it has answered one.
-	unanswered atomic.Int64
-	// cutOff says that the store did not answer this daemon while it answered another.
-	cutOff atomic.Bool
-	// stoodIn is the boot clock's reading when the store last answered this daemon after
+	unansweredSince atomic.Int64
+	// partitioned says that the store did not answer this daemon while it answered another.
+	partitioned atomic.Bool
+	// lastFallbackRead is the boot clock's reading when the store last answered this daemon after
 	// nobody had confirmed configurations for too long, or zero.
-	stoodIn atomic.Int64
-	// born is the boot clock's reading at the start.
-	born time.Duration
-	plan freshness.Plan
+	lastFallbackRead atomic.Int64
+	// startedAt is the boot clock's reading at the start.
+	startedAt time.Duration
+	checkPlan freshness.Plan
 	// roles are those that were logged last; only lookAfter uses them.
 	roles roles
-	// returned says which subjects a store that came back from an older copy tells next.
-	returned returned
-	// outdated is the newest configuration that others have and the store does not.
-	outdated outdated
-	// stored are the held requests that the store tells of.
-	stored *storedHolds
-	// lookFrom is when the store may be looked at again; only lookAfter uses it.
-	lookFrom time.Time
+	// restored says which subjects a store that came back from an older copy tells next.
+	restored restoredSubjects
+	// newerConfig is the newest configuration that others have and the store does not.
+	newerConfig newerConfig
+	// storedHolds are the held requests that the store tells of.
+	storedHolds *storedHolds
+	// nextCheckAt is when the store may be looked at again; only lookAfter uses it.
+	nextCheckAt time.Time
 }
 
 // New returns a daemon that is not running yet.
-func New(ctx context.Context, c Config, p Ports) *Node {
-	n := &Node{config: c, ports: p, log: p.Logger, topics: p.Translator.Topics(), plan: upkeep(c.InForce, c.Leave), faults: faults{}, born: p.Boot(), stored: newStoredHolds()}
+func New(ctx context.Context, c Config, p Dependencies) *Node {
+	n := &Node{config: c, deps: p, log: p.Logger, topics: p.Codec.Topics(), checkPlan: newCheckPlan(c.ConfigPropagationLimit, c.ServerDrainLimit), invalidEntries: invalidEntries{}, startedAt: p.BootTime(), storedHolds: newStoredHolds()}
 	n.incarnation = c.Name + "/" + strconv.FormatUint(rand.Uint64(), 36)
-	n.state = relay.NewState(c.Name, c.FailureDomain, p.Boot)
-	n.Relay = relay.New(n.state, p.Backend, c.Rules, p.Metrics, p.Logger)
-	n.links = peer.NewClient(c.Name, "", nil)
-	var peers gossip.Transport = gossip.PeerTransport{Client: n.links}
-	if p.Peers != nil {
-		peers = p.Peers
+	n.state = relay.NewState(c.Name, c.FailureDomain, p.BootTime)
+	n.Relay = relay.New(n.state, p.Backend, c.RelayOptions, p.Metrics, p.Logger)
+	n.peerClient = peer.NewClient(c.Name, "", nil)
+	var peers gossip.Transport = gossip.PeerTransport{Client: n.peerClient}
+	if p.PeerTransport != nil {
+		peers = p.PeerTransport
 	}
-	n.members = gossip.New(c.Name, c.Control, n.incarnation, n.pulse, peers, p.Boot, p.Logger)
-	n.members.OnMessage, n.members.OnWorkChanged = n.onPulse, n.state.AddPeerWork
+	n.members = gossip.New(c.Name, c.ControlAddress, n.incarnation, n.buildMessage, peers, p.BootTime, p.Logger)
+	n.members.OnMessage, n.members.OnWorkChanged = n.handleMessage, n.state.AddPeerWork
 	n.members.QuarantineUpdate = n.Relay.Guard.Update
-	n.Relay.ConfigOutdated = n.isOutdated
+	n.Relay.ConfigOutdated = n.configOutdated
 	n.members.AddAddresses(c.Seeds...)
-	n.prepare(ctx)
+	n.initFollowers(ctx)
 	return n
 }
 
-// Peers returns the handler for other daemons.
-func (n *Node) Peers() *peer.Server {
+// PeerServer returns the handler for other daemons.
+func (n *Node) PeerServer() *peer.Server {
 	s := peer.NewServer("")
 	n.members.RegisterHandlers(s, n.recordsSince)
 	return s
@@ -189,39 +189,39 @@
 	for _, f := range n.followers {
 		go f.Run(ctx)
 	}
-	for _, loop := range []func(context.Context){n.Relay.Run, n.members.Run, n.decide, n.lookAfter, n.enroll, n.broadcastHolds, n.keepHolds, n.viewPeers} {
+	for _, loop := range []func(context.Context){n.Relay.Run, n.members.Run, n.runRollouts, n.maintainFreshness, n.maintainRegistration, n.broadcastHolds, n.syncHolds, n.refreshSlowStartView} {
 		go loop(ctx)
 	}
-	n.log.Info("started", "daemon", n.config.Name, "incarnation", n.incarnation, "front", n.config.Front, "control", n.config.Control)
+	n.log.Info("started", "daemon", n.config.Name, "incarnation", n.incarnation, "front", n.config.ClientAddress, "control", n.config.ControlAddress)
 }
 
 // Leaving reports whether the daemon is leaving.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// Learn adds addresses at which daemons may be.
-func (n *Node) Learn(addresses ...string) { n.members.AddAddresses(addresses...) }
+// AddPeerAddresses adds addresses at which daemons may be.
+func (n *Node) AddPeerAddresses(addresses ...string) { n.members.AddAddresses(addresses...) }
 
 // EachServer calls f for every server of a service that may get requests.
 func (n *Node) EachServer(service string, f func(id string)) { n.state.EachServer(service, f) }
 
-// pulse is what this daemon tells another, with its evidence on new versions or without.
-func (n *Node) pulse(evidence bool) gossip.Message {
-	judge := n.judges()
+// buildMessage is what this daemon tells another, with its evidence on new versions or without.
+func (n *Node) buildMessage(evidence bool) gossip.Message {
+	judge := n.isEvaluator()
 	p := gossip.Message{
-		Incarnation: n.incarnation, Name: n.config.Name, Address: n.config.Control, ClientAddress: n.config.Front,
-		FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load(), Eligible: n.able(),
-		Work: n.state.OwnWork(), Orders: n.Relay.Rollouts.Reports(n.state.InFlightOnOtherVersions, evidence, judge), Ages: n.ages(), WantsEvidence: judge,
+		Incarnation: n.incarnation, Name: n.config.Name, Address: n.config.ControlAddress, ClientAddress: n.config.ClientAddress,
+		FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load(), Eligible: n.eligible(),
+		Work: n.state.OwnWork(), Orders: n.Relay.Rollouts.Reports(n.state.InFlightOnOtherVersions, evidence, judge), Ages: n.confirmationAges(), WantsEvidence: judge,
 	}
 	for _, f := range n.followers {
 		p.NextPositions = append(p.NextPositions, f.Next())
 	}
 	p.Placed, p.PlacedRound = n.placements.CurrentRound(n.state.DrainPlacements, time.Now())
-	p.ConfigVersion = n.version()
+	p.ConfigVersion = n.configVersion()
 	return p
 }
 
-// ages returns the ages of the newest confirmations in milliseconds, for other daemons.
-func (n *Node) ages() []int64 {
+// confirmationAges returns the ages of the newest confirmations in milliseconds, for other daemons.
+func (n *Node) confirmationAges() []int64 {
 	out := make([]int64, freshness.Subjects)
 	for about := range freshness.Subjects {
 		out[about] = gossip.AgeUnknown
@@ -232,26 +232,26 @@
 	return out
 }
 
-// onPulse takes another daemon's pulse, made after a reading of the boot clock, or
+// handleMessage takes another daemon's pulse, made after a reading of the boot clock, or
 // zero if none is known.
-func (n *Node) onPulse(p gossip.Message, after time.Duration) {
+func (n *Node) handleMessage(p gossip.Message, after time.Duration) {
 	for i, f := range n.followers {
 		f.ObservePeerPosition(p.NextPosition(i))
 	}
-	n.noteNewer(p)
+	n.observeConfigVersion(p)
 	if after != 0 {
-		n.confirmedBy(p, after)
+		n.applyPeerConfirmations(p, after)
 	}
 	n.Relay.Rollouts.ApplyReports(p.Incarnation, p.Orders)
 	n.Relay.Guard.Merge(p.Quarantine)
 	if n.placements.MarkSeen(p.Incarnation, p.PlacedRound) {
 		n.state.ApplyPlacements(p.Placed)
 	}
-	n.state.SetDaemons(n.daemons())
+	n.state.SetDaemons(n.liveDaemons())
 }
 
-// Fronts lists up to most addresses at which a caller should connect.
-func (n *Node) Fronts(c membership.Client, most int) []string {
-	own := membership.Endpoint{Address: n.config.Front, FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load()}
+// SelectEndpoints lists up to most addresses at which a caller should connect.
+func (n *Node) SelectEndpoints(c membership.Client, most int) []string {
+	own := membership.Endpoint{Address: n.config.ClientAddress, FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load()}
 	return membership.SelectEndpoints(append(n.members.Endpoints(), own), c, most)
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -17,8 +17,8 @@
 // minute of eight cores: -daemons 520.
 func fleetSizes() []int {
 	switch {
-	case *measured > 0:
-		return []int{*measured}
+	case *daemonsFlag > 0:
+		return []int{*daemonsFlag}
 	case testing.Short():
 		return []int{6, 60}
 	}
@@ -28,7 +28,7 @@
 // Guards against this failure: 195 daemons made 3,000 calls of the store in their first half
 // minute, 15 each before they had served much; at a start of all after a loss of power the
 // same again.
-func TestFleetThatStartsTogetherMakesFewCalls(t *testing.T) {
+func TestSimultaneousStartMakesFewCalls(t *testing.T) {
 	const (
 		// each is the calls of a daemon: three topics read once, and one for daemons that
 		// take themselves for one of the first until they have heard more. all is what is
@@ -41,13 +41,13 @@
 	for _, daemons := range fleetSizes() {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newStore(t, daemons, []string{address(0), address(1), address(2)})
-				f.refuses = true
+				f := newStoppedFleet(t, daemons, []string{address(0), address(1), address(2)})
+				f.refuseStopped = true
 				for i := daemons - 1; i >= 0; i-- {
 					f.start(i)
-					time.Sleep(startSpan / time.Duration(daemons))
+					time.Sleep(startWindow / time.Duration(daemons))
 				}
-				within(t, soon, "all daemons are ready", func() bool { return f.count(func(m *member) bool { return m.Ready() }) == daemons })
+				waitFor(t, soon, "all daemons are ready", func() bool { return f.count(func(m *member) bool { return m.Ready() }) == daemons })
 				time.Sleep(30 * time.Second)
 				t.Logf("%d calls: %v", f.store.TotalCalls(), f.store.CallCounts())
 				if n := f.store.TotalCalls(); n > each*daemons+all {
@@ -63,15 +63,15 @@
 	}
 }
 
-// startSpan is the time in which all daemons of a deployment start.
-const startSpan = 300 * time.Millisecond
+// startWindow is the time in which all daemons of a deployment start.
+const startWindow = 300 * time.Millisecond
 
 // A daemon that reaches none of its seeds finds the others through the store, and others
 // that reach none find it.
-func TestDaemonsFindEachOtherThroughTheStore(t *testing.T) {
+func TestPeersAreDiscoveredThroughStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleetWith(t, 5, nil)
-		within(t, 8*time.Second, "all have heard all", func() bool {
+		f := newFleetWithSeeds(t, 5, nil)
+		waitFor(t, 8*time.Second, "all have heard all", func() bool {
 			return f.count(func(m *member) bool { return m.members.LiveCount() == 4 }) == 5
 		})
 		if n := f.store.CallCounts()[feedtest.Call{Kind: feedtest.CallAppend, Topic: "daemons"}]; n != 5 {
@@ -107,11 +107,11 @@
 					time.Sleep(span)
 					during := f.store.TotalCalls() - before
 					f.store.SetMode(feedtest.Serving)
-					took := within(t, again, "all know that the store is back", func() bool {
+					took := waitFor(t, again, "all know that the store is back", func() bool {
 						return f.count(func(m *member) bool { return m.state.ConfirmedWithin(freshness.Configuration, again) }) == daemons
 					})
 					f.store.Put("servers", "a", []byte("leaving"))
-					acted := within(t, f.bound/2, "a word is acted on", func() bool { return f.using("a") == 0 })
+					acted := waitFor(t, f.limit/2, "a word is acted on", func() bool { return f.countUsing("a") == 0 })
 					time.Sleep(after)
 					total := f.store.TotalCalls() - before
 					t.Logf("%d calls, %d with those of the return; back after %s, word after %s", during, total, took, acted)
@@ -125,7 +125,7 @@
 }
 
 // Guards against this failure: callers were sent to a daemon for 9 s after its end.
-func TestLostDaemonIsNoLongerOffered(t *testing.T) {
+func TestLostDaemonIsNotListedAsEndpoint(t *testing.T) {
 	// kept is how long callers keep an answer: those that got the last one that names the
 	// daemon are not to outlast it by more.
 	const kept = 5 * time.Second
@@ -135,12 +135,12 @@
 			time.Sleep(12 * time.Second)
 			f.kill(1)
 			lost := fmt.Sprintf("f%03d", 1)
-			took := within(t, kept, "no daemon names the lost one", func() bool {
-				return f.count(func(m *member) bool { return slices.Contains(m.Fronts(membership.Client{}, daemons), lost) }) == 0
+			took := waitFor(t, kept, "no daemon names the lost one", func() bool {
+				return f.count(func(m *member) bool { return slices.Contains(m.SelectEndpoints(membership.Client{}, daemons), lost) }) == 0
 			})
 			t.Logf("%d daemons: %s", daemons, took)
 			f.each(func(m *member) {
-				if n := len(m.Fronts(membership.Client{}, daemons)); n != daemons-1 {
+				if n := len(m.SelectEndpoints(membership.Client{}, daemons)); n != daemons-1 {
 					t.Errorf("%s names %d of %d daemons", m.config.Name, n, daemons-1)
 				}
 			})
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -14,9 +14,9 @@
 	"github.com/samber/oops"
 )
 
-// maxReply bounds a platform reply in bytes, so that a broken service cannot
+// maxResponseBytes bounds a platform reply in bytes, so that a broken service cannot
 // exhaust our memory.
-const maxReply = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // Client speaks the platform's HTTP protocol. It implements Log, VMList, Rater
 // and WeightStore.
@@ -35,13 +35,13 @@
 	Records [][]byte `json:"records"`
 }
 
-type appendReply struct {
+type appendResponse struct {
 	First uint64 `json:"first"`
 }
 
 // Append implements Log.
 func (c *Client) Append(ctx context.Context, stream string, records [][]byte) (uint64, error) {
-	var reply appendReply
+	var reply appendResponse
 	err := c.call(ctx, http.MethodPost, "/streams/"+url.PathEscape(stream), appendRequest{records}, &reply)
 	return reply.First, err
 }
@@ -70,14 +70,14 @@
 	return c.call(ctx, http.MethodPost, "/samples", s, nil)
 }
 
-type collectReply struct {
+type collectResponse struct {
 	Ratings []Rating `json:"ratings"`
 	Next    int      `json:"next"`
 }
 
 // Collect implements Rater.
 func (c *Client) Collect(ctx context.Context, daemon string, from int) ([]Rating, int, error) {
-	var r collectReply
+	var r collectResponse
 	q := url.Values{"daemon": {daemon}, "from": {strconv.Itoa(from)}}
 	err := c.call(ctx, http.MethodGet, "/ratings?"+q.Encode(), nil, &r)
 	return r.Ratings, r.Next, err
@@ -109,7 +109,7 @@
 		return oops.In("platform").Wrapf(err, "%s %s", method, path)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return oops.In("platform").Wrapf(err, "read %s %s", method, path)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -74,8 +74,8 @@
 	Good   bool   `json:"good"`
 }
 
-// Rater is the rating service. Ratings come late and in any order.
-type Rater interface {
+// RatingService is the rating service. Ratings come late and in any order.
+type RatingService interface {
 	Submit(ctx context.Context, s Sample) error
 	// Collect returns the ratings of a daemon's samples from a cursor on and the next cursor.
 	Collect(ctx context.Context, daemon string, from int) ([]Rating, int, error)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against a handler's panic that nobody counts or sees.
-func TestPanicIsCountedLoggedAndEndsTheConnection(t *testing.T) {
+func TestPanicIsCountedAndAbortsConnection(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	var lines bytes.Buffer
 	for _, c := range []struct {
@@ -20,7 +20,7 @@
 		counts int64
 	}{{nil, 0}, {"broken", 1}, {http.ErrAbortHandler, 0}} {
 		counter := scope.Counter("panics")
-		before := counted(scope)
+		before := panicCount(scope)
 		h := Handler(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			if c.panics != nil {
 				panic(c.panics)
@@ -34,7 +34,7 @@
 			}()
 			h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 		}()
-		if got := counted(scope) - before; got != c.counts {
+		if got := panicCount(scope) - before; got != c.counts {
 			t.Errorf("%v: counted %d", c.panics, got)
 		}
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-func counted(s tally.TestScope) int64 {
+func panicCount(s tally.TestScope) int64 {
 	if c := s.Snapshot().Counters()["panics+"]; c != nil {
 		return c.Value()
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -265,7 +265,7 @@
 	e.mu.Lock()
 	uncached := e.cache.touch(ru.model, ru.prompt)
 	e.mu.Unlock()
-	if !loop.Pause(ru.ctx, time.Duration(slow*float64(uncached/4)*float64(e.cfg.Prefill))) {
+	if !loop.Sleep(ru.ctx, time.Duration(slow*float64(uncached/4)*float64(e.cfg.Prefill))) {
 		e.finish(ru, true)
 		return
 	}
@@ -280,7 +280,7 @@
 		ru.confidence *= chance(ru.id, "confidence")
 	}
 	for i := range ru.want {
-		if i > 0 && !loop.Pause(ru.ctx, time.Duration(slow*float64(e.cfg.PerToken))) {
+		if i > 0 && !loop.Sleep(ru.ctx, time.Duration(slow*float64(e.cfg.PerToken))) {
 			e.finish(ru, true)
 			return
 		}
