--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,5 +1,4 @@
-// Package recovery counts and logs panics of HTTP handlers, which net/http would pass over with
-// a closed connection.
+// Package recovery counts and logs panics of HTTP handlers.
 package recovery
 
 import (
@@ -10,18 +9,18 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Handler serves with h. A panic is counted and logged, and ends the connection; the abort that
-// net/http itself defines passes uncounted.
+// Handler wraps h so that a panic is counted, logged and aborts the connection. A panic with
+// http.ErrAbortHandler is passed on without being counted.
 func Handler(h http.Handler, panics tally.Counter, l *log.Logger) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
-			switch p := recover(); p {
+			switch recovered := recover(); recovered {
 			case nil:
 			case http.ErrAbortHandler:
-				panic(p)
+				panic(recovered)
 			default:
 				panics.Inc(1)
-				l.Error("panic", "path", r.URL.Path, "panic", p, "stack", string(debug.Stack()))
+				l.Error("panic", "path", r.URL.Path, "panic", recovered, "stack", string(debug.Stack()))
 				panic(http.ErrAbortHandler)
 			}
 		}()
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -11,10 +11,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Guards against a handler's panic that nobody counts or sees.
+// Guards against panics that are neither counted nor logged.
 func TestPanicIsCountedAndAbortsConnection(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
-	var lines bytes.Buffer
+	var output bytes.Buffer
 	for _, c := range []struct {
 		panics any
 		counts int64
@@ -25,21 +25,21 @@
 			if c.panics != nil {
 				panic(c.panics)
 			}
-		}), counter, log.New(&lines))
+		}), counter, log.New(&output))
 		func() {
 			defer func() {
 				if got := recover(); (got != nil) != (c.panics != nil) || got != nil && got != http.ErrAbortHandler {
-					t.Errorf("%v: passed on %v", c.panics, got)
+					t.Errorf("%v: re-panicked with %v", c.panics, got)
 				}
 			}()
 			h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 		}()
 		if got := panicCount(scope) - before; got != c.counts {
-			t.Errorf("%v: counted %d", c.panics, got)
+			t.Errorf("%v: count is %d", c.panics, got)
 		}
 	}
-	if !strings.Contains(lines.String(), "panic=broken") {
-		t.Errorf("logged %s", lines.String())
+	if !strings.Contains(output.String(), "panic=broken") {
+		t.Errorf("log output: %s", output.String())
 	}
 }
 
