--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop runs functions at a period.
+// Package loop runs functions periodically.
 package loop
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Every calls f at a period, for the first time after one, until the context ends. A
-// call that takes longer than the period delays the next; none is made up for.
+// Every calls f after each period until the context ends. Ticks that pass during a slow call are
+// dropped.
 func Every(ctx context.Context, period time.Duration, f func(ctx context.Context, now time.Time)) {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
@@ -21,9 +21,9 @@
 	}
 }
 
-// Sleep waits for a time, and reports whether it passed before the context's end. No time
-// needs no timer: one that is due at once crashes the runtime now and then in a test that
-// has virtual time and the race detector.
+// Sleep waits for d and returns true, or returns false if the context ends first. A non-positive d
+// needs no timer: timers that fire at once can crash the runtime under synctest with the race
+// detector.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -15,6 +15,6 @@
 		}
 	})
 	if calls != 3 {
-		t.Errorf("called %d times", calls)
+		t.Errorf("%d calls", calls)
 	}
 }
