--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -1,4 +1,4 @@
-// Package logs writes log lines without ever waiting for their reader.
+// Package logs writes log lines without blocking on a slow output.
 package logs
 
 import (
@@ -9,26 +9,24 @@
 )
 
 const (
-	// queueLines bounds the lines that wait to be written: about a second of a
-	// busy daemon, under 500 KB.
+	// queueLines bounds the lines that wait to be written.
 	queueLines = 2048
-	// closeTimeout bounds the wait for the last lines at the end of the process.
+	// closeTimeout bounds the wait of Close for pending lines.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// AsyncWriter passes lines on to a writer from a bounded queue. A reader that stands
-// still would otherwise stop the daemon at its next line; instead lines are
-// dropped and counted.
+// AsyncWriter writes lines to another writer from a bounded queue. While the output is blocked and
+// the queue is full, lines are dropped and counted.
 type AsyncWriter struct {
 	out   io.Writer
 	lines chan []byte
-	// closing is closed when no further line is taken, and done when the last is written.
+	// closing is closed by Close, and done once the last line is written.
 	closing, done chan struct{}
 	closeOnce     sync.Once
 	dropped       atomic.Int64
 }
 
-// NewAsyncWriter returns a writer before w.
+// NewAsyncWriter returns a writer in front of w and starts its goroutine, which Close ends.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	a := &AsyncWriter{out: w, lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go a.run()
@@ -48,7 +46,7 @@
 	}
 }
 
-// drain writes what waits.
+// drain writes all pending lines.
 func (a *AsyncWriter) drain() {
 	for {
 		select {
@@ -66,8 +64,8 @@
 	}
 }
 
-// Write implements io.Writer. It never waits and never fails. Lines after Close are dropped:
-// at the end of the process handlers still run.
+// Write implements io.Writer. It never blocks and never fails. Lines after Close are dropped, since
+// handlers may still log during shutdown.
 func (a *AsyncWriter) Write(p []byte) (int, error) {
 	select {
 	case <-a.closing:
@@ -83,10 +81,10 @@
 	return len(p), nil
 }
 
-// Dropped returns how many lines were lost.
+// Dropped returns the number of lost lines.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes what waits, for a short time.
+// Close stops accepting lines and waits up to closeTimeout for pending ones to be written.
 func (a *AsyncWriter) Close() {
 	a.closeOnce.Do(func() { close(a.closing) })
 	select {
--- a/internal/logs/async_test.go
+++ b/internal/logs/async_test.go
@@ -8,14 +8,12 @@
 	"testing"
 )
 
-// blockedWriter is a reader of standard output that stands still.
+// blockedWriter blocks until unblock is closed.
 type blockedWriter struct{ unblock chan struct{} }
 
 func (s blockedWriter) Write(p []byte) (int, error) { <-s.unblock; return len(p), nil }
 
-// Symptom: a daemon stopped serving.
-// Sequence: whatever reads its standard output stands still; the pipe is full.
-// Cause: the next line waited for it.
+// Guards against a daemon that blocks on logging while its standard output is not read.
 func TestBlockedOutputDoesNotBlockWrite(t *testing.T) {
 	s := blockedWriter{make(chan struct{})}
 	a := NewAsyncWriter(s)
@@ -25,7 +23,7 @@
 		}
 	}
 	if a.Dropped() == 0 {
-		t.Error("no line counts as dropped")
+		t.Error("no dropped lines")
 	}
 	close(s.unblock)
 	a.Close()
@@ -57,7 +55,7 @@
 	}
 }
 
-// Guards against a panic of a handler that logs while the process ends.
+// Guards against a panic of a handler that logs during shutdown.
 func TestWriteAfterCloseIsDropped(t *testing.T) {
 	var out bytes.Buffer
 	a := NewAsyncWriter(&out)
