--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -1,6 +1,5 @@
-// Package metrics keeps tally's counters, gauges and histograms in memory and
-// serves them as text. It is a fraction of the size of a metrics client library,
-// which matters on VMs whose memory is paid for.
+// Package metrics keeps tally's counters, gauges and histograms in memory and serves them in the
+// Prometheus text format.
 package metrics
 
 import (
@@ -18,14 +17,14 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TextReporter is a tally reporter that serves what it was told. It implements
+// TextReporter stores reported metrics and serves them as text. It implements
 // tally.CachedStatsReporter and http.Handler.
 type TextReporter struct {
 	mu      sync.Mutex
 	metrics map[string]*metric
 }
 
-// metric is one line: a count, or a gauge's bits.
+// metric is the value of one series: a count, or the bits of a gauge's float64.
 type metric struct {
 	count atomic.Int64
 	gauge atomic.Uint64
@@ -42,7 +41,7 @@
 // New returns an empty reporter.
 func New() *TextReporter { return &TextReporter{metrics: map[string]*metric{}} }
 
-// Scope returns a scope that reports to t at a period; the closer ends it.
+// Scope returns a scope that reports to t every period, and a closer that ends reporting.
 func (t *TextReporter) Scope(prefix string, period time.Duration) (tally.Scope, io.Closer) {
 	return tally.NewRootScope(tally.ScopeOptions{
 		Prefix: prefix, Separator: "_", CachedReporter: t, OmitCardinalityMetrics: true,
@@ -82,8 +81,8 @@
 	return t.metric(name, tags, gauge)
 }
 
-// AllocateTimer implements tally.CachedStatsReporter. Only the number of timings
-// is kept; durations go to histograms.
+// AllocateTimer implements tally.CachedStatsReporter. Only the number of timings is kept; durations
+// belong in histograms.
 func (t *TextReporter) AllocateTimer(name string, tags map[string]string) tally.CachedTimer {
 	return t.metric(name+"_count", tags, counter)
 }
@@ -145,7 +144,7 @@
 	return h.text.metric(h.name+"_bucket", tags, counter)
 }
 
-// ServeHTTP implements http.Handler. Buckets count what fell into them alone.
+// ServeHTTP implements http.Handler. Histogram buckets are not cumulative.
 func (t *TextReporter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	t.mu.Lock()
 	lines := make([]string, 0, len(t.metrics))
@@ -159,5 +158,5 @@
 	t.mu.Unlock()
 	slices.Sort(lines)
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	_, _ = io.WriteString(w, strings.Join(lines, "")) // a reader that left gets nothing
+	_, _ = io.WriteString(w, strings.Join(lines, "")) // the client may have disconnected
 }
--- a/internal/metrics/text_test.go
+++ b/internal/metrics/text_test.go
@@ -16,7 +16,7 @@
 	scope.Tagged(map[string]string{"kind": "stale"}).Counter("refusals").Inc(2)
 	scope.Gauge("running").Update(1.5)
 	scope.Histogram("seconds", tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 3)).RecordDuration(3 * time.Millisecond)
-	if err := closer.Close(); err != nil { // reports what was counted
+	if err := closer.Close(); err != nil { // flushes the metrics
 		t.Fatal(err)
 	}
 	rec := httptest.NewRecorder()
