--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -14,19 +14,18 @@
 	"github.com/samber/oops"
 )
 
-// maxResponseBytes bounds a platform reply in bytes, so that a broken service cannot
-// exhaust our memory.
+// maxResponseBytes bounds a response body, so that a broken service cannot exhaust memory.
 const maxResponseBytes = 16 << 20
 
-// Client speaks the platform's HTTP protocol. It implements Log, VMList, Rater
-// and WeightStore.
+// Client is the HTTP client of the platform. It implements Log, VMList, RatingService and
+// WeightStore.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client for a service at base, such as http://10.0.0.9:7000.
-// Each call ends after timeout.
+// NewClient returns a client for the service at base, such as http://10.0.0.9:7000. Each call is
+// bounded by timeout.
 func NewClient(base string, timeout time.Duration) *Client {
 	return &Client{base: base, http: &http.Client{Timeout: timeout}}
 }
@@ -41,9 +40,9 @@
 
 // Append implements Log.
 func (c *Client) Append(ctx context.Context, stream string, records [][]byte) (uint64, error) {
-	var reply appendResponse
-	err := c.call(ctx, http.MethodPost, "/streams/"+url.PathEscape(stream), appendRequest{records}, &reply)
-	return reply.First, err
+	var response appendResponse
+	err := c.call(ctx, http.MethodPost, "/streams/"+url.PathEscape(stream), appendRequest{records}, &response)
+	return response.First, err
 }
 
 // Read implements Log.
@@ -65,7 +64,7 @@
 	return vms, err
 }
 
-// Submit implements Rater.
+// Submit implements RatingService.
 func (c *Client) Submit(ctx context.Context, s Sample) error {
 	return c.call(ctx, http.MethodPost, "/samples", s, nil)
 }
@@ -75,12 +74,12 @@
 	Next    int      `json:"next"`
 }
 
-// Collect implements Rater.
+// Collect implements RatingService.
 func (c *Client) Collect(ctx context.Context, daemon string, from int) ([]Rating, int, error) {
-	var r collectResponse
+	var response collectResponse
 	q := url.Values{"daemon": {daemon}, "from": {strconv.Itoa(from)}}
-	err := c.call(ctx, http.MethodGet, "/ratings?"+q.Encode(), nil, &r)
-	return r.Ratings, r.Next, err
+	err := c.call(ctx, http.MethodGet, "/ratings?"+q.Encode(), nil, &response)
+	return response.Ratings, response.Next, err
 }
 
 // Reserve implements WeightStore.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,7 +1,5 @@
-// Package platform is the system's side of what the platform offers: the
-// append-only log, the list of VMs, the weight store and the rating service.
-// Each is a small interface with an HTTP client; stand-ins serve the other end
-// in tests and in the demo.
+// Package platform defines the platform's services: the append-only log, the list of VMs, the
+// weight store and the rating service. Client implements them over HTTP.
 package platform
 
 import (
@@ -18,32 +16,32 @@
 // Batch is the result of one read.
 type Batch struct {
 	Records []Record `json:"records"`
-	// Oldest is the first offset the log still keeps.
+	// Oldest is the first offset that the log retains.
 	Oldest uint64 `json:"oldest"`
-	// Next is the offset the next append will get.
+	// Next is the offset of the next append.
 	Next uint64 `json:"next"`
 }
 
 // Log is the append-only log service. Offsets of a stream are consecutive.
 type Log interface {
-	// Append adds records in order and returns the offset of the first. An
-	// error leaves open whether the records were added.
+	// Append adds records in order and returns the offset of the first. After an error the
+	// records may or may not have been added.
 	Append(ctx context.Context, stream string, records [][]byte) (uint64, error)
-	// Read returns records from an offset on, waiting up to wait for the first.
+	// Read returns up to limit records from an offset on. It waits up to wait for the first.
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (Batch, error)
 }
 
-// VMState is what the platform says of a VM.
+// VMState is the lifecycle state of a VM.
 type VMState string
 
 const (
-	// Live VMs may be used.
+	// Live VMs accept work.
 	Live VMState = "live"
-	// Leaving VMs go away soon and must get no new work.
+	// Leaving VMs are about to be removed and must get no new work.
 	Leaving VMState = "leaving"
 )
 
-// VM is one row of the platform's lagging list.
+// VM is an entry of VMList.
 type VM struct {
 	ID            string  `json:"id"`
 	Address       string  `json:"address"`
@@ -51,12 +49,12 @@
 	State         VMState `json:"state"`
 }
 
-// VMList is the platform's list of VMs. It lags and may be down.
+// VMList lists the platform's VMs. The list may be outdated or unavailable.
 type VMList interface {
 	List(ctx context.Context) ([]VM, error)
 }
 
-// Sample is an answer handed to the rating service.
+// Sample is an answer that is submitted for rating.
 type Sample struct {
 	RequestID string `json:"request_id"`
 	Daemon    string `json:"daemon"`
@@ -68,21 +66,21 @@
 	Answer    string `json:"answer"`
 }
 
-// Rating is the service's late word on a sample.
+// Rating is the rating of a sample.
 type Rating struct {
 	Sample Sample `json:"sample"`
 	Good   bool   `json:"good"`
 }
 
-// RatingService is the rating service. Ratings come late and in any order.
+// RatingService rates samples. Ratings arrive late and in any order.
 type RatingService interface {
 	Submit(ctx context.Context, s Sample) error
-	// Collect returns the ratings of a daemon's samples from a cursor on and the next cursor.
+	// Collect returns the ratings of a daemon's samples from a cursor on, and the next cursor.
 	Collect(ctx context.Context, daemon string, from int) ([]Rating, int, error)
 }
 
-// WeightStore hands model weights to backend servers at a limited rate.
+// WeightStore limits the rate at which backend servers load model weights.
 type WeightStore interface {
-	// Reserve asks for permission to load a version; false means try again later.
+	// Reserve requests permission to load a version; false means retry later.
 	Reserve(ctx context.Context, model, version string) (bool, error)
 }
