--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -231,7 +231,7 @@
 	}
 }
 
-// A line for each change of what a daemon does for all, and none in between.
+// Guards against missing or repeated log lines for role changes.
 func TestRoleChangesAreLoggedOnce(t *testing.T) {
 	n, _ := newTestNode(t)
 	var lines bytes.Buffer
