--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -141,7 +141,7 @@
 				return result, nil
 			}
 		}
-		if !loop.Pause(ctx, readRetryDelay/5) {
+		if !loop.Sleep(ctx, readRetryDelay/5) {
 			c.abandon(rec)
 			return request.ClaimResult{}, request.ClaimResult{}.Err()
 		}
@@ -204,7 +204,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 		defer cancel()
 		for wait := readRetryDelay; c.append(ctx, partitionOf(rec.Key), rec) != nil; wait = min(2*wait, 30*time.Second) {
-			if !loop.Pause(ctx, wait) {
+			if !loop.Sleep(ctx, wait) {
 				return
 			}
 		}
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -94,12 +94,12 @@
 
 func (c *configFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !c.isReader() && !loop.Pause(ctx, nonReaderInterval) {
+		if !c.isReader() && !loop.Sleep(ctx, nonReaderInterval) {
 			return
 		}
 		if err := c.read(ctx); err != nil && ctx.Err() == nil {
 			c.d.metrics.logErrors.Inc(1)
-			loop.Pause(ctx, readRetryDelay)
+			loop.Sleep(ctx, readRetryDelay)
 		}
 	}
 }
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -171,7 +171,7 @@
 		if responded || l.everLeased(limiter) {
 			break
 		}
-		loop.Pause(ctx, leaseRetryDelay)
+		loop.Sleep(ctx, leaseRetryDelay)
 	}
 	return fault.New(fault.RateLimited, "the limit of %d a minute for %s is used up", limit, meter).WithRetryAfter(max(retryAfter, time.Second))
 }
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -154,7 +154,7 @@
 // Run follows the topic until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for f.Enabled != nil && !f.Enabled() && ctx.Err() == nil {
-		loop.Pause(ctx, enabledPollInterval)
+		loop.Sleep(ctx, enabledPollInterval)
 	}
 	for ctx.Err() == nil {
 		f.followPeers(ctx)
@@ -171,7 +171,7 @@
 			f.backOff(ctx, f.recordFailure(ctx, err), soleReader)
 			f.awaitDependency(ctx)
 		} else if f.Next() != before {
-			loop.Pause(ctx, f.BatchDelay)
+			loop.Sleep(ctx, f.BatchDelay)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 		pause = min(pause, maxSoleReaderBackoff)
 	}
 	for deadline := time.Now().Add(pause); ctx.Err() == nil && time.Now().Before(deadline); {
-		loop.Pause(ctx, min(peerPollInterval, time.Until(deadline)))
+		loop.Sleep(ctx, min(peerPollInterval, time.Until(deadline)))
 		f.catchUp(ctx)
 		if standby && (f.IsDesignatedReader() || f.loaded.Load() && !f.ReadsLog()) {
 			return
@@ -205,7 +205,7 @@
 		f.Logger.Info("waiting for another follower", "topic", f.Topic, "next", f.Next(), "other", f.DependsOn.Topic)
 	}
 	for f.DependsOn != nil && f.DependsOn.unavailable.Load() && ctx.Err() == nil {
-		loop.Pause(ctx, dependencyPollInterval)
+		loop.Sleep(ctx, dependencyPollInterval)
 		f.catchUp(ctx)
 	}
 }
--- a/internal/feedtest/store.go
+++ b/internal/feedtest/store.go
@@ -227,7 +227,7 @@
 
 // halfRoundTrip takes half of a round trip.
 func halfRoundTrip(ctx context.Context) error {
-	loop.Pause(ctx, roundTripTime/2)
+	loop.Sleep(ctx, roundTripTime/2)
 	return ctx.Err()
 }
 
--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -1,4 +1,4 @@
-// Package logs writes log lines without ever waiting for their reader.
+// Package logs writes log lines without blocking on a slow output.
 package logs
 
 import (
@@ -9,38 +9,36 @@
 )
 
 const (
-	// queueLines bounds the lines that wait to be written: about a second of a
-	// busy daemon, under 500 KB.
+	// queueLines bounds the lines that wait to be written.
 	queueLines = 2048
-	// closeLimit bounds the wait for the last lines at the end of the process.
-	closeLimit = 200 * time.Millisecond
+	// closeTimeout bounds the wait of Close for pending lines.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Async passes lines on to a writer from a bounded queue. A reader that stands
-// still would otherwise stop the daemon at its next line; instead lines are
-// dropped and counted.
-type Async struct {
+// AsyncWriter writes lines to another writer from a bounded queue. While the output is blocked and
+// the queue is full, lines are dropped and counted.
+type AsyncWriter struct {
 	out   io.Writer
 	lines chan []byte
-	// closing is closed when no further line is taken, and done when the last is written.
+	// closing is closed by Close, and done once the last line is written.
 	closing, done chan struct{}
-	once          sync.Once
+	closeOnce     sync.Once
 	dropped       atomic.Int64
 }
 
-// NewAsync returns a writer before w.
-func NewAsync(w io.Writer) *Async {
-	a := &Async{out: w, lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
+// NewAsyncWriter returns a writer in front of w and starts its goroutine, which Close ends.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	a := &AsyncWriter{out: w, lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-func (a *Async) run() {
+func (a *AsyncWriter) run() {
 	defer close(a.done)
 	for {
 		select {
 		case line := <-a.lines:
-			a.put(line)
+			a.write(line)
 		case <-a.closing:
 			a.drain()
 			return
@@ -48,27 +46,27 @@
 	}
 }
 
-// drain writes what waits.
-func (a *Async) drain() {
+// drain writes all pending lines.
+func (a *AsyncWriter) drain() {
 	for {
 		select {
 		case line := <-a.lines:
-			a.put(line)
+			a.write(line)
 		default:
 			return
 		}
 	}
 }
 
-func (a *Async) put(line []byte) {
+func (a *AsyncWriter) write(line []byte) {
 	if _, err := a.out.Write(line); err != nil {
 		a.dropped.Add(1)
 	}
 }
 
-// Write implements io.Writer. It never waits and never fails. Lines after Close are dropped:
-// at the end of the process handlers still run.
-func (a *Async) Write(p []byte) (int, error) {
+// Write implements io.Writer. It never blocks and never fails. Lines after Close are dropped, since
+// handlers may still log during shutdown.
+func (a *AsyncWriter) Write(p []byte) (int, error) {
 	select {
 	case <-a.closing:
 		a.dropped.Add(1)
@@ -83,14 +81,14 @@
 	return len(p), nil
 }
 
-// Dropped returns how many lines were lost.
-func (a *Async) Dropped() int64 { return a.dropped.Load() }
+// Dropped returns the number of lost lines.
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes what waits, for a short time.
-func (a *Async) Close() {
-	a.once.Do(func() { close(a.closing) })
+// Close stops accepting lines and waits up to closeTimeout for pending ones to be written.
+func (a *AsyncWriter) Close() {
+	a.closeOnce.Do(func() { close(a.closing) })
 	select {
 	case <-a.done:
-	case <-time.After(closeLimit):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/metrics/text_test.go
+++ b/internal/metrics/text_test.go
@@ -9,14 +9,14 @@
 	"github.com/uber-go/tally/v4"
 )
 
-func TestTextServesWhatWasCounted(t *testing.T) {
+func TestTextReporterServesMetrics(t *testing.T) {
 	text := New()
 	scope, closer := text.Scope("d", time.Hour)
 	scope.Counter("requests").Inc(3)
 	scope.Tagged(map[string]string{"kind": "stale"}).Counter("refusals").Inc(2)
 	scope.Gauge("running").Update(1.5)
 	scope.Histogram("seconds", tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 3)).RecordDuration(3 * time.Millisecond)
-	if err := closer.Close(); err != nil { // reports what was counted
+	if err := closer.Close(); err != nil { // flushes the metrics
 		t.Fatal(err)
 	}
 	rec := httptest.NewRecorder()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,291 +23,290 @@
 	"github.com/damaskrudder/damaskrudder/internal/route"
 )
 
-// words is a translator of a platform whose records say what they are.
-type words struct{}
+// fakeCodec decodes plain-text records.
+type fakeCodec struct{}
 
-func (words) Topics() Topics { return Topics{"op", "servers", "status", "daemons"} }
-func (words) Operator(r feed.Record) (Instruction, error) {
+func (fakeCodec) Topics() Topics { return Topics{"op", "servers", "status", "daemons"} }
+func (fakeCodec) DecodeOperator(r feed.Record) (OperatorRecord, error) {
 	var version int64
 	if _, err := fmt.Sscan(string(r.Value), &version); err != nil {
-		return Instruction{}, errors.New("not a version")
+		return OperatorRecord{}, errors.New("not a version")
 	}
 	t, err := route.NewTable(route.Document{Version: version})
-	return Instruction{Table: t}, err
+	return OperatorRecord{Table: t}, err
 }
 
-// Evacuation reads keys "evacuate/DOMAIN".
-func (words) Evacuation(r feed.Record) (Evacuation, bool) {
-	domain, about := strings.CutPrefix(r.Key, "evacuate/")
-	return Evacuation{FailureDomain: domain, Over: r.Value == nil}, about
+// DecodeEvacuation reads keys "evacuate/DOMAIN".
+func (fakeCodec) DecodeEvacuation(r feed.Record) (Evacuation, bool) {
+	domain, ok := strings.CutPrefix(r.Key, "evacuate/")
+	return Evacuation{FailureDomain: domain, Revoked: r.Value == nil}, ok
 }
 
-// Server reads "STATE" or "STATE BORN".
-func (words) Server(r feed.Record) (backend.Server, error) {
-	state, born, _ := strings.Cut(string(r.Value), " ")
+// DecodeServer reads "STATE" or "STATE START_MILLIS".
+func (fakeCodec) DecodeServer(r feed.Record) (backend.Server, error) {
+	state, startMillis, _ := strings.Cut(string(r.Value), " ")
 	if state != "ready" && state != "leaving" {
 		return backend.Server{}, backend.Invalid(backend.UnknownState, "%s", state)
 	}
 	s := backend.Server{Incarnation: backend.Incarnation{Name: r.Key}, Service: "s", Address: r.Key, Leaving: state == "leaving"}
-	_, err := fmt.Sscan(born, &s.Incarnation.StartMillis)
-	if born != "" && err != nil {
+	_, err := fmt.Sscan(startMillis, &s.Incarnation.StartMillis)
+	if startMillis != "" && err != nil {
 		return backend.Server{}, backend.Invalid(backend.FieldType, "born")
 	}
 	return s, nil
 }
-func (words) Status(feed.Record) (Status, bool, error) { return Status{}, false, nil }
-func (words) Daemon(r feed.Record) (string, error)     { return string(r.Value), nil }
-func (words) EncodeStatus(rollout.Order, rollout.Phase, time.Duration) (string, []byte, error) {
+func (fakeCodec) DecodeStatus(feed.Record) (RolloutStatus, bool, error) {
+	return RolloutStatus{}, false, nil
+}
+func (fakeCodec) DecodeDaemon(r feed.Record) (string, error) { return string(r.Value), nil }
+func (fakeCodec) EncodeStatus(rollout.Order, rollout.Phase, time.Duration) (string, []byte, error) {
 	return "", nil, nil
 }
-func (words) EncodeDaemon(control string) ([]byte, error) { return []byte(control), nil }
+func (fakeCodec) EncodeDaemon(address string) ([]byte, error) { return []byte(address), nil }
 
-// Held reads keys "held/FINGERPRINT" whose values are times in Unix ms.
-func (words) Held(r feed.Record) (Held, bool, error) {
-	text, about := strings.CutPrefix(r.Key, "held/")
-	if !about {
-		return Held{}, false, nil
+// DecodeHold reads keys "held/FINGERPRINT" whose values are times in Unix ms.
+func (fakeCodec) DecodeHold(r feed.Record) (HoldRecord, bool, error) {
+	text, ok := strings.CutPrefix(r.Key, "held/")
+	if !ok {
+		return HoldRecord{}, false, nil
 	}
 	f, err := quarantine.ParseFingerprint(text)
 	if err != nil || r.Value == nil {
-		return Held{Fingerprint: f, Released: true}, true, err
+		return HoldRecord{Fingerprint: f, Released: true}, true, err
 	}
 	var until int64
 	_, err = fmt.Sscan(string(r.Value), &until)
-	return Held{Fingerprint: f, Until: time.UnixMilli(until)}, true, err
+	return HoldRecord{Fingerprint: f, Until: time.UnixMilli(until)}, true, err
 }
 
-func (words) EncodeHeld(h Held) (string, []byte, error) {
+func (fakeCodec) EncodeHold(h HoldRecord) (string, []byte, error) {
 	if h.Released {
 		return "held/" + h.Fingerprint.String(), nil, nil
 	}
 	return "held/" + h.Fingerprint.String(), fmt.Append(nil, h.Until.UnixMilli()), nil
 }
 
-// orderOf is an order of a service.
-func orderOf(service string) rollout.Order { return rollout.Order{Service: service} }
+// rolloutOrder returns an order for a service.
+func rolloutOrder(service string) rollout.Order { return rollout.Order{Service: service} }
 
-// noBackend has no server that answers.
-type noBackend struct{ relay.Backend }
+// unavailableBackend has no servers.
+type unavailableBackend struct{ relay.Backend }
 
-func (noBackend) CloseIdleConnections(string) {}
+func (unavailableBackend) CloseIdleConnections(string) {}
 
-// testNode returns a daemon that does not run, with a boot clock to move.
-func testNode(t testing.TB) (*Node, *time.Duration) {
+// newTestNode returns a daemon that is not running, and its adjustable boot clock.
+func newTestNode(t testing.TB) (*Node, *time.Duration) {
 	t.Helper()
 	now := time.Minute
-	n := New(t.Context(), Config{Name: "d0", Control: "c0", Front: "f0", InForce: inForce, Leave: leaveBound}, Ports{
-		Backend: noBackend{}, Translator: words{}, Metrics: relay.NewMetrics(tally.NoopScope), Logger: log.New(io.Discard),
-		Boot: func() time.Duration { return now },
+	n := New(t.Context(), Config{Name: "d0", ControlAddress: "c0", ClientAddress: "f0", ConfigPropagationLimit: configLimit, ServerDrainLimit: drainLimit}, Dependencies{
+		Backend: unavailableBackend{}, Codec: fakeCodec{}, Metrics: relay.NewMetrics(tally.NoopScope), Logger: log.New(io.Discard),
+		BootTime: func() time.Duration { return now },
 	})
 	return n, &now
 }
 
-func (n *Node) know() {
-	n.operator([]feed.Record{{Key: "config", Value: []byte("5")}}, true)
-	n.servers([]feed.Record{{Key: "a", Value: []byte("ready")}}, true)
-	n.confirm(freshness.Configuration, n.ports.Boot())
+func (n *Node) loadTestState() {
+	n.applyOperatorRecords([]feed.Record{{Key: "config", Value: []byte("5")}}, true)
+	n.applyServerRecords([]feed.Record{{Key: "a", Value: []byte("ready")}}, true)
+	n.confirmFromStore(freshness.Configuration, n.deps.BootTime())
 }
 
-func TestReadyAsksForKnowledgeAndContact(t *testing.T) {
-	n, now := testNode(t)
+func TestReadyRequiresStateAndRecentConfirmation(t *testing.T) {
+	n, now := newTestNode(t)
 	if n.Ready() {
 		t.Error("ready without a configuration")
 	}
-	n.know()
+	n.loadTestState()
 	if !n.Ready() {
-		t.Error("not ready with all that it needs")
+		t.Error("not ready with current state")
 	}
-	*now += readyAge
+	*now += maxReadyAge
 	if n.Ready() {
-		t.Error("ready with an old confirmation")
+		t.Error("ready with an expired confirmation")
 	}
 }
 
-// Guards against this failure: callers were sent to a daemon that was cut off from the store,
-// where what it served did not count.
-func TestWordOfOthersKeepsServingButNotReady(t *testing.T) {
-	n, now := testNode(t)
-	n.know()
-	*now += ownLeast + ownGrace
-	n.confirmedBy(gossip.Message{Ages: []int64{100}}, *now)
+// Guards against callers that are sent to a daemon which is partitioned from the store.
+func TestPeerConfirmationsAloneDoNotMakeNodeReady(t *testing.T) {
+	n, now := newTestNode(t)
+	n.loadTestState()
+	*now += minOwnCheckInterval + ownCheckGrace
+	n.applyPeerConfirmations(gossip.Message{Ages: []int64{100}}, *now)
 	if !n.state.ConfirmedWithin(freshness.Configuration, time.Second) {
-		t.Error("the word of another daemon is not taken")
+		t.Error("peer confirmation was not applied")
 	}
 	if n.Ready() {
-		t.Error("ready although the store has not answered for long")
+		t.Error("ready without recent contact with the store")
 	}
 }
 
-func TestWordOfDaemonThatKnowsMoreIsNotTaken(t *testing.T) {
-	n, now := testNode(t)
-	n.know()
+func TestConfirmationFromPeerAheadIsIgnored(t *testing.T) {
+	n, now := newTestNode(t)
+	n.loadTestState()
 	*now += time.Second
-	n.confirmedBy(gossip.Message{Ages: []int64{0}, NextPositions: []feed.Position{9}}, *now)
+	n.applyPeerConfirmations(gossip.Message{Ages: []int64{0}, NextPositions: []feed.Position{9}}, *now)
 	if n.state.ConfirmedWithin(freshness.Configuration, time.Second/2) {
-		t.Error("confirmed although the other daemon has read a configuration that this one has not")
+		t.Error("confirmation applied although the peer has read further")
 	}
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	n, _ := testNode(t)
+func TestConfigurationVersionIsMonotonic(t *testing.T) {
+	n, _ := newTestNode(t)
 	for _, v := range []string{"5", "3", "x", "7", "6"} {
-		n.operator([]feed.Record{{Key: "config", Value: []byte(v)}}, false)
+		n.applyOperatorRecords([]feed.Record{{Key: "config", Value: []byte(v)}}, false)
 	}
 	if got := n.state.Table().Version; got != 7 {
 		t.Errorf("version %d is in force", got)
 	}
 }
 
-func TestServersThatLeaveOrCannotBeReadAreNotChosen(t *testing.T) {
-	n, _ := testNode(t)
-	n.servers([]feed.Record{
+func TestLeavingAndInvalidServersAreNotUsed(t *testing.T) {
+	n, _ := newTestNode(t)
+	n.applyServerRecords([]feed.Record{
 		{Key: "a", Value: []byte("ready")}, {Key: "b", Value: []byte("ready")}, {Key: "c", Value: []byte("bad")},
 		{Key: "a", Value: []byte("leaving")}, {Key: "d", Value: []byte("ready")}, {Key: "d"},
 	}, false)
-	var left []string
-	n.EachServer("s", func(id string) { left = append(left, id) })
-	if len(left) != 1 || left[0] != "b" {
-		t.Errorf("left are %v", left)
+	var usable []string
+	n.EachServer("s", func(id string) { usable = append(usable, id) })
+	if len(usable) != 1 || usable[0] != "b" {
+		t.Errorf("usable servers: %v", usable)
 	}
 }
 
-// awayLog is a log that does not answer and counts the looks at its end.
-type awayLog struct {
+// failingLog fails every call and counts those for the end of a topic.
+type failingLog struct {
 	feed.Log
-	looks int
+	endCalls int
 }
 
-func (l *awayLog) End(context.Context, string) (feed.Position, error) {
-	l.looks++
-	return 0, errors.New("away")
+func (l *failingLog) End(context.Context, string) (feed.Position, error) {
+	l.endCalls++
+	return 0, errors.New("unavailable")
 }
 
-// Guards against this failure: half of all calls of a day were made in ten seconds of
-// outages.
-func TestLooksAtAStoreThatIsAwayAreRare(t *testing.T) {
-	n, now := testNode(t)
-	n.know()
-	away := &awayLog{}
-	n.operators.Log = away
-	*now += readyAge
+// Guards against frequent store checks during an outage.
+func TestStoreChecksBackOffDuringOutage(t *testing.T) {
+	n, now := newTestNode(t)
+	n.loadTestState()
+	store := &failingLog{}
+	n.operatorFollower.Log = store
+	*now += maxReadyAge
 	start := time.Now()
-	for at := time.Duration(0); at < 4*time.Second; at += longestIdle {
-		n.look(t.Context(), start.Add(at))
+	for at := time.Duration(0); at < 4*time.Second; at += maxCheckPause {
+		n.checkStore(t.Context(), start.Add(at))
 	}
-	if away.looks != 4 {
-		t.Errorf("looked %d times in 4 s", away.looks)
+	if store.endCalls != 4 {
+		t.Errorf("%d store checks in 4 s", store.endCalls)
 	}
 }
 
-// Guards against this failure: in an outage of the store sixty daemons asked for it every 0.4
-// s.
-func TestFewDaemonsAskForAStoreThatIsAway(t *testing.T) {
-	n, now := testNode(t)
-	n.know()
-	hear := func(ready, able bool) {
+// Guards against rank changes during an outage, which would make every daemon call the store.
+func TestRankIsStableDuringOutage(t *testing.T) {
+	n, now := newTestNode(t)
+	n.loadTestState()
+	deliver := func(ready, eligible bool) {
 		for i := range 40 {
 			name := fmt.Sprint("d", i+1)
 			n.members.AddAddresses("c" + name)
-			n.members.Receive("c"+name, gossip.Message{Incarnation: name, Name: name, Ready: ready, Eligible: able})
+			n.members.Receive("c"+name, gossip.Message{Incarnation: name, Name: name, Ready: ready, Eligible: eligible})
 		}
 	}
-	hear(true, true)
-	among := n.rank()
-	n.noteUnanswered()
-	*now += readyAge
+	deliver(true, true)
+	before := n.rank()
+	n.recordUnanswered()
+	*now += maxReadyAge
 	for _, ready := range []bool{true, false} {
-		hear(ready, true)
-		if got := n.rank(); got != among || got == 0 {
-			t.Errorf("place %d in an outage, others ready %t; %d before", got, ready, among)
+		deliver(ready, true)
+		if got := n.rank(); got != before || got == 0 {
+			t.Errorf("rank %d during an outage, peers ready %t; %d before", got, ready, before)
 		}
 	}
-	n.take(freshness.Configuration, freshness.Confirmation{At: *now, Source: "d1"})
-	if got := n.rank(); got != among {
-		t.Errorf("place %d when the store is back, %d before", got, among)
+	n.applyConfirmation(freshness.Configuration, freshness.Confirmation{At: *now, Source: "d1"})
+	if got := n.rank(); got != before {
+		t.Errorf("rank %d after the outage, %d before", got, before)
 	}
-	n.noteUnanswered()
+	n.recordUnanswered()
 	if got := n.rank(); got != 40 {
-		t.Errorf("place %d of a daemon that is cut off", got)
+		t.Errorf("rank %d of a partitioned daemon", got)
 	}
 }
 
-// A line for each change of what a daemon does for all, and none in between.
-func TestRolesAreLoggedWhenTheyChange(t *testing.T) {
-	n, _ := testNode(t)
+// Guards against missing or repeated log lines for role changes.
+func TestRoleChangesAreLoggedOnce(t *testing.T) {
+	n, _ := newTestNode(t)
 	var lines bytes.Buffer
 	n.log = log.New(&lines)
-	n.know()
+	n.loadTestState()
 	for range 3 {
-		n.noteRoles()
+		n.logRoleChange()
 	}
-	n.cutOff.Store(true)
+	n.partitioned.Store(true)
 	for range 3 {
-		n.noteRoles()
+		n.logRoleChange()
 	}
 	if got := strings.Count(lines.String(), "roles"); got != 2 {
-		t.Errorf("%d lines for two changes:\n%s", got, lines.String())
+		t.Errorf("%d log lines for two changes:\n%s", got, lines.String())
 	}
 }
 
-func TestOwnEntryIsNotWrittenAgain(t *testing.T) {
-	n, _ := testNode(t)
-	n.entries([]feed.Record{{Key: "d0", Value: []byte("elsewhere")}}, true)
-	if n.enrolled.Load() {
-		t.Error("an entry with an old address counts")
+func TestRegistrationRequiresCurrentAddress(t *testing.T) {
+	n, _ := newTestNode(t)
+	n.applyDaemonRecords([]feed.Record{{Key: "d0", Value: []byte("elsewhere")}}, true)
+	if n.registered.Load() {
+		t.Error("registered with an outdated address")
 	}
-	n.entries([]feed.Record{{Key: "d0", Value: []byte("c0")}}, false)
-	if !n.enrolled.Load() {
-		t.Error("an entry that is right does not count")
+	n.applyDaemonRecords([]feed.Record{{Key: "d0", Value: []byte("c0")}}, false)
+	if !n.registered.Load() {
+		t.Error("not registered with the current address")
 	}
 }
 
-func TestDrainOfIdleDaemonEndsBeforeTheGracePeriod(t *testing.T) {
-	n, _ := testNode(t)
-	n.config.Grace = time.Hour
+func TestDrainOfIdleDaemonEndsEarly(t *testing.T) {
+	n, _ := newTestNode(t)
+	n.config.GracePeriod = time.Hour
 	n.Drain(context.Background())
 	if !n.Leaving() || n.Ready() {
-		t.Error("a daemon that has left is ready")
+		t.Error("drained daemon is ready or not leaving")
 	}
 }
 
-// Guards against this failure: requests went on to a server whose entry nobody could read any
-// more, and each heartbeat of its writer brought a line of the log.
-func TestEntryThatTurnsBadNamesNoServer(t *testing.T) {
-	n, _ := testNode(t)
+// Guards against requests to a server whose entry became invalid, and against a log line for each
+// heartbeat of its writer.
+func TestInvalidEntryDisablesServer(t *testing.T) {
+	n, _ := newTestNode(t)
 	var lines bytes.Buffer
 	n.log = log.New(&lines)
-	used := func() (out string) {
+	usable := func() (out string) {
 		n.EachServer("s", func(id string) { out += id })
 		return out
 	}
-	entry := func(value string) { n.servers([]feed.Record{{Key: "a", Value: []byte(value)}}, false) }
-	n.servers([]feed.Record{{Key: "a", Value: []byte("ready")}, {Key: "b", Value: []byte("ready")}}, true)
+	entry := func(value string) { n.applyServerRecords([]feed.Record{{Key: "a", Value: []byte(value)}}, false) }
+	n.applyServerRecords([]feed.Record{{Key: "a", Value: []byte("ready")}, {Key: "b", Value: []byte("ready")}}, true)
 	for range 3 {
 		entry("warming")
 	}
-	if used() != "b" {
-		t.Errorf("used are %q", used())
+	if usable() != "b" {
+		t.Errorf("usable servers: %q", usable())
 	}
-	if got := strings.Count(lines.String(), "names no server"); got != 1 {
-		t.Errorf("%d lines for one change", got)
+	if got := strings.Count(lines.String(), "invalid server entry"); got != 1 {
+		t.Errorf("%d log lines for one change", got)
 	}
 	entry("ready x")
-	if got := strings.Count(lines.String(), "names no server"); got != 2 {
-		t.Errorf("%d lines for two changes", got)
+	if got := strings.Count(lines.String(), "invalid server entry"); got != 2 {
+		t.Errorf("%d log lines for two changes", got)
 	}
-	if entry("ready"); used() != "ab" {
-		t.Errorf("used are %q after a good entry", used())
+	if entry("ready"); usable() != "ab" {
+		t.Errorf("usable servers: %q after a valid entry", usable())
 	}
-	n.servers([]feed.Record{{Key: "a", Value: []byte("bad")}, {Key: "b", Value: []byte("ready")}}, true)
-	if used() != "b" {
-		t.Errorf("used are %q after a whole reading with a bad entry", used())
+	n.applyServerRecords([]feed.Record{{Key: "a", Value: []byte("bad")}, {Key: "b", Value: []byte("ready")}}, true)
+	if usable() != "b" {
+		t.Errorf("usable servers: %q after a snapshot with an invalid entry", usable())
 	}
 }
 
-func TestServerThatLeftAndStartedAgainIsUsed(t *testing.T) {
-	n, _ := testNode(t)
-	used := func() (count int) {
+func TestRestartedServerIsUsed(t *testing.T) {
+	n, _ := newTestNode(t)
+	usable := func() (count int) {
 		n.EachServer("s", func(string) { count++ })
 		return count
 	}
@@ -315,9 +314,9 @@
 		value string
 		want  int
 	}{{"ready 100", 1}, {"leaving 100", 0}, {"ready 200", 1}, {"leaving 100", 1}, {"leaving 200", 0}, {"leaving 300", 0}, {"ready 300", 1}} {
-		n.servers([]feed.Record{{Key: "a", Value: []byte(c.value)}}, false)
-		if used() != c.want {
-			t.Errorf("after %q: %d are used", c.value, used())
+		n.applyServerRecords([]feed.Record{{Key: "a", Value: []byte(c.value)}}, false)
+		if usable() != c.want {
+			t.Errorf("after %q: %d usable servers", c.value, usable())
 		}
 	}
 }
--- /dev/null
+++ b/internal/node/restore.go
@@ -0,0 +1,17 @@
+package node
+
+import (
+	"sync/atomic"
+
+	"github.com/damaskrudder/damaskrudder/internal/freshness"
+)
+
+// restoredSubjects marks the subjects whose next records come from a store that was restored from
+// an older copy. Such records may lack recent changes until their writers repeat them.
+type restoredSubjects [freshness.Subjects]atomic.Bool
+
+// mark marks a subject.
+func (r *restoredSubjects) mark(subject freshness.Subject) { r[subject].Store(true) }
+
+// consume reports whether a subject is marked, and clears the mark.
+func (r *restoredSubjects) consume(subject freshness.Subject) bool { return r[subject].Swap(false) }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -11,81 +11,81 @@
 	"github.com/damaskrudder/damaskrudder/internal/feedtest"
 )
 
-// measured replaces the sizes of the deployments that are measured: 60 daemons take half a
-// minute of eight cores, 300 three minutes.
-var measured = flag.Int("daemons", 0, "measure a deployment of this many daemons")
+// daemonsFlag overrides the fleet sizes of the tests; large sizes take minutes.
+var daemonsFlag = flag.Int("daemons", 0, "run the fleet tests with this many daemons")
 
-func sizes() []int {
-	if *measured > 0 {
-		return []int{*measured}
+func smallFleetSizes() []int {
+	if *daemonsFlag > 0 {
+		return []int{*daemonsFlag}
 	}
 	return []int{1, 6}
 }
 
-// trouble is what a store does before a server says that it leaves.
-type trouble struct {
-	name string
-	do   func(f *fleet)
+// storeFault is a fault of the store that precedes a change.
+type storeFault struct {
+	name   string
+	inject func(f *fleet)
 }
 
-// outage is one of all daemons, or of every third.
-func outage(name string, mode feedtest.Mode) trouble {
-	return trouble{name, func(f *fleet) {
+// outage applies a mode to the whole store for 6 s.
+func outage(name string, mode feedtest.Mode) storeFault {
+	return storeFault{name, func(f *fleet) {
 		f.store.SetMode(mode)
 		time.Sleep(6 * time.Second)
 		f.store.SetMode(feedtest.Serving)
 	}}
 }
 
-func partial(name string, mode feedtest.Mode) trouble {
-	return trouble{name, func(f *fleet) {
-		struck := func(m feedtest.Mode) {
+// partialOutage applies a mode to the calls of every third daemon for 6 s.
+func partialOutage(name string, mode feedtest.Mode) storeFault {
+	return storeFault{name, func(f *fleet) {
+		setMode := func(m feedtest.Mode) {
 			for i := 0; f.member(address(i)) != nil; i += 3 {
-				f.member(address(i)).caller.SetMode(m)
+				f.member(address(i)).storeClient.SetMode(m)
 			}
 		}
-		struck(mode)
+		setMode(mode)
 		time.Sleep(6 * time.Second)
-		struck(feedtest.Serving)
+		setMode(feedtest.Serving)
 	}}
 }
 
-var troubles = []trouble{
-	{"calm", func(*fleet) {}},
-	outage("silent", feedtest.Unresponsive), outage("busy", feedtest.Refusing), outage("reset", feedtest.Resetting),
-	partial("silent for a third", feedtest.Unresponsive), partial("busy for a third", feedtest.Refusing), partial("reset for a third", feedtest.Resetting),
-	{"silent connections", func(f *fleet) { f.each(func(m *member) { m.caller.HangPending() }) }},
+var storeFaults = []storeFault{
+	{"no fault", func(*fleet) {}},
+	outage("unresponsive", feedtest.Unresponsive), outage("refusing", feedtest.Refusing), outage("resetting", feedtest.Resetting),
+	partialOutage("unresponsive for a third", feedtest.Unresponsive), partialOutage("refusing for a third", feedtest.Refusing), partialOutage("resetting for a third", feedtest.Resetting),
+	{"hanging connections", func(f *fleet) { f.each(func(m *member) { m.storeClient.HangPending() }) }},
 }
 
-// spread is the times until each daemon acts on a word, sorted.
-type spread []time.Duration
+// delays are the sorted times until each daemon applied a change.
+type delays []time.Duration
 
-func (s spread) String() string {
-	at := func(part float64) time.Duration { return s[min(len(s)-1, int(part*float64(len(s))))] }
-	return fmt.Sprintf("median %d ms, 99th percentile %d ms, largest %d ms", at(0.5).Milliseconds(), at(0.99).Milliseconds(), s[len(s)-1].Milliseconds())
+func (d delays) String() string {
+	quantile := func(q float64) time.Duration { return d[min(len(d)-1, int(q*float64(len(d))))] }
+	return fmt.Sprintf("median %d ms, 99th percentile %d ms, largest %d ms", quantile(0.5).Milliseconds(), quantile(0.99).Milliseconds(), d[len(d)-1].Milliseconds())
 }
 
-// word writes a change of a server and returns the time until each daemon acts on it.
-func (f *fleet) word(id, value string, known func(m *member) bool) spread {
+// putServer writes a server entry and returns the delays until each daemon applies it.
+func (f *fleet) putServer(id, value string, applied func(m *member) bool) delays {
 	f.store.Put("servers", id, []byte(value))
-	return f.untilEach(known)
+	return f.waitEach(applied)
 }
 
-// untilEach returns the time until something is so for each daemon, sorted.
-func (f *fleet) untilEach(so func(m *member) bool) spread {
-	began, left := time.Now(), map[string]*member{}
+// waitEach returns the sorted times until the condition holds for each daemon.
+func (f *fleet) waitEach(cond func(m *member) bool) delays {
+	start, pending := time.Now(), map[string]*member{}
 	f.mu.Lock()
 	for a, m := range f.nodes {
-		left[a] = m
+		pending[a] = m
 	}
 	f.mu.Unlock()
-	var out spread
-	for len(left) > 0 && time.Since(began) < time.Minute {
-		time.Sleep(look)
-		for a, m := range left {
-			if so(m) {
-				out = append(out, time.Since(began))
-				delete(left, a)
+	var out delays
+	for len(pending) > 0 && time.Since(start) < time.Minute {
+		time.Sleep(pollInterval)
+		for a, m := range pending {
+			if cond(m) {
+				out = append(out, time.Since(start))
+				delete(pending, a)
 			}
 		}
 	}
@@ -93,41 +93,39 @@
 	return out
 }
 
-// The time from a server's word to the last daemon that acts on it, under half of the
-// time that the deployment allows, whatever the store did before, at every moment in the
-// 15 s after it. At three moments of the waiting read: a trouble begins 3, 9 and 14 s after
-// the last record.
-func TestWordOfAServerIsActedOnInHalfOfTheTimeAllowed(t *testing.T) {
-	for _, daemons := range sizes() {
-		for _, trouble := range troubles {
-			t.Run(fmt.Sprint(daemons, " daemons/", trouble.name), func(t *testing.T) {
-				var all spread
+// Guards against a change of a server that takes more than half of its limit, after any fault of
+// the store and at different phases of the long-polling reads.
+func TestServerChangePropagatesWithinLimit(t *testing.T) {
+	for _, daemons := range smallFleetSizes() {
+		for _, fault := range storeFaults {
+			t.Run(fmt.Sprint(daemons, " daemons/", fault.name), func(t *testing.T) {
+				var all delays
 				for _, phase := range []time.Duration{3 * time.Second, 9 * time.Second, 14 * time.Second} {
 					synctest.Test(t, func(t *testing.T) {
 						f := newFleet(t, daemons)
 						time.Sleep(phase)
-						trouble.do(f)
+						fault.inject(f)
 						for i, wait := range []time.Duration{3, 2, 3, 4, 3} {
 							time.Sleep(wait * time.Second)
 							leaves := i%2 == 0
 							value := map[bool]string{true: "leaving", false: "ready"}[leaves]
-							all = append(all, f.word("a", value, func(m *member) bool { return m.uses("a") != leaves })...)
+							all = append(all, f.putServer("a", value, func(m *member) bool { return m.uses("a") != leaves })...)
 						}
 					})
 				}
 				slices.Sort(all)
-				t.Logf("%s (allowed %s)", all, bound(daemons))
-				if worst := all[len(all)-1]; worst > bound(daemons)/2 {
-					t.Errorf("the last daemon acts after %s", worst)
+				t.Logf("%s (limit %s)", all, limitFor(daemons))
+				if worst := all[len(all)-1]; worst > limitFor(daemons)/2 {
+					t.Errorf("slowest daemon took %s", worst)
 				}
 			})
 		}
 	}
 }
 
-// What looks and waiting reads cost in calls of the store while nothing happens.
-func TestCallsOfTheStoreWhileNothingHappens(t *testing.T) {
-	const most = 10 // a second, at any size; the users' store takes 2,000
+// Guards against an idle call rate that grows with the number of daemons.
+func TestIdleStoreCallRate(t *testing.T) {
+	const maxRate = 10 // calls per second
 	for _, daemons := range append(fleetSizes(), 1) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, daemons)
@@ -136,9 +134,9 @@
 			const span = 60
 			time.Sleep(span * time.Second)
 			perSecond := float64(f.store.TotalCalls()-before) / span
-			t.Logf("%d daemons: %.1f calls a second", daemons, perSecond)
-			if perSecond > most {
-				t.Errorf("%d daemons make %.1f calls a second, at most %d are planned", daemons, perSecond, most)
+			t.Logf("%d daemons: %.1f calls/s", daemons, perSecond)
+			if perSecond > maxRate {
+				t.Errorf("%d daemons make %.1f calls/s, limit %d", daemons, perSecond, maxRate)
 			}
 		})
 	}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -11,39 +11,39 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Guards against a handler's panic that nobody counts or sees.
-func TestPanicIsCountedLoggedAndEndsTheConnection(t *testing.T) {
+// Guards against panics that are neither counted nor logged.
+func TestPanicIsCountedAndAbortsConnection(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
-	var lines bytes.Buffer
+	var output bytes.Buffer
 	for _, c := range []struct {
 		panics any
 		counts int64
 	}{{nil, 0}, {"broken", 1}, {http.ErrAbortHandler, 0}} {
 		counter := scope.Counter("panics")
-		before := counted(scope)
+		before := panicCount(scope)
 		h := Handler(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			if c.panics != nil {
 				panic(c.panics)
 			}
-		}), counter, log.New(&lines))
+		}), counter, log.New(&output))
 		func() {
 			defer func() {
 				if got := recover(); (got != nil) != (c.panics != nil) || got != nil && got != http.ErrAbortHandler {
-					t.Errorf("%v: passed on %v", c.panics, got)
+					t.Errorf("%v: re-panicked with %v", c.panics, got)
 				}
 			}()
 			h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 		}()
-		if got := counted(scope) - before; got != c.counts {
-			t.Errorf("%v: counted %d", c.panics, got)
+		if got := panicCount(scope) - before; got != c.counts {
+			t.Errorf("%v: count is %d", c.panics, got)
 		}
 	}
-	if !strings.Contains(lines.String(), "panic=broken") {
-		t.Errorf("logged %s", lines.String())
+	if !strings.Contains(output.String(), "panic=broken") {
+		t.Errorf("log output: %s", output.String())
 	}
 }
 
-func counted(s tally.TestScope) int64 {
+func panicCount(s tally.TestScope) int64 {
 	if c := s.Snapshot().Counters()["panics+"]; c != nil {
 		return c.Value()
 	}
