--- a/cmd/damaskrudder/main_test.go
+++ b/cmd/damaskrudder/main_test.go
@@ -81,7 +81,7 @@
 	}
 	config := fmt.Sprintf(`{"pools":{"p":{"servers":[{"id":"s","address":%q,"failure_domain":"hall-a"}]}},
 		"models":{"m":{"stable":"v1","versions":{"v1":{"pool":"p","micros_per_1k_tokens":7}}}},
-		"workspaces":{"w":{"key_hashes":[%q],"models":["m"]}}}`, engine.Address, fleet.HashKey(apiKey))
+		"workspaces":{"w":{"key_hashes":[%q],"models":["m"]}}}`, engine.Address, fleet.HashAPIKey(apiKey))
 	if err := os.Mkdir(filepath.Join(env.WorkDir, "fleet"), 0o755); err != nil {
 		return err
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -81,16 +81,16 @@
 }
 
 type refusal struct {
-	Message   string     `json:"message"`
-	Type      fault.Kind `json:"type"`
-	Code      fault.Kind `json:"code"`
-	Param     string     `json:"param,omitempty"`
-	Ran       fault.Run  `json:"ran"`
-	RequestID string     `json:"request_id"`
+	Message   string               `json:"message"`
+	Type      fault.Kind           `json:"type"`
+	Code      fault.Kind           `json:"code"`
+	Param     string               `json:"param,omitempty"`
+	Ran       fault.ExecutionState `json:"ran"`
+	RequestID string               `json:"request_id"`
 }
 
 func refuse(id string, f *fault.Error) refusalBody {
-	return refusalBody{refusal{f.Detail, f.Kind, f.Kind, f.Field, f.State(), id}}
+	return refusalBody{refusal{f.Detail, f.Kind, f.Kind, f.Field, f.ExecutionState(), id}}
 }
 
 // fail is the one place where an error becomes an HTTP answer.
@@ -102,8 +102,8 @@
 			err = fault.New(fault.TooLarge, "the body is too large")
 		}
 	}
-	f := fault.From(err)
-	a.d.Refused(string(f.Kind))
+	f := fault.FromError(err)
+	a.d.RecordRefusal(string(f.Kind))
 	if f.Kind == fault.Internal {
 		a.log.Error("internal error", "request", requestID(c), "err", err)
 	}
@@ -111,11 +111,11 @@
 		return
 	}
 	h := c.Response().Header()
-	h.Set(HeaderRan, string(f.State()))
-	if f.State() != fault.NotRun {
+	h.Set(HeaderRan, string(f.ExecutionState()))
+	if f.ExecutionState() != fault.NotRun {
 		h.Set(headerShouldRetry, "false")
 	}
-	if after := f.Advice(); after > 0 {
+	if after := f.RetryDelay(); after > 0 {
 		h.Set("Retry-After", strconv.Itoa(int((after+time.Second-1)/time.Second)))
 	}
 	_ = c.JSON(fault.Lookup(f.Kind).Status, refuse(requestID(c), f))
@@ -139,7 +139,7 @@
 	limit := a.d.Settings().MaxBodyBytes
 	data, err := io.ReadAll(io.LimitReader(c.Request().Body, limit+1))
 	if err != nil {
-		return nil, fault.New(fault.BadRequest, "the body could not be read").Because(err)
+		return nil, fault.New(fault.BadRequest, "the body could not be read").WithCause(err)
 	}
 	if int64(len(data)) > limit {
 		return nil, fault.New(fault.TooLarge, "the body exceeds %d bytes", limit)
@@ -154,11 +154,11 @@
 	key := c.Request().Header.Get(HeaderKey)
 	for _, r := range key {
 		if r <= ' ' || r > '~' {
-			return "", fault.Field(fault.BadRequest, HeaderKey, "a key has 1 to %d printable ASCII characters", maxKeyLength)
+			return "", fault.NewField(fault.BadRequest, HeaderKey, "a key has 1 to %d printable ASCII characters", maxKeyLength)
 		}
 	}
 	if len(key) > maxKeyLength {
-		return "", fault.Field(fault.BadRequest, HeaderKey, "a key has 1 to %d printable ASCII characters", maxKeyLength)
+		return "", fault.NewField(fault.BadRequest, HeaderKey, "a key has 1 to %d printable ASCII characters", maxKeyLength)
 	}
 	return key, nil
 }
@@ -206,13 +206,13 @@
 		return err
 	}
 	if len(body) > 0 && !json.Valid(body) {
-		return fault.Field(fault.BadRequest, "body", "not JSON")
+		return fault.NewField(fault.BadRequest, "body", "not JSON")
 	}
 	key, err := idempotencyKey(c)
 	if err != nil {
 		return err
 	}
-	r, err := a.d.Call(c.Request().Context(), requestID(c), daemon.ServiceCall{Workspace: ws, Service: c.Param("name"), Body: body, Key: key})
+	r, err := a.d.CallService(c.Request().Context(), requestID(c), daemon.ServiceRequest{Workspace: ws, Service: c.Param("name"), Body: body, IdempotencyKey: key})
 	if err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusCreated, map[string]string{"key": a.d.MintKey(ws), "endpoint": a.d.Settings().Listen})
+	return c.JSON(http.StatusCreated, map[string]string{"key": a.d.MintIdempotencyKey(ws), "endpoint": a.d.Settings().Listen})
 }
 
 func (a *API) health(c echo.Context) error {
--- a/internal/api/chat.go
+++ b/internal/api/chat.go
@@ -58,23 +58,23 @@
 }
 
 // ParseChat checks the body of a chat request.
-func ParseChat(data []byte) (daemon.Chat, chatBody, error) {
+func ParseChat(data []byte) (daemon.ChatRequest, chatBody, error) {
 	var b chatBody
-	q := daemon.Chat{Raw: data}
+	q := daemon.ChatRequest{RawBody: data}
 	if err := json.Unmarshal(data, &b); err != nil {
-		return q, b, fault.Field(fault.BadRequest, "body", "not a chat request: %v", err)
+		return q, b, fault.NewField(fault.BadRequest, "body", "not a chat request: %v", err)
 	}
 	if err := json.Unmarshal(data, &q.Body); err != nil {
-		return q, b, fault.Field(fault.BadRequest, "body", "not a JSON object")
+		return q, b, fault.NewField(fault.BadRequest, "body", "not a JSON object")
 	}
 	if b.Model == "" {
-		return q, b, fault.Field(fault.BadRequest, "model", "must not be empty")
+		return q, b, fault.NewField(fault.BadRequest, "model", "must not be empty")
 	}
 	if len(b.Messages) == 0 {
-		return q, b, fault.Field(fault.BadRequest, "messages", "must not be empty")
+		return q, b, fault.NewField(fault.BadRequest, "messages", "must not be empty")
 	}
 	if b.N != nil && *b.N != 1 {
-		return q, b, fault.Field(fault.BadRequest, "n", "only one choice is supported, not %d", *b.N)
+		return q, b, fault.NewField(fault.BadRequest, "n", "only one choice is supported, not %d", *b.N)
 	}
 	for _, f := range []struct {
 		name  string
@@ -84,7 +84,7 @@
 			continue
 		}
 		if *f.value < 1 || *f.value > maxTokensLimit {
-			return q, b, fault.Field(fault.BadRequest, f.name, "%d is out of 1..%d", *f.value, maxTokensLimit)
+			return q, b, fault.NewField(fault.BadRequest, f.name, "%d is out of 1..%d", *f.value, maxTokensLimit)
 		}
 		q.MaxTokens = *f.value
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if q.Key, err = idempotencyKey(c); err != nil {
+	if q.IdempotencyKey, err = idempotencyKey(c); err != nil {
 		return err
 	}
 	q.Workspace = ws
@@ -127,7 +127,7 @@
 	return c.JSON(http.StatusOK, completion(requestID(c), b.Model, ans))
 }
 
-func (a *API) answerHeaders(c echo.Context, ans *daemon.Answer) {
+func (a *API) answerHeaders(c echo.Context, ans *daemon.ChatResponse) {
 	h := c.Response().Header()
 	h.Set(HeaderSession, ans.Session)
 	h.Set("X-Model-Version", ans.Model+"@"+ans.Version)
@@ -142,15 +142,15 @@
 	TotalTokens      int64 `json:"total_tokens"`
 }
 
-func usageOf(ans *daemon.Answer) usageBody {
-	return usageBody{ans.PromptTokens, ans.AnswerTokens, ans.PromptTokens + ans.AnswerTokens}
+func usageOf(ans *daemon.ChatResponse) usageBody {
+	return usageBody{ans.PromptTokens, ans.CompletionTokens, ans.PromptTokens + ans.CompletionTokens}
 }
 
-func completion(id, model string, ans *daemon.Answer) map[string]any {
+func completion(id, model string, ans *daemon.ChatResponse) map[string]any {
 	return map[string]any{
 		"id": "chatcmpl-" + id, "object": "chat.completion", "created": time.Now().Unix(), "model": model,
 		"choices": []any{map[string]any{
-			"index": 0, "finish_reason": ans.Finish, "logprobs": nil,
+			"index": 0, "finish_reason": ans.FinishReason, "logprobs": nil,
 			"message": map[string]any{"role": "assistant", "content": ans.Text, "refusal": nil},
 		}},
 		"usage":              usageOf(ans),
@@ -207,15 +207,15 @@
 // so that a refusal before it is still an ordinary HTTP error. After it, an
 // error is an event of its own and the [DONE] mark is left out: a caller that
 // sees no mark knows that the answer is not whole.
-func (a *API) stream(c echo.Context, q daemon.Chat, b chatBody) error {
+func (a *API) stream(c echo.Context, q daemon.ChatRequest, b chatBody) error {
 	s := &sse{c: c, id: requestID(c), model: b.Model, created: time.Now().Unix()}
-	q.Deliver = s.deliver
-	q.Begin = func(head *daemon.Answer) { a.answerHeaders(c, head) }
+	q.OnText = s.deliver
+	q.OnStart = func(head *daemon.ChatResponse) { a.answerHeaders(c, head) }
 	ans, err := a.d.Chat(c.Request().Context(), s.id, q)
 	if err != nil {
 		if s.began {
-			a.d.Refused(string(fault.From(err).Kind))
-			return s.write(refuse(s.id, fault.From(err)))
+			a.d.RecordRefusal(string(fault.FromError(err).Kind))
+			return s.write(refuse(s.id, fault.FromError(err)))
 		}
 		return err
 	}
@@ -225,7 +225,7 @@
 			return nil
 		}
 	}
-	last := s.chunk(map[string]any{}, ans.Finish)
+	last := s.chunk(map[string]any{}, ans.FinishReason)
 	if s.write(last) != nil {
 		return nil
 	}
--- a/internal/api/holds.go
+++ b/internal/api/holds.go
@@ -22,7 +22,7 @@
 func (a *API) holds(c echo.Context) error {
 	out := []HeldRequest{}
 	for _, h := range a.d.Holds() {
-		out = append(out, HeldRequest{h.Fingerprint.String(), seconds(h.AgeMs), seconds(h.LeftMs)})
+		out = append(out, HeldRequest{h.Fingerprint.String(), seconds(h.AgeMs), seconds(h.RemainingMs)})
 	}
 	return c.JSON(http.StatusOK, out)
 }
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	a.d.Hold(f)
+	a.d.AddHold(f)
 	return a.holds(c)
 }
 
@@ -46,14 +46,14 @@
 	if err != nil {
 		return err
 	}
-	a.d.Release(f)
+	a.d.ReleaseHold(f)
 	return a.holds(c)
 }
 
 func fingerprintOf(c echo.Context) (quarantine.Fingerprint, error) {
 	f, err := quarantine.ParseFingerprint(c.Param("fingerprint"))
 	if err != nil {
-		return 0, fault.Field(fault.BadRequest, "fingerprint", "%v", err)
+		return 0, fault.NewField(fault.BadRequest, "fingerprint", "%v", err)
 	}
 	return f, nil
 }
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -14,7 +14,7 @@
 
 func (a *API) operators(g *echo.Group) {
 	g.GET("/config", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.Config()) })
-	g.GET("/history", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.History()) })
+	g.GET("/history", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.PatchHistory()) })
 	g.POST("/patches", a.patch)
 	g.GET("/status", a.status)
 	g.GET("/servers", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.Servers()) })
@@ -43,7 +43,7 @@
 	// InForce is the number in force.
 	InForce uint64 `json:"in_force"`
 	// Moved lists what patches after the base changed.
-	Moved []fleet.Outcome `json:"moved"`
+	Moved []fleet.PatchOutcome `json:"moved"`
 }
 
 func (a *API) patch(c echo.Context) error {
@@ -53,12 +53,12 @@
 	}
 	var r fleet.Record
 	if err := fleet.DecodeStrict(data, &r); err != nil {
-		return fault.Field(fault.BadRequest, "body", "%v", err)
+		return fault.NewField(fault.BadRequest, "body", "%v", err)
 	}
 	if r.Checkpoint != nil {
-		return fault.Field(fault.BadRequest, "checkpoint", "operators send patches only")
+		return fault.NewField(fault.BadRequest, "checkpoint", "operators send patches only")
 	}
-	o, err := a.d.Submit(c.Request().Context(), r)
+	o, err := a.d.SubmitPatch(c.Request().Context(), r)
 	if err != nil {
 		return err
 	}
@@ -66,9 +66,9 @@
 		return c.JSON(http.StatusOK, o)
 	}
 	f := fault.New(o.Kind, "%s", o.Detail)
-	a.d.Refused(string(o.Kind))
-	var moved []fleet.Outcome
-	for _, h := range a.d.History() {
+	a.d.RecordRefusal(string(o.Kind))
+	var moved []fleet.PatchOutcome
+	for _, h := range a.d.PatchHistory() {
 		if h.Accepted && h.Number > r.Base {
 			moved = append(moved, h)
 		}
@@ -94,16 +94,16 @@
 }
 
 func (a *API) burn(c echo.Context) error {
-	lines, missing := a.d.Burn(c.Request().Context())
+	lines, missing := a.d.BurnReport(c.Request().Context())
 	return c.JSON(http.StatusOK, map[string]any{"lines": lines, "missing": missing})
 }
 
 func (a *API) usage(c echo.Context) error {
-	l, err := a.d.Ledger(c.Request().Context())
+	l, err := a.d.UsageLedger(c.Request().Context())
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, map[string]any{"bills": l.Len(), "duplicates": l.Duplicates, "doubtful": l.Doubtful, "lines": l.Lines()})
+	return c.JSON(http.StatusOK, map[string]any{"bills": l.Len(), "duplicates": l.Duplicates, "doubtful": l.Conflicting, "lines": l.LineItems()})
 }
 
 func (a *API) explain(c echo.Context) error {
@@ -118,7 +118,7 @@
 		Prompt    string `json:"prompt"`
 	}
 	if err := json.Unmarshal(data, &in); err != nil {
-		return fault.Field(fault.BadRequest, "body", "%v", err)
+		return fault.NewField(fault.BadRequest, "body", "%v", err)
 	}
 	e, err := a.d.Explain(in.Workspace, in.Model, in.Session, in.Prompt)
 	if err != nil {
--- a/internal/app/failure_test.go
+++ b/internal/app/failure_test.go
@@ -143,7 +143,7 @@
 func bills(w *demo.World) *billing.Ledger {
 	l := billing.NewLedger()
 	for _, data := range w.Log.All(daemon.UsageStream) {
-		var batch []billing.Usage
+		var batch []billing.UsageRecord
 		if cbor.Unmarshal(data, &batch) == nil {
 			for _, u := range batch {
 				l.Apply(u)
@@ -174,8 +174,8 @@
 	w.Kill(0)
 	w.Log.SetDown(false)
 	until(t, "the keeper's copies are billed", func() bool { return bills(w).Len() == chats })
-	if l := bills(w); len(l.Doubtful) > 0 {
-		t.Fatalf("doubtful: %v", l.Doubtful)
+	if l := bills(w); len(l.Conflicting) > 0 {
+		t.Fatalf("doubtful: %v", l.Conflicting)
 	}
 }
 
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -78,7 +78,7 @@
 func StartOn(s settings.Settings, secrets settings.Secrets, l *log.Logger, callers, peers net.Listener) (*Node, error) {
 	s.Listen, s.PeerListen = callers.Addr().String(), peers.Addr().String()
 	scope, handler, closer := newMetrics()
-	ports := daemon.Ports{Log: platform.NewClient(s.Log, platformTimeout), Logger: l, Metrics: scope}
+	ports := daemon.Dependencies{Log: platform.NewClient(s.Log, platformTimeout), Logger: l, Metrics: scope}
 	if s.VMList != "" {
 		ports.VMs = platform.NewClient(s.VMList, platformTimeout)
 	}
@@ -98,7 +98,7 @@
 		callers, peers = t.callers(callers), t.peers(peers)
 	}
 	n.Daemon = daemon.New(s, secrets, ports)
-	panics := n.Daemon.Panics()
+	panics := n.Daemon.PanicCounter()
 	n.callers = serve(callers, recovery.Handler(api.New(n.Daemon, l, handler), panics, l))
 	n.peering = n.Daemon.PeerServer()
 	n.peers = serve(peers, recovery.Handler(n.peering, panics, l))
--- a/internal/app/path_test.go
+++ b/internal/app/path_test.go
@@ -106,10 +106,10 @@
 // Cause: a patch against a stale number must lose, and say what moved.
 func TestStalePatchIsRefused(t *testing.T) {
 	w := world(t, 2)
-	send := func(address, id, body string) (int, api.PatchRefusal, fleet.Outcome) {
+	send := func(address, id, body string) (int, api.PatchRefusal, fleet.PatchOutcome) {
 		status, _, data := post(t, address, "/operator/v1/patches", demo.Secrets.OperatorKey, nil, `{"patch_id":"`+id+`","base":1,"author":"`+id+`","patch":`+body+`}`)
 		var r api.PatchRefusal
-		var o fleet.Outcome
+		var o fleet.PatchOutcome
 		_ = json.Unmarshal([]byte(data), &r)
 		_ = json.Unmarshal([]byte(data), &o)
 		return status, r, o
--- a/internal/arch/docs_test.go
+++ b/internal/arch/docs_test.go
@@ -45,12 +45,12 @@
 func TestErrorsPage(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# Errors\n\nEvery refusal has one of these kinds. `ran` says whether the request was executed:\n`not_run` is always true; an error may carry a less certain word than the table's.\nMade from the table in `internal/fault`.\n\n| kind | status | ran | advice | meaning |\n|---|---|---|---|---|\n")
-	for _, a := range fault.Answers() {
+	for _, a := range fault.Specs() {
 		advice := "-"
 		if a.RetryAfter > 0 {
 			advice = "after " + a.RetryAfter.String()
 		}
-		fmt.Fprintf(&b, "| `%s` | %d | %s | %s | %s |\n", a.Kind, a.Status, a.Run, advice, a.Meaning)
+		fmt.Fprintf(&b, "| `%s` | %d | %s | %s | %s |\n", a.Kind, a.Status, a.Execution, advice, a.Description)
 	}
 	page(t, "ERRORS.md", b.String())
 }
@@ -62,8 +62,8 @@
 		title, file string
 		names       map[string]string
 	}{
-		{"Of a daemon with the product's own interface", "daemon", daemon.MetricNames()},
-		{"Of a daemon on the users' platform", "relay", relay.MetricNames()},
+		{"Of a daemon with the product's own interface", "daemon", daemon.MetricDescriptions()},
+		{"Of a daemon on the users' platform", "relay", relay.MetricDescriptions()},
 	} {
 		fmt.Fprintf(&b, "\n## %s\n\n| name | meaning |\n|---|---|\n", list.title)
 		for _, n := range slices.Sorted(maps.Keys(list.names)) {
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -60,25 +60,25 @@
 // of the earlier run seconds after one of the later run. An entry without a start, of a
 // server that has stated one, is another writer's and names no server to use.
 func (r *Registry) Put(s Server) (ended *Server, err error) {
-	s.ID = s.Run.ID()
-	old := r.entries[s.Run.Name]
+	s.ID = s.Incarnation.ID()
+	old := r.entries[s.Incarnation.Name]
 	switch {
 	case old == nil:
-	case s.Run.Born == 0 && old.server.Run.Born != 0:
+	case s.Incarnation.StartMillis == 0 && old.server.Incarnation.StartMillis != 0:
 		old.barred = true
-		return nil, Bad(FieldMissing, "no start, of a server that has stated one")
-	case s.Run.Before(old.server.Run):
-		return nil, Bad(Superseded, "a run of %d after one of %d", s.Run.Born, old.server.Run.Born)
+		return nil, Invalid(FieldMissing, "no start, of a server that has stated one")
+	case s.Incarnation.Before(old.server.Incarnation):
+		return nil, Invalid(Superseded, "a run of %d after one of %d", s.Incarnation.StartMillis, old.server.Incarnation.StartMillis)
 	case s.ID != old.server.ID:
 		ended = &old.server
 	}
-	r.entries[s.Run.Name] = &entry{server: s}
+	r.entries[s.Incarnation.Name] = &entry{server: s}
 	return ended, nil
 }
 
-// Bar takes a server out of use whose record cannot be read. What it runs is not cut: the
+// MarkUnusable takes a server out of use whose record cannot be read. What it runs is not cut: the
 // record may be another writer's.
-func (r *Registry) Bar(name string) {
+func (r *Registry) MarkUnusable(name string) {
 	if e := r.entries[name]; e != nil {
 		e.barred = true
 	}
@@ -108,23 +108,23 @@
 			delete(r.gone, other)
 		}
 	}
-	r.gone[name] = goneRun{r.entries[name].server.Run, now}
+	r.gone[name] = goneRun{r.entries[name].server.Incarnation, now}
 	delete(r.entries, name)
 }
 
-// Outdated reports whether an entry that a copy of the store holds says less than is known: it
+// Stale reports whether an entry that a copy of the store holds says less than is known: it
 // is of a run that has gone since, or that has said that it leaves. The server writes again if
 // it lives.
-func (r *Registry) Outdated(s Server, now time.Duration) bool {
-	if e := r.entries[s.Run.Name]; e != nil && !r.isGone(e, now) {
-		return e.server.Run == s.Run && e.server.Leaving && !s.Leaving
+func (r *Registry) Stale(s Server, now time.Duration) bool {
+	if e := r.entries[s.Incarnation.Name]; e != nil && !r.isGone(e, now) {
+		return e.server.Incarnation == s.Incarnation && e.server.Leaving && !s.Leaving
 	}
-	g, known := r.gone[s.Run.Name]
-	return known && now-g.at <= goneKept && !g.run.Before(s.Run)
+	g, known := r.gone[s.Incarnation.Name]
+	return known && now-g.at <= goneKept && !g.run.Before(s.Incarnation)
 }
 
-// Healed records that the store answers again after an outage.
-func (r *Registry) Healed(now time.Duration) { r.healed, r.hadFall = now, true }
+// StoreRecovered records that the store answers again after an outage.
+func (r *Registry) StoreRecovered(now time.Duration) { r.healed, r.hadFall = now, true }
 
 // Retain takes all servers as gone that are not listed, as after a gap in the log.
 func (r *Registry) Retain(listed map[string]bool, now time.Duration) {
@@ -146,9 +146,9 @@
 
 func (r *Registry) isGone(e *entry, now time.Duration) bool { return e.lapsed && now >= e.until }
 
-// Of returns the servers of a service that may be used, in the order of their ids, and
+// ForService returns the servers of a service that may be used, in the order of their ids, and
 // forgets those whose return window has ended.
-func (r *Registry) Of(service string, now time.Duration) []Server {
+func (r *Registry) ForService(service string, now time.Duration) []Server {
 	starts := r.starts(now)
 	var out []Server
 	for _, e := range r.entries {
@@ -167,7 +167,7 @@
 		if r.isGone(e, now) {
 			r.bury(name, now)
 		} else if !e.barred {
-			out[e.server.Address] = max(out[e.server.Address], e.server.Run.Born)
+			out[e.server.Address] = max(out[e.server.Address], e.server.Incarnation.StartMillis)
 		}
 	}
 	return out
@@ -178,7 +178,7 @@
 // entry without a start proves nothing either way. Both are then used, since a wrong one
 // costs a send that is refused unrun, and leaving out the right one costs all of them.
 func (e *entry) displaced(starts map[string]int64) bool {
-	return e.server.Run.Born != 0 && e.server.Run.Born < starts[e.server.Address]
+	return e.server.Incarnation.StartMillis != 0 && e.server.Incarnation.StartMillis < starts[e.server.Address]
 }
 
 // NextExpiry returns when the next lapsed server is to be taken as gone, and
--- a/internal/backend/registry_test.go
+++ b/internal/backend/registry_test.go
@@ -16,20 +16,20 @@
 func with(t *testing.T) *Registry {
 	t.Helper()
 	r := NewRegistry()
-	r.Put(Server{Run: Incarnation{Name: "b"}, Address: "b", Service: "s"})
-	r.Put(Server{Run: Incarnation{Name: "a"}, Address: "a", Service: "s"})
-	r.Put(Server{Run: Incarnation{Name: "c"}, Address: "c", Service: "other"})
+	r.Put(Server{Incarnation: Incarnation{Name: "b"}, Address: "b", Service: "s"})
+	r.Put(Server{Incarnation: Incarnation{Name: "a"}, Address: "a", Service: "s"})
+	r.Put(Server{Incarnation: Incarnation{Name: "c"}, Address: "c", Service: "other"})
 	return r
 }
 
 func TestServersOfAServiceInOrder(t *testing.T) {
 	r := with(t)
-	if got := ids(r.Of("s", 0)); got != "ab" {
+	if got := ids(r.ForService("s", 0)); got != "ab" {
 		t.Errorf("got %s", got)
 	}
 	r.Remove("a", 0)
 	r.Remove("unknown", 0)
-	if got := ids(r.Of("s", 0)); got != "b" {
+	if got := ids(r.ForService("s", 0)); got != "b" {
 		t.Errorf("after the end of a: %s", got)
 	}
 }
@@ -41,15 +41,15 @@
 func TestEntriesThatLapsedInAnOutageStayForAWhile(t *testing.T) {
 	const back = time.Minute
 	r := with(t)
-	r.Healed(back)
+	r.StoreRecovered(back)
 	r.Remove("a", back+100*time.Millisecond)
-	if got := ids(r.Of("s", back+time.Second)); got != "ab" {
+	if got := ids(r.ForService("s", back+time.Second)); got != "ab" {
 		t.Errorf("a second after the return: %s", got)
 	}
 	if at, any := r.NextExpiry(); !any || at > back+returnWindow {
 		t.Errorf("a counts until %s", at)
 	}
-	if got := ids(r.Of("s", back+returnWindow)); got != "b" {
+	if got := ids(r.ForService("s", back+returnWindow)); got != "b" {
 		t.Errorf("after the window: %s", got)
 	}
 	if _, known, _ := r.Get("a", back+returnWindow); known {
@@ -60,10 +60,10 @@
 func TestEntryThatCameBackStays(t *testing.T) {
 	const back = time.Minute
 	r := with(t)
-	r.Healed(back)
+	r.StoreRecovered(back)
 	r.Remove("a", back)
-	r.Put(Server{Run: Incarnation{Name: "a"}, Address: "a", Service: "s"})
-	if got := ids(r.Of("s", back+time.Hour)); got != "ab" {
+	r.Put(Server{Incarnation: Incarnation{Name: "a"}, Address: "a", Service: "s"})
+	if got := ids(r.ForService("s", back+time.Hour)); got != "ab" {
 		t.Errorf("got %s", got)
 	}
 }
@@ -73,8 +73,8 @@
 // Cause: the entry was taken for one that had lapsed.
 func TestServerThatSaidItLeavesIsGoneAtOnce(t *testing.T) {
 	r := with(t)
-	r.Put(Server{Run: Incarnation{Name: "a"}, Address: "a", Service: "s", Leaving: true})
-	r.Healed(time.Minute)
+	r.Put(Server{Incarnation: Incarnation{Name: "a"}, Address: "a", Service: "s", Leaving: true})
+	r.StoreRecovered(time.Minute)
 	r.Remove("a", time.Minute)
 	if _, known, _ := r.Get("a", time.Minute); known {
 		t.Error("a is still known")
@@ -83,9 +83,9 @@
 
 func TestRetainTakesTheRestAway(t *testing.T) {
 	r := with(t)
-	put(t, r, Server{Run: Incarnation{Name: "d"}, Address: "d", Service: "s"})
+	put(t, r, Server{Incarnation: Incarnation{Name: "d"}, Address: "d", Service: "s"})
 	r.Retain(map[string]bool{"b": true, "d": true}, 0)
-	if got := ids(r.Of("s", 0)); got != "bd" {
+	if got := ids(r.ForService("s", 0)); got != "bd" {
 		t.Errorf("got %s", got)
 	}
 }
@@ -101,7 +101,7 @@
 }
 
 func run(name string, born int64) Server {
-	return Server{Run: Incarnation{Name: name, Born: born}, Address: name, Service: "s", Slots: 4}
+	return Server{Incarnation: Incarnation{Name: name, StartMillis: born}, Address: name, Service: "s", Slots: 4}
 }
 
 // Symptom: a server that had started again got nothing until its next start.
@@ -113,17 +113,17 @@
 	leaving.Leaving = true
 	put(t, r, leaving)
 	ended := put(t, r, run("a", 200))
-	if ended == nil || ended.Run.Born != 100 {
+	if ended == nil || ended.Incarnation.StartMillis != 100 {
 		t.Fatalf("ended is %+v", ended)
 	}
-	all := r.Of("s", 0)
-	if len(all) != 1 || all[0].Leaving || all[0].ID == ended.ID || all[0].Run.Name != "a" {
+	all := r.ForService("s", 0)
+	if len(all) != 1 || all[0].Leaving || all[0].ID == ended.ID || all[0].Incarnation.Name != "a" {
 		t.Errorf("got %+v", all)
 	}
 	again := run("a", 300)
 	again.Leaving = true
 	put(t, r, again)
-	if all := r.Of("s", 0); !all[0].Leaving {
+	if all := r.ForService("s", 0); !all[0].Leaving {
 		t.Error("a run that is new and leaves is used")
 	}
 }
@@ -144,10 +144,10 @@
 func TestOlderRunNeverReplacesANewerOne(t *testing.T) {
 	r := NewRegistry()
 	put(t, r, run("a", 200))
-	if _, err := r.Put(run("a", 100)); FaultOf(err) != Superseded {
+	if _, err := r.Put(run("a", 100)); InvalidReasonOf(err) != Superseded {
 		t.Errorf("err %v", err)
 	}
-	if all := r.Of("s", 0); len(all) != 1 || all[0].Run.Born != 200 {
+	if all := r.ForService("s", 0); len(all) != 1 || all[0].Incarnation.StartMillis != 200 {
 		t.Errorf("got %+v", all)
 	}
 }
@@ -156,30 +156,30 @@
 	r := NewRegistry()
 	put(t, r, run("a", 0))
 	put(t, r, run("a", 200))
-	if _, err := r.Put(run("a", 0)); FaultOf(err) != FieldMissing {
+	if _, err := r.Put(run("a", 0)); InvalidReasonOf(err) != FieldMissing {
 		t.Errorf("err %v", err)
 	}
-	if all := r.Of("s", 0); len(all) != 0 {
+	if all := r.ForService("s", 0); len(all) != 0 {
 		t.Errorf("got %+v", all)
 	}
 	put(t, r, run("a", 200))
-	if all := r.Of("s", 0); len(all) != 1 {
+	if all := r.ForService("s", 0); len(all) != 1 {
 		t.Error("a good entry does not bring the server back")
 	}
 }
 
 func TestBarredServerIsNotUsedAndTheOthersAre(t *testing.T) {
 	r := with(t)
-	r.Bar("a")
-	r.Bar("unknown")
-	if got := ids(r.Of("s", 0)); got != "b" {
+	r.MarkUnusable("a")
+	r.MarkUnusable("unknown")
+	if got := ids(r.ForService("s", 0)); got != "b" {
 		t.Errorf("got %s", got)
 	}
 	if _, known, usable := r.Get("a", 0); !known || usable {
 		t.Errorf("known %t, usable %t", known, usable)
 	}
-	put(t, r, Server{Run: Incarnation{Name: "a"}, Address: "a", Service: "s"})
-	if got := ids(r.Of("s", 0)); got != "ab" {
+	put(t, r, Server{Incarnation: Incarnation{Name: "a"}, Address: "a", Service: "s"})
+	if got := ids(r.ForService("s", 0)); got != "ab" {
 		t.Errorf("after a good entry: %s", got)
 	}
 }
@@ -195,7 +195,7 @@
 		r := NewRegistry()
 		put(t, r, order[0])
 		put(t, r, order[1])
-		if all := r.Of("s", 0); len(all) != 1 || all[0].Run != later.Run {
+		if all := r.ForService("s", 0); len(all) != 1 || all[0].Incarnation != later.Incarnation {
 			t.Errorf("got %+v", all)
 		}
 	}
@@ -211,7 +211,7 @@
 	r := NewRegistry()
 	put(t, r, first)
 	put(t, r, later)
-	if all := r.Of("s", 0); len(all) != 2 {
+	if all := r.ForService("s", 0); len(all) != 2 {
 		t.Errorf("got %+v", all)
 	}
 }
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -12,8 +12,8 @@
 type Incarnation struct {
 	// Name is the id under which the server registers.
 	Name string
-	// Born is the server's start in milliseconds of its own clock; zero if it states none.
-	Born int64
+	// StartMillis is the server's start in milliseconds of its own clock; zero if it states none.
+	StartMillis int64
 }
 
 // ID names the run. All that is known of a run, of what it holds to whether it is lost,
@@ -21,21 +21,21 @@
 // therefore begins with nothing, in all places at once, and word of an earlier run finds
 // nobody whom it could be about, whatever order it comes in.
 func (i Incarnation) ID() string {
-	if i.Born == 0 {
+	if i.StartMillis == 0 {
 		return i.Name
 	}
-	return i.Name + "@" + strconv.FormatInt(i.Born, 36)
+	return i.Name + "@" + strconv.FormatInt(i.StartMillis, 36)
 }
 
 // Before reports whether a run of the same server is older than another. A run without a
 // stated start is older than one with.
-func (i Incarnation) Before(other Incarnation) bool { return i.Born < other.Born }
+func (i Incarnation) Before(other Incarnation) bool { return i.StartMillis < other.StartMillis }
 
 // Server is one run of a backend server, as its entry tells.
 type Server struct {
 	// ID is Run.ID(); the registry sets it.
 	ID            string
-	Run           Incarnation
+	Incarnation   Incarnation
 	Service       string
 	Address       string
 	FailureDomain string
@@ -46,38 +46,38 @@
 	Leaving bool
 	// Models are the models an engine has loaded.
 	Models []string
-	// Warming is how much longer the server is warming up by its entry.
-	Warming time.Duration
+	// WarmupRemaining is how much longer the server is warming up by its entry.
+	WarmupRemaining time.Duration
 	// WarmAt is the boot clock's reading at the end of that; zero for a warm server. It is
 	// set by who takes the entry.
 	WarmAt time.Duration
 }
 
-// Fault says why an entry names no server to use.
-type Fault string
+// InvalidReason says why an entry names no server to use.
+type InvalidReason string
 
 // The faults of an entry. The list is closed: they are the values of a counter.
 const (
 	// Unreadable: not an object, not UTF-8, too deep, or the key is no name.
-	Unreadable Fault = "unreadable"
+	Unreadable InvalidReason = "unreadable"
 	// TooLong: longer than any entry.
-	TooLong Fault = "too_long"
+	TooLong InvalidReason = "too_long"
 	// FieldMissing: a field is missing, null or empty.
-	FieldMissing Fault = "field_missing"
+	FieldMissing InvalidReason = "field_missing"
 	// FieldType: a field holds another type, or a number that it cannot hold.
-	FieldType Fault = "field_type"
+	FieldType InvalidReason = "field_type"
 	// UnknownState: a state that is neither ready nor leaving.
-	UnknownState Fault = "unknown_state"
+	UnknownState InvalidReason = "unknown_state"
 	// BadAddress: an address that nothing can be sent to.
-	BadAddress Fault = "bad_address"
+	BadAddress InvalidReason = "bad_address"
 	// Superseded: a run that is older than one already known.
-	Superseded Fault = "superseded"
+	Superseded InvalidReason = "superseded"
 )
 
 // BadEntry is an entry that names no server to use. Its writer may be another than the
 // server: what other entries say holds.
 type BadEntry struct {
-	Fault Fault
+	Fault InvalidReason
 	// Detail names the field, for the log.
 	Detail string
 }
@@ -85,13 +85,13 @@
 // Error implements error.
 func (e *BadEntry) Error() string { return fmt.Sprintf("%s: %s", e.Fault, e.Detail) }
 
-// Bad returns an error for an entry.
-func Bad(f Fault, format string, args ...any) *BadEntry {
+// Invalid returns an error for an entry.
+func Invalid(f InvalidReason, format string, args ...any) *BadEntry {
 	return &BadEntry{Fault: f, Detail: fmt.Sprintf(format, args...)}
 }
 
-// FaultOf returns the fault that an error tells of.
-func FaultOf(err error) Fault {
+// InvalidReasonOf returns the fault that an error tells of.
+func InvalidReasonOf(err error) InvalidReason {
 	var e *BadEntry
 	if errors.As(err, &e) {
 		return e.Fault
--- a/internal/billing/billing.go
+++ b/internal/billing/billing.go
@@ -16,20 +16,20 @@
 const (
 	// Complete answers were delivered in full.
 	Complete Outcome = "complete"
-	// Cut answers ended early because the caller left or a run was lost; the
+	// Truncated answers ended early because the caller left or a run was lost; the
 	// tokens delivered until then are billed.
-	Cut Outcome = "cut"
+	Truncated Outcome = "cut"
 )
 
-// Usage is the bill of one request.
-type Usage struct {
+// UsageRecord is the bill of one request.
+type UsageRecord struct {
 	RequestID string `cbor:"1,keyasint" json:"request_id"`
 	Workspace string `cbor:"2,keyasint" json:"workspace"`
 	Model     string `cbor:"3,keyasint" json:"model"`
 	Version   string `cbor:"4,keyasint" json:"version"`
 	// PromptTokens and AnswerTokens sum over the steps of a cascade.
-	PromptTokens int64 `cbor:"5,keyasint" json:"prompt_tokens"`
-	AnswerTokens int64 `cbor:"6,keyasint" json:"answer_tokens"`
+	PromptTokens     int64 `cbor:"5,keyasint" json:"prompt_tokens"`
+	CompletionTokens int64 `cbor:"6,keyasint" json:"answer_tokens"`
 	// Micros is the price in millionths of the billing currency.
 	Micros  int64   `cbor:"7,keyasint" json:"micros"`
 	Outcome Outcome `cbor:"8,keyasint" json:"outcome"`
@@ -48,7 +48,7 @@
 // that cannot be billed must not start.
 type Buffer struct {
 	limit    int
-	records  []Usage
+	records  []UsageRecord
 	inFlight int
 	// reserved counts requests that run and will need a place.
 	reserved int
@@ -78,7 +78,7 @@
 
 // Add stores a record in a reserved place and returns its place in the order
 // of confirmation.
-func (b *Buffer) Add(u Usage) uint64 {
+func (b *Buffer) Add(u UsageRecord) uint64 {
 	b.Release()
 	b.records = append(b.records, u)
 	b.added++
@@ -92,16 +92,16 @@
 // Len returns the number of unconfirmed records.
 func (b *Buffer) Len() int { return len(b.records) }
 
-// Exposed records whether records can be given to the log or to a keeper. While
+// SetUnprotected records whether records can be given to the log or to a keeper. While
 // they cannot, new requests are refused: their bills would be lost with this VM.
-func (b *Buffer) Exposed(exposed bool) { b.exposed = exposed }
+func (b *Buffer) SetUnprotected(exposed bool) { b.exposed = exposed }
 
-// Through returns the place up to which the log has the records.
-func (b *Buffer) Through() uint64 { return b.confirmed }
+// LastConfirmed returns the place up to which the log has the records.
+func (b *Buffer) LastConfirmed() uint64 { return b.confirmed }
 
-// Batch returns up to most records to append, or none while a batch is in
+// NextBatch returns up to most records to append, or none while a batch is in
 // flight. The records stay until Confirm.
-func (b *Buffer) Batch(most int) []Usage {
+func (b *Buffer) NextBatch(most int) []UsageRecord {
 	if b.inFlight > 0 || len(b.records) == 0 {
 		return nil
 	}
@@ -109,39 +109,39 @@
 	return slices.Clone(b.records[:b.inFlight])
 }
 
-// Confirm drops the batch in flight.
-func (b *Buffer) Confirm() {
-	b.records = append([]Usage(nil), b.records[b.inFlight:]...)
+// ConfirmBatch drops the batch in flight.
+func (b *Buffer) ConfirmBatch() {
+	b.records = append([]UsageRecord(nil), b.records[b.inFlight:]...)
 	b.confirmed += uint64(b.inFlight)
 	b.exposed = false
 	b.inFlight = 0
 }
 
-// Retry makes the batch in flight eligible again. The log may have taken it
+// RetryBatch makes the batch in flight eligible again. The log may have taken it
 // although its reply was lost; Ledger drops the second copy.
-func (b *Buffer) Retry() { b.inFlight = 0 }
+func (b *Buffer) RetryBatch() { b.inFlight = 0 }
 
 // Ledger folds usage records of the log to one bill a request.
 type Ledger struct {
-	bills      map[string]Usage
+	bills      map[string]UsageRecord
 	Duplicates int
-	// Doubtful are requests whose copies disagree.
-	Doubtful []string
+	// Conflicting are requests whose copies disagree.
+	Conflicting []string
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{bills: map[string]Usage{}} }
+func NewLedger() *Ledger { return &Ledger{bills: map[string]UsageRecord{}} }
 
 // Apply folds one record. The first record of a request stands.
-func (l *Ledger) Apply(u Usage) {
+func (l *Ledger) Apply(u UsageRecord) {
 	old, known := l.bills[u.RequestID]
 	if !known {
 		l.bills[u.RequestID] = u
 		return
 	}
 	l.Duplicates++
-	if old != u && !slices.Contains(l.Doubtful, u.RequestID) {
-		l.Doubtful = append(l.Doubtful, u.RequestID)
+	if old != u && !slices.Contains(l.Conflicting, u.RequestID) {
+		l.Conflicting = append(l.Conflicting, u.RequestID)
 	}
 }
 
@@ -149,47 +149,47 @@
 func (l *Ledger) Len() int { return len(l.bills) }
 
 // Bill returns the bill of a request.
-func (l *Ledger) Bill(request string) (Usage, bool) {
+func (l *Ledger) Bill(request string) (UsageRecord, bool) {
 	u, ok := l.bills[request]
 	return u, ok
 }
 
-// All returns every bill by request id. The map is the ledger's own.
-func (l *Ledger) All() map[string]Usage { return l.bills }
+// Records returns every bill by request id. The map is the ledger's own.
+func (l *Ledger) Records() map[string]UsageRecord { return l.bills }
 
-// Line is the sum of one workspace's bills for one model and version.
-type Line struct {
+// LineItem is the sum of one workspace's bills for one model and version.
+type LineItem struct {
 	Workspace string `json:"workspace"`
 	Model     string `json:"model"`
 	Version   string `json:"version"`
 	Requests  int64  `json:"requests"`
-	Cut       int64  `json:"cut"`
+	Truncated int64  `json:"cut"`
 	Tokens    int64  `json:"tokens"`
 	Micros    int64  `json:"micros"`
 }
 
-// Lines sums the bills, ordered by workspace, model and version.
-func (l *Ledger) Lines() []Line {
-	sums := map[string]*Line{}
+// LineItems sums the bills, ordered by workspace, model and version.
+func (l *Ledger) LineItems() []LineItem {
+	sums := map[string]*LineItem{}
 	for _, u := range l.bills {
 		key := fmt.Sprintf("%s\x00%s\x00%s", u.Workspace, u.Model, u.Version)
 		s := sums[key]
 		if s == nil {
-			s = &Line{Workspace: u.Workspace, Model: u.Model, Version: u.Version}
+			s = &LineItem{Workspace: u.Workspace, Model: u.Model, Version: u.Version}
 			sums[key] = s
 		}
 		s.Requests++
-		s.Tokens += u.PromptTokens + u.AnswerTokens
+		s.Tokens += u.PromptTokens + u.CompletionTokens
 		s.Micros += u.Micros
-		if u.Outcome == Cut {
-			s.Cut++
+		if u.Outcome == Truncated {
+			s.Truncated++
 		}
 	}
-	out := make([]Line, 0, len(sums))
+	out := make([]LineItem, 0, len(sums))
 	for _, s := range sums {
 		out = append(out, *s)
 	}
-	slices.SortFunc(out, func(a, b Line) int {
+	slices.SortFunc(out, func(a, b LineItem) int {
 		return strings.Compare(a.Workspace+"\x00"+a.Model+"\x00"+a.Version, b.Workspace+"\x00"+b.Model+"\x00"+b.Version)
 	})
 	return out
--- a/internal/billing/billing_test.go
+++ b/internal/billing/billing_test.go
@@ -14,12 +14,12 @@
 // not hold.
 func TestConfirmationCoversItsOwnBatchOnly(t *testing.T) {
 	b := NewBuffer(10)
-	first := b.Add(Usage{RequestID: "a"})
-	if batch := b.Batch(10); len(batch) != 1 {
+	first := b.Add(UsageRecord{RequestID: "a"})
+	if batch := b.NextBatch(10); len(batch) != 1 {
 		t.Fatalf("batch %v", batch)
 	}
-	second := b.Add(Usage{RequestID: "b"})
-	b.Confirm()
+	second := b.Add(UsageRecord{RequestID: "b"})
+	b.ConfirmBatch()
 	if !b.Confirmed(first) || b.Confirmed(second) || b.Len() != 1 {
 		t.Fatalf("first %v, second %v, left %d", b.Confirmed(first), b.Confirmed(second), b.Len())
 	}
@@ -36,16 +36,16 @@
 		t.Fatalf("a third place: %v", err)
 	}
 	b.Release()
-	b.Add(Usage{RequestID: "a"})
+	b.Add(UsageRecord{RequestID: "a"})
 	if b.Reserve() != nil {
 		t.Fatal("the released place is lost")
 	}
-	b.Exposed(true)
+	b.SetUnprotected(true)
 	if err := b.Reserve(); !fault.Is(err, fault.UsageUnprotected) {
 		t.Fatalf("exposed: %v", err)
 	}
-	b.Batch(10)
-	b.Confirm()
+	b.NextBatch(10)
+	b.ConfirmBatch()
 	if err := b.Reserve(); err != nil {
 		t.Fatalf("after the log confirmed: %v", err)
 	}
@@ -56,26 +56,26 @@
 // a keeper appends its copy too.
 // Cause: records of one request must fold to one.
 func TestRepeatedAppendsFoldToOneBill(t *testing.T) {
-	b, log := NewBuffer(100), []Usage{}
+	b, log := NewBuffer(100), []UsageRecord{}
 	for i := range 5 {
-		b.Add(Usage{RequestID: fmt.Sprint(i), Workspace: "w", Model: "m", Version: "v", AnswerTokens: 10, Micros: 7})
+		b.Add(UsageRecord{RequestID: fmt.Sprint(i), Workspace: "w", Model: "m", Version: "v", CompletionTokens: 10, Micros: 7})
 	}
-	log = append(log, b.Batch(3)...)
-	b.Retry()
-	log = append(log, b.Batch(10)...)
-	b.Confirm()
+	log = append(log, b.NextBatch(3)...)
+	b.RetryBatch()
+	log = append(log, b.NextBatch(10)...)
+	b.ConfirmBatch()
 	log = append(log, log[2])
 	l := NewLedger()
 	for _, u := range log {
 		l.Apply(u)
 	}
-	lines := l.Lines()
-	if l.Len() != 5 || l.Duplicates != 4 || len(lines) != 1 || lines[0].Requests != 5 || lines[0].Micros != 35 || len(l.Doubtful) != 0 {
-		t.Fatalf("%d bills, %d duplicates, %+v, doubtful %v", l.Len(), l.Duplicates, lines, l.Doubtful)
+	lines := l.LineItems()
+	if l.Len() != 5 || l.Duplicates != 4 || len(lines) != 1 || lines[0].Requests != 5 || lines[0].Micros != 35 || len(l.Conflicting) != 0 {
+		t.Fatalf("%d bills, %d duplicates, %+v, doubtful %v", l.Len(), l.Duplicates, lines, l.Conflicting)
 	}
-	l.Apply(Usage{RequestID: "0", Micros: 9})
-	if u, _ := l.Bill("0"); u.Micros != 7 || len(l.Doubtful) != 1 {
-		t.Fatalf("a differing copy: %+v, doubtful %v", u, l.Doubtful)
+	l.Apply(UsageRecord{RequestID: "0", Micros: 9})
+	if u, _ := l.Bill("0"); u.Micros != 7 || len(l.Conflicting) != 1 {
+		t.Fatalf("a differing copy: %+v, doubtful %v", u, l.Conflicting)
 	}
 }
 
--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -87,29 +87,29 @@
 
 // Class is the evidence for one request class of one workspace.
 type Class struct {
-	// Share counts recent requests by band of the cheap model's confidence.
-	Share [ConfidenceBands]float64
+	// BandCounts counts recent requests by band of the cheap model's confidence.
+	BandCounts [ConfidenceBands]float64
 	// Cheap is how often the cheap model's answers of a band are good.
 	Cheap [ConfidenceBands]Rate
-	// Dear is how often the dear model's answers are good.
-	Dear  Rate
-	drift Drift
+	// Expensive is how often the dear model's answers are good.
+	Expensive Rate
+	drift     Drift
 	// distrust lowers the belief in cheap answers after a drop.
 	distrust float64
 }
 
-// Saw counts a cheap answer of some confidence.
-func (c *Class) Saw(confidence float64) {
+// RecordConfidence counts a cheap answer of some confidence.
+func (c *Class) RecordConfidence(confidence float64) {
 	fade := 1 - 1.0/(memory*ConfidenceBands)
-	for i := range c.Share {
-		c.Share[i] *= fade
+	for i := range c.BandCounts {
+		c.BandCounts[i] *= fade
 	}
-	c.Share[Band(confidence)]++
+	c.BandCounts[Band(confidence)]++
 }
 
-// Rated counts a rating of a cheap answer. A drop of quality forgets what was
+// RecordRating counts a rating of a cheap answer. A drop of quality forgets what was
 // learned before it and lowers the belief that takes its place.
-func (c *Class) Rated(confidence float64, good bool) {
+func (c *Class) RecordRating(confidence float64, good bool) {
 	band := Band(confidence)
 	if c.drift.Observe(good, c.Cheap[band].Mean(c.believed(band))) {
 		c.Cheap = [ConfidenceBands]Rate{}
@@ -121,16 +121,16 @@
 // believed is the pass rate assumed for a band before its first rating.
 func (c *Class) believed(band int) float64 { return believedCheap(band) - c.distrust }
 
-// RatedDear counts a rating of a dear answer.
-func (c *Class) RatedDear(good bool) { c.Dear.Observe(good) }
+// RecordExpensiveRating counts a rating of a dear answer.
+func (c *Class) RecordExpensiveRating(good bool) { c.Expensive.Observe(good) }
 
 // Reset forgets what was learned of the cheap model, for a new version of it.
 func (c *Class) Reset() {
-	*c = Class{Dear: c.Dear}
+	*c = Class{Expensive: c.Expensive}
 }
 
 // Costs are the prices of one answer in micros.
-type Costs struct{ Cheap, Dear float64 }
+type Costs struct{ Cheap, Expensive float64 }
 
 // Plan says how to answer the requests of each class.
 type Plan struct {
@@ -164,11 +164,11 @@
 	loss  float64
 }
 
-// Make plans a cascade: it accepts cheap answers where that costs the least
+// NewPlan plans a cascade: it accepts cheap answers where that costs the least
 // quality, over all classes together, as long as the expected quality stays at
 // the target. A class most of whose cheap answers would be thrown away goes to
 // the dear model at once, since the cheap run would only add cost and delay.
-func Make(classes map[string]*Class, costs Costs, target float64) Plan {
+func NewPlan(classes map[string]*Class, costs Costs, target float64) Plan {
 	p := Plan{CheapFirst: map[string]bool{}, Accept: map[string][ConfidenceBands]bool{}}
 	options, total, quality := gather(classes)
 	if total == 0 {
@@ -198,8 +198,8 @@
 	slices.Sort(names)
 	for _, name := range names {
 		c := classes[name]
-		dear := c.Dear.Mean(believedDear)
-		for band, mass := range c.Share {
+		dear := c.Expensive.Mean(believedDear)
+		for band, mass := range c.BandCounts {
 			if mass == 0 {
 				continue
 			}
@@ -226,7 +226,7 @@
 func (p *Plan) prune(classes map[string]*Class, costs Costs, total float64) {
 	for name, c := range classes {
 		var accepted, all float64
-		for band, mass := range c.Share {
+		for band, mass := range c.BandCounts {
 			all += mass
 			if p.Accept[name][band] {
 				accepted += mass
@@ -235,13 +235,13 @@
 		if all == 0 {
 			continue
 		}
-		viaCheap := costs.Cheap + (1-accepted/all)*costs.Dear
-		if viaCheap < costs.Dear {
+		viaCheap := costs.Cheap + (1-accepted/all)*costs.Expensive
+		if viaCheap < costs.Expensive {
 			p.CheapFirst[name] = true
 			p.Cost += all / total * viaCheap
 			continue
 		}
-		p.Cost += all / total * costs.Dear
+		p.Cost += all / total * costs.Expensive
 	}
 }
 
@@ -249,10 +249,10 @@
 // model, so that an improvement of it can show.
 const exploreShare = 0.02
 
-// First reports whether a request of a class goes to the cheap model first. A
+// UseCheapFirst reports whether a request of a class goes to the cheap model first. A
 // class not planned yet does: nothing is known of it and the cheap answer is
 // judged before it stands. Coin is uniform in [0, 1).
-func (p Plan) First(class string, known bool, coin float64) bool {
+func (p Plan) UseCheapFirst(class string, known bool, coin float64) bool {
 	return !known || p.CheapFirst[class] || coin < exploreShare
 }
 
--- a/internal/cascade/sureness.go
+++ b/internal/cascade/sureness.go
@@ -76,8 +76,8 @@
 
 // rank places a model between a cheaper one, 0, and the dearest, 1, by price.
 func (m Model) rank(cheaper Model) float64 {
-	if m.Price <= cheaper.Price || m.Dearest <= cheaper.Price {
+	if m.Price <= cheaper.Price || m.HighestPrice <= cheaper.Price {
 		return 0
 	}
-	return (m.Price - cheaper.Price) / (m.Dearest - cheaper.Price)
+	return (m.Price - cheaper.Price) / (m.HighestPrice - cheaper.Price)
 }
--- a/internal/cascade/value_test.go
+++ b/internal/cascade/value_test.go
@@ -12,13 +12,13 @@
 }
 
 func ask() Request {
-	return Request{Route: "r", Prompt: 9000, Answer: 100, Target: 2 * time.Second, Left: 10 * time.Second}
+	return Request{Route: "r", PromptTokens: 9000, AnswerTokens: 100, FirstEventTarget: 2 * time.Second, Remaining: 10 * time.Second}
 }
 
 // soon is an offer of every model at servers without a queue.
-func soon() []Offer {
-	o := Offer{First: 300 * time.Millisecond, Rest: time.Second, Work: 200 * time.Millisecond}
-	return []Offer{o, o, o}
+func soon() []Estimate {
+	o := Estimate{FirstEvent: 300 * time.Millisecond, Remainder: time.Second, EngineTime: 200 * time.Millisecond}
+	return []Estimate{o, o, o}
 }
 
 const allRuns = 3
@@ -26,15 +26,15 @@
 func TestValuerDecidesByWhatEachModelBrings(t *testing.T) {
 	late, endless, queued := soon(), soon(), soon()
 	for i := range late {
-		late[i].First = 4 * time.Second
-		endless[i].Rest = time.Minute
-		queued[i].Delayed = 1000
+		late[i].FirstEvent = 4 * time.Second
+		endless[i].Remainder = time.Minute
+		queued[i].DelayedPerSecond = 1000
 	}
 	two := []Model{{"small", 0.01, 0.13}, {"large", 0.13, 0.13}}
 	for _, tt := range []struct {
 		name       string
 		models     []Model
-		offers     []Offer
+		offers     []Estimate
 		at         int
 		confidence float64
 		runs       int
@@ -51,11 +51,11 @@
 		{"wrong for sure, though late", two, late, 0, 10, allRuns, "large"},
 		{"wrong, but a larger one would not end in time", two, endless, 0, 10, allRuns, "small"},
 		{"wrong, but it would delay a thousand others", two, queued, 0, 10, allRuns, "small"},
-		{"no server for a larger one", two, []Offer{{}, {None: true}}, 0, 10, allRuns, "small"},
+		{"no server for a larger one", two, []Estimate{{}, {Unavailable: true}}, 0, 10, allRuns, "small"},
 		{"one model", two[:1], soon()[:1], 0, 5, allRuns, "small"},
 	} {
-		v := Valuer{delay: map[string]float64{"large": 0.1}}
-		got := v.Next(ask(), tt.models, tt.offers, tt.at, tt.confidence, Offer{Rest: time.Second}, tt.runs)
+		v := Escalator{delay: map[string]float64{"large": 0.1}}
+		got := v.Decide(ask(), tt.models, tt.offers, tt.at, tt.confidence, Estimate{Remainder: time.Second}, tt.runs)
 		if name := tt.models[got.Model].Name; name != tt.want {
 			t.Errorf("%s: %s, want %s (%+v)", tt.name, name, tt.want, got)
 		}
@@ -69,12 +69,12 @@
 		gain float64
 		want int
 	}{{60, 1}, {0, 2}} {
-		var v Valuer
+		var v Escalator
 		m := trio()
 		for range 30 {
-			v.Asked(m[0], m[1], 30, 30+tt.gain)
+			v.ObserveEscalation(m[0], m[1], 30, 30+tt.gain)
 		}
-		if got := v.Next(ask(), m, soon(), 0, 25, Offer{Rest: time.Second}, allRuns); got.Model != tt.want {
+		if got := v.Decide(ask(), m, soon(), 0, 25, Estimate{Remainder: time.Second}, allRuns); got.Model != tt.want {
 			t.Errorf("a middle model that gains %g: %s was asked", tt.gain, m[got.Model].Name)
 		}
 	}
@@ -82,13 +82,13 @@
 
 // Opinions at the end of the scale say "at least" and must not make a model look worse.
 func TestOpinionsAtTheEndsAreBounds(t *testing.T) {
-	var v Valuer
+	var v Escalator
 	m := trio()
 	before := v.sure.would(m[0], m[2], 40)
 	for range 50 {
-		v.Asked(m[0], m[2], 90, 100)
-		v.Asked(m[0], m[2], 0, 60)
-		v.Asked(m[0], m[2], -1, 10)
+		v.ObserveEscalation(m[0], m[2], 90, 100)
+		v.ObserveEscalation(m[0], m[2], 0, 60)
+		v.ObserveEscalation(m[0], m[2], -1, 10)
 	}
 	if after := v.sure.would(m[0], m[2], 40); after < before {
 		t.Errorf("the largest model is believed right in %.2f, before in %.2f", after, before)
@@ -96,15 +96,15 @@
 }
 
 func TestLongAnswersAreWorthMore(t *testing.T) {
-	var v Valuer
+	var v Escalator
 	short, long := ask(), ask()
-	v.Arrived(short)
-	long.Answer = 900
+	v.ObserveRequest(short)
+	long.AnswerTokens = 900
 	a, b := v.Value(short, trio()), v.Value(long, trio())
 	if want := a * (1 - sizeWorth + sizeWorth*18000/10000); math.Abs(b-want) > 0.01*want {
 		t.Errorf("a mean answer is worth %.3f, a long one %.3f instead of %.3f", a, b, want)
 	}
-	long.Answer = 1e6
+	long.AnswerTokens = 1e6
 	if most := v.Value(long, trio()); most > mostSize*a*1.001 {
 		t.Errorf("an endless answer is worth %.1f times the mean", most/a)
 	}
@@ -148,26 +148,26 @@
 	)
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	models := []Model{{"small", 0.01, 0.13}, {"large", 0.13, 0.13}}
-	request := Request{Route: "r", Prompt: 1000, Answer: 20, Target: time.Second, Left: 10 * time.Second}
-	var v Valuer
+	request := Request{Route: "r", PromptTokens: 1000, AnswerTokens: 20, FirstEventTarget: time.Second, Remaining: 10 * time.Second}
+	var v Escalator
 	waiting, asked, late := 300.0, 0.0, 0.0
 	for now := 0.0; now < until; now += step {
 		ahead := waiting / capacity
 		first := seconds(0.3 + ahead)
-		offer := Offer{First: first, Work: seconds(1 / capacity), Delayed: asked * ahead}
+		offer := Estimate{FirstEvent: first, EngineTime: seconds(1 / capacity), DelayedPerSecond: asked * ahead}
 		asks := 0.0
 		for i := range int(load * step) {
-			v.Arrived(request)
+			v.ObserveRequest(request)
 			confidence := 100 * (float64(i) + 0.5) / (load * step)
-			if v.Next(request, models, []Offer{{None: true}, offer}, 0, confidence, Offer{}, allRuns).Model == 1 {
-				v.Sent(request, models, 1, offer)
-				v.Began(first, first)
+			if v.Decide(request, models, []Estimate{{Unavailable: true}, offer}, 0, confidence, Estimate{}, allRuns).Model == 1 {
+				v.ObserveDispatch(request, models, 1, offer)
+				v.ObserveFirstEvent(first, first)
 				asks++
 			}
 		}
 		asked += 0.1 * (asks/step - asked)
 		waiting = max(0, waiting+asks-capacity*step)
-		if first > request.Target && now > until/2 {
+		if first > request.FirstEventTarget && now > until/2 {
 			late += step
 		}
 	}
--- a/internal/containment/guard.go
+++ b/internal/containment/guard.go
@@ -33,42 +33,44 @@
 // Server is a run of a backend server.
 type Server struct{ ID, Address string }
 
-// Ports are a guard's connections to its daemon.
-type Ports struct {
-	// Boot reads a clock that counts while the VM is suspended.
-	Boot func() time.Duration
-	// Refuses reports whether a server's VM refuses connections: the server has ended.
-	Refuses func(ctx context.Context, s Server) bool
+// Options are a guard's connections to its daemon.
+type Options struct {
+	// BootTime reads a clock that counts while the VM is suspended.
+	BootTime func() time.Duration
+	// RefusesConnections reports whether a server's VM refuses connections: the server has ended.
+	RefusesConnections func(ctx context.Context, s Server) bool
 	// Leaving reports whether a server has said that it leaves, or its entry has gone:
 	// it ends as it said, and nothing is to blame.
 	Leaving func(s Server) bool
-	// Lost is called when a server has ended.
-	Lost   func(run quarantine.RunKey)
-	Logger *log.Logger
-	// Ended counts servers that ended with requests of this daemon, and Held shows how
+	// OnTerminated is called when a server has ended.
+	OnTerminated func(run quarantine.IncarnationKey)
+	Logger       *log.Logger
+	// ServersTerminated counts servers that ended with requests of this daemon, and Held shows how
 	// many requests are held.
-	Ended tally.Counter
-	Held  tally.Gauge
+	ServersTerminated tally.Counter
+	RequestsHeld      tally.Gauge
 }
 
 // Guard is one daemon's part.
 type Guard struct {
-	ports Ports
+	ports Options
 	runs  *runs
 	// pending says that there is something to tell.
 	pending chan struct{}
 
 	mu     sync.Mutex
-	ledger *quarantine.Ledger
+	ledger *quarantine.Tracker
 }
 
 // New returns a guard that knows of no end.
-func New(p Ports) *Guard {
-	return &Guard{ports: p, runs: newRuns(), pending: make(chan struct{}, 1), ledger: quarantine.NewLedger()}
+func New(p Options) *Guard {
+	return &Guard{ports: p, runs: newRuns(), pending: make(chan struct{}, 1), ledger: quarantine.NewTracker()}
 }
 
-// RunKey names a run of a server among daemons.
-func RunKey(id string) quarantine.RunKey { return quarantine.RunKey(xxhash.Sum64String(id)) }
+// IncarnationKey names a run of a server among daemons.
+func IncarnationKey(id string) quarantine.IncarnationKey {
+	return quarantine.IncarnationKey(xxhash.Sum64String(id))
+}
 
 // Broadcast calls send whenever an update is pending, with a pause after each round, until the
 // context ends. Each daemon that receives something new broadcasts it in turn, so that all of
@@ -94,20 +96,20 @@
 }
 
 // with runs f on the ledger, and carries out what it has changed.
-func (g *Guard) with(f func(l *quarantine.Ledger, now time.Duration) quarantine.Change) {
-	now := g.ports.Boot()
+func (g *Guard) with(f func(l *quarantine.Tracker, now time.Duration) quarantine.Change) {
+	now := g.ports.BootTime()
 	g.mu.Lock()
 	c := f(g.ledger, now)
 	g.mu.Unlock()
 	for _, f := range c.Held {
 		ended := g.runs.cancel(f)
-		g.ports.Logger.Warn("request held", "fingerprint", f, "ends", g.standing(f).Ends, "sends_ended", ended)
+		g.ports.Logger.Warn("request held", "fingerprint", f, "ends", g.standing(f).Crashes, "sends_ended", ended)
 	}
 	for _, f := range c.Released {
 		g.ports.Logger.Warn("request no longer held", "fingerprint", f)
 	}
 	if len(c.Held)+len(c.Released) > 0 {
-		g.ports.Held.Update(float64(len(g.Holds())))
+		g.ports.RequestsHeld.Update(float64(len(g.Holds())))
 	}
 	if c.Broadcast {
 		g.requestBroadcast()
@@ -115,51 +117,51 @@
 }
 
 // standing returns what is known of a request.
-func (g *Guard) standing(f quarantine.Fingerprint) quarantine.Standing {
-	now := g.ports.Boot()
+func (g *Guard) standing(f quarantine.Fingerprint) quarantine.Status {
+	now := g.ports.BootTime()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Standing(f, now)
+	return g.ledger.Status(f, now)
 }
 
 // Check returns what is known of a request that is about to be sent.
-func (g *Guard) Check(f quarantine.Fingerprint) quarantine.Standing {
+func (g *Guard) Check(f quarantine.Fingerprint) quarantine.Status {
 	s := g.standing(f)
-	if s.Ends == 0 || s.Held {
+	if s.Crashes == 0 || s.Held {
 		return s
 	}
-	g.with(func(l *quarantine.Ledger, now time.Duration) quarantine.Change { return l.Reconsider(f, now) })
+	g.with(func(l *quarantine.Tracker, now time.Duration) quarantine.Change { return l.Reevaluate(f, now) })
 	return g.standing(f)
 }
 
-// Advice is when the caller of a held request should come back.
-func Advice(s quarantine.Standing) time.Duration {
-	if s.For < provisional {
+// RetryAfter is when the caller of a held request should come back.
+func RetryAfter(s quarantine.Status) time.Duration {
+	if s.HeldFor < provisional {
 		return provisional
 	}
-	return s.Left
+	return s.Remaining
 }
 
-// Enter records that a request is sent to a server. Cancel gives the send up.
-func (g *Guard) Enter(s Server, f quarantine.Fingerprint, cancel context.CancelCauseFunc) *Run {
+// Begin records that a request is sent to a server. Cancel gives the send up.
+func (g *Guard) Begin(s Server, f quarantine.Fingerprint, cancel context.CancelCauseFunc) *Attempt {
 	return g.runs.enter(s.ID, f, cancel)
 }
 
-// Pass records that something of a send's answer was passed on.
-func (g *Guard) Pass(u *Run) { g.runs.pass(u) }
+// MarkForwarded records that something of a send's answer was passed on.
+func (g *Guard) MarkForwarded(u *Attempt) { g.runs.pass(u) }
 
-// Leave records what became of a send. For one whose connection broke it finds out whether
+// End records what became of a send. For one whose connection broke it finds out whether
 // the server has ended, and waits a little for that, so that the next send knows.
-func (g *Guard) Leave(ctx context.Context, u *Run, s Server, f Fate) {
+func (g *Guard) End(ctx context.Context, u *Attempt, s Server, f Outcome) {
 	g.runs.leave(u, f)
-	if f == Broke {
+	if f == ConnectionLost {
 		g.findOut(ctx, s)
 	}
 }
 
-// Succeeded takes it that a request was answered in full.
-func (g *Guard) Succeeded(f quarantine.Fingerprint) {
-	g.with(func(l *quarantine.Ledger, now time.Duration) quarantine.Change { return l.Succeeded(f, now) })
+// RecordSuccess takes it that a request was answered in full.
+func (g *Guard) RecordSuccess(f quarantine.Fingerprint) {
+	g.with(func(l *quarantine.Tracker, now time.Duration) quarantine.Change { return l.RecordSuccess(f, now) })
 }
 
 // findOut asks, for a request whose connection broke, whether its server has ended: its VM
@@ -182,7 +184,7 @@
 func (g *Guard) askRefuses(s Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), refusesLimit)
 	defer cancel()
-	ended := g.ports.Refuses(ctx, s)
+	ended := g.ports.RefusesConnections(ctx, s)
 	if g.runs.answer(s.ID, ended) {
 		g.serverEnded(s)
 	}
@@ -196,29 +198,29 @@
 		how = "had said that it leaves"
 	}
 	g.noteEnd(s, how, list)
-	g.ports.Lost(RunKey(s.ID))
+	g.ports.OnTerminated(IncarnationKey(s.ID))
 	if !leaving {
-		g.ended(RunKey(s.ID), 0, list)
+		g.ended(IncarnationKey(s.ID), 0, list)
 	}
 }
 
 // noteEnd counts and logs the end of a server with requests of this daemon.
-func (g *Guard) noteEnd(s Server, how string, list []*Run) {
-	g.ports.Ended.Inc(1)
+func (g *Guard) noteEnd(s Server, how string, list []*Attempt) {
+	g.ports.ServersTerminated.Inc(1)
 	g.ports.Logger.Warn("server ended", "server", s.ID, "address", s.Address, "how", how, "requests", len(list), "fingerprints", fingerprints(list))
 }
 
-// Restarted takes it that a server has started again, so that its earlier run has ended. One
+// ServerRestarted takes it that a server has started again, so that its earlier run has ended. One
 // that is back at once refuses no connection.
-func (g *Guard) Restarted(s Server) {
+func (g *Guard) ServerRestarted(s Server) {
 	if list, news := g.runs.restarted(s.ID); news {
 		g.noteEnd(s, "started again", list)
-		g.ended(RunKey(s.ID), 0, list)
+		g.ended(IncarnationKey(s.ID), 0, list)
 	}
 }
 
 // ended takes it that a run of a server ended some time ago with requests of this daemon.
-func (g *Guard) ended(run quarantine.RunKey, age time.Duration, list []*Run) {
+func (g *Guard) ended(run quarantine.IncarnationKey, age time.Duration, list []*Attempt) {
 	if len(list) == 0 {
 		return
 	}
@@ -226,14 +228,14 @@
 	for _, u := range list {
 		suspects = append(suspects, u.fingerprint)
 	}
-	g.with(func(l *quarantine.Ledger, now time.Duration) quarantine.Change {
-		return l.Ended(run, now-age, suspects, now)
+	g.with(func(l *quarantine.Tracker, now time.Duration) quarantine.Change {
+		return l.RecordCrash(run, now-age, suspects, now)
 	})
 }
 
 // Update returns what is pending for another daemon, with all holds for one just met.
 func (g *Guard) Update(justMet bool) quarantine.Update {
-	now := g.ports.Boot()
+	now := g.ports.BootTime()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Update(now, justMet)
@@ -245,19 +247,19 @@
 	if w.Empty() {
 		return
 	}
-	g.with(func(l *quarantine.Ledger, now time.Duration) quarantine.Change { return l.Merge(w, now) })
-	for _, e := range w.Ends {
+	g.with(func(l *quarantine.Tracker, now time.Duration) quarantine.Change { return l.Merge(w, now) })
+	for _, e := range w.Crashes {
 		age := time.Duration(e.AgeMs) * time.Millisecond
-		if list, news := g.runs.reportedEnd(e.Run, age); news {
-			g.ports.Lost(e.Run)
-			g.ended(e.Run, age, list)
+		if list, news := g.runs.reportedEnd(e.Incarnation, age); news {
+			g.ports.OnTerminated(e.Incarnation)
+			g.ended(e.Incarnation, age, list)
 		}
 	}
 }
 
 // Holds lists the requests that are held.
 func (g *Guard) Holds() []quarantine.Hold {
-	now := g.ports.Boot()
+	now := g.ports.BootTime()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Holds(now)
@@ -265,12 +267,12 @@
 
 // ApplyHold takes it that a request is held for some time yet.
 func (g *Guard) ApplyHold(f quarantine.Fingerprint, left time.Duration) {
-	g.with(func(l *quarantine.Ledger, now time.Duration) quarantine.Change {
+	g.with(func(l *quarantine.Tracker, now time.Duration) quarantine.Change {
 		return l.ApplyHold(f, now, now+left, now)
 	})
 }
 
 // Release ends the hold of a request by hand.
 func (g *Guard) Release(f quarantine.Fingerprint) {
-	g.with(func(l *quarantine.Ledger, now time.Duration) quarantine.Change { return l.Cleared(f, now, now) })
+	g.with(func(l *quarantine.Tracker, now time.Duration) quarantine.Change { return l.ApplyClearance(f, now, now) })
 }
--- a/internal/containment/runs.go
+++ b/internal/containment/runs.go
@@ -20,42 +20,42 @@
 	runsKept = 10 * time.Second
 )
 
-// Fate is what became of a send.
-type Fate uint8
+// Outcome is what became of a send.
+type Outcome uint8
 
 const (
 	// running sends wait for their server, or read its answer.
-	running Fate = iota
-	// Broke is a send whose connection ended.
-	Broke
-	// Left is a send that this daemon gave up, or whose caller left.
-	Left
-	// Finished is a send that was answered, or that did not run.
-	Finished
+	running Outcome = iota
+	// ConnectionLost is a send whose connection ended.
+	ConnectionLost
+	// Canceled is a send that this daemon gave up, or whose caller left.
+	Canceled
+	// Completed is a send that was answered, or that did not run.
+	Completed
 )
 
-// Run is one request at one server.
-type Run struct {
+// Attempt is one request at one server.
+type Attempt struct {
 	server      string
 	fingerprint quarantine.Fingerprint
 	// cancel gives the send up.
 	cancel context.CancelCauseFunc
 	// passed says that something of the answer was passed on.
 	passed bool
-	fate   Fate
+	fate   Outcome
 	// over is when the send ended; zero while it runs.
 	over time.Time
 }
 
 // suspect reports whether the run may have ended its server by a moment. Broken is how long
 // before it a connection may have broken by that end.
-func (r *Run) suspect(now time.Time, broken time.Duration) bool {
+func (r *Attempt) suspect(now time.Time, broken time.Duration) bool {
 	switch r.fate {
 	case running:
 		return true
-	case Broke:
+	case ConnectionLost:
 		return now.Sub(r.over) <= broken
-	case Left:
+	case Canceled:
 		return now.Sub(r.over) <= afterEffect
 	}
 	return false
@@ -68,16 +68,16 @@
 	mu      sync.Mutex
 	servers map[string]*serverRuns
 	// byKey names the servers by the keys that daemons use between them.
-	byKey map[quarantine.RunKey]string
+	byKey map[quarantine.IncarnationKey]string
 	// reported is when others first reported the end of a server at which this daemon has
 	// nothing.
-	reported map[quarantine.RunKey]time.Time
+	reported map[quarantine.IncarnationKey]time.Time
 	swept    time.Time
 }
 
 // serverRuns are the requests at one server.
 type serverRuns struct {
-	list []*Run
+	list []*Attempt
 	used time.Time
 	// asked is closed when it is known whether the server has ended; nil if nobody asks.
 	asked chan struct{}
@@ -87,22 +87,22 @@
 }
 
 func newRuns() *runs {
-	return &runs{servers: map[string]*serverRuns{}, byKey: map[quarantine.RunKey]string{}, reported: map[quarantine.RunKey]time.Time{}}
+	return &runs{servers: map[string]*serverRuns{}, byKey: map[quarantine.IncarnationKey]string{}, reported: map[quarantine.IncarnationKey]time.Time{}}
 }
 
 // enter records a send.
-func (r *runs) enter(server string, f quarantine.Fingerprint, cancel context.CancelCauseFunc) *Run {
+func (r *runs) enter(server string, f quarantine.Fingerprint, cancel context.CancelCauseFunc) *Attempt {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sweep(now)
 	s := r.at(server, now)
-	if s.ended && now.Sub(s.endedAt) > quarantine.SameEnd {
+	if s.ended && now.Sub(s.endedAt) > quarantine.CrashDedupWindow {
 		// Where servers keep their name over a start, this is a later run.
 		s.ended, s.asked = false, nil
 	}
 	s.list = keepSuspects(s.list, now)
-	out := &Run{server: server, fingerprint: f, cancel: cancel}
+	out := &Attempt{server: server, fingerprint: f, cancel: cancel}
 	s.list = append(s.list, out)
 	return out
 }
@@ -113,14 +113,14 @@
 	if s == nil {
 		s = &serverRuns{}
 		r.servers[server] = s
-		r.byKey[RunKey(server)] = server
+		r.byKey[IncarnationKey(server)] = server
 	}
 	s.used = now
 	return s
 }
 
 // pass records that something of a send's answer was passed on.
-func (r *runs) pass(u *Run) {
+func (r *runs) pass(u *Attempt) {
 	r.mu.Lock()
 	u.passed = true
 	r.mu.Unlock()
@@ -144,12 +144,12 @@
 
 // reportedEnd takes it from another daemon that a server ended some time ago, and returns the
 // requests that this daemon had there, and whether the end is news.
-func (r *runs) reportedEnd(key quarantine.RunKey, age time.Duration) (list []*Run, news bool) {
+func (r *runs) reportedEnd(key quarantine.IncarnationKey, age time.Duration) (list []*Attempt, news bool) {
 	now := time.Now()
 	r.mu.Lock()
 	id, known := r.byKey[key]
 	at, seen := r.reported[key]
-	if !known && (!seen || now.Sub(at) > quarantine.SameEnd) {
+	if !known && (!seen || now.Sub(at) > quarantine.CrashDedupWindow) {
 		seen = false
 		r.reported[key] = now
 	}
@@ -162,7 +162,7 @@
 }
 
 // leave records what became of a send.
-func (r *runs) leave(u *Run, f Fate) {
+func (r *runs) leave(u *Attempt, f Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u.fate, u.over = f, time.Now()
@@ -172,7 +172,7 @@
 }
 
 // keepSuspects shortens a list in its place to the runs that may still have ended their server.
-func keepSuspects(list []*Run, now time.Time) []*Run {
+func keepSuspects(list []*Attempt, now time.Time) []*Attempt {
 	out := list[:0]
 	for _, u := range list {
 		if u.suspect(now, restartSeen) {
@@ -189,22 +189,22 @@
 		return
 	}
 	r.swept = now
-	maps.DeleteFunc(r.reported, func(_ quarantine.RunKey, at time.Time) bool { return now.Sub(at) > runsKept })
+	maps.DeleteFunc(r.reported, func(_ quarantine.IncarnationKey, at time.Time) bool { return now.Sub(at) > runsKept })
 	for id, s := range r.servers {
 		s.list = keepSuspects(s.list, now)
 		if now.Sub(s.used) > runsKept && len(s.list) == 0 {
 			delete(r.servers, id)
-			delete(r.byKey, RunKey(id))
+			delete(r.byKey, IncarnationKey(id))
 		}
 	}
 }
 
 // suspects returns the requests that were at a server when it ended some time ago.
-func (r *runs) suspects(server string, age time.Duration) (out []*Run) {
+func (r *runs) suspects(server string, age time.Duration) (out []*Attempt) {
 	return r.suspectsBy(server, time.Now().Add(-age), afterEffect)
 }
 
-func (r *runs) suspectsBy(server string, at time.Time, broken time.Duration) (out []*Run) {
+func (r *runs) suspectsBy(server string, at time.Time, broken time.Duration) (out []*Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[server]
@@ -221,7 +221,7 @@
 
 // restarted takes it that a server has started again, and returns the requests whose
 // connections broke there since it may have ended, and whether the end is news.
-func (r *runs) restarted(server string) (list []*Run, news bool) {
+func (r *runs) restarted(server string) (list []*Attempt, news bool) {
 	news = r.answer(server, true)
 	return r.suspectsBy(server, time.Now(), restartSeen), news
 }
@@ -266,7 +266,7 @@
 // maxNamed bounds the fingerprints that a line names.
 const maxNamed = 16
 
-func fingerprints(list []*Run) (out []quarantine.Fingerprint) {
+func fingerprints(list []*Attempt) (out []quarantine.Fingerprint) {
 	for _, u := range list[:min(maxNamed, len(list))] {
 		out = append(out, u.fingerprint)
 	}
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -117,7 +117,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%v\nin force: %d; changed since your base:", err, r.InForce)
 	for _, m := range r.Moved {
-		fmt.Fprintf(&b, "\n  %d by %s: %s", m.Number, orDash(m.Author), strings.Join(m.Touched, " "))
+		fmt.Fprintf(&b, "\n  %d by %s: %s", m.Number, orDash(m.Author), strings.Join(m.Changed, " "))
 	}
 	return &cli.Error{Code: cli.ExitConflict, Err: errors.New(b.String())}
 }
@@ -130,13 +130,13 @@
 }
 
 func (c *client) config(ctx context.Context) (*fleet.Config, error) {
-	cfg := fleet.Empty()
+	cfg := fleet.NewConfig()
 	err := c.do(ctx, http.MethodGet, "/operator/v1/config", nil, cfg)
 	return cfg, err
 }
 
-func (c *client) patch(ctx context.Context, r fleet.Record) (fleet.Outcome, error) {
-	var o fleet.Outcome
+func (c *client) patch(ctx context.Context, r fleet.Record) (fleet.PatchOutcome, error) {
+	var o fleet.PatchOutcome
 	err := c.do(ctx, http.MethodPost, "/operator/v1/patches", r, &o)
 	return o, err
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -172,7 +172,7 @@
 	}
 	fmt.Fprintf(t.out, "against configuration %d: %d changes\n", cfg.Number, len(changes))
 	printChanges(t.out, cfg, changes)
-	for _, v := range fleet.Unwithdrawn(cfg, wanted) {
+	for _, v := range fleet.ReinstatedVersions(cfg, wanted) {
 		fmt.Fprintf(t.out, "! %s is withdrawn and would serve again; apply asks for -unwithdraw\n", v)
 	}
 	return nil
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	if again := fleet.Unwithdrawn(cfg, wanted); len(again) > 0 && !t.again {
+	if again := fleet.ReinstatedVersions(cfg, wanted); len(again) > 0 && !t.again {
 		return cli.Usage(fmt.Errorf("%s would serve again after its withdrawal; mark it withdrawn in the declarations or give -unwithdraw", strings.Join(again, ", ")))
 	}
 	if len(changes) == 0 {
@@ -213,7 +213,7 @@
 	if t.json {
 		return t.printJSON(o)
 	}
-	fmt.Fprintf(t.out, "accepted as configuration %d after %s: %s\n", o.Number, time.Since(began).Round(time.Millisecond), strings.Join(o.Touched, " "))
+	fmt.Fprintf(t.out, "accepted as configuration %d after %s: %s\n", o.Number, time.Since(began).Round(time.Millisecond), strings.Join(o.Changed, " "))
 	return nil
 }
 
@@ -228,7 +228,7 @@
 }
 
 func (t *tool) history(ctx context.Context, c *client, _ []string) error {
-	var all []fleet.Outcome
+	var all []fleet.PatchOutcome
 	if err := c.do(ctx, http.MethodGet, "/operator/v1/history", nil, &all); err != nil {
 		return err
 	}
@@ -241,7 +241,7 @@
 		if !o.Accepted {
 			word = string(o.Kind)
 		}
-		rows = append(rows, fmt.Sprintf("%d\t%d\t%s\t%s\t%s\t%s", o.Number, o.Base, word, orDash(o.Author), o.PatchID, strings.Join(append(o.Touched, o.Detail), " ")))
+		rows = append(rows, fmt.Sprintf("%d\t%d\t%s\t%s\t%s\t%s", o.Number, o.Base, word, orDash(o.Author), o.PatchID, strings.Join(append(o.Changed, o.Detail), " ")))
 	}
 	return t.table("NUMBER\tBASE\tOUTCOME\tAUTHOR\tPATCH\tWHAT", rows)
 }
--- a/internal/ctl/declare.go
+++ b/internal/ctl/declare.go
@@ -24,7 +24,7 @@
 		return nil, fmt.Errorf("%s holds no .json or .jsonc file", dir)
 	}
 	slices.Sort(files)
-	wanted := fleet.Empty()
+	wanted := fleet.NewConfig()
 	for _, f := range files {
 		if err := addFile(wanted, f); err != nil {
 			return nil, fmt.Errorf("%s: %w", f, err)
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -28,10 +28,10 @@
 	var rows []string
 	for _, m := range s.Members {
 		age := "never"
-		if m.LogAgeMillis != membership.NeverHeard {
+		if m.LogAgeMillis != membership.LogAgeUnknown {
 			age = (time.Duration(m.LogAgeMillis) * time.Millisecond).String()
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%v\t%d\t%d\t%v\t%s", m.ID, m.Address, m.FailureDomain, m.State, m.Serving, m.Number, m.InFlight, m.Leaving, age))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%v\t%d\t%d\t%v\t%s", m.ID, m.Address, m.FailureDomain, m.State, m.Serving, m.ConfigNumber, m.InFlight, m.Leaving, age))
 	}
 	return t.table("DAEMON\tADDRESS\tFAILURE DOMAIN\tSTATE\tSERVING\tNUMBER\tIN FLIGHT\tLEAVING\tLOG AGE", rows)
 }
@@ -72,13 +72,13 @@
 	change := map[string]any{}
 	switch args[0] {
 	case "hold":
-		change["rollouts"] = map[string]any{ro.Model: map[string]any{"state": fleet.Held}}
+		change["rollouts"] = map[string]any{ro.Model: map[string]any{"state": fleet.RolloutHeld}}
 	case "resume":
-		change["rollouts"] = map[string]any{ro.Model: map[string]any{"state": fleet.Running}}
+		change["rollouts"] = map[string]any{ro.Model: map[string]any{"state": fleet.RolloutRunning}}
 	case "withdraw":
 		gone := map[string]any{"state": fleet.Withdrawn, "successor": cfg.Models[ro.Model].Stable}
-		change["rollouts"] = map[string]any{ro.Model: map[string]any{"state": fleet.RolledBack}}
-		change["models"] = map[string]any{ro.Model: map[string]any{"versions": map[string]any{ro.To: gone}}}
+		change["rollouts"] = map[string]any{ro.Model: map[string]any{"state": fleet.RolloutRolledBack}}
+		change["models"] = map[string]any{ro.Model: map[string]any{"versions": map[string]any{ro.TargetVersion: gone}}}
 	default:
 		return cli.Usage(fmt.Errorf("rollout knows show, hold, resume and withdraw, not %q", args[0]))
 	}
@@ -95,8 +95,8 @@
 	}
 	var rows []string
 	for _, r := range all {
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%.1f%%\t%d/%d\t%d/%d\t%s\t%s", r.Model, r.To, r.State, r.Percent,
-			r.Fresh.Errors, r.Fresh.Requests, r.Running.Errors, r.Running.Requests, orDash(r.Home), orDash(r.Reason)))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%.1f%%\t%d/%d\t%d/%d\t%s\t%s", r.Model, r.TargetVersion, r.State, r.Percent,
+			r.NewVersion.Errors, r.NewVersion.Requests, r.RunningVersion.Errors, r.RunningVersion.Requests, orDash(r.Owner), orDash(r.Reason)))
 	}
 	return t.table("MODEL\tTO\tSTATE\tSHARE\tNEW ERRORS\tRUNNING ERRORS\tHOME\tREASON", rows)
 }
@@ -118,10 +118,10 @@
 
 func (t *tool) usage(ctx context.Context, c *client, _ []string) error {
 	var r struct {
-		Bills      int            `json:"bills"`
-		Duplicates int            `json:"duplicates"`
-		Doubtful   []string       `json:"doubtful"`
-		Lines      []billing.Line `json:"lines"`
+		Bills      int                `json:"bills"`
+		Duplicates int                `json:"duplicates"`
+		Doubtful   []string           `json:"doubtful"`
+		Lines      []billing.LineItem `json:"lines"`
 	}
 	if err := c.do(ctx, http.MethodGet, "/operator/v1/usage", nil, &r); err != nil {
 		return err
@@ -131,7 +131,7 @@
 	}
 	var rows []string
 	for _, l := range r.Lines {
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%d\t%.6f", l.Workspace, l.Model, orDash(l.Version), l.Requests, l.Cut, l.Tokens, float64(l.Micros)/1e6))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%d\t%.6f", l.Workspace, l.Model, orDash(l.Version), l.Requests, l.Truncated, l.Tokens, float64(l.Micros)/1e6))
 	}
 	if err := t.table("WORKSPACE\tMODEL\tVERSION\tREQUESTS\tCUT\tTOKENS\tPRICE", rows); err != nil {
 		return err
@@ -145,8 +145,8 @@
 
 func (t *tool) burn(ctx context.Context, c *client, _ []string) error {
 	var r struct {
-		Lines   []slo.Line `json:"lines"`
-		Missing []string   `json:"missing"`
+		Lines   []slo.ObjectiveBurn `json:"lines"`
+		Missing []string            `json:"missing"`
 	}
 	if err := c.do(ctx, http.MethodGet, "/operator/v1/burn", nil, &r); err != nil {
 		return err
@@ -157,10 +157,10 @@
 	var rows []string
 	for _, l := range r.Lines {
 		end := "-"
-		if l.Exhausted > 0 {
-			end = l.Exhausted.Round(time.Minute).String()
+		if l.ExhaustedIn > 0 {
+			end = l.ExhaustedIn.Round(time.Minute).String()
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%.2f\t%.0f%%\t%s\t%s", l.Workspace, l.Objective, l.Window, l.Requests, l.Bad, l.Burn, 100*l.Left, end, orDash(l.Worst)))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%.2f\t%.0f%%\t%s\t%s", l.Workspace, l.Objective, l.Window, l.Requests, l.Bad, l.Burn, 100*l.Remaining, end, orDash(l.Worst)))
 	}
 	if err := t.table("WORKSPACE\tOBJECTIVE\tWINDOW\tREQUESTS\tBAD\tBURN\tLEFT\tEXHAUSTED IN\tMOST FROM", rows); err != nil {
 		return err
@@ -186,9 +186,9 @@
 	if t.json {
 		return t.printJSON(e)
 	}
-	fmt.Fprintf(t.out, "configuration %d: %s@%s (%s), pool %s, server %s\n", e.Number, e.Model, e.Version, e.Why, e.Pool, orDash(e.Chosen))
+	fmt.Fprintf(t.out, "configuration %d: %s@%s (%s), pool %s, server %s\n", e.Number, e.Model, e.Version, e.VersionReason, e.Pool, orDash(e.Chosen))
 	var rows []string
-	for _, r := range e.Reasons {
+	for _, r := range e.RuleResults {
 		word := r.Cost.String()
 		if !r.Kept {
 			word = "out"
--- a/internal/daemon/account.go
+++ b/internal/daemon/account.go
@@ -39,7 +39,7 @@
 	if err == nil {
 		d.metrics.answered.Inc(1)
 	}
-	if st == nil || err != nil && fault.From(err).State() == fault.NotRun && !slices.Contains(capacityKinds, fault.From(err).Kind) {
+	if st == nil || err != nil && fault.FromError(err).ExecutionState() == fault.NotRun && !slices.Contains(capacityKinds, fault.FromError(err).Kind) {
 		return
 	}
 	n := slo.Counts{Requests: 1}
@@ -61,8 +61,8 @@
 		d.usage.cancel()
 		return true
 	}
-	u := billing.Usage{
-		RequestID: id, Workspace: workspace, Outcome: billing.Cut, UnixMillis: time.Now().UnixMilli(),
+	u := billing.UsageRecord{
+		RequestID: id, Workspace: workspace, Outcome: billing.Truncated, UnixMillis: time.Now().UnixMilli(),
 		Daemon: d.settings.ID, FirstTokenMillis: st.firstToken.Milliseconds(), FailureDomain: st.domain,
 	}
 	if st.complete {
@@ -71,7 +71,7 @@
 	for _, s := range st.steps {
 		u.Model, u.Version = s.model, s.version
 		u.PromptTokens += s.prompt
-		u.AnswerTokens += s.answer
+		u.CompletionTokens += s.answer
 		u.Micros += billing.Price(s.prompt+s.answer, s.microsPerKiloTokens)
 	}
 	return d.usage.add(ctx, u)
@@ -80,10 +80,10 @@
 // unprotected withholds the end of an answer whose usage record would be lost
 // with this VM.
 func unprotected() error {
-	return fault.New(fault.UsageUnprotected, "the usage record could not be stored safely").With(fault.Ran)
+	return fault.New(fault.UsageUnprotected, "the usage record could not be stored safely").WithExecution(fault.Ran)
 }
 
-func reserveTokens(q *Chat) int64 {
+func reserveTokens(q *ChatRequest) int64 {
 	answer := q.MaxTokens
 	if answer == 0 {
 		answer = defaultAnswerTokens
--- a/internal/daemon/burn.go
+++ b/internal/daemon/burn.go
@@ -17,8 +17,8 @@
 }
 
 func (b *burn) register(s *peer.Server) {
-	peer.Handle(s, "burn", func(context.Context, string, peer.AskBurn) (peer.BurnCells, error) {
-		return peer.BurnCells{Cells: b.cells()}, nil
+	peer.Handle(s, "burn", func(context.Context, string, peer.BurnRequest) (peer.BurnResponse, error) {
+		return peer.BurnResponse{Cells: b.cells()}, nil
 	})
 }
 
@@ -28,15 +28,15 @@
 	b.mu.Unlock()
 }
 
-func (b *burn) cells() []slo.Cell {
+func (b *burn) cells() []slo.WindowCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.counters.Cells(time.Now())
+	return b.counters.Snapshot(time.Now())
 }
 
-// Burn merges the counters of all daemons into the burn report. Missing lists
+// BurnReport merges the counters of all daemons into the burn report. Missing lists
 // the daemons that did not answer.
-func (d *Daemon) Burn(ctx context.Context) (lines []slo.Line, missing []string) {
+func (d *Daemon) BurnReport(ctx context.Context) (lines []slo.ObjectiveBurn, missing []string) {
 	cells := d.burn.cells()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -47,7 +47,7 @@
 		wg.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 			defer cancel()
-			r, err := peer.Call[peer.AskBurn, peer.BurnCells](callCtx, d.links, m.PeerAddress, "burn", peer.AskBurn{})
+			r, err := peer.Call[peer.BurnRequest, peer.BurnResponse](callCtx, d.links, m.PeerAddress, "burn", peer.BurnRequest{})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -17,13 +17,13 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// ServiceCall is a checked call of a plain service.
-type ServiceCall struct {
+// ServiceRequest is a checked call of a plain service.
+type ServiceRequest struct {
 	Workspace string
 	Service   string
 	Body      []byte
-	// Key is the Idempotency-Key, required for non-repeatable services.
-	Key string
+	// IdempotencyKey is the Idempotency-Key, required for non-repeatable services.
+	IdempotencyKey string
 }
 
 // ServiceAnswer is a plain service's reply.
@@ -33,8 +33,8 @@
 	Replayed bool
 }
 
-// Call answers a plain service call. Its error is always a *fault.Error.
-func (d *Daemon) Call(ctx context.Context, id string, q ServiceCall) (*ServiceAnswer, error) {
+// CallService answers a plain service call. Its error is always a *fault.Error.
+func (d *Daemon) CallService(ctx context.Context, id string, q ServiceRequest) (*ServiceAnswer, error) {
 	done, err := d.enter()
 	if err != nil {
 		return nil, err
@@ -47,18 +47,18 @@
 	return a, err
 }
 
-func (d *Daemon) call(ctx context.Context, id string, q ServiceCall, st *served) (*ServiceAnswer, error) {
+func (d *Daemon) call(ctx context.Context, id string, q ServiceRequest, st *served) (*ServiceAnswer, error) {
 	c := d.config.current()
 	w := c.Workspaces[q.Workspace]
 	svc, ok := c.Services[q.Service]
 	if !ok {
-		return nil, fault.Field(fault.UnknownModel, "service", "no service %q", q.Service)
+		return nil, fault.NewField(fault.UnknownModel, "service", "no service %q", q.Service)
 	}
 	if !slices.Contains(w.Services, q.Service) {
-		return nil, fault.Field(fault.NotEntitled, "service", "the workspace may not call %q", q.Service)
+		return nil, fault.NewField(fault.NotEntitled, "service", "the workspace may not call %q", q.Service)
 	}
-	if svc.NonRepeatable && q.Key == "" {
-		return nil, fault.Field(fault.BadRequest, "Idempotency-Key", "service %q needs a key: its calls may not be repeated", q.Service)
+	if svc.NonRepeatable && q.IdempotencyKey == "" {
+		return nil, fault.NewField(fault.BadRequest, "Idempotency-Key", "service %q needs a key: its calls may not be repeated", q.Service)
 	}
 	res, err := d.limits.reserve(ctx, q.Workspace, w, 0)
 	if err != nil {
@@ -75,9 +75,9 @@
 	}
 	outcome := billing.Complete
 	if err != nil {
-		outcome = billing.Cut
+		outcome = billing.Truncated
 	}
-	safe := d.usage.add(ctx, billing.Usage{
+	safe := d.usage.add(ctx, billing.UsageRecord{
 		RequestID: id, Workspace: q.Workspace, Model: q.Service, Micros: svc.Micros,
 		Outcome: outcome, UnixMillis: time.Now().UnixMilli(), Daemon: d.settings.ID,
 		FirstTokenMillis: st.firstToken.Milliseconds(),
@@ -90,21 +90,21 @@
 
 // callOnce claims the key, if there is one, and sends the call. Ran says
 // whether a server answered or may have run it.
-func (d *Daemon) callOnce(ctx context.Context, id string, q ServiceCall, svc fleet.Service, w fleet.Workspace) (a *ServiceAnswer, ran bool, err error) {
+func (d *Daemon) callOnce(ctx context.Context, id string, q ServiceRequest, svc fleet.Service, w fleet.Workspace) (a *ServiceAnswer, ran bool, err error) {
 	var t *ticket
-	if q.Key != "" {
-		var replay *request.Verdict
-		t, replay, err = d.claims.acquire(ctx, q.Workspace, q.Key, q.Body, id)
+	if q.IdempotencyKey != "" {
+		var replay *request.ClaimResult
+		t, replay, err = d.claims.acquire(ctx, q.Workspace, q.IdempotencyKey, q.Body, id)
 		if err != nil {
 			return nil, false, err
 		}
 		if replay != nil {
-			return &ServiceAnswer{replay.Status, replay.Answer, true}, false, nil
+			return &ServiceAnswer{replay.Status, replay.Response, true}, false, nil
 		}
 	}
 	a, err = d.send(ctx, id, q, svc, w)
 	if err != nil {
-		state := fault.From(err).State()
+		state := fault.FromError(err).ExecutionState()
 		t.finish(state, 0, nil)
 		return nil, state != fault.NotRun, err
 	}
@@ -113,17 +113,17 @@
 }
 
 // send tries servers until one answers or the call may have run.
-func (d *Daemon) send(ctx context.Context, id string, q ServiceCall, svc fleet.Service, w fleet.Workspace) (*ServiceAnswer, error) {
+func (d *Daemon) send(ctx context.Context, id string, q ServiceRequest, svc fleet.Service, w fleet.Workspace) (*ServiceAnswer, error) {
 	limit := defaultDeadline
 	if w.DeadlineMillis > 0 {
 		limit = time.Duration(w.DeadlineMillis) * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	life := &request.Life{Repeatable: q.Key == "", Deadline: time.Now().Add(limit)}
+	life := &request.RetryState{Repeatable: q.IdempotencyKey == "", Deadline: time.Now().Add(limit)}
 	d.retries.earn()
 	var tried []string
-	fingerprint := quarantine.Of(q.Workspace, "", "call", q.Service, q.Body)
+	fingerprint := quarantine.FingerprintOf(q.Workspace, "", "call", q.Service, q.Body)
 	for {
 		if refusal := d.held(fingerprint, life); refusal != nil {
 			return nil, refusal
@@ -131,14 +131,14 @@
 		c := d.config.current()
 		if !slices.Contains(c.Workspaces[q.Workspace].Services, q.Service) {
 			d.metrics.lastCheck.Inc(1)
-			return nil, fault.New(fault.NotEntitled, "service %s is no longer allowed", q.Service).With(life.State())
+			return nil, fault.New(fault.NotEntitled, "service %s is no longer allowed", q.Service).WithExecution(life.ExecutionState())
 		}
 		ch, err := d.pools.pick(c, svc.Pool, "", &routing.Request{}, tried)
 		if err != nil {
-			return nil, truthful(fault.From(err), life)
+			return nil, truthful(fault.FromError(err), life)
 		}
 		tried = append(tried, ch.candidate.ID)
-		life.Began()
+		life.RecordAttempt()
 		d.metrics.attempts.Inc(1)
 		began := time.Now()
 		status, body, err := d.guardedCall(ctx, id, ch, fingerprint, q.Body)
@@ -146,12 +146,12 @@
 		if err == nil {
 			return &ServiceAnswer{Status: status, Body: body}, nil
 		}
-		event := request.RunGone
+		event := request.RunNotFound
 		if errors.Is(err, engine.ErrNotConnected) {
 			event = request.ConnectFailed
 			d.pools.unreachable(ch)
 		}
-		if dec := d.decide(life, event); dec.Action != request.TryAnother {
+		if dec := d.decide(life, event); dec.Action != request.Retry {
 			return nil, dec.Error
 		}
 	}
@@ -161,18 +161,18 @@
 func (d *Daemon) guardedCall(ctx context.Context, id string, ch choice, f quarantine.Fingerprint, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	u := d.guard.Enter(guarded(ch.candidate), f, cancel)
+	u := d.guard.Begin(guarded(ch.candidate), f, cancel)
 	status, answer, err := d.engine.Call(ctx, ch.candidate.Address, id, body)
-	fate := containment.Broke
+	fate := containment.ConnectionLost
 	switch {
 	case err == nil, errors.Is(err, engine.ErrNotConnected):
-		fate = containment.Finished
+		fate = containment.Completed
 	case ctx.Err() != nil:
-		fate = containment.Left
+		fate = containment.Canceled
 	}
-	d.guard.Leave(ctx, u, guarded(ch.candidate), fate)
+	d.guard.End(ctx, u, guarded(ch.candidate), fate)
 	if err == nil && status < http.StatusInternalServerError {
-		d.guard.Succeeded(f)
+		d.guard.RecordSuccess(f)
 	}
 	return status, answer, err
 }
--- a/internal/daemon/cascades.go
+++ b/internal/daemon/cascades.go
@@ -78,7 +78,7 @@
 		s.cheap = cheap
 	}
 	_, known := s.plan.Accept[class]
-	return s.plan.First(class, known, rand.Float64())
+	return s.plan.UseCheapFirst(class, known, rand.Float64())
 }
 
 // accepts counts a cheap answer and reports whether it may stand.
@@ -86,7 +86,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.of(key)
-	s.class(class).Saw(confidence)
+	s.class(class).RecordConfidence(confidence)
 	return s.plan.Accepts(class, confidence)
 }
 
@@ -114,10 +114,10 @@
 func (c *cascades) ratingShare(model, version string) float64 {
 	budget := c.d.settings.RatingShare
 	ro, ok := c.d.config.current().RolloutFor(model)
-	if !ok || !rollout.Judged(ro) {
+	if !ok || !rollout.CarriesTraffic(ro) {
 		return budget
 	}
-	return rollout.RatingShare(budget, ro.Percent(), version == ro.To)
+	return rollout.RatingShare(budget, ro.Percent(), version == ro.TargetVersion)
 }
 
 func (c *cascades) loop(ctx context.Context) {
@@ -153,9 +153,9 @@
 	}
 	k := c.of(info.cascade).class(info.class)
 	if info.dear {
-		k.RatedDear(r.Good)
+		k.RecordExpensiveRating(r.Good)
 	} else {
-		k.Rated(info.confidence, r.Good)
+		k.RecordRating(info.confidence, r.Good)
 	}
 }
 
@@ -165,10 +165,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, k := range cfg.Cascades {
-		costs := cascade.Costs{Cheap: stablePrice(cfg, k.Steps[0]), Dear: stablePrice(cfg, k.Steps[len(k.Steps)-1])}
+		costs := cascade.Costs{Cheap: stablePrice(cfg, k.Steps[0]), Expensive: stablePrice(cfg, k.Steps[len(k.Steps)-1])}
 		for ws := range cfg.Workspaces {
 			if s := c.state[ws+"/"+name]; s != nil {
-				s.plan = cascade.Make(s.classes, costs, k.QualityTarget)
+				s.plan = cascade.NewPlan(s.classes, costs, k.QualityTarget)
 			}
 		}
 	}
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -39,7 +39,7 @@
 
 type claimPartition struct {
 	mu   sync.Mutex
-	fold *request.Claims
+	fold *request.ClaimTable
 }
 
 // mintedUse is the memory of one minted key of this incarnation.
@@ -54,7 +54,7 @@
 func newClaims(d *Daemon) *claims {
 	c := &claims{d: d, minted: map[string]*mintedUse{}}
 	for i := range c.partitions {
-		c.partitions[i].fold = request.NewClaims()
+		c.partitions[i].fold = request.NewClaimTable()
 	}
 	return c
 }
@@ -94,26 +94,26 @@
 
 // acquire claims a key before the run. It returns a ticket, a stored answer, or
 // the refusal.
-func (c *claims) acquire(ctx context.Context, workspace, key string, body []byte, requestID string) (*ticket, *request.Verdict, error) {
-	if request.IsMinted(key) {
+func (c *claims) acquire(ctx context.Context, workspace, key string, body []byte, requestID string) (*ticket, *request.ClaimResult, error) {
+	if request.IsMintedKey(key) {
 		return c.acquireMinted(workspace, key, body)
 	}
 	rec := request.ClaimRecord{
-		Kind: request.Claimed, Key: digest(workspace, key), Body: digest(string(body)), Request: requestID,
-		Owner: c.d.owner(), At: time.Now().Unix(),
+		Kind: request.Claimed, Key: digest(workspace, key), BodyHash: digest(string(body)), RequestID: requestID,
+		Owner: c.d.owner(), UnixSeconds: time.Now().Unix(),
 	}
 	v, err := c.settle(ctx, rec)
 	if err != nil {
 		return nil, nil, err
 	}
-	switch v.Kind {
-	case request.Run:
+	switch v.State {
+	case request.ClaimGranted:
 		return &ticket{claims: c, record: rec}, nil, nil
-	case request.Replay:
+	case request.ClaimReplay:
 		return nil, &v, nil
 	}
 	c.d.metrics.claimsLost.Inc(1)
-	return nil, nil, v.Refusal()
+	return nil, nil, v.Err()
 }
 
 func partitionOf(key string) int {
@@ -126,7 +126,7 @@
 // settle appends the claim and reads the stream up to it. When the reply of the
 // append is lost, the claim is appended again: its request id makes the second
 // copy count as the first.
-func (c *claims) settle(ctx context.Context, rec request.ClaimRecord) (request.Verdict, error) {
+func (c *claims) settle(ctx context.Context, rec request.ClaimRecord) (request.ClaimResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	n := partitionOf(rec.Key)
@@ -136,13 +136,13 @@
 			appended = c.append(ctx, n, rec) == nil
 		}
 		if err := c.catchUp(ctx, n); err == nil {
-			if v := c.verdict(n, rec); v.Kind != request.Wait {
+			if v := c.verdict(n, rec); v.State != request.ClaimPending {
 				return v, nil
 			}
 		}
 		if !loop.Pause(ctx, readRetry/5) {
 			c.abandon(rec)
-			return request.Verdict{}, request.Verdict{}.Refusal()
+			return request.ClaimResult{}, request.ClaimResult{}.Err()
 		}
 	}
 }
@@ -163,7 +163,7 @@
 	p := &c.partitions[n]
 	for {
 		p.mu.Lock()
-		from := p.fold.Next()
+		from := p.fold.NextOffset()
 		p.mu.Unlock()
 		b, err := c.d.ports.Log.Read(ctx, stream(n), from, readLimit, 0)
 		if err != nil {
@@ -183,13 +183,13 @@
 	}
 }
 
-func (c *claims) verdict(n int, rec request.ClaimRecord) request.Verdict {
+func (c *claims) verdict(n int, rec request.ClaimRecord) request.ClaimResult {
 	p := &c.partitions[n]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v := p.fold.Verdict(rec.Key, rec.Body, rec.Request)
-	if v.Kind != request.Wait && v.Kind != request.Replay && v.Kind != request.Reused && !p.fold.Folded(rec.Request) {
-		return request.Verdict{Kind: request.Wait}
+	v := p.fold.Resolve(rec.Key, rec.BodyHash, rec.RequestID)
+	if v.State != request.ClaimPending && v.State != request.ClaimReplay && v.State != request.ClaimKeyReused && !p.fold.Applied(rec.RequestID) {
+		return request.ClaimResult{State: request.ClaimPending}
 	}
 	return v
 }
@@ -212,7 +212,7 @@
 
 // finish stores the outcome for repeats of the key. State tells whether the run
 // is proven not to have happened; then the key is free again.
-func (t *ticket) finish(state fault.Run, status int, answer []byte) {
+func (t *ticket) finish(state fault.ExecutionState, status int, answer []byte) {
 	if t == nil {
 		return
 	}
@@ -228,18 +228,18 @@
 		return
 	}
 	rec := t.record
-	rec.Kind, rec.Status, rec.Answer = request.Finished, status, answer
+	rec.Kind, rec.Status, rec.Response = request.Finished, status, answer
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	_ = t.claims.append(ctx, partitionOf(rec.Key), rec)
 }
 
-func (c *claims) acquireMinted(workspace, key string, body []byte) (*ticket, *request.Verdict, error) {
-	m, err := request.ParseMinted(c.d.ring.Load(), key)
+func (c *claims) acquireMinted(workspace, key string, body []byte) (*ticket, *request.ClaimResult, error) {
+	m, err := request.ParseMintedKey(c.d.ring.Load(), key)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := m.Admit(workspace, c.d.settings.ID, c.d.incarnation); err != nil {
+	if err := m.Authorize(workspace, c.d.settings.ID, c.d.incarnation); err != nil {
 		return nil, nil, err
 	}
 	c.mu.Lock()
@@ -252,14 +252,14 @@
 		c.minted[key] = use
 		return &ticket{claims: c, minted: use}, nil, nil
 	case use.body != hash:
-		return nil, nil, request.Verdict{Kind: request.Reused}.Refusal()
+		return nil, nil, request.ClaimResult{State: request.ClaimKeyReused}.Err()
 	case use.done:
-		return nil, &request.Verdict{Kind: request.Replay, Status: use.status, Answer: use.answer}, nil
+		return nil, &request.ClaimResult{State: request.ClaimReplay, Status: use.status, Response: use.answer}, nil
 	}
-	return nil, nil, request.Verdict{Kind: request.InProgress, Owner: c.d.settings.ID}.Refusal()
+	return nil, nil, request.ClaimResult{State: request.ClaimInProgress, Owner: c.d.settings.ID}.Err()
 }
 
-func (c *claims) finishMinted(use *mintedUse, state fault.Run, status int, answer []byte) {
+func (c *claims) finishMinted(use *mintedUse, state fault.ExecutionState, status int, answer []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == fault.NotRun {
@@ -273,7 +273,7 @@
 	use.done, use.status, use.answer = status != 0, status, answer
 }
 
-// MintKey returns an idempotency key that only this incarnation may run.
-func (d *Daemon) MintKey(workspace string) string {
+// MintIdempotencyKey returns an idempotency key that only this incarnation may run.
+func (d *Daemon) MintIdempotencyKey(workspace string) string {
 	return request.MintedKey{Workspace: workspace, Daemon: d.settings.ID, Incarnation: d.incarnation, Nonce: newID("")}.Mint(d.ring.Load())
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -50,7 +50,7 @@
 	now atomic.Pointer[fleet.Config]
 
 	mu        sync.Mutex
-	fold      *fleet.Fold
+	fold      *fleet.StateMachine
 	tail      []platform.Record
 	logHeard  time.Time
 	peerHeard time.Time
@@ -61,13 +61,13 @@
 }
 
 func newConfiguration(d *Daemon) *configuration {
-	c := &configuration{d: d, fold: fleet.NewFold(), domains: map[string]bool{}, changed: make(chan struct{})}
+	c := &configuration{d: d, fold: fleet.NewStateMachine(), domains: map[string]bool{}, changed: make(chan struct{})}
 	c.now.Store(c.fold.Config())
 	return c
 }
 
 func (c *configuration) register(s *peer.Server) {
-	peer.Handle(s, "config", func(_ context.Context, _ string, q peer.FetchConfig) (peer.ConfigTail, error) {
+	peer.Handle(s, "config", func(_ context.Context, _ string, q peer.ConfigRequest) (peer.ConfigResponse, error) {
 		return c.serveTail(q.From)
 	})
 }
@@ -81,14 +81,14 @@
 }
 
 // sight gathers what decides whether the daemon may serve.
-func (c *configuration) sight(m *members) membership.Sight {
+func (c *configuration) sight(m *members) membership.Readiness {
 	most, servers := m.hearsMost(), c.d.pools.serversHeard()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if most {
 		c.peerHeard = time.Now()
 	}
-	return membership.Sight{LogHeard: c.logHeard, PeersHeard: c.peerHeard, Loaded: c.loaded, ServersHeard: servers, NeedsLog: c.d.settings.WithoutLog == "refuse"}
+	return membership.Readiness{LogReadAt: c.logHeard, MajorityAt: c.peerHeard, ConfigLoaded: c.loaded, ServersUpdatedAt: servers, RequireLog: c.d.settings.WithoutLog == "refuse"}
 }
 
 func (c *configuration) loop(ctx context.Context) {
@@ -114,7 +114,7 @@
 
 func (c *configuration) read(ctx context.Context) error {
 	c.mu.Lock()
-	from := c.fold.Next()
+	from := c.fold.NextOffset()
 	c.mu.Unlock()
 	b, err := c.d.ports.Log.Read(ctx, configStream, from, readLimit, readWait)
 	if err != nil {
@@ -125,7 +125,7 @@
 	c.mu.Unlock()
 	c.apply(b.Records)
 	c.mu.Lock()
-	caughtUp := c.fold.Next() >= b.Next && c.fold.Anchored()
+	caughtUp := c.fold.NextOffset() >= b.Next && c.fold.Synced()
 	c.loaded = c.loaded || caughtUp
 	mark := c.sinceMark >= checkpointEvery && caughtUp
 	c.mu.Unlock()
@@ -142,7 +142,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range records {
-		if r.Offset >= c.fold.Next() {
+		if r.Offset >= c.fold.NextOffset() {
 			c.tail = append(c.tail, r)
 			c.sinceMark++
 		}
@@ -181,36 +181,36 @@
 	}
 }
 
-func (c *configuration) serveTail(from uint64) (peer.ConfigTail, error) {
+func (c *configuration) serveTail(from uint64) (peer.ConfigResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.fold.Anchored() || from >= c.fold.Next() {
-		return peer.ConfigTail{}, nil
+	if !c.fold.Synced() || from >= c.fold.NextOffset() {
+		return peer.ConfigResponse{}, nil
 	}
 	if len(c.tail) > 0 && c.tail[0].Offset <= from {
-		return peer.ConfigTail{Records: append([]platform.Record(nil), c.tail[from-c.tail[0].Offset:]...)}, nil
+		return peer.ConfigResponse{Records: append([]platform.Record(nil), c.tail[from-c.tail[0].Offset:]...)}, nil
 	}
 	data, err := json.Marshal(c.fold.Checkpoint())
-	return peer.ConfigTail{Checkpoint: data}, oops.In("config").Wrap(err)
+	return peer.ConfigResponse{Checkpoint: data}, oops.In("config").Wrap(err)
 }
 
 func (c *configuration) next() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fold.Next()
+	return c.fold.NextOffset()
 }
 
 // peerAhead is called when a heartbeat shows a peer's position.
-func (c *configuration) peerAhead(ctx context.Context, from membership.Beat, theirs uint64) {
+func (c *configuration) peerAhead(ctx context.Context, from membership.DaemonInfo, theirs uint64) {
 	c.mu.Lock()
-	ours, anchored := c.fold.Next(), c.fold.Anchored()
+	ours, anchored := c.fold.NextOffset(), c.fold.Synced()
 	c.mu.Unlock()
 	if theirs > ours || !anchored {
 		c.fetch(ctx, from.PeerAddress, ours)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.loaded || c.fold.Next() < theirs || theirs == 0 {
+	if c.loaded || c.fold.NextOffset() < theirs || theirs == 0 {
 		return
 	}
 	c.domains[from.FailureDomain] = true
@@ -220,7 +220,7 @@
 func (c *configuration) fetch(ctx context.Context, address string, from uint64) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	t, err := peer.Call[peer.FetchConfig, peer.ConfigTail](ctx, c.d.links, address, "config", peer.FetchConfig{From: from})
+	t, err := peer.Call[peer.ConfigRequest, peer.ConfigResponse](ctx, c.d.links, address, "config", peer.ConfigRequest{From: from})
 	if err != nil {
 		return
 	}
@@ -230,7 +230,7 @@
 			return
 		}
 		c.mu.Lock()
-		if c.fold.Adopt(&cp) {
+		if c.fold.InstallCheckpoint(&cp) {
 			c.tail = nil
 			c.publish()
 		}
@@ -240,25 +240,25 @@
 	c.apply(t.Records)
 }
 
-// Submit appends a patch and waits until the fold has judged it. When the reply
+// SubmitPatch appends a patch and waits until the fold has judged it. When the reply
 // of the append is lost, the patch is looked for by its id and never appended
 // again here: a caller who repeats it sends the same id.
-func (d *Daemon) Submit(ctx context.Context, r fleet.Record) (fleet.Outcome, error) {
+func (d *Daemon) SubmitPatch(ctx context.Context, r fleet.Record) (fleet.PatchOutcome, error) {
 	if r.PatchID == "" {
-		return fleet.Outcome{}, fault.Field(fault.BadRequest, "patch_id", "must not be empty")
+		return fleet.PatchOutcome{}, fault.NewField(fault.BadRequest, "patch_id", "must not be empty")
 	}
 	if o, known := d.config.outcome(r.PatchID); known {
 		return o, nil
 	}
 	cfg := d.config.current()
 	if r.Base == cfg.Number {
-		if _, _, err := cfg.Apply(r.Patch); err != nil {
-			return fleet.Outcome{}, fault.New(fault.InvalidPatch, "%v", err)
+		if _, _, err := cfg.ApplyPatch(r.Patch); err != nil {
+			return fleet.PatchOutcome{}, fault.New(fault.InvalidPatch, "%v", err)
 		}
 	}
 	data, err := json.Marshal(r)
 	if err != nil {
-		return fleet.Outcome{}, oops.In("config").Wrap(err)
+		return fleet.PatchOutcome{}, oops.In("config").Wrap(err)
 	}
 	d.metrics.logAppends.Inc(1)
 	_, appendErr := d.ports.Log.Append(ctx, configStream, [][]byte{data})
@@ -268,18 +268,18 @@
 	return d.config.await(ctx, r.PatchID, appendErr)
 }
 
-func (c *configuration) outcome(id string) (fleet.Outcome, bool) {
+func (c *configuration) outcome(id string) (fleet.PatchOutcome, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fold.Lookup(id)
+	return c.fold.LookupOutcome(id)
 }
 
-func (c *configuration) await(ctx context.Context, id string, appendErr error) (fleet.Outcome, error) {
+func (c *configuration) await(ctx context.Context, id string, appendErr error) (fleet.PatchOutcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, patchTimeout)
 	defer cancel()
 	for {
 		c.mu.Lock()
-		o, known := c.fold.Lookup(id)
+		o, known := c.fold.LookupOutcome(id)
 		changed := c.changed
 		c.mu.Unlock()
 		if known {
@@ -291,7 +291,7 @@
 			_ = c.readOnce(ctx)
 		case <-ctx.Done():
 			unknown := fault.New(fault.LogUnavailable, "patch %s was sent and is not confirmed; send it again with the same id", id)
-			return fleet.Outcome{}, unknown.With(fault.Unknown).Because(appendErr)
+			return fleet.PatchOutcome{}, unknown.WithExecution(fault.Unknown).WithCause(appendErr)
 		}
 	}
 }
@@ -307,8 +307,8 @@
 // Config returns the configuration in force.
 func (d *Daemon) Config() *fleet.Config { return d.config.current() }
 
-// History returns the newest patch outcomes, oldest first.
-func (d *Daemon) History() []fleet.Outcome {
+// PatchHistory returns the newest patch outcomes, oldest first.
+func (d *Daemon) PatchHistory() []fleet.PatchOutcome {
 	d.config.mu.Lock()
 	defer d.config.mu.Unlock()
 	return d.config.fold.History()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,9 +27,9 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// Ports are the daemon's connections to its surroundings. Log is required; a
+// Dependencies are the daemon's connections to its surroundings. Log is required; a
 // nil VMs, Rater or Weights is a platform without that service.
-type Ports struct {
+type Dependencies struct {
 	Log     platform.Log
 	VMs     platform.VMList
 	Rater   platform.Rater
@@ -46,11 +46,11 @@
 	secrets     settings.Secrets
 	ring        atomic.Pointer[session.Keyring]
 	incarnation uint64
-	ports       Ports
+	ports       Dependencies
 	log         *log.Logger
 	metrics     metrics
 	engine      *engine.Client
-	links       *peer.Links
+	links       *peer.Client
 
 	config   *configuration
 	members  *members
@@ -73,17 +73,17 @@
 }
 
 // New returns a daemon that is not running yet.
-func New(s settings.Settings, secrets settings.Secrets, p Ports) *Daemon {
+func New(s settings.Settings, secrets settings.Secrets, p Dependencies) *Daemon {
 	d := &Daemon{
 		settings: s, secrets: secrets, ports: p, log: p.Logger,
 		incarnation: uint64(time.Now().UnixNano()),
 		metrics:     newMetrics(p.Metrics),
 		engine:      engine.NewClient(time.Duration(s.Silence)),
-		links:       peer.NewLinks(s.ID, secrets.PeerKey, p.PeerTLS),
+		links:       peer.NewClient(s.ID, secrets.PeerKey, p.PeerTLS),
 		stopping:    make(chan struct{}),
 	}
 	d.ring.Store(secrets.Ring())
-	d.links.Bytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
+	d.links.OnBytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
 	d.config = newConfiguration(d)
 	d.members = newMembers(d)
 	d.pools = newPools(d)
@@ -102,8 +102,8 @@
 // PeerServer returns the handler for other daemons.
 func (d *Daemon) PeerServer() *peer.Server {
 	s := peer.NewServer(d.secrets.PeerKey)
-	s.Refused = func() { d.metrics.peerRefused.Inc(1) }
-	s.Bytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
+	s.OnRefused = func() { d.metrics.peerRefused.Inc(1) }
+	s.OnBytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
 	d.members.register(s)
 	d.config.register(s)
 	d.usage.register(s)
@@ -138,7 +138,7 @@
 func (d *Daemon) OperatorKey() string { return d.secrets.OperatorKey }
 
 // Ready reports whether the daemon would dispatch a request now.
-func (d *Daemon) Ready() bool { return d.config.sight(d.members).Serve(time.Now()) }
+func (d *Daemon) Ready() bool { return d.config.sight(d.members).CanServe(time.Now()) }
 
 // Drain ends the daemon's service without cutting a request: it leaves the
 // endpoint answers at once, serves on while callers may still hold an old one,
@@ -163,8 +163,8 @@
 	return int(d.inFlight.Load()), d.usage.pending()
 }
 
-// Panics counts panics of the handlers that serve for the daemon.
-func (d *Daemon) Panics() tally.Counter { return d.metrics.panics }
+// PanicCounter counts panics of the handlers that serve for the daemon.
+func (d *Daemon) PanicCounter() tally.Counter { return d.metrics.panics }
 
 // Leaving reports whether the daemon is draining.
 func (d *Daemon) Leaving() bool { return d.leaving.Load() }
@@ -194,20 +194,20 @@
 func (d *Daemon) raterID() string { return d.owner() }
 
 // identity is what never changes about this incarnation.
-func (d *Daemon) identity() membership.Beat {
-	return membership.Beat{
+func (d *Daemon) identity() membership.DaemonInfo {
+	return membership.DaemonInfo{
 		ID: d.settings.ID, Address: d.settings.Listen, PeerAddress: d.settings.PeerListen,
 		FailureDomain: d.settings.FailureDomain, Incarnation: d.incarnation,
 	}
 }
 
 // self is what this daemon says of itself now.
-func (d *Daemon) self() membership.Beat {
+func (d *Daemon) self() membership.DaemonInfo {
 	b := d.identity()
-	b.Number = d.config.current().Number
+	b.ConfigNumber = d.config.current().Number
 	b.Serving, b.Leaving = d.Ready(), d.leaving.Load()
 	b.InFlight = int(d.inFlight.Load())
-	b.LogAgeMillis = membership.NeverHeard
+	b.LogAgeMillis = membership.LogAgeUnknown
 	if heard := d.config.heard(); !heard.IsZero() {
 		b.LogAgeMillis = time.Since(heard).Milliseconds()
 	}
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -30,7 +30,7 @@
 	priority int
 	prompt   string
 	body     map[string]json.RawMessage
-	life     *request.Life
+	life     *request.RetryState
 	deadline time.Time
 	// fingerprint is the same for every repeat of the request by its caller.
 	fingerprint quarantine.Fingerprint
@@ -73,10 +73,10 @@
 		rr.Budget = time.Until(s.deadline)
 		ch, err := d.pools.pick(c, v.Pool, s.model+"@"+s.version, &rr, tried)
 		if err != nil {
-			return res, truthful(fault.From(err), s.life)
+			return res, truthful(fault.FromError(err), s.life)
 		}
 		tried = append(tried, ch.candidate.ID)
-		s.life.Began()
+		s.life.RecordAttempt()
 		if s.life.Attempts() > 1 {
 			d.metrics.retries.Inc(1)
 		}
@@ -84,7 +84,7 @@
 		if res.complete {
 			return res, nil
 		}
-		if dec.Action != request.TryAnother {
+		if dec.Action != request.Retry {
 			return res, dec.Error
 		}
 	}
@@ -94,7 +94,7 @@
 // request was queued, retried or escalated.
 func (d *Daemon) lastCheck(s *step) error {
 	d.metrics.lastCheck.Inc(1)
-	return fault.New(fault.VersionWithdrawn, "%s@%s is no longer allowed", s.model, s.version).With(s.life.State())
+	return fault.New(fault.VersionWithdrawn, "%s@%s is no longer allowed", s.model, s.version).WithExecution(s.life.ExecutionState())
 }
 
 // attempt runs once on one server, resuming its stream as often as needed.
@@ -108,13 +108,13 @@
 	defer func() { d.finishAttempt(s, ch, began, res, failed) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	u := d.guard.Enter(guarded(ch.candidate), s.fingerprint, cancel)
-	defer func() { d.guard.Leave(ctx, u, guarded(ch.candidate), fateOf(event, res.complete, started)) }()
+	u := d.guard.Begin(guarded(ch.candidate), s.fingerprint, cancel)
+	defer func() { d.guard.End(ctx, u, guarded(ch.candidate), fateOf(event, res.complete, started)) }()
 	// The configuration may have changed since the pick; this check is the last
 	// thing before the request leaves.
 	if !d.config.current().MayDispatch(s.workspace, s.model, s.version) {
 		failed = false
-		return request.Decision{Action: request.Fail, Error: fault.From(d.lastCheck(s))}
+		return request.Decision{Action: request.Fail, Error: fault.FromError(d.lastCheck(s))}
 	}
 	stream, err := d.engine.Start(ctx, ch.candidate.Address, engine.Run{
 		ID: runID, Version: s.model + "@" + s.version, Priority: s.priority, Body: s.body,
@@ -124,36 +124,36 @@
 		event = d.pump(s, res, ch, asm, stream, err, began)
 		if res.complete {
 			failed = false
-			d.guard.Succeeded(s.fingerprint)
+			d.guard.RecordSuccess(s.fingerprint)
 			return request.Decision{}
 		}
 		if ctx.Err() != nil {
-			event = request.CallerGone
+			event = request.CallerDisconnected
 		}
 		switch event {
-		case request.Refused:
+		case request.AttemptRefused:
 			d.pools.lacks(ch, s.model+"@"+s.version)
-		case request.ConnectFailed, request.RunGone:
+		case request.ConnectFailed, request.RunNotFound:
 			d.pools.unreachable(ch)
 		}
 		dec := d.decide(s.life, event)
 		if errors.Is(context.Cause(ctx), containment.ErrHeld) {
-			dec = request.Decision{Action: request.TryAnother} // the next try is refused
+			dec = request.Decision{Action: request.Retry} // the next try is refused
 		}
 		if dec.Action != request.Resume {
 			d.abandonRun(ch, runID, event)
-			failed = event != request.CallerGone
+			failed = event != request.CallerDisconnected
 			return dec
 		}
 		d.metrics.resumes.Inc(1)
-		stream, err = d.engine.Resume(ctx, ch.candidate.Address, runID, asm.Last())
+		stream, err = d.engine.Resume(ctx, ch.candidate.Address, runID, asm.LastOffset())
 	}
 }
 
-func (d *Daemon) decide(life *request.Life, e request.Event) request.Decision {
+func (d *Daemon) decide(life *request.RetryState, e request.AttemptEvent) request.Decision {
 	d.retries.mu.Lock()
 	defer d.retries.mu.Unlock()
-	return life.After(e, time.Now(), d.retries.budget)
+	return life.Next(e, time.Now(), d.retries.budget)
 }
 
 // retries is the retry budget of all requests of this daemon.
@@ -164,14 +164,14 @@
 
 func (r *retries) earn() {
 	r.mu.Lock()
-	r.budget.Earn()
+	r.budget.Deposit()
 	r.mu.Unlock()
 }
 
 // abandonRun cancels a run that will not be resumed. A run nobody waits for
 // would hold a slot, and its answer could not be billed.
-func (d *Daemon) abandonRun(ch choice, runID string, e request.Event) {
-	if e == request.Refused || e == request.ConnectFailed || e == request.RunFailed || e == request.RunGone {
+func (d *Daemon) abandonRun(ch choice, runID string, e request.AttemptEvent) {
+	if e == request.AttemptRefused || e == request.ConnectFailed || e == request.RunFailed || e == request.RunNotFound {
 		return
 	}
 	go func() { _ = d.engine.Cancel(ch.candidate.Address, runID) }()
@@ -187,23 +187,23 @@
 
 // pump passes the frames of one connection on until the answer is whole or the
 // connection is of no more use.
-func (d *Daemon) pump(s *step, res *stepResult, ch choice, asm *request.Assembler, stream *engine.Stream, err error, began time.Time) request.Event {
+func (d *Daemon) pump(s *step, res *stepResult, ch choice, asm *request.Assembler, stream *engine.Stream, err error, began time.Time) request.AttemptEvent {
 	if err != nil {
 		return startEvent(err)
 	}
 	defer stream.Close()
-	s.life.Started()
+	s.life.RecordExecution()
 	for {
 		f, err := stream.Next()
 		if err != nil {
 			d.pools.silent(ch)
-			return request.Broken
+			return request.ConnectionLost
 		}
 		switch asm.Accept(f.Frame) {
 		case request.Deliver:
-		case request.Gap:
+		case request.SequenceGap:
 			d.metrics.framesDropped.Inc(1)
-			return request.Broken
+			return request.ConnectionLost
 		default:
 			d.metrics.framesDropped.Inc(1)
 			continue
@@ -213,24 +213,24 @@
 			return request.RunFailed
 		}
 		if err := d.take(s, res, ch, f, began); err != nil {
-			return request.CallerGone
+			return request.CallerDisconnected
 		}
 		if res.complete {
-			return request.Broken
+			return request.ConnectionLost
 		}
 	}
 }
 
-func startEvent(err error) request.Event {
+func startEvent(err error) request.AttemptEvent {
 	switch {
 	case errors.Is(err, engine.ErrNotStarted):
-		return request.Refused
+		return request.AttemptRefused
 	case errors.Is(err, engine.ErrNotConnected):
 		return request.ConnectFailed
 	case errors.Is(err, engine.ErrRunGone):
-		return request.RunGone
+		return request.RunNotFound
 	}
-	return request.Broken
+	return request.ConnectionLost
 }
 
 // take books a delivered frame and hands its text to the caller.
@@ -249,7 +249,7 @@
 	if s.deliver == nil || f.Delta == "" {
 		return nil
 	}
-	s.life.Delivered()
+	s.life.RecordDelivery()
 	return s.deliver(f.Delta)
 }
 
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -9,13 +9,13 @@
 
 // Explanation says how a request would be routed at this moment.
 type Explanation struct {
-	Number  uint64           `json:"number"`
-	Model   string           `json:"model"`
-	Version string           `json:"version"`
-	Why     string           `json:"why"`
-	Pool    string           `json:"pool"`
-	Chosen  string           `json:"chosen,omitempty"`
-	Reasons []routing.Reason `json:"reasons"`
+	Number        uint64               `json:"number"`
+	Model         string               `json:"model"`
+	Version       string               `json:"version"`
+	VersionReason string               `json:"why"`
+	Pool          string               `json:"pool"`
+	Chosen        string               `json:"chosen,omitempty"`
+	RuleResults   []routing.RuleResult `json:"reasons"`
 }
 
 // Explain routes a request without sending it and returns each rule's word.
@@ -23,7 +23,7 @@
 	c := d.config.current()
 	w, ok := c.Workspaces[workspace]
 	if !ok {
-		return nil, fault.Field(fault.NotFound, "workspace", "no workspace %q", workspace)
+		return nil, fault.NewField(fault.NotFound, "workspace", "no workspace %q", workspace)
 	}
 	models, err := entitled(c, w, name)
 	if err != nil {
@@ -38,12 +38,12 @@
 		return nil, err
 	}
 	v, _ := c.Version(model, version)
-	e := &Explanation{Number: c.Number, Model: model, Version: version, Pool: v.Pool, Why: "the stable version"}
+	e := &Explanation{Number: c.Number, Model: model, Version: version, Pool: v.Pool, VersionReason: "the stable version"}
 	switch ro, moving := c.RolloutFor(model); {
-	case pin.For(model) != "":
-		e.Why = "the session is pinned"
-	case moving && version == ro.To:
-		e.Why = "the roll-out's share"
+	case pin.VersionOf(model) != "":
+		e.VersionReason = "the session is pinned"
+	case moving && version == ro.TargetVersion:
+		e.VersionReason = "the roll-out's share"
 	}
 	r := routing.Request{PromptTokens: len(prompt) / bytesPerToken, BlockTokens: routing.BlockTokens, Blocks: routing.Blocks(nil, model+"@"+version, prompt)}
 	d.pools.mu.Lock()
@@ -54,9 +54,9 @@
 		return e, nil
 	}
 	candidates := st.picture.Snapshot(nil, time.Now())
-	st.picture.Prefix.Fill(&r)
-	e.Reasons = routing.Default().Explain(&r, candidates)
-	if dec := routing.Default().Pick(&r, candidates, d.pools.rng); dec.Index >= 0 {
+	st.picture.Prefix.Lookup(&r)
+	e.RuleResults = routing.DefaultPipeline().Explain(&r, candidates)
+	if dec := routing.DefaultPipeline().Pick(&r, candidates, d.pools.rng); dec.Index >= 0 {
 		e.Chosen = candidates[dec.Index].ID
 	}
 	return e, nil
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -24,7 +24,7 @@
 	if s == nil {
 		return slowstart.Limit{}
 	}
-	return slowstart.Limit{For: time.Duration(s.Seconds * float64(time.Second)), PerSecond: s.PerSecond, Excess: 1, Slack: s.Burst}
+	return slowstart.Limit{WarmupPeriod: time.Duration(s.Seconds * float64(time.Second)), PerSecond: s.PerSecond, BurstFactor: 1, BurstSlack: s.Burst}
 }
 
 // gated is a server as the gate sees it. Callers hold mu.
@@ -33,7 +33,7 @@
 }
 
 // bar excludes the servers that may get nothing now, and counts why. Callers hold mu.
-func (p *pools) bar(st *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Tally) {
+func (p *pools) bar(st *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Refusals) {
 	now := p.boot()
 	for i := range candidates {
 		if candidates[i].ID == "" {
@@ -47,11 +47,11 @@
 }
 
 // answered records at the gate that a server has answered. Callers hold mu.
-func (p *pools) answered(c choice) { p.gate.Answered(c.candidate.ID, c.limit, p.boot()) }
+func (p *pools) answered(c choice) { p.gate.ServerResponded(c.candidate.ID, c.limit, p.boot()) }
 
 // pass records at the gate that a request is sent to a server. Callers hold mu.
 func (p *pools) pass(st *pool, s *fleet.SlowStart, c *routing.Candidate) {
-	p.gate.Pass(p.gated(st, s, c), p.boot())
+	p.gate.RecordSend(p.gated(st, s, c), p.boot())
 }
 
 // syncEvacuations brings the gate to the configuration in force. Callers hold mu.
@@ -83,10 +83,10 @@
 	trusted := m.hearsMost()
 	rows := m.current().Members()
 	m.mu.Unlock()
-	v := slowstart.View{Own: xxhash.Sum64String(own), Trusted: trusted || len(rows) == 1 && len(m.d.settings.Peers) == 0}
+	v := slowstart.View{Self: xxhash.Sum64String(own), Trusted: trusted || len(rows) == 1 && len(m.d.settings.Peers) == 0}
 	for _, r := range rows {
 		if r.ID != own && r.State == membership.Alive && !r.Leaving {
-			v.Others = append(v.Others, xxhash.Sum64String(r.ID))
+			v.Peers = append(v.Peers, xxhash.Sum64String(r.ID))
 		}
 	}
 	return v
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -21,14 +21,14 @@
 // gatedPools has servers of a pool in two failure domains, and is the only daemon.
 func gatedPools(t *testing.T) (*pools, *fleet.Config) {
 	t.Helper()
-	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Ports{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
-	c := fleet.Empty()
+	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Dependencies{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
+	c := fleet.NewConfig()
 	pool := fleet.Pool{SlowStart: &fleet.SlowStart{Seconds: 3, PerSecond: 15, Burst: 5}}
 	for i, domain := range []string{"east", "west"} {
 		pool.Servers = append(pool.Servers, fleet.Server{ID: domain, Address: fmt.Sprint("10.0.0.", i, ":1"), FailureDomain: domain})
 	}
 	c.Pools["p"] = pool
-	d.pools.gate.SetView(slowstart.View{Own: 1, Trusted: true}, 0)
+	d.pools.gate.SetView(slowstart.View{Self: 1, Trusted: true}, 0)
 	return d.pools, c
 }
 
@@ -93,14 +93,14 @@
 // may have.
 func TestRefusalAfterARunDoesNotPromiseThatItDidNotRun(t *testing.T) {
 	for _, kind := range []fault.Kind{fault.Warming, fault.Evacuated, fault.NoServer, fault.Quarantined} {
-		life := &request.Life{Repeatable: true}
-		if got := truthful(fault.New(kind, "none"), life); got.Kind != kind || got.State() != fault.NotRun {
+		life := &request.RetryState{Repeatable: true}
+		if got := truthful(fault.New(kind, "none"), life); got.Kind != kind || got.ExecutionState() != fault.NotRun {
 			t.Errorf("%s before a run: %v", kind, got)
 		}
-		life.Began()
-		life.Started()
-		life.After(request.RunGone, time.Now(), request.NewRetryBudget())
-		if got := truthful(fault.New(kind, "none"), life); got.Kind != fault.EngineFailed || got.State() == fault.NotRun {
+		life.RecordAttempt()
+		life.RecordExecution()
+		life.Next(request.RunNotFound, time.Now(), request.NewRetryBudget())
+		if got := truthful(fault.New(kind, "none"), life); got.Kind != fault.EngineFailed || got.ExecutionState() == fault.NotRun {
 			t.Errorf("%s after a run: %v", kind, got)
 		}
 	}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -26,20 +26,20 @@
 	d *Daemon
 	// homeOf returns the home of a meter, if there is one, and ask asks it.
 	homeOf func(meter string) (membership.Member, bool)
-	ask    func(ctx context.Context, home membership.Member, a quota.Ask) (quota.Lease, error)
+	ask    func(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error)
 	mu     sync.Mutex
 	shares map[string]*share
-	home   *quota.Home
+	home   *quota.Lessor
 }
 
 type share struct {
-	*quota.Share
+	*quota.Limiter
 	// asking is held while one request fetches a lease for all.
 	asking sync.Mutex
 }
 
 func newLimits(d *Daemon) *limits {
-	l := &limits{d: d, shares: map[string]*share{}, home: quota.NewHome(d.incarnation)}
+	l := &limits{d: d, shares: map[string]*share{}, home: quota.NewLessor(d.incarnation)}
 	l.homeOf, l.ask = l.currentHome, l.askHome
 	return l
 }
@@ -54,7 +54,7 @@
 }
 
 // askHome asks a meter's home for a lease, this daemon included.
-func (l *limits) askHome(ctx context.Context, home membership.Member, a quota.Ask) (quota.Lease, error) {
+func (l *limits) askHome(ctx context.Context, home membership.Member, a quota.LeaseRequest) (quota.Lease, error) {
 	if home.ID == l.d.settings.ID {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -62,14 +62,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	return peer.Call[peer.AskLease, quota.Lease](ctx, l.d.links, home.PeerAddress, "lease", peer.AskLease{Ask: a})
+	return peer.Call[peer.LeaseRequest, quota.Lease](ctx, l.d.links, home.PeerAddress, "lease", peer.LeaseRequest{Request: a})
 }
 
 func (l *limits) register(s *peer.Server) {
-	peer.Handle(s, "lease", func(_ context.Context, _ string, q peer.AskLease) (quota.Lease, error) {
+	peer.Handle(s, "lease", func(_ context.Context, _ string, q peer.LeaseRequest) (quota.Lease, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.home.Grant(time.Now(), q.Ask), nil
+		return l.home.Grant(time.Now(), q.Request), nil
 	})
 }
 
@@ -96,7 +96,7 @@
 	defer l.mu.Unlock()
 	var out []string
 	for meter, s := range l.shares {
-		if s.Owes() {
+		if s.HasUnleasedSpend() {
 			out = append(out, meter)
 		}
 	}
@@ -169,7 +169,7 @@
 		}
 		loop.Pause(ctx, homeRetry)
 	}
-	return fault.New(fault.RateLimited, "the limit of %d a minute for %s is used up", limit, meter).After(max(retry, time.Second))
+	return fault.New(fault.RateLimited, "the limit of %d a minute for %s is used up", limit, meter).WithRetryAfter(max(retry, time.Second))
 }
 
 const (
@@ -187,7 +187,7 @@
 func (l *limits) leased(s *share) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return s.Epoch() != 0
+	return s.LessorEpoch() != 0
 }
 
 func (l *limits) try(meter string, n int64) (*share, bool) {
@@ -195,10 +195,10 @@
 	defer l.mu.Unlock()
 	s := l.shares[meter]
 	if s == nil {
-		s = &share{Share: quota.NewShare(meter)}
+		s = &share{Limiter: quota.NewLimiter(meter)}
 		l.shares[meter] = s
 	}
-	return s, s.TrySpend(time.Now(), n)
+	return s, s.TryAcquire(time.Now(), n)
 }
 
 func (l *limits) denied(s *share) bool {
@@ -215,16 +215,16 @@
 	}
 	now := time.Now()
 	l.mu.Lock()
-	ask := s.Ask(now, need, limit, home.Incarnation)
+	ask := s.NewLeaseRequest(now, need, limit, home.Incarnation)
 	l.mu.Unlock()
 	lease, err := l.ask(ctx, home, ask)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
 		l.d.metrics.limitsHomeless.Inc(1)
-		s.HomeLost(now, ask)
+		s.LeaseRequestFailed(now, ask)
 		return 0, false
 	}
-	s.Granted(now, lease)
+	s.ApplyLease(now, lease)
 	return lease.RetryAfter, true
 }
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -20,12 +20,12 @@
 
 // homeAway is a meter's home that is restarted and answers from a time on.
 type homeAway struct {
-	home *quota.Home
+	home *quota.Lessor
 	back time.Time
 	asks int
 }
 
-func (h *homeAway) ask(ctx context.Context, _ membership.Member, a quota.Ask) (quota.Lease, error) {
+func (h *homeAway) ask(ctx context.Context, _ membership.Member, a quota.LeaseRequest) (quota.Lease, error) {
 	h.asks++
 	if time.Now().Before(h.back) {
 		ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
@@ -38,7 +38,7 @@
 
 // limitsWith returns the limits of a daemon that has just started.
 func limitsWith(h *homeAway, known func() bool) *limits {
-	d := New(settings.Settings{ID: "d"}, settings.Secrets{}, Ports{VMs: silentList{}, Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
+	d := New(settings.Settings{ID: "d"}, settings.Secrets{}, Dependencies{VMs: silentList{}, Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
 	d.limits.homeOf = func(string) (membership.Member, bool) { return membership.Member{}, known() }
 	d.limits.ask = h.ask
 	return d.limits
@@ -56,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
-				h := &homeAway{home: quota.NewHome(7), back: began.Add(500 * time.Millisecond)}
+				h := &homeAway{home: quota.NewLessor(7), back: began.Add(500 * time.Millisecond)}
 				l := limitsWith(h, func() bool { return time.Since(began) >= unknownFor })
 				if _, err := l.reserve(t.Context(), "w", w, 0); err != nil {
 					t.Errorf("after %s and %d asks: %v", time.Since(began), h.asks, err)
@@ -70,7 +70,7 @@
 // beyond the time in which another one takes over.
 func TestLimitIsNotWaitedForInVain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &homeAway{home: quota.NewHome(7)}
+		h := &homeAway{home: quota.NewLessor(7)}
 		l := limitsWith(h, func() bool { return true })
 		w := fleet.Workspace{RequestsPerMinute: 1}
 		if _, err := l.reserve(t.Context(), "w", w, 0); err != nil {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -34,30 +34,30 @@
 	peer.Handle(s, "heartbeat", func(ctx context.Context, _ string, q peer.Heartbeat) (peer.Heartbeat, error) {
 		m.take(q)
 		if q.ConfigNext > m.d.config.next() {
-			go m.d.config.peerAhead(context.WithoutCancel(ctx), q.Self, q.ConfigNext)
+			go m.d.config.peerAhead(context.WithoutCancel(ctx), q.Sender, q.ConfigNext)
 		}
 		reply := m.beat()
-		if at, ids := m.d.pools.leavingWord(); at > q.VMsAt {
-			reply.Leaving = ids
+		if at, ids := m.d.pools.leavingWord(); at > q.LeavingReadAt {
+			reply.LeavingServers = ids
 		}
 		return reply, nil
 	})
-	peer.Handle(s, "members", func(context.Context, string, peer.AskMembers) (peer.MemberRows, error) {
+	peer.Handle(s, "members", func(context.Context, string, peer.MembersRequest) (peer.MembersResponse, error) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return peer.MemberRows{Rows: m.table.Sync(), Quarantine: m.d.guard.Update(true)}, nil
+		return peer.MembersResponse{Members: m.table.Snapshot(), Quarantine: m.d.guard.Update(true)}, nil
 	})
 }
 
 func (m *members) loop(ctx context.Context) {
-	every(ctx, membership.HeartbeatEvery, m.round)
+	every(ctx, membership.ProbeInterval, m.round)
 }
 
 func (m *members) round(ctx context.Context) {
 	m.mu.Lock()
 	gone := m.table.Tick(time.Now())
-	targets := m.table.Targets()
-	alive, known := m.table.Len(), m.table.Members()
+	targets := m.table.ProbeTargets()
+	alive, known := m.table.AliveCount(), m.table.Members()
 	m.mu.Unlock()
 	m.d.metrics.membersAlive.Update(float64(alive))
 	for _, g := range gone {
@@ -86,7 +86,7 @@
 		return
 	}
 	m.mu.Lock()
-	m.table.Probed(id, err == nil, time.Now())
+	m.table.RecordProbe(id, err == nil, time.Now())
 	m.mu.Unlock()
 }
 
@@ -99,8 +99,8 @@
 		return err
 	}
 	m.take(reply)
-	m.d.pools.takeLeaving(reply.VMsAt, reply.Leaving)
-	m.d.config.peerAhead(ctx, reply.Self, reply.ConfigNext)
+	m.d.pools.takeLeaving(reply.LeavingReadAt, reply.LeavingServers)
+	m.d.config.peerAhead(ctx, reply.Sender, reply.ConfigNext)
 	m.sync(ctx, address)
 	return nil
 }
@@ -108,12 +108,12 @@
 // sync adopts a daemon's whole table when the last one is old.
 func (m *members) sync(ctx context.Context, address string) {
 	m.mu.Lock()
-	due := time.Since(m.synced) >= membership.SyncEvery
+	due := time.Since(m.synced) >= membership.SyncInterval
 	m.mu.Unlock()
 	if !due {
 		return
 	}
-	r, err := peer.Call[peer.AskMembers, peer.MemberRows](ctx, m.d.links, address, "members", peer.AskMembers{})
+	r, err := peer.Call[peer.MembersRequest, peer.MembersResponse](ctx, m.d.links, address, "members", peer.MembersRequest{})
 	if err != nil {
 		return
 	}
@@ -121,7 +121,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.synced = time.Now()
-	m.table.Adopt(r.Rows, m.synced)
+	m.table.Merge(r.Members, m.synced)
 }
 
 func (m *members) beat() peer.Heartbeat {
@@ -130,7 +130,7 @@
 	word := m.d.guard.Update(false)
 	table := m.current()
 	defer m.mu.Unlock()
-	return peer.Heartbeat{Self: table.Self(), Rumors: table.Rumors(), ConfigNext: next, VMsAt: at, Quarantine: word}
+	return peer.Heartbeat{Sender: table.Self(), Rumors: table.NextRumors(), ConfigNext: next, LeavingReadAt: at, Quarantine: word}
 }
 
 func (m *members) take(h peer.Heartbeat) {
@@ -138,9 +138,9 @@
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.Answered(h.Self, now)
+	m.table.MarkAlive(h.Sender, now)
 	for _, r := range h.Rumors {
-		m.table.Take(r, now)
+		m.table.ApplyRumor(r, now)
 	}
 }
 
@@ -163,13 +163,13 @@
 func (m *members) hearsMost() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.HearsMost(time.Now())
+	return m.table.InMajority(time.Now())
 }
 
 func (m *members) size() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Len()
+	return m.table.AliveCount()
 }
 
 // current locks the table with the own row brought up to date. Rows of others
@@ -185,7 +185,7 @@
 func (m *members) homes(key string, n int) []membership.Member {
 	m.current()
 	defer m.mu.Unlock()
-	return m.table.Homes(key, n)
+	return m.table.Owners(key, n)
 }
 
 func (m *members) isHome(key string) bool {
@@ -199,7 +199,7 @@
 func (m *members) isHomeIn(key string, n int) bool {
 	m.current()
 	defer m.mu.Unlock()
-	for _, h := range m.table.HomesIn(m.d.settings.FailureDomain, key, n) {
+	for _, h := range m.table.OwnersIn(m.d.settings.FailureDomain, key, n) {
 		if h.ID == m.d.settings.ID {
 			return true
 		}
@@ -211,7 +211,7 @@
 func (m *members) keepers(n int) []membership.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Keepers(n)
+	return m.table.Replicas(n)
 }
 
 func (m *members) find(id string) (membership.Member, bool) {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -40,8 +40,8 @@
 	panics         tally.Counter
 }
 
-// MetricNames lists every counter, gauge and histogram in use with its meaning.
-func MetricNames() map[string]string {
+// MetricDescriptions lists every counter, gauge and histogram in use with its meaning.
+func MetricDescriptions() map[string]string {
 	return map[string]string{
 		"requests":             "Requests accepted for routing.",
 		"answered":             "Requests answered in full.",
@@ -113,7 +113,7 @@
 	}
 }
 
-// Refused counts a refusal by kind.
-func (d *Daemon) Refused(kind string) {
+// RecordRefusal counts a refusal by kind.
+func (d *Daemon) RecordRefusal(kind string) {
 	d.metrics.scope.Tagged(map[string]string{"kind": kind}).Counter("refusals").Inc(1)
 }
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -24,12 +24,12 @@
 // size appends one renewal a pool every lease.RenewAfter.
 type orders struct {
 	d       *Daemon
-	fold    *lease.Fold
+	fold    *lease.State
 	askedAt map[string]time.Time
 }
 
 func newOrders(d *Daemon) *orders {
-	return &orders{d: d, fold: lease.NewFold(), askedAt: map[string]time.Time{}}
+	return &orders{d: d, fold: lease.NewState(), askedAt: map[string]time.Time{}}
 }
 
 func (o *orders) loop(ctx context.Context) { every(ctx, orderEvery, o.round) }
@@ -93,7 +93,7 @@
 
 func (o *orders) catchUp(ctx context.Context) error {
 	for {
-		b, err := o.d.ports.Log.Read(ctx, leaseStream, o.fold.Next(), readLimit, 0)
+		b, err := o.d.ports.Log.Read(ctx, leaseStream, o.fold.NextOffset(), readLimit, 0)
 		if err != nil {
 			return err
 		}
@@ -115,7 +115,7 @@
 	if err != nil || l.Versions == nil {
 		return
 	}
-	for _, ord := range lease.Orders(wanted, l.Versions) {
+	for _, ord := range lease.Reconcile(wanted, l.Versions) {
 		if ord.Action == "load" && !o.mayLoad(ctx, ord.Version) {
 			continue
 		}
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -46,7 +46,7 @@
 }
 
 type pool struct {
-	picture *routing.Picture
+	picture *routing.LoadTracker
 	// holds tells the versions each server reported; a server without a report
 	// is tried.
 	holds map[string][]string
@@ -84,7 +84,7 @@
 		}
 		st := p.byName[name]
 		if st == nil {
-			st = &pool{picture: routing.NewPicture(), holds: map[string][]string{}, warmAt: map[string]time.Duration{}}
+			st = &pool{picture: routing.NewLoadTracker(), holds: map[string][]string{}, warmAt: map[string]time.Duration{}}
 			p.byName[name] = st
 		}
 		members := make([]routing.Member, len(cp.Servers))
@@ -93,7 +93,7 @@
 		}
 		st.picture.Update(routing.Subset(p.d.settings.ID, members, p.d.settings.Subset))
 		for id := range p.leaving {
-			st.picture.Leaving(id, true)
+			st.picture.SetLeaving(id, true)
 		}
 	}
 	for name := range p.byName {
@@ -137,14 +137,14 @@
 	}
 	refused := p.bar(st, c.Pools[poolName].SlowStart, candidates, r)
 	r.CachedBlocks = [routing.MaxCandidates]uint8{}
-	st.picture.Prefix.Fill(r)
-	dec := routing.Default().Pick(r, candidates, p.rng)
+	st.picture.Prefix.Lookup(r)
+	dec := routing.DefaultPipeline().Pick(r, candidates, p.rng)
 	if dec.Index < 0 {
 		return choice{}, refusal(dec, poolName, &refused)
 	}
 	chosen := candidates[dec.Index]
 	p.pass(st, c.Pools[poolName].SlowStart, &chosen)
-	st.picture.Dispatched(chosen.ID, r.Blocks, r.Urgent, time.Now())
+	st.picture.RecordDispatch(chosen.ID, r.Blocks, r.Urgent, time.Now())
 	return choice{
 		pool: poolName, candidate: chosen, expected: dec.Expected, urgent: r.Urgent, limit: limitOf(c.Pools[poolName].SlowStart),
 		uncached: max(0, r.PromptTokens-int(r.CachedBlocks[dec.Index])*r.BlockTokens),
@@ -152,13 +152,13 @@
 	}, nil
 }
 
-func refusal(dec routing.Decision, pool string, refused *gate.Tally) *fault.Error {
-	if dec.Refusal == routing.TooLate {
-		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, dec.Expected.Round(time.Millisecond)).After(max(time.Second, dec.Expected/2))
+func refusal(dec routing.Decision, pool string, refused *gate.Refusals) *fault.Error {
+	if dec.Refusal == routing.BudgetExceeded {
+		return fault.New(fault.Overloaded, "pool %s would answer in %s, after the deadline", pool, dec.Expected.Round(time.Millisecond)).WithRetryAfter(max(time.Second, dec.Expected/2))
 	}
-	switch reason, left := refused.Main(); reason {
+	switch reason, left := refused.Primary(); reason {
 	case gate.Warming:
-		return fault.New(fault.Warming, "the servers of pool %s that are left are warming up", pool).After(left)
+		return fault.New(fault.Warming, "the servers of pool %s that are left are warming up", pool).WithRetryAfter(left)
 	case gate.Evacuated:
 		return fault.New(fault.Evacuated, "the servers of pool %s that are left stand in evacuated failure domains", pool)
 	}
@@ -176,7 +176,7 @@
 // firstToken books a first token and returns the part of it that was a wait.
 func (p *pools) firstToken(c choice, took time.Duration) (wait time.Duration) {
 	p.with(c.pool, func(st *pool) {
-		wait = st.picture.FirstToken(c.candidate.ID, took, c.uncached, time.Now())
+		wait = st.picture.RecordFirstToken(c.candidate.ID, took, c.uncached, time.Now())
 		p.answered(c)
 	})
 	return wait
@@ -185,7 +185,7 @@
 // completed books the end of an attempt that held a slot for some time.
 func (p *pools) completed(c choice, held time.Duration, failed bool) {
 	p.with(c.pool, func(st *pool) {
-		st.picture.Completed(c.candidate.ID, held, failed, c.urgent, time.Now())
+		st.picture.RecordCompletion(c.candidate.ID, held, failed, c.urgent, time.Now())
 		if !failed {
 			p.answered(c)
 		}
@@ -193,13 +193,13 @@
 }
 
 func (p *pools) silent(c choice) {
-	p.with(c.pool, func(st *pool) { st.picture.Silent(c.candidate.ID, time.Now()) })
+	p.with(c.pool, func(st *pool) { st.picture.RecordTimeout(c.candidate.ID, time.Now()) })
 }
 
 func (p *pools) unreachable(c choice) {
 	p.with(c.pool, func(st *pool) {
-		st.picture.Unreachable(c.candidate.ID, time.Now())
-		p.gate.Ended(c.candidate.ID, p.boot())
+		st.picture.RecordUnreachable(c.candidate.ID, time.Now())
+		p.gate.ServerTerminated(c.candidate.ID, p.boot())
 	})
 }
 
@@ -222,11 +222,11 @@
 		return
 	}
 	p.with(name, func(st *pool) {
-		st.picture.Reported(cand.ID, l.Running+l.Waiting, time.Now())
+		st.picture.RecordReport(cand.ID, l.Running+l.Waiting, time.Now())
 		if l.Versions != nil {
 			st.holds[cand.ID] = l.Versions
 		}
-		st.picture.Leaving(cand.ID, l.Draining || p.leaving[cand.ID])
+		st.picture.SetLeaving(cand.ID, l.Draining || p.leaving[cand.ID])
 		if l.WarmingMillis > 0 {
 			st.warmAt[cand.ID] = p.boot() + time.Duration(l.WarmingMillis)*time.Millisecond
 		}
@@ -330,11 +330,11 @@
 	for _, st := range p.byName {
 		for id := range p.leaving {
 			if !now[id] {
-				st.picture.Leaving(id, false)
+				st.picture.SetLeaving(id, false)
 			}
 		}
 		for id := range now {
-			st.picture.Leaving(id, true)
+			st.picture.SetLeaving(id, true)
 		}
 	}
 	p.leaving, p.leavingAt = now, at
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -31,12 +31,12 @@
 func TestSilentListOfVMsIsNoticedWhileItsLastWordHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		d := New(settings.Settings{ID: "d"}, settings.Secrets{}, Ports{VMs: silentList{}, Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
+		d := New(settings.Settings{ID: "d"}, settings.Secrets{}, Dependencies{VMs: silentList{}, Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
 		d.pools.heard()
 		go every(ctx, vmListEvery, d.pools.listVMs)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if age := time.Since(d.pools.serversHeard()); age > membership.ServersFresh {
+			if age := time.Since(d.pools.serversHeard()); age > membership.ServersMaxAge {
 				t.Errorf("the word on leaving servers is %s old", age)
 				break
 			}
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -24,11 +24,11 @@
 // newGuard returns what keeps requests from servers that end when they run them.
 func newGuard(d *Daemon) *containment.Guard {
 	started := time.Now()
-	return containment.New(containment.Ports{
-		Boot: func() time.Duration { return time.Since(started) }, Logger: d.log,
-		Refuses: func(ctx context.Context, s containment.Server) bool { return d.engine.Refuses(ctx, s.Address) },
-		Leaving: func(s containment.Server) bool { return d.pools.isLeaving(s.ID) },
-		Lost:    d.pools.lost, Ended: d.metrics.serversEnded, Held: d.metrics.requestsHeld,
+	return containment.New(containment.Options{
+		BootTime: func() time.Duration { return time.Since(started) }, Logger: d.log,
+		RefusesConnections: func(ctx context.Context, s containment.Server) bool { return d.engine.Refuses(ctx, s.Address) },
+		Leaving:            func(s containment.Server) bool { return d.pools.isLeaving(s.ID) },
+		OnTerminated:       d.pools.lost, ServersTerminated: d.metrics.serversEnded, RequestsHeld: d.metrics.requestsHeld,
 	})
 }
 
@@ -52,22 +52,22 @@
 
 // held returns the refusal of a request that is kept from servers, or nil. One that ran
 // before is refused as failed, since the other refusal promises that it did not.
-func (d *Daemon) held(f quarantine.Fingerprint, life *request.Life) *fault.Error {
+func (d *Daemon) held(f quarantine.Fingerprint, life *request.RetryState) *fault.Error {
 	s := d.guard.Check(f)
 	if !s.Held {
 		return nil
 	}
-	d.log.Info("held", "fingerprint", f, "left_ms", s.Left.Milliseconds(), "attempts", life.Attempts())
-	return truthful(fault.New(fault.Quarantined, "servers ended that ran this request").After(containment.Advice(s)), life)
+	d.log.Info("held", "fingerprint", f, "left_ms", s.Remaining.Milliseconds(), "attempts", life.Attempts())
+	return truthful(fault.New(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(s)), life)
 }
 
 // truthful returns a refusal that says of the run what is so: a kind that promises that the
 // request has not run is replaced once it may have.
-func truthful(e *fault.Error, life *request.Life) *fault.Error {
-	if life.State() != fault.NotRun && fault.Lookup(e.Kind).Run == fault.NotRun {
-		e = fault.New(fault.EngineFailed, "%s", e.Detail).After(e.RetryAfter)
+func truthful(e *fault.Error, life *request.RetryState) *fault.Error {
+	if life.ExecutionState() != fault.NotRun && fault.Lookup(e.Kind).Execution == fault.NotRun {
+		e = fault.New(fault.EngineFailed, "%s", e.Detail).WithRetryAfter(e.RetryAfter)
 	}
-	return e.With(life.State())
+	return e.WithExecution(life.ExecutionState())
 }
 
 // guarded names a server to the guard. Servers keep their name over a start.
@@ -77,16 +77,16 @@
 
 // fateOf tells what became of an attempt from its last event; started says that the server
 // had begun to answer.
-func fateOf(e request.Event, complete, started bool) containment.Fate {
+func fateOf(e request.AttemptEvent, complete, started bool) containment.Outcome {
 	switch {
-	case complete, e == request.Refused, e == request.RunFailed:
-		return containment.Finished
-	case e == request.CallerGone:
-		return containment.Left
+	case complete, e == request.AttemptRefused, e == request.RunFailed:
+		return containment.Completed
+	case e == request.CallerDisconnected:
+		return containment.Canceled
 	case e == request.ConnectFailed && !started:
-		return containment.Finished
+		return containment.Completed
 	}
-	return containment.Broke
+	return containment.ConnectionLost
 }
 
 // isLeaving reports whether the platform says that a server leaves.
@@ -97,15 +97,15 @@
 }
 
 // lost books a server that has ended, under the key that daemons use between them.
-func (p *pools) lost(run quarantine.RunKey) {
+func (p *pools) lost(run quarantine.IncarnationKey) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, st := range p.byName {
 		for _, c := range st.picture.Snapshot(nil, now) {
-			if c.ID != "" && containment.RunKey(c.ID) == run {
-				st.picture.Unreachable(c.ID, now)
-				p.gate.Ended(c.ID, p.boot())
+			if c.ID != "" && containment.IncarnationKey(c.ID) == run {
+				st.picture.RecordUnreachable(c.ID, now)
+				p.gate.ServerTerminated(c.ID, p.boot())
 			}
 		}
 	}
@@ -114,8 +114,8 @@
 // Holds lists the requests that are kept from servers.
 func (d *Daemon) Holds() []quarantine.Hold { return d.guard.Holds() }
 
-// Hold keeps a request from servers by hand, at all daemons.
-func (d *Daemon) Hold(f quarantine.Fingerprint) { d.guard.ApplyHold(f, quarantine.HoldFor) }
+// AddHold keeps a request from servers by hand, at all daemons.
+func (d *Daemon) AddHold(f quarantine.Fingerprint) { d.guard.ApplyHold(f, quarantine.HoldTTL) }
 
-// Release ends a hold by hand, at all daemons.
-func (d *Daemon) Release(f quarantine.Fingerprint) { d.guard.Release(f) }
+// ReleaseHold ends a hold by hand, at all daemons.
+func (d *Daemon) ReleaseHold(f quarantine.Fingerprint) { d.guard.Release(f) }
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -47,7 +47,7 @@
 	stage    string
 	since    time.Time
 	byDaemon map[string]rollout.Evidence
-	verdict  rollout.Verdict
+	verdict  rollout.Decision
 }
 
 func newRollouts(d *Daemon) *rollouts {
@@ -55,13 +55,13 @@
 }
 
 func (r *rollouts) register(s *peer.Server) {
-	peer.Handle(s, "evidence", func(_ context.Context, _ string, q peer.ReportEvidence) (peer.Done, error) {
+	peer.Handle(s, "evidence", func(_ context.Context, _ string, q peer.EvidenceReport) (peer.Empty, error) {
 		r.take(q)
-		return peer.Done{}, nil
+		return peer.Empty{}, nil
 	})
 }
 
-func stageOf(ro fleet.Rollout) string { return fmt.Sprintf("%s/%d", ro.To, ro.Stage) }
+func stageOf(ro fleet.Rollout) string { return fmt.Sprintf("%s/%d", ro.TargetVersion, ro.Stage) }
 
 // observation is what one finished run says about its version.
 type observation struct {
@@ -94,8 +94,8 @@
 func (r *rollouts) count(model, version, server, domain string, n rollout.Counts) {
 	c := r.d.config.current()
 	ro, active := c.RolloutFor(model)
-	isNew := version == ro.To
-	if !active || !rollout.Judged(ro) || !isNew && version != c.Models[model].Stable {
+	isNew := version == ro.TargetVersion
+	if !active || !rollout.CarriesTraffic(ro) || !isNew && version != c.Models[model].Stable {
 		return
 	}
 	r.mu.Lock()
@@ -106,10 +106,10 @@
 		r.own[model] = st
 	}
 	st.cells = st.cells.Merge(rollout.Evidence{{Server: server, FailureDomain: domain, New: isNew, Counts: n}})
-	if signal, stop := rollout.DefaultRules().Brake(st.cells); stop && !r.braked[model+"@"+ro.To] {
-		r.braked[model+"@"+ro.To] = true
+	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(st.cells); stop && !r.braked[model+"@"+ro.TargetVersion] {
+		r.braked[model+"@"+ro.TargetVersion] = true
 		r.d.metrics.braked.Inc(1)
-		r.d.log.Warn("stopped using a new version on own evidence", "model", model, "version", ro.To, "signal", signal)
+		r.d.log.Warn("stopped using a new version on own evidence", "model", model, "version", ro.TargetVersion, "signal", signal)
 	}
 }
 
@@ -130,7 +130,7 @@
 		r.reported = time.Now()
 	}
 	for model, ro := range c.Rollouts {
-		if !rollout.Judged(ro) {
+		if !rollout.CarriesTraffic(ro) {
 			continue
 		}
 		homes := r.d.members.homes("rollout/"+model, 1)
@@ -141,7 +141,7 @@
 		if homes[0].ID != r.d.settings.ID {
 			if due && len(report.Cells) > 0 {
 				callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
-				_, _ = peer.Call[peer.ReportEvidence, peer.Done](callCtx, r.d.links, homes[0].PeerAddress, "evidence", report)
+				_, _ = peer.Call[peer.EvidenceReport, peer.Empty](callCtx, r.d.links, homes[0].PeerAddress, "evidence", report)
 				cancel()
 			}
 			continue
@@ -158,7 +158,7 @@
 	for mv := range r.braked {
 		running := false
 		for model, ro := range c.Rollouts {
-			running = running || mv == model+"@"+ro.To && ro.State != fleet.Done && ro.State != fleet.RolledBack
+			running = running || mv == model+"@"+ro.TargetVersion && ro.State != fleet.RolloutDone && ro.State != fleet.RolloutRolledBack
 		}
 		if !running {
 			delete(r.braked, mv)
@@ -166,10 +166,10 @@
 	}
 }
 
-func (r *rollouts) report(model string, ro fleet.Rollout) peer.ReportEvidence {
+func (r *rollouts) report(model string, ro fleet.Rollout) peer.EvidenceReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := peer.ReportEvidence{Daemon: r.d.settings.ID, Model: model, Stage: stageOf(ro)}
+	out := peer.EvidenceReport{Daemon: r.d.settings.ID, Model: model, Stage: stageOf(ro)}
 	if st := r.own[model]; st != nil && st.stage == out.Stage {
 		out.Cells = slices.Clone(st.cells)
 	}
@@ -178,7 +178,7 @@
 
 // take replaces a daemon's cumulative evidence; a late or repeated report does
 // no harm.
-func (r *rollouts) take(q peer.ReportEvidence) {
+func (r *rollouts) take(q peer.EvidenceReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.fleet[q.Model]
@@ -200,7 +200,7 @@
 func (r *rollouts) judge(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout) {
 	r.mu.Lock()
 	f := r.fleet[model]
-	v := rollout.DefaultRules().Judge(ro, f.merged(), time.Since(f.since))
+	v := rollout.DefaultStagePolicy().Evaluate(ro, f.merged(), time.Since(f.since))
 	f.verdict = v
 	r.mu.Unlock()
 	if v.Step == rollout.Wait {
@@ -212,13 +212,13 @@
 // propose appends the step as an ordinary patch. Its id follows from the state
 // it was decided on, so that a step decided twice, by an old and a new home, is
 // one patch; a stale base makes it void.
-func (r *rollouts) propose(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout, v rollout.Verdict) {
+func (r *rollouts) propose(ctx context.Context, c *fleet.Config, model string, ro fleet.Rollout, v rollout.Decision) {
 	patch, err := stepPatch(c, model, ro, v.Step)
 	if err != nil {
 		return
 	}
 	id := fmt.Sprintf("rollout/%s/%s/%s@%d", model, stageOf(ro), v.Step, c.Number)
-	out, err := r.d.Submit(ctx, fleet.Record{PatchID: id, Base: c.Number, Author: "rollout: " + v.Reason, Patch: patch})
+	out, err := r.d.SubmitPatch(ctx, fleet.Record{PatchID: id, Base: c.Number, Author: "rollout: " + v.Reason, Patch: patch})
 	if err == nil && out.Accepted {
 		r.d.log.Info("roll-out step", "model", model, "step", v.Step, "reason", v.Reason, "number", out.Number)
 	}
@@ -227,14 +227,14 @@
 // stepPatch writes a step as a patch. A roll-back withdraws the version too:
 // sessions pinned to it would otherwise stay on it.
 func stepPatch(c *fleet.Config, model string, ro fleet.Rollout, s rollout.Step) (json.RawMessage, error) {
-	next := rollout.Next(ro, s)
+	next := rollout.ApplyStep(ro, s)
 	p := map[string]map[string]any{"rollouts": {model: map[string]any{"stage": next.Stage, "state": next.State}}}
 	switch {
 	case s == rollout.RollBack:
 		gone := map[string]any{"state": fleet.Withdrawn, "successor": c.Models[model].Stable}
-		p["models"] = map[string]any{model: map[string]any{"versions": map[string]any{ro.To: gone}}}
-	case next.State == fleet.Done:
-		p["models"] = map[string]any{model: map[string]any{"stable": ro.To}}
+		p["models"] = map[string]any{model: map[string]any{"versions": map[string]any{ro.TargetVersion: gone}}}
+	case next.State == fleet.RolloutDone:
+		p["models"] = map[string]any{model: map[string]any{"stable": ro.TargetVersion}}
 	}
 	return json.Marshal(p)
 }
@@ -243,13 +243,13 @@
 type RolloutView struct {
 	fleet.Rollout
 	Percent float64 `json:"percent"`
-	// Home is the daemon that judges.
-	Home    string           `json:"home"`
-	Verdict string           `json:"verdict,omitempty"`
-	Reason  string           `json:"reason,omitempty"`
-	Fresh   rollout.Counts   `json:"new_version"`
-	Running rollout.Counts   `json:"running_version"`
-	Cells   rollout.Evidence `json:"cells,omitempty"`
+	// Owner is the daemon that judges.
+	Owner          string           `json:"home"`
+	Verdict        string           `json:"verdict,omitempty"`
+	Reason         string           `json:"reason,omitempty"`
+	NewVersion     rollout.Counts   `json:"new_version"`
+	RunningVersion rollout.Counts   `json:"running_version"`
+	Cells          rollout.Evidence `json:"cells,omitempty"`
 }
 
 // Rollouts returns every roll-out with its evidence: the fleet's at the home,
@@ -260,16 +260,16 @@
 	for model, ro := range c.Rollouts {
 		v := RolloutView{Rollout: ro, Percent: ro.Percent()}
 		if h := d.members.homes("rollout/"+model, 1); len(h) > 0 {
-			v.Home = h[0].ID
+			v.Owner = h[0].ID
 		}
 		d.rollouts.mu.Lock()
-		if f := d.rollouts.fleet[model]; f != nil && v.Home == d.settings.ID && f.stage == stageOf(ro) {
+		if f := d.rollouts.fleet[model]; f != nil && v.Owner == d.settings.ID && f.stage == stageOf(ro) {
 			v.Cells, v.Verdict, v.Reason = f.merged(), f.verdict.Step.String(), f.verdict.Reason
 		} else if st := d.rollouts.own[model]; st != nil && st.stage == stageOf(ro) {
 			v.Cells = slices.Clone(st.cells)
 		}
 		d.rollouts.mu.Unlock()
-		v.Fresh, v.Running = v.Cells.Totals(nil)
+		v.NewVersion, v.RunningVersion = v.Cells.Totals(nil)
 		out = append(out, v)
 	}
 	slices.SortFunc(out, func(a, b RolloutView) int {
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -27,15 +27,15 @@
 	defaultClass = "default"
 )
 
-// Chat is a checked chat request.
-type Chat struct {
+// ChatRequest is a checked chat request.
+type ChatRequest struct {
 	Workspace string
 	// Model names a model, "model@version" or a cascade.
 	Model string
 	// Body is the request as the caller sent it.
 	Body map[string]json.RawMessage
-	// Raw is the body's bytes, for comparing repeats of an idempotency key.
-	Raw []byte
+	// RawBody is the body's bytes, for comparing repeats of an idempotency key.
+	RawBody []byte
 	// Prompt is the text of all messages.
 	Prompt    string
 	MaxTokens int64
@@ -43,26 +43,26 @@
 	Session string
 	// Class groups requests whose difficulty is alike; default "default".
 	Class string
-	// Key is the Idempotency-Key; a request that has one runs at most once.
-	Key string
-	// Deliver gets the answer piece by piece. It is nil for plain answers.
-	Deliver func(text string) error
-	// Begin is called once before the first piece with what is known by then:
+	// IdempotencyKey is the Idempotency-Key; a request that has one runs at most once.
+	IdempotencyKey string
+	// OnText gets the answer piece by piece. It is nil for plain answers.
+	OnText func(text string) error
+	// OnStart is called once before the first piece with what is known by then:
 	// the model, the version and the session token.
-	Begin func(a *Answer)
+	OnStart func(a *ChatResponse)
 }
 
-// Answer is a complete answer.
-type Answer struct {
-	RequestID string `json:"request_id"`
-	Model     string `json:"model"`
-	Version   string `json:"version"`
-	Text      string `json:"text"`
-	Finish    string `json:"finish"`
+// ChatResponse is a complete answer.
+type ChatResponse struct {
+	RequestID    string `json:"request_id"`
+	Model        string `json:"model"`
+	Version      string `json:"version"`
+	Text         string `json:"text"`
+	FinishReason string `json:"finish"`
 	// Session is the token that keeps the session on its version.
-	Session      string `json:"session"`
-	PromptTokens int64  `json:"prompt_tokens"`
-	AnswerTokens int64  `json:"answer_tokens"`
+	Session          string `json:"session"`
+	PromptTokens     int64  `json:"prompt_tokens"`
+	CompletionTokens int64  `json:"answer_tokens"`
 	// Replayed says that the answer is that of an earlier request with the same key.
 	Replayed bool `json:"-"`
 }
@@ -74,7 +74,7 @@
 
 // Chat answers a chat request. Its error is always a *fault.Error that says
 // truthfully whether the request ran.
-func (d *Daemon) Chat(ctx context.Context, id string, q Chat) (*Answer, error) {
+func (d *Daemon) Chat(ctx context.Context, id string, q ChatRequest) (*ChatResponse, error) {
 	done, err := d.enter()
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	}, nil
 }
 
-func (d *Daemon) chat(ctx context.Context, id string, q *Chat) (*Answer, *served, error) {
+func (d *Daemon) chat(ctx context.Context, id string, q *ChatRequest) (*ChatResponse, *served, error) {
 	c := d.config.current()
 	w, ok := c.Workspaces[q.Workspace]
 	if !ok {
@@ -128,7 +128,7 @@
 	if err := d.usage.reserve(); err != nil {
 		return nil, st, err
 	}
-	a, err := d.once(ctx, id, q, func() (*Answer, error) {
+	a, err := d.once(ctx, id, q, func() (*ChatResponse, error) {
 		return d.answer(ctx, id, q, w, models, pin, st)
 	})
 	if !d.bill(ctx, id, q.Workspace, st) && err == nil {
@@ -138,11 +138,11 @@
 }
 
 // once runs f at most once for a request that has an idempotency key.
-func (d *Daemon) once(ctx context.Context, id string, q *Chat, f func() (*Answer, error)) (*Answer, error) {
-	if q.Key == "" {
+func (d *Daemon) once(ctx context.Context, id string, q *ChatRequest, f func() (*ChatResponse, error)) (*ChatResponse, error) {
+	if q.IdempotencyKey == "" {
 		return f()
 	}
-	t, replay, err := d.claims.acquire(ctx, q.Workspace, q.Key, q.Raw, id)
+	t, replay, err := d.claims.acquire(ctx, q.Workspace, q.IdempotencyKey, q.RawBody, id)
 	if err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 	}
 	a, err := f()
 	if err != nil {
-		t.finish(fault.From(err).State(), 0, nil)
+		t.finish(fault.FromError(err).ExecutionState(), 0, nil)
 		return nil, err
 	}
 	data, encodeErr := json.Marshal(a)
@@ -161,22 +161,22 @@
 	return a, nil
 }
 
-func replayed(v *request.Verdict, q *Chat) (*Answer, error) {
-	var a Answer
-	if json.Unmarshal(v.Answer, &a) != nil {
-		return nil, fault.New(fault.AnswerUnavailable, "the stored answer cannot be read").With(fault.Ran)
+func replayed(v *request.ClaimResult, q *ChatRequest) (*ChatResponse, error) {
+	var a ChatResponse
+	if json.Unmarshal(v.Response, &a) != nil {
+		return nil, fault.New(fault.AnswerUnavailable, "the stored answer cannot be read").WithExecution(fault.Ran)
 	}
 	a.Replayed = true
-	if q.Deliver != nil {
-		if err := q.Deliver(a.Text); err != nil {
-			return nil, fault.New(fault.CallerLeft, "the caller left").With(fault.Ran)
+	if q.OnText != nil {
+		if err := q.OnText(a.Text); err != nil {
+			return nil, fault.New(fault.CallerLeft, "the caller left").WithExecution(fault.Ran)
 		}
 	}
 	return &a, nil
 }
 
 // answer asks the models in turn: one model, or the steps of a cascade.
-func (d *Daemon) answer(ctx context.Context, id string, q *Chat, w fleet.Workspace, models []string, pin session.Pin, st *served) (*Answer, error) {
+func (d *Daemon) answer(ctx context.Context, id string, q *ChatRequest, w fleet.Workspace, models []string, pin session.Pin, st *served) (*ChatResponse, error) {
 	began := time.Now()
 	deadline := defaultDeadline
 	if w.DeadlineMillis > 0 {
@@ -197,11 +197,11 @@
 	for i := first; ; i++ {
 		last := i == len(models)-1
 		s := &step{requestID: id, workspace: q.Workspace, priority: w.Priority, prompt: q.Prompt, body: q.Body, deadline: began.Add(deadline)}
-		s.fingerprint = quarantine.Of(q.Workspace, "", "chat", q.Model, q.Raw)
+		s.fingerprint = quarantine.FingerprintOf(q.Workspace, "", "chat", q.Model, q.RawBody)
 		if i > 0 {
 			s.requestID = id + "-" + models[i]
 		}
-		s.life = &request.Life{Repeatable: q.Key == "", Deadline: s.deadline}
+		s.life = &request.RetryState{Repeatable: q.IdempotencyKey == "", Deadline: s.deadline}
 		if last {
 			s.deliver = d.deliverer(q, s, pin)
 		}
@@ -227,24 +227,24 @@
 }
 
 // deliverer passes pieces on to the caller, after Begin.
-func (d *Daemon) deliverer(q *Chat, s *step, pin session.Pin) func(string) error {
-	if q.Deliver == nil {
+func (d *Daemon) deliverer(q *ChatRequest, s *step, pin session.Pin) func(string) error {
+	if q.OnText == nil {
 		return nil
 	}
 	begun := false
 	return func(text string) error {
-		if !begun && q.Begin != nil {
-			q.Begin(d.heading(s, pin))
+		if !begun && q.OnStart != nil {
+			q.OnStart(d.heading(s, pin))
 		}
 		begun = true
-		return q.Deliver(text)
+		return q.OnText(text)
 	}
 }
 
 // heading is what is known of an answer before its first piece.
-func (d *Daemon) heading(s *step, pin session.Pin) *Answer {
-	pin = pin.With(s.model, s.version)
-	return &Answer{Model: s.model, Version: s.version, Session: pin.Token(d.ring.Load())}
+func (d *Daemon) heading(s *step, pin session.Pin) *ChatResponse {
+	pin = pin.WithVersion(s.model, s.version)
+	return &ChatResponse{Model: s.model, Version: s.version, Session: pin.Token(d.ring.Load())}
 }
 
 // ask runs one step and books what it cost.
@@ -254,8 +254,8 @@
 	if s.model, s.version, err = d.version(c, w, name, pin); err != nil {
 		return nil, err
 	}
-	if ro, ok := c.RolloutFor(s.model); ok && pin.For(s.model) == "" && s.version == ro.To {
-		s.fallback, _ = c.Successor(w, s.model, c.Models[s.model].Stable)
+	if ro, ok := c.RolloutFor(s.model); ok && pin.VersionOf(s.model) == "" && s.version == ro.TargetVersion {
+		s.fallback, _ = c.ResolveSuccessor(w, s.model, c.Models[s.model].Stable)
 	}
 	offset := time.Since(began)
 	r, err := d.run(ctx, s)
@@ -279,7 +279,7 @@
 	return r, err
 }
 
-func (d *Daemon) offerSample(id string, q *Chat, key, class string, s *step, r *stepResult, confidence float64, dear bool) {
+func (d *Daemon) offerSample(id string, q *ChatRequest, key, class string, s *step, r *stepResult, confidence float64, dear bool) {
 	d.cascades.sample(sampleInfo{key, class, confidence, dear}, platform.Sample{
 		RequestID: id, Daemon: d.raterID(), Workspace: q.Workspace, Class: class,
 		Model: s.model, Version: s.version, Server: r.choice.candidate.ID, Answer: r.text.String(),
@@ -287,15 +287,15 @@
 }
 
 // finish hands over a buffered answer and pins the session.
-func (d *Daemon) finish(id string, q *Chat, s *step, r *stepResult, pin session.Pin, streamed bool) (*Answer, error) {
+func (d *Daemon) finish(id string, q *ChatRequest, s *step, r *stepResult, pin session.Pin, streamed bool) (*ChatResponse, error) {
 	a := d.heading(s, pin)
-	a.RequestID, a.Text, a.Finish = id, r.text.String(), r.finish
-	a.PromptTokens, a.AnswerTokens = r.usage.PromptTokens, r.usage.AnswerTokens
-	if streamed || q.Deliver == nil {
+	a.RequestID, a.Text, a.FinishReason = id, r.text.String(), r.finish
+	a.PromptTokens, a.CompletionTokens = r.usage.PromptTokens, r.usage.AnswerTokens
+	if streamed || q.OnText == nil {
 		return a, nil
 	}
 	if err := d.deliverer(q, s, pin)(a.Text); err != nil {
-		return nil, fault.New(fault.CallerLeft, "the caller left").With(fault.Ran)
+		return nil, fault.New(fault.CallerLeft, "the caller left").WithExecution(fault.Ran)
 	}
 	return a, nil
 }
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -53,7 +53,7 @@
 	owner       string
 	incarnation uint64
 	place       uint64
-	usage       billing.Usage
+	usage       billing.UsageRecord
 	at          time.Time
 }
 
@@ -65,12 +65,12 @@
 }
 
 func (u *usage) register(s *peer.Server) {
-	peer.Handle(s, "store_usage", func(_ context.Context, _ string, q peer.StoreUsage) (peer.Done, error) {
-		return peer.Done{}, u.keep(q)
+	peer.Handle(s, "store_usage", func(_ context.Context, _ string, q peer.StoreUsageRequest) (peer.Empty, error) {
+		return peer.Empty{}, u.keep(q)
 	})
-	peer.Handle(s, "confirm_usage", func(_ context.Context, _ string, q peer.ConfirmUsage) (peer.Done, error) {
+	peer.Handle(s, "confirm_usage", func(_ context.Context, _ string, q peer.ConfirmUsageRequest) (peer.Empty, error) {
 		u.release(q)
-		return peer.Done{}, nil
+		return peer.Empty{}, nil
 	})
 }
 
@@ -89,7 +89,7 @@
 // add stores a record and returns once it would survive the loss of this VM: a
 // keeper in another failure domain, or the log, has it. It reports false when
 // neither could be reached; the record stays and is tried on.
-func (u *usage) add(ctx context.Context, rec billing.Usage) bool {
+func (u *usage) add(ctx context.Context, rec billing.UsageRecord) bool {
 	u.mu.Lock()
 	place, pending := u.buffer.Add(rec), u.buffer.Len()
 	u.mu.Unlock()
@@ -119,7 +119,7 @@
 
 func (u *usage) exposed(exposed bool) {
 	u.mu.Lock()
-	u.buffer.Exposed(exposed)
+	u.buffer.SetUnprotected(exposed)
 	u.mu.Unlock()
 }
 
@@ -146,12 +146,12 @@
 	}
 }
 
-func (u *usage) protect(ctx context.Context, place uint64, rec billing.Usage) bool {
+func (u *usage) protect(ctx context.Context, place uint64, rec billing.UsageRecord) bool {
 	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
 	for _, k := range u.d.members.keepers(2) {
-		_, err := peer.Call[peer.StoreUsage, peer.Done](ctx, u.d.links, k.PeerAddress, "store_usage",
-			peer.StoreUsage{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, Place: place, Records: []billing.Usage{rec}})
+		_, err := peer.Call[peer.StoreUsageRequest, peer.Empty](ctx, u.d.links, k.PeerAddress, "store_usage",
+			peer.StoreUsageRequest{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, FirstSequence: place, Records: []billing.UsageRecord{rec}})
 		if err != nil {
 			continue
 		}
@@ -163,23 +163,23 @@
 	return false
 }
 
-func (u *usage) keep(q peer.StoreUsage) error {
+func (u *usage) keep(q peer.StoreUsageRequest) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.kept)+len(q.Records) > u.d.settings.BillingBuffer {
 		return fault.New(fault.BillingBacklog, "%d copies are kept already", len(u.kept))
 	}
 	for i, r := range q.Records {
-		u.kept[r.RequestID] = keptRecord{q.Owner, q.Incarnation, q.Place + uint64(i), r, time.Now()}
+		u.kept[r.RequestID] = keptRecord{q.Owner, q.Incarnation, q.FirstSequence + uint64(i), r, time.Now()}
 	}
 	return nil
 }
 
-func (u *usage) release(q peer.ConfirmUsage) {
+func (u *usage) release(q peer.ConfirmUsageRequest) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, k := range u.kept {
-		if k.owner == q.Owner && k.incarnation == q.Incarnation && k.place <= q.Through {
+		if k.owner == q.Owner && k.incarnation == q.Incarnation && k.place <= q.ThroughSequence {
 			delete(u.kept, id)
 		}
 	}
@@ -209,7 +209,7 @@
 // buffer; their second copy folds away.
 func (u *usage) flush(ctx context.Context) {
 	u.mu.Lock()
-	batch := u.buffer.Batch(flushBatch)
+	batch := u.buffer.NextBatch(flushBatch)
 	u.mu.Unlock()
 	if len(batch) == 0 {
 		return
@@ -217,22 +217,22 @@
 	err := u.append(ctx, batch)
 	u.mu.Lock()
 	if err != nil {
-		u.buffer.Retry()
+		u.buffer.RetryBatch()
 		u.mu.Unlock()
 		return
 	}
-	u.buffer.Confirm()
+	u.buffer.ConfirmBatch()
 	close(u.confirmed)
 	u.confirmed = make(chan struct{})
 	keepers := u.keepers
 	u.keepers = map[string]bool{}
-	pending, through := u.buffer.Len(), u.buffer.Through()
+	pending, through := u.buffer.Len(), u.buffer.LastConfirmed()
 	u.mu.Unlock()
 	u.d.metrics.usagePending.Update(float64(pending))
 	u.confirm(ctx, keepers, through)
 }
 
-func (u *usage) append(ctx context.Context, batch []billing.Usage) error {
+func (u *usage) append(ctx context.Context, batch []billing.UsageRecord) error {
 	data, err := cbor.Marshal(batch)
 	if err != nil {
 		return err
@@ -247,17 +247,17 @@
 // confirm tells the keepers up to which place the log has the records. One that
 // misses it appends its copies again, and they fold away.
 func (u *usage) confirm(ctx context.Context, keepers map[string]bool, through uint64) {
-	msg := peer.ConfirmUsage{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, Through: through}
+	msg := peer.ConfirmUsageRequest{Owner: u.d.settings.ID, Incarnation: u.d.incarnation, ThroughSequence: through}
 	for address := range keepers {
 		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
-		_, _ = peer.Call[peer.ConfirmUsage, peer.Done](callCtx, u.d.links, address, "confirm_usage", msg)
+		_, _ = peer.Call[peer.ConfirmUsageRequest, peer.Empty](callCtx, u.d.links, address, "confirm_usage", msg)
 		cancel()
 	}
 }
 
 // adopt appends copies whose owner is gone or has not confirmed for long.
 func (u *usage) adopt(ctx context.Context) {
-	var batch []billing.Usage
+	var batch []billing.UsageRecord
 	now := time.Now()
 	u.mu.Lock()
 	for _, k := range u.kept {
@@ -285,17 +285,17 @@
 	return u.buffer.Len()
 }
 
-// Ledger folds the usage stream that the log still keeps.
-func (d *Daemon) Ledger(ctx context.Context) (*billing.Ledger, error) {
+// UsageLedger folds the usage stream that the log still keeps.
+func (d *Daemon) UsageLedger(ctx context.Context) (*billing.Ledger, error) {
 	l := billing.NewLedger()
 	var from uint64
 	for {
 		b, err := d.ports.Log.Read(ctx, UsageStream, from, readLimit, 0)
 		if err != nil {
-			return nil, fault.New(fault.LogUnavailable, "the usage stream cannot be read").Because(err)
+			return nil, fault.New(fault.LogUnavailable, "the usage stream cannot be read").WithCause(err)
 		}
 		for _, r := range b.Records {
-			var batch []billing.Usage
+			var batch []billing.UsageRecord
 			if cbor.Unmarshal(r.Data, &batch) == nil {
 				for _, u := range batch {
 					l.Apply(u)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -83,7 +83,7 @@
 	wait := func(d time.Duration) { <-time.After(d) }
 	wait(total / 6)
 	fmt.Fprintf(out, "rolling out bib-lookup@v2 to %d%% of sessions\n", rolloutShare)
-	ro := fleet.Rollout{Model: "bib-lookup", To: "v2", Stages: []float64{rolloutShare, 50, 100}, State: fleet.Running}
+	ro := fleet.Rollout{Model: "bib-lookup", TargetVersion: "v2", Stages: []float64{rolloutShare, 50, 100}, State: fleet.RolloutRunning}
 	if err := w.Apply(fleet.Patch{Rollouts: map[string]json.RawMessage{"bib-lookup": raw(ro)}}); err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	wentBad := time.Now()
 	for ctx.Err() == nil {
 		var c fleet.Config
-		if w.Operator("GET", "/config", nil, &c) == nil && c.Rollouts["bib-lookup"].State != fleet.Running {
+		if w.Operator("GET", "/config", nil, &c) == nil && c.Rollouts["bib-lookup"].State != fleet.RolloutRunning {
 			fmt.Fprintf(out, "bib-lookup@v2 is %s and %s, %s after it went bad\n", c.Rollouts["bib-lookup"].State,
 				c.Models["bib-lookup"].Versions["v2"].State, time.Since(wentBad).Round(10*time.Millisecond))
 			return nil
@@ -116,7 +116,7 @@
 func (w *World) completeHistory(t *Traffic) (history []invariant.Event, ledger *billing.Ledger, badRuns int) {
 	ledger = billing.NewLedger()
 	for _, data := range w.Log.All(daemon.UsageStream) {
-		var batch []billing.Usage
+		var batch []billing.UsageRecord
 		if cbor.Unmarshal(data, &batch) == nil {
 			for _, u := range batch {
 				ledger.Apply(u)
@@ -148,7 +148,7 @@
 			add(invariant.Event{Kind: invariant.Produced, Request: run, Text: text})
 		}
 	}
-	for id := range ledger.All() {
+	for id := range ledger.Records() {
 		add(invariant.Event{Kind: invariant.Billed, Request: id})
 	}
 	return history, ledger, badRuns
@@ -158,13 +158,13 @@
 	history, ledger, badRuns := w.completeHistory(t)
 	var micros, dear int64
 	chats := 0
-	for _, u := range ledger.All() {
+	for _, u := range ledger.Records() {
 		if u.Model == "confirm" {
 			continue
 		}
 		chats++
 		micros += u.Micros
-		dear += billing.Price(u.PromptTokens+u.AnswerTokens, dearPrice)
+		dear += billing.Price(u.PromptTokens+u.CompletionTokens, dearPrice)
 	}
 	ms := func(q float64) float64 { return float64(t.firstToken.ValueAtQuantile(q)) / 1000 }
 	fmt.Fprintf(out, "\nrequests            %6d\n", t.asked)
--- a/internal/demo/world.go
+++ b/internal/demo/world.go
@@ -153,7 +153,7 @@
 	goal := fleet.Objectives{Availability: 0.999, FirstTokenMillis: 1500, FirstTokenFraction: 0.95}
 	workspace := func(key string) fleet.Workspace {
 		return fleet.Workspace{
-			KeyHashes: []string{fleet.HashKey(key)}, Models: []string{"bib-lookup", "warrant-reader"},
+			KeyHashes: []string{fleet.HashAPIKey(key)}, Models: []string{"bib-lookup", "warrant-reader"},
 			Cascades: []string{"desk"}, Services: []string{"confirm"}, TokensPerMinute: 10_000_000, Objectives: goal,
 		}
 	}
--- a/internal/enginetest/engines.go
+++ b/internal/enginetest/engines.go
@@ -111,9 +111,9 @@
 }
 
 // Send implements relay.Backend.
-func (e *Engines) Send(ctx context.Context, s relay.Send) (*relay.Reply, error) {
+func (e *Engines) Send(ctx context.Context, s relay.BackendRequest) (*relay.BackendResponse, error) {
 	time.Sleep(oneWay)
-	run, body := e.find(s.Server.Run.Name), string(s.Call.Body)
+	run, body := e.find(s.Server.Incarnation.Name), string(s.Call.Body)
 	if run == nil {
 		return nil, &upstream.Error{Reason: upstream.Unreachable, Err: syscall.ECONNREFUSED}
 	}
@@ -134,12 +134,12 @@
 		time.AfterFunc(untilEnd, func() { e.end(run.id, body) })
 	}
 	answer := &answerOf{run: run, ctx: ctx, whole: time.Now().Add(wholeAnswer)}
-	return &relay.Reply{Status: http.StatusOK, Header: http.Header{}, Sealed: true, Confidence: -1, Length: -1, Body: answer}, nil
+	return &relay.BackendResponse{Status: http.StatusOK, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: -1, Body: answer}, nil
 }
 
 // Alive implements relay.Backend.
 func (e *Engines) Alive(_ context.Context, s backend.Server, _ bool) error {
-	if e.find(s.Run.Name) == nil {
+	if e.find(s.Incarnation.Name) == nil {
 		return syscall.ECONNREFUSED
 	}
 	return nil
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Run tells a caller whether its request was executed by a backend server.
-type Run string
+// ExecutionState tells a caller whether its request was executed by a backend server.
+type ExecutionState string
 
 const (
 	// NotRun means no backend server started the request; repeating it is safe.
-	NotRun Run = "not_run"
+	NotRun ExecutionState = "not_run"
 	// Ran means a backend server executed the request at least in part.
-	Ran Run = "ran"
+	Ran ExecutionState = "ran"
 	// Unknown means execution can be neither proven nor excluded.
-	Unknown Run = "unknown"
+	Unknown ExecutionState = "unknown"
 )
 
 // Kind names one class of failure. The list is closed: Kinds returns all.
@@ -63,15 +63,15 @@
 	Kind Kind
 	// Status is the HTTP status code.
 	Status int
-	// Run is the execution state a refusal of this kind claims unless the
+	// Execution is the execution state a refusal of this kind claims unless the
 	// error itself carries a less certain one.
-	Run Run
+	Execution ExecutionState
 	// Retry says whether another attempt inside the system may succeed.
 	Retry bool
 	// RetryAfter is the default advice to the caller; zero omits the header.
 	RetryAfter time.Duration
-	// Meaning is the sentence shown in docs/ERRORS.md.
-	Meaning string
+	// Description is the sentence shown in docs/ERRORS.md.
+	Description string
 }
 
 var table = []Answer{
@@ -114,8 +114,8 @@
 	return m
 }()
 
-// Answers returns the whole table in its documented order.
-func Answers() []Answer { return append([]Answer(nil), table...) }
+// Specs returns the whole table in its documented order.
+func Specs() []Answer { return append([]Answer(nil), table...) }
 
 // Lookup returns the answer for k. An unlisted kind yields the row of Internal.
 func Lookup(k Kind) Answer {
@@ -129,7 +129,7 @@
 type Error struct {
 	Kind Kind
 	// Run overrides the table's execution state when set.
-	Run Run
+	Run ExecutionState
 	// Detail is shown to the caller and must hold no secret.
 	Detail string
 	// Field names the offending input, if there is one.
@@ -145,8 +145,8 @@
 	return &Error{Kind: k, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Field returns an error of kind k about one named input field.
-func Field(k Kind, field, format string, args ...any) *Error {
+// NewField returns an error of kind k about one named input field.
+func NewField(k Kind, field, format string, args ...any) *Error {
 	return &Error{Kind: k, Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
@@ -168,45 +168,45 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// With returns a copy of e with the given execution state.
-func (e *Error) With(r Run) *Error {
+// WithExecution returns a copy of e with the given execution state.
+func (e *Error) WithExecution(r ExecutionState) *Error {
 	c := *e
 	c.Run = r
 	return &c
 }
 
-// After returns a copy of e that advises a retry after d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that advises a retry after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Because returns a copy of e with the cause attached.
-func (e *Error) Because(err error) *Error {
+// WithCause returns a copy of e with the cause attached.
+func (e *Error) WithCause(err error) *Error {
 	c := *e
 	c.Cause = err
 	return &c
 }
 
-// State returns the execution state that e claims.
-func (e *Error) State() Run {
+// ExecutionState returns the execution state that e claims.
+func (e *Error) ExecutionState() ExecutionState {
 	if e.Run != "" {
 		return e.Run
 	}
-	return Lookup(e.Kind).Run
+	return Lookup(e.Kind).Execution
 }
 
-// Advice returns how long the caller should wait before trying again, or zero.
-func (e *Error) Advice() time.Duration {
+// RetryDelay returns how long the caller should wait before trying again, or zero.
+func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
 	return Lookup(e.Kind).RetryAfter
 }
 
-// From finds the listed error inside err. An unlisted one becomes Internal.
-func From(err error) *Error {
+// FromError finds the listed error inside err. An unlisted one becomes Internal.
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/internal/feed/behind.go
+++ b/internal/feed/behind.go
@@ -16,8 +16,8 @@
 // longer lag means that the connection has gone silent.
 const behindLimit = 250 * time.Millisecond
 
-// Expect tells that another reader has read up to a position.
-func (f *Follower) Expect(next Position) {
+// ObservePeerPosition tells that another reader has read up to a position.
+func (f *Follower) ObservePeerPosition(next Position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if next <= f.expected {
@@ -27,7 +27,7 @@
 	if f.expectedAt.IsZero() {
 		f.expectedAt = time.Now()
 		// The next check may be a fifth of a second later than this.
-		time.AfterFunc(behindLimit, func() { f.Check(time.Now()) })
+		time.AfterFunc(behindLimit, func() { f.CheckLag(time.Now()) })
 	}
 	select {
 	case f.behind <- struct{}{}:
@@ -35,12 +35,12 @@
 	}
 }
 
-// Since returns the newest record of each key from a position on, in order, and how far
+// TailFrom returns the newest record of each key from a position on, in order, and how far
 // this follower has read. A follower that has read the newest records of all keys has not
 // seen which keys were removed before: it tells nobody of that time, or a removal would
 // be hidden for good from all who ask it. They then ask another, or the log. To one that has
 // read nothing of the store's present era it tells all keys there are.
-func (f *Follower) Since(from Position) Tail {
+func (f *Follower) TailFrom(from Position) Tail {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	returned := from.Era() < f.wholeAt.Era()
@@ -54,15 +54,15 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Record) int { return cmp.Compare(a.At, b.At) })
-	return Tail{Records: out, Next: f.Next(), Whole: returned}
+	return Tail{Records: out, Next: f.Next(), Snapshot: returned}
 }
 
 // Tail is what a follower has read from a position on: the newest record of each key, and how
 // far it has read. Whole says that these are all keys there are.
 type Tail struct {
-	Records []Record
-	Next    Position
-	Whole   bool
+	Records  []Record
+	Next     Position
+	Snapshot bool
 }
 
 // peerEvery is how often a follower that reads from others looks whether it should
@@ -71,7 +71,7 @@
 
 // fromPeers takes what other readers have until the log is to be read.
 func (f *Follower) fromPeers(ctx context.Context) {
-	for f.Peer != nil && f.loaded.Load() && ctx.Err() == nil && !f.ReadsLog() && !f.alone.Load() {
+	for f.FetchTail != nil && f.loaded.Load() && ctx.Err() == nil && !f.ReadsLog() && !f.alone.Load() {
 		// It no longer knocks, so nobody is to wait for what it learns of the log. A
 		// follower that goes after it would else wait for ever, and a server that
 		// leaves would get requests until the daemon's end.
@@ -92,7 +92,7 @@
 func (f *Follower) fetch(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
-	tail, err := f.Peer(ctx, f.Topic, f.Next())
+	tail, err := f.FetchTail(ctx, f.Topic, f.Next())
 	if errors.Is(err, ErrTooLong) {
 		f.alone.Store(true)
 		return
@@ -102,7 +102,7 @@
 		return
 	}
 	if tail.Next > f.Next() {
-		f.apply(tail.Records, tail.Whole, tail.Next)
+		f.apply(tail.Records, tail.Snapshot, tail.Next)
 	}
 }
 
@@ -117,7 +117,7 @@
 // also while it reads the log itself and gets no answer: where every daemon reads the log, one that is cut off from it would else learn nothing
 // until it is back, while the others know.
 func (f *Follower) catchUp(ctx context.Context) {
-	for f.Peer != nil && f.loaded.Load() && f.isBehind() && ctx.Err() == nil {
+	for f.FetchTail != nil && f.loaded.Load() && f.isBehind() && ctx.Err() == nil {
 		before := f.Next()
 		f.fetch(ctx)
 		if f.Next() == before {
@@ -126,10 +126,10 @@
 	}
 }
 
-// Check makes a follower that stays behind read the log itself, and gives up a read
+// CheckLag makes a follower that stays behind read the log itself, and gives up a read
 // that waits meanwhile. Without it, a connection that went silent would hide a
 // change until the wait is over.
-func (f *Follower) Check(now time.Time) {
+func (f *Follower) CheckLag(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.expected <= f.Next() {
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -19,21 +19,21 @@
 	Unreadable bool
 }
 
-// ErrGone says that records from an offset on were deleted.
-var ErrGone = errors.New("the records from this offset on are deleted")
+// ErrCompacted says that records from an offset on were deleted.
+var ErrCompacted = errors.New("the records from this offset on are deleted")
 
 // ErrTooLong says that another reader has records that are too long for it to pass on.
 var ErrTooLong = errors.New("the records are too long for another reader to pass on")
 
-// ErrReturned says that the store has come back from an older copy since the position that was
+// ErrEraChanged says that the store has come back from an older copy since the position that was
 // asked for: the topic has to be read anew.
-var ErrReturned = errors.New("the store has come back from an older copy")
+var ErrEraChanged = errors.New("the store has come back from an older copy")
 
-// Conflict says that a topic does not end where a conditional append expected.
-type Conflict struct{ End Position }
+// ConflictError says that a topic does not end where a conditional append expected.
+type ConflictError struct{ End Position }
 
 // Error implements error.
-func (c *Conflict) Error() string { return "the topic ends elsewhere" }
+func (c *ConflictError) Error() string { return "the topic ends elsewhere" }
 
 // Log is the platform's log.
 type Log interface {
@@ -51,8 +51,8 @@
 	Append(ctx context.Context, topic, key string, value []byte, at *Position) error
 }
 
-// Put appends a record and waits for the answer for a bounded time.
-func Put(ctx context.Context, l Log, topic, key string, value []byte, at *Position) error {
+// AppendWithTimeout appends a record and waits for the answer for a bounded time.
+func AppendWithTimeout(ctx context.Context, l Log, topic, key string, value []byte, at *Position) error {
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
 	return l.Append(ctx, topic, key, value, at)
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -54,10 +54,10 @@
 	s.end = cancel
 	clock := time.Duration(0)
 	f := &Follower{
-		Log: s, Topic: "t", Logger: log.New(io.Discard), Wait: time.Minute,
-		Boot:      func() time.Duration { clock += time.Second; return clock },
-		Apply:     func(r []Record, _ bool) { applied = append(applied, r...) },
-		Confirmed: func(at time.Duration) { confirmed = append(confirmed, at) },
+		Log: s, Topic: "t", Logger: log.New(io.Discard), MaxWait: time.Minute,
+		BootTime:    func() time.Duration { clock += time.Second; return clock },
+		Apply:       func(r []Record, _ bool) { applied = append(applied, r...) },
+		OnConfirmed: func(at time.Duration) { confirmed = append(confirmed, at) },
 	}
 	f.Run(ctx)
 	return applied, confirmed
@@ -108,7 +108,7 @@
 	s := &script{
 		newest: func() ([]Record, Position, error) { loads++; return records(Position(loads), "a"), 10, nil },
 		reads: []func(Position) ([]Record, Position, error){
-			func(Position) ([]Record, Position, error) { return nil, 0, ErrGone },
+			func(Position) ([]Record, Position, error) { return nil, 0, ErrCompacted },
 		},
 	}
 	if applied, _ := follow(s); loads != 2 || len(applied) != 2 {
@@ -157,12 +157,12 @@
 	f := &Follower{Logger: log.New(io.Discard)}
 	now := time.Now()
 	f.reading = &reading{began: now.Add(-time.Second), giveUp: func(error) { given = true }}
-	f.Expect(4)
-	f.Check(now)
+	f.ObservePeerPosition(4)
+	f.CheckLag(now)
 	if given {
 		t.Fatal("given up at once: both hear of a record within milliseconds of each other")
 	}
-	f.Check(now.Add(time.Second))
+	f.CheckLag(now.Add(time.Second))
 	if !given {
 		t.Fatal("the read goes on though another reader is ahead")
 	}
@@ -187,7 +187,7 @@
 	s.end = cancel
 	loaded, done := make(chan struct{}), make(chan struct{})
 	f = New(&Follower{
-		Log: s, Topic: "t", Logger: log.New(io.Discard), Boot: func() time.Duration { return 0 }, Confirmed: func(time.Duration) {},
+		Log: s, Topic: "t", Logger: log.New(io.Discard), BootTime: func() time.Duration { return 0 }, OnConfirmed: func(time.Duration) {},
 		Apply: func(r []Record, whole bool) {
 			if whole {
 				close(loaded)
@@ -197,15 +197,15 @@
 				cancel()
 			}
 		},
-		Peer:     func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("nobody") },
-		ReadsLog: func() bool { return false },
+		FetchTail: func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("nobody") },
+		ReadsLog:  func() bool { return false },
 	})
 	go f.Run(ctx)
 	<-loaded
-	if current, err := f.Look(ctx); current || err != nil {
+	if current, err := f.ProbeEnd(ctx); current || err != nil {
 		t.Fatal(err)
 	}
-	f.Check(time.Now().Add(time.Second))
+	f.CheckLag(time.Now().Add(time.Second))
 	<-done
 }
 
@@ -219,13 +219,13 @@
 	f := &Follower{Logger: log.New(io.Discard)}
 	now := time.Now()
 	f.reading = &reading{began: now.Add(10 * time.Millisecond), giveUp: func(error) { given++ }}
-	f.Expect(4)
+	f.ObservePeerPosition(4)
 	f.expectedAt = now
-	f.Check(now.Add(2 * behindLimit))
+	f.CheckLag(now.Add(2 * behindLimit))
 	if given != 0 {
 		t.Fatal("a read that began after the change was given up")
 	}
-	if f.Check(f.reading.began.Add(answerLimit)); given != 1 {
+	if f.CheckLag(f.reading.began.Add(answerLimit)); given != 1 {
 		t.Fatal("a read that is not answered goes on")
 	}
 }
@@ -235,7 +235,7 @@
 // Cause: records of any length were passed on.
 func TestLongRecordsAreReadFromTheLog(t *testing.T) {
 	f := New(&Follower{Logger: log.New(io.Discard), Apply: func([]Record, bool) {}})
-	f.Peer = func(context.Context, string, Position) (Tail, error) { return Tail{}, ErrTooLong }
+	f.FetchTail = func(context.Context, string, Position) (Tail, error) { return Tail{}, ErrTooLong }
 	f.fetch(context.Background())
 	if !f.alone.Load() {
 		t.Fatal("the log is not read")
@@ -252,11 +252,11 @@
 func TestFollowerDoesNotWaitForOneThatReadsFromOthers(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	first := New(&Follower{Logger: log.New(io.Discard), Boot: func() time.Duration { return 0 }, ReadsLog: func() bool { return false }})
-	first.Peer = func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("nobody") }
+	first := New(&Follower{Logger: log.New(io.Discard), BootTime: func() time.Duration { return 0 }, ReadsLog: func() bool { return false }})
+	first.FetchTail = func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("nobody") }
 	first.loaded.Store(true)
 	first.failed(ctx, errors.New("cut off"))
-	second := New(&Follower{Logger: log.New(io.Discard), After: first})
+	second := New(&Follower{Logger: log.New(io.Discard), DependsOn: first})
 	go first.fromPeers(ctx)
 	second.await(ctx)
 	if ctx.Err() != nil {
@@ -267,7 +267,7 @@
 func TestPausesAreLongerWhereOthersReadForAll(t *testing.T) {
 	const idle = 9 * time.Second
 	reader := true
-	f := New(&Follower{Logger: log.New(io.Discard), Boot: func() time.Duration { return 0 }, Reader: func() bool { return reader }, IdlePause: func() time.Duration { return idle }})
+	f := New(&Follower{Logger: log.New(io.Discard), BootTime: func() time.Duration { return 0 }, IsDesignatedReader: func() bool { return reader }, MaxStandbyBackoff: func() time.Duration { return idle }})
 	longest := func() (out time.Duration) {
 		f.fails = 0
 		for range 9 {
@@ -287,7 +287,7 @@
 	f := New(&Follower{Logger: log.New(io.Discard), Apply: func([]Record, bool) {}})
 	f.apply(records(0, "a", "b"), false, 2)
 	f.apply([]Record{{Key: "a", At: 2}}, false, 3)
-	tail := f.Since(1)
+	tail := f.TailFrom(1)
 	got, next := tail.Records, tail.Next
 	if len(got) != 2 || got[0].Key != "b" || got[1].Key != "a" || got[1].Value != nil || next != 3 {
 		t.Fatalf("got %v up to %d", got, next)
@@ -300,12 +300,12 @@
 // Cause: the time since the first of them counted as the time behind.
 func TestBehindAnewIsNotBehindStill(t *testing.T) {
 	f := New(&Follower{Logger: log.New(io.Discard), Apply: func([]Record, bool) {}})
-	f.Expect(1)
+	f.ObservePeerPosition(1)
 	first := time.Now()
 	f.apply(records(0, "a"), false, 1)
-	f.Expect(2)
+	f.ObservePeerPosition(2)
 	f.expectedAt = first.Add(10 * behindLimit)
-	f.Check(first.Add(10*behindLimit + behindLimit/2))
+	f.CheckLag(first.Add(10*behindLimit + behindLimit/2))
 	if f.alone.Load() {
 		t.Fatal("reads the store although it was never behind for long")
 	}
@@ -315,11 +315,11 @@
 func TestWhoReadTheNewestOnlyDoesNotTellWhatWasBefore(t *testing.T) {
 	f := New(&Follower{Logger: log.New(io.Discard), Apply: func([]Record, bool) {}})
 	f.apply(records(6, "c"), true, 9) // the removal of a at 7 is not among the newest
-	if got := f.Since(5); len(got.Records) != 0 || got.Next > 5 {
+	if got := f.TailFrom(5); len(got.Records) != 0 || got.Next > 5 {
 		t.Errorf("told %+v", got)
 	}
 	f.apply([]Record{{Key: "b", At: 9}}, false, 10)
-	if got := f.Since(9); len(got.Records) != 1 || got.Next != 10 || got.Whole {
+	if got := f.TailFrom(9); len(got.Records) != 1 || got.Next != 10 || got.Snapshot {
 		t.Errorf("told %+v", got)
 	}
 }
@@ -327,19 +327,19 @@
 // One that has read nothing of the store's present era is told all keys there are.
 func TestWhoIsInAnEarlierEraIsToldAll(t *testing.T) {
 	f := New(&Follower{Logger: log.New(io.Discard), Apply: func([]Record, bool) {}})
-	f.apply(records(At(1, 3), "a", "b"), true, At(1, 5))
-	f.apply([]Record{{Key: "a", At: At(1, 5)}}, false, At(1, 6))
-	got := f.Since(At(0, 90))
-	if len(got.Records) != 1 || got.Records[0].Key != "b" || !got.Whole || got.Next != At(1, 6) {
+	f.apply(records(NewPosition(1, 3), "a", "b"), true, NewPosition(1, 5))
+	f.apply([]Record{{Key: "a", At: NewPosition(1, 5)}}, false, NewPosition(1, 6))
+	got := f.TailFrom(NewPosition(0, 90))
+	if len(got.Records) != 1 || got.Records[0].Key != "b" || !got.Snapshot || got.Next != NewPosition(1, 6) {
 		t.Errorf("told %+v", got)
 	}
 }
 
 func TestPositionsOfALaterEraComeAfterAllBefore(t *testing.T) {
-	if At(1, 0) <= At(0, 1<<40) || At(2, 7).Era() != 2 || At(2, 7).Offset() != 7 || At(2, 7).Next() != At(2, 8) {
+	if NewPosition(1, 0) <= NewPosition(0, 1<<40) || NewPosition(2, 7).Era() != 2 || NewPosition(2, 7).Offset() != 7 || NewPosition(2, 7).Next() != NewPosition(2, 8) {
 		t.Error("positions are out of order")
 	}
-	if At(LastEra, 0).Era() != LastEra {
+	if NewPosition(MaxEra, 0).Era() != MaxEra {
 		t.Error("the largest era does not fit")
 	}
 }
