--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -32,43 +32,43 @@
 type Follower struct {
 	Log   Log
 	Topic string
-	// Wait is how long a read waits for a record.
-	Wait time.Duration
-	// Gather is the pause after a read that brought records: records that come in
+	// MaxWait is how long a read waits for a record.
+	MaxWait time.Duration
+	// BatchDelay is the pause after a read that brought records: records that come in
 	// a burst are then read together instead of one a call.
-	Gather time.Duration
-	// Boot reads a clock that counts while the VM is suspended.
-	Boot func() time.Duration
+	BatchDelay time.Duration
+	// BootTime reads a clock that counts while the VM is suspended.
+	BootTime func() time.Duration
 	// Apply takes records in the order of the log. Whole says that they are all
 	// keys there are.
 	Apply func(records []Record, whole bool)
-	// Returned is told before Apply if the records are the first of a later era of the
+	// OnEraChange is told before Apply if the records are the first of a later era of the
 	// store: it has come back from an older copy.
-	Returned func()
-	// Confirmed is told when a read that found the follower current was sent.
-	Confirmed func(sent time.Duration)
-	// Unanswered is told when a read got no answer.
-	Unanswered func()
-	Logger     *log.Logger
-	// Peer fetches records that another reader has, from an offset on, with how far
+	OnEraChange func()
+	// OnConfirmed is told when a read that found the follower current was sent.
+	OnConfirmed func(sent time.Duration)
+	// OnReadFailed is told when a read got no answer.
+	OnReadFailed func()
+	Logger       *log.Logger
+	// FetchTail fetches records that another reader has, from an offset on, with how far
 	// it has read. It is used while ReadsLog says no; a nil Peer reads the log
 	// always. One reader that waits on the log is enough for many followers, and
 	// every call of the log is paid for.
-	Peer     func(ctx context.Context, topic string, from Position) (Tail, error)
-	ReadsLog func() bool
-	// Reader reports whether this follower always reads the log, for others too. Nil
+	FetchTail func(ctx context.Context, topic string, from Position) (Tail, error)
+	ReadsLog  func() bool
+	// IsDesignatedReader reports whether this follower always reads the log, for others too. Nil
 	// is yes. IdlePause is the longest pause between the tries of one that does not.
-	Reader    func() bool
-	IdlePause func() time.Duration
-	// Wanted reports whether the topic is to be read at all; it is asked now and then until
+	IsDesignatedReader func() bool
+	MaxStandbyBackoff  func() time.Duration
+	// Enabled reports whether the topic is to be read at all; it is asked now and then until
 	// it says yes. Nil is yes.
-	Wanted func() bool
-	// Grown is told when records were applied.
-	Grown func()
-	// After is another follower of the same log. While it gets no answer, this
+	Enabled func() bool
+	// OnApplied is told when records were applied.
+	OnApplied func()
+	// DependsOn is another follower of the same log. While it gets no answer, this
 	// one does not ask either: one that knocks is enough to learn that the log
 	// is back, and every refused call is paid for.
-	After *Follower
+	DependsOn *Follower
 
 	next   atomic.Uint64
 	loaded atomic.Bool
@@ -105,8 +105,8 @@
 
 // apply hands records on and keeps them for others.
 func (f *Follower) apply(records []Record, whole bool, next Position) {
-	if before := f.Next(); f.Returned != nil && before != 0 && next.Era() > before.Era() {
-		f.Returned()
+	if before := f.Next(); f.OnEraChange != nil && before != 0 && next.Era() > before.Era() {
+		f.OnEraChange()
 	}
 	f.Apply(records, whole)
 	f.mu.Lock()
@@ -126,8 +126,8 @@
 		f.expectedAt = time.Time{}
 	}
 	f.mu.Unlock()
-	if f.Grown != nil {
-		f.Grown()
+	if f.OnApplied != nil {
+		f.OnApplied()
 	}
 }
 
@@ -149,15 +149,15 @@
 // succeeds only if the follower has seen all that decided it.
 func (f *Follower) Next() Position { return Position(f.next.Load()) }
 
-// Away reports whether the log did not answer the last read, and is being asked again.
-func (f *Follower) Away() bool { return f.away.Load() }
+// Unavailable reports whether the log did not answer the last read, and is being asked again.
+func (f *Follower) Unavailable() bool { return f.away.Load() }
 
 // Loaded reports whether the newest records have been read once.
 func (f *Follower) Loaded() bool { return f.loaded.Load() }
 
 // Run follows the topic until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	for f.Wanted != nil && !f.Wanted() && ctx.Err() == nil {
+	for f.Enabled != nil && !f.Enabled() && ctx.Err() == nil {
 		loop.Pause(ctx, wantedStep)
 	}
 	for ctx.Err() == nil {
@@ -175,7 +175,7 @@
 			f.rest(ctx, f.failed(ctx, err), alone)
 			f.await(ctx)
 		} else if f.Next() != before {
-			loop.Pause(ctx, f.Gather)
+			loop.Pause(ctx, f.BatchDelay)
 		}
 	}
 }
@@ -194,24 +194,24 @@
 	for end := time.Now().Add(pause); ctx.Err() == nil && time.Now().Before(end); {
 		loop.Pause(ctx, min(peerEvery, time.Until(end)))
 		f.catchUp(ctx)
-		if backup && (f.Reader() || f.loaded.Load() && !f.ReadsLog()) {
+		if backup && (f.IsDesignatedReader() || f.loaded.Load() && !f.ReadsLog()) {
 			return
 		}
 	}
 }
 
 // isBackup reports whether the follower reads the log only because nobody else can.
-func (f *Follower) isBackup() bool { return f.Reader != nil && !f.Reader() }
+func (f *Follower) isBackup() bool { return f.IsDesignatedReader != nil && !f.IsDesignatedReader() }
 
 // wantedStep is how often it is asked whether the topic is to be read.
 const wantedStep = 250 * time.Millisecond
 
 // await waits while the follower that this one goes after gets no answer.
 func (f *Follower) await(ctx context.Context) {
-	if f.After != nil && f.After.away.Load() {
-		f.Logger.Info("reading waits for another reading", "topic", f.Topic, "next", f.Next(), "other", f.After.Topic)
+	if f.DependsOn != nil && f.DependsOn.away.Load() {
+		f.Logger.Info("reading waits for another reading", "topic", f.Topic, "next", f.Next(), "other", f.DependsOn.Topic)
 	}
-	for f.After != nil && f.After.away.Load() && ctx.Err() == nil {
+	for f.DependsOn != nil && f.DependsOn.away.Load() && ctx.Err() == nil {
 		loop.Pause(ctx, awaitStep)
 		f.catchUp(ctx)
 	}
@@ -227,16 +227,16 @@
 	}
 	f.fails++
 	f.away.Store(true)
-	if f.Unanswered != nil {
-		f.Unanswered()
+	if f.OnReadFailed != nil {
+		f.OnReadFailed()
 	}
 	if f.fails == 1 {
-		f.lostAt = f.Boot()
+		f.lostAt = f.BootTime()
 		f.Logger.Warn("store lost", "topic", f.Topic, "next", f.Next(), "err", err)
 	}
 	first, longest := firstPause, longestPause
 	if f.isBackup() {
-		longest = f.IdlePause()
+		longest = f.MaxStandbyBackoff()
 		first = max(firstIdlePause, longest/firstIdlePart)
 	}
 	return min(first<<min(f.fails-1, maxDoublings), longest)
@@ -247,11 +247,11 @@
 
 // step reads once.
 func (f *Follower) step(ctx context.Context) error {
-	sent := f.Boot()
+	sent := f.BootTime()
 	if !f.loaded.Load() {
 		return f.load(ctx, sent)
 	}
-	wait := f.Wait
+	wait := f.MaxWait
 	if f.hurry {
 		wait = 0
 	}
@@ -262,7 +262,7 @@
 		f.noteRetry()
 	}
 	records, end, err := f.read(ctx, wait)
-	if errors.Is(err, ErrGone) || errors.Is(err, ErrReturned) {
+	if errors.Is(err, ErrCompacted) || errors.Is(err, ErrEraChanged) {
 		f.Logger.Warn("reading the newest of each key", "topic", f.Topic, "next", f.Next(), "why", err)
 		f.loaded.Store(false)
 		return f.load(ctx, sent)
@@ -280,7 +280,7 @@
 		f.apply(f.readable(records), false, records[len(records)-1].At.Next())
 	}
 	if f.Next() >= end {
-		f.Confirmed(sent)
+		f.OnConfirmed(sent)
 	}
 	return nil
 }
@@ -317,13 +317,13 @@
 	f.answered()
 	f.apply(f.readable(records), true, end)
 	f.loaded.Store(true)
-	f.Confirmed(sent)
+	f.OnConfirmed(sent)
 	return nil
 }
 
 func (f *Follower) answered() {
 	if f.fails > 0 || !f.loaded.Load() {
-		away := f.Boot() - f.lostAt
+		away := f.BootTime() - f.lostAt
 		f.Logger.Info("store answers", "topic", f.Topic, "next", f.Next(), "failed_reads", f.fails, "away_ms", away.Milliseconds())
 	}
 	f.fails = 0
--- a/internal/feed/look.go
+++ b/internal/feed/look.go
@@ -10,11 +10,11 @@
 // both answers take some milliseconds.
 const lookGrace = 50 * time.Millisecond
 
-// Look looks once how far the log goes, beside a read that waits. It confirms that the
+// ProbeEnd looks once how far the log goes, beside a read that waits. It confirms that the
 // follower is current, and then returns true, or finds that the read hangs and has it made
 // anew.
-func (f *Follower) Look(ctx context.Context) (current bool, err error) {
-	sent, began := f.Boot(), time.Now()
+func (f *Follower) ProbeEnd(ctx context.Context) (current bool, err error) {
+	sent, began := f.BootTime(), time.Now()
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
 	next := f.Next()
@@ -23,19 +23,19 @@
 		return false, err
 	}
 	if end <= next {
-		f.Confirmed(sent)
+		f.OnConfirmed(sent)
 		return true, nil
 	}
-	f.Expect(end)
+	f.ObservePeerPosition(end)
 	time.AfterFunc(lookGrace, func() { f.overtaken(began, end) })
 	return false, nil
 }
 
-// Renew gives up a read that waits, since it may have been sent into an outage that is over
+// RestartRead gives up a read that waits, since it may have been sent into an outage that is over
 // now: the log never answers such a read. Where a few read for all, the others then take
 // what these have, and act on the first word of a change instead of waiting in vain for
 // their own reads to tell it.
-func (f *Follower) Renew() {
+func (f *Follower) RestartRead() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.reading == nil || f.reading.answering {
--- a/internal/feed/position.go
+++ b/internal/feed/position.go
@@ -11,12 +11,12 @@
 	// offsetBits are the bits of a position that hold the offset: a topic with a thousand
 	// records a second uses them up in five hundred years.
 	offsetBits = 44
-	// LastEra is the largest era that a position can hold.
-	LastEra = 1<<(64-offsetBits) - 1
+	// MaxEra is the largest era that a position can hold.
+	MaxEra = 1<<(64-offsetBits) - 1
 )
 
-// At returns the position of an offset in an era of at most LastEra.
-func At(era, offset uint64) Position { return Position(era<<offsetBits | offset) }
+// NewPosition returns the position of an offset in an era of at most LastEra.
+func NewPosition(era, offset uint64) Position { return Position(era<<offsetBits | offset) }
 
 // Era returns the store's era.
 func (p Position) Era() uint64 { return uint64(p) >> offsetBits }
--- a/internal/feed/reading_test.go
+++ b/internal/feed/reading_test.go
@@ -39,7 +39,7 @@
 type goneLog struct{ pieceLog }
 
 func (*goneLog) Read(context.Context, string, Position, time.Duration, func()) ([]Record, Position, error) {
-	return nil, 0, ErrGone
+	return nil, 0, ErrCompacted
 }
 
 func (l *goneLog) Newest(ctx context.Context, topic string, heard func()) ([]Record, Position, error) {
@@ -48,8 +48,8 @@
 
 func loadedFollower(l Log, applied *int) *Follower {
 	f := New(&Follower{
-		Log: l, Topic: "t", Logger: log.New(io.Discard), Boot: func() time.Duration { return 0 },
-		Apply: func(r []Record, _ bool) { *applied += len(r) }, Confirmed: func(time.Duration) {},
+		Log: l, Topic: "t", Logger: log.New(io.Discard), BootTime: func() time.Duration { return 0 },
+		Apply: func(r []Record, _ bool) { *applied += len(r) }, OnConfirmed: func(time.Duration) {},
 	})
 	f.loaded.Store(true)
 	f.away.Store(true) // it asks the log not to wait
--- a/internal/feedtest/store.go
+++ b/internal/feedtest/store.go
@@ -24,12 +24,12 @@
 const (
 	// Serving answers.
 	Serving Mode = iota
-	// Silent never answers a call that comes meanwhile; one that waits is kept.
-	Silent
-	// Busy refuses at once; a call that waits is kept.
-	Busy
-	// Reset breaks every connection, also of calls that wait.
-	Reset
+	// Unresponsive never answers a call that comes meanwhile; one that waits is kept.
+	Unresponsive
+	// Refusing refuses at once; a call that waits is kept.
+	Refusing
+	// Resetting breaks every connection, also of calls that wait.
+	Resetting
 )
 
 // ErrBusy and ErrReset are what callers get in the modes of these names.
@@ -57,7 +57,7 @@
 
 // The kinds of calls.
 const (
-	Newest, Read, End, Append = "newest", "read", "end", "append"
+	Newest, Read, End, CallAppend = "newest", "read", "end", "append"
 )
 
 type topic struct{ records []feed.Record }
@@ -67,8 +67,8 @@
 	return &Store{topics: map[string]*topic{}, changed: make(chan struct{}), by: map[Call]int{}}
 }
 
-// Set changes how all callers are treated.
-func (s *Store) Set(m Mode) {
+// SetMode changes how all callers are treated.
+func (s *Store) SetMode(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
@@ -85,41 +85,41 @@
 // put writes a record. Callers hold mu.
 func (s *Store) put(name, key string, value []byte) {
 	t := s.topic(name)
-	t.records = append(t.records, feed.Record{Key: key, Value: value, At: feed.At(s.era, uint64(len(t.records)))})
+	t.records = append(t.records, feed.Record{Key: key, Value: value, At: feed.NewPosition(s.era, uint64(len(t.records)))})
 	s.wake()
 }
 
-// Copy is the store's content at a moment.
-type Copy struct{ topics map[string][]feed.Record }
+// Snapshot is the store's content at a moment.
+type Snapshot struct{ topics map[string][]feed.Record }
 
-// Copy copies the store's content.
-func (s *Store) Copy() *Copy {
+// TakeSnapshot copies the store's content.
+func (s *Store) TakeSnapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &Copy{topics: map[string][]feed.Record{}}
+	c := &Snapshot{topics: map[string][]feed.Record{}}
 	for name, t := range s.topics {
 		c.topics[name] = slices.Clone(t.records)
 	}
 	return c
 }
 
-// Return has the store come back from a copy: what was written since is gone, and its offsets
+// Restore has the store come back from a copy: what was written since is gone, and its offsets
 // are given out again.
-func (s *Store) Return(c *Copy) {
+func (s *Store) Restore(c *Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
 	for name, t := range s.topics {
 		t.records = slices.Clone(c.topics[name])
 		for i := range t.records {
-			t.records[i].At = feed.At(s.era, uint64(i))
+			t.records[i].At = feed.NewPosition(s.era, uint64(i))
 		}
 	}
 	s.wake()
 }
 
-// Keys returns how many keys of a topic have a value.
-func (s *Store) Keys(name string) int {
+// KeyCount returns how many keys of a topic have a value.
+func (s *Store) KeyCount(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest := map[string]bool{}
@@ -137,18 +137,18 @@
 
 // end returns where a topic ends. Callers hold mu.
 func (s *Store) end(name string) feed.Position {
-	return feed.At(s.era, uint64(len(s.topic(name).records)))
+	return feed.NewPosition(s.era, uint64(len(s.topic(name).records)))
 }
 
-// CallsBy returns how many calls were made, by kind.
-func (s *Store) CallsBy() map[Call]int {
+// CallCounts returns how many calls were made, by kind.
+func (s *Store) CallCounts() map[Call]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.by)
 }
 
-// Calls returns how many calls were made.
-func (s *Store) Calls() int {
+// TotalCalls returns how many calls were made.
+func (s *Store) TotalCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -168,8 +168,8 @@
 	return t
 }
 
-// Caller is one daemon's way to the store. Its own mode comes before the store's.
-type Caller struct {
+// Client is one daemon's way to the store. Its own mode comes before the store's.
+type Client struct {
 	store *Store
 	mode  Mode
 	// mute says that calls which wait now are never answered.
@@ -178,29 +178,29 @@
 	held chan struct{}
 }
 
-// Caller returns a new way to the store.
-func (s *Store) Caller() *Caller { return &Caller{store: s, mute: make(chan struct{})} }
+// NewClient returns a new way to the store.
+func (s *Store) NewClient() *Client { return &Client{store: s, mute: make(chan struct{})} }
 
-// Set changes how this caller alone is treated.
-func (c *Caller) Set(m Mode) {
+// SetMode changes how this caller alone is treated.
+func (c *Client) SetMode(m Mode) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	c.mode = m
 	c.store.wake()
 }
 
-// Mute makes the connections of the calls that wait now go silent for good: they are
+// HangPending makes the connections of the calls that wait now go silent for good: they are
 // neither answered nor reset, while new ones work.
-func (c *Caller) Mute() {
+func (c *Client) HangPending() {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	close(c.mute)
 	c.mute = make(chan struct{})
 }
 
-// Hold has answers to this caller stand still on their way, as on a link that is full, and
+// DelayResponses has answers to this caller stand still on their way, as on a link that is full, and
 // go on.
-func (c *Caller) Hold(on bool) {
+func (c *Client) DelayResponses(on bool) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	if on {
@@ -212,7 +212,7 @@
 }
 
 // back takes an answer to the caller.
-func (c *Caller) back(ctx context.Context) error {
+func (c *Client) back(ctx context.Context) error {
 	c.store.mu.Lock()
 	held := c.held
 	c.store.mu.Unlock()
@@ -232,7 +232,7 @@
 	return ctx.Err()
 }
 
-func (c *Caller) effective() Mode {
+func (c *Client) effective() Mode {
 	if c.mode != Serving {
 		return c.mode
 	}
@@ -240,7 +240,7 @@
 }
 
 // enter takes one call to the store.
-func (c *Caller) enter(ctx context.Context, kind, topic string) error {
+func (c *Client) enter(ctx context.Context, kind, topic string) error {
 	if err := half(ctx); err != nil {
 		return err
 	}
@@ -250,19 +250,19 @@
 	mode := c.effective()
 	c.store.mu.Unlock()
 	switch mode {
-	case Silent:
+	case Unresponsive:
 		<-ctx.Done()
 		return ctx.Err()
-	case Busy:
+	case Refusing:
 		return ErrBusy
-	case Reset:
+	case Resetting:
 		return ErrReset
 	}
 	return nil
 }
 
 // Newest implements feed.Log.
-func (c *Caller) Newest(ctx context.Context, name string, heard func()) ([]feed.Record, feed.Position, error) {
+func (c *Client) Newest(ctx context.Context, name string, heard func()) ([]feed.Record, feed.Position, error) {
 	if err := c.enter(ctx, Newest, name); err != nil {
 		return nil, 0, err
 	}
@@ -284,7 +284,7 @@
 }
 
 // Read implements feed.Log.
-func (c *Caller) Read(ctx context.Context, name string, from feed.Position, wait time.Duration, heard func()) ([]feed.Record, feed.Position, error) {
+func (c *Client) Read(ctx context.Context, name string, from feed.Position, wait time.Duration, heard func()) ([]feed.Record, feed.Position, error) {
 	if err := c.enter(ctx, Read, name); err != nil {
 		return nil, 0, err
 	}
@@ -300,13 +300,13 @@
 		mode, changed, all, end := c.effective(), c.store.changed, c.store.topic(name).records, c.store.end(name)
 		c.store.mu.Unlock()
 		switch {
-		case mode == Reset:
+		case mode == Resetting:
 			return nil, 0, ErrReset
-		case mode == Silent:
+		case mode == Unresponsive:
 			ended = false // what waits is answered when the store is back
 		case from.Era() != end.Era():
 			heard()
-			return nil, end, errors.Join(feed.ErrReturned, c.back(ctx))
+			return nil, end, errors.Join(feed.ErrEraChanged, c.back(ctx))
 		case from < end:
 			heard()
 			return all[from.Offset():len(all):len(all)], end, c.back(ctx)
@@ -328,7 +328,7 @@
 }
 
 // End implements feed.Log.
-func (c *Caller) End(ctx context.Context, name string) (feed.Position, error) {
+func (c *Client) End(ctx context.Context, name string) (feed.Position, error) {
 	if err := c.enter(ctx, End, name); err != nil {
 		return 0, err
 	}
@@ -339,8 +339,8 @@
 }
 
 // Append implements feed.Log.
-func (c *Caller) Append(ctx context.Context, name, key string, value []byte, at *feed.Position) error {
-	if err := c.enter(ctx, Append, name); err != nil {
+func (c *Client) Append(ctx context.Context, name, key string, value []byte, at *feed.Position) error {
+	if err := c.enter(ctx, CallAppend, name); err != nil {
 		return err
 	}
 	if err := c.append(name, key, value, at); err != nil {
@@ -349,11 +349,11 @@
 	return half(ctx)
 }
 
-func (c *Caller) append(name, key string, value []byte, at *feed.Position) error {
+func (c *Client) append(name, key string, value []byte, at *feed.Position) error {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	if end := c.store.end(name); at != nil && *at != end {
-		return &feed.Conflict{End: end}
+		return &feed.ConflictError{End: end}
 	}
 	c.store.put(name, key, value)
 	return nil
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -28,7 +28,7 @@
 		models[name] = model
 	}
 	for w := range 200 {
-		workspaces[fmt.Sprint("w", w)] = Workspace{KeyHashes: []string{HashKey(fmt.Sprint(w))}, Models: names}
+		workspaces[fmt.Sprint("w", w)] = Workspace{KeyHashes: []string{HashAPIKey(fmt.Sprint(w))}, Models: names}
 	}
 	data, err := json.Marshal(map[string]any{"pools": pools, "models": models, "workspaces": workspaces})
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f := NewFold()
+		f := NewStateMachine()
 		for o, r := range records {
 			f.Apply(uint64(o), r)
 		}
@@ -75,14 +75,14 @@
 
 // BenchmarkVersionFor resolves entitlement, roll-out and successor.
 func BenchmarkVersionFor(b *testing.B) {
-	c, _, err := Empty().Apply(bigPatch(b))
+	c, _, err := NewConfig().ApplyPatch(bigPatch(b))
 	if err != nil {
 		b.Fatal(err)
 	}
 	w := c.Workspaces["w7"]
 	b.ReportAllocs()
 	for b.Loop() {
-		if v, ok := c.VersionFor(w, "m3", "session-1"); !ok || !c.MayDispatch("w7", "m3", v) {
+		if v, ok := c.SelectVersion(w, "m3", "session-1"); !ok || !c.MayDispatch("w7", "m3", v) {
 			b.Fatal("no version")
 		}
 	}
--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -16,21 +16,21 @@
 	return float64(h%bucketCount) * 100 / bucketCount
 }
 
-// VersionFor chooses the version of a model for a session that has no pin.
-func (c *Config) VersionFor(w Workspace, model, session string) (string, bool) {
+// SelectVersion chooses the version of a model for a session that has no pin.
+func (c *Config) SelectVersion(w Workspace, model, session string) (string, bool) {
 	m, ok := c.Models[model]
 	if !ok {
 		return "", false
 	}
-	if r, ok := c.Rollouts[model]; ok && Bucket(model, session) < r.Percent() && c.usable(w, model, r.To) {
-		return r.To, true
+	if r, ok := c.Rollouts[model]; ok && Bucket(model, session) < r.Percent() && c.usable(w, model, r.TargetVersion) {
+		return r.TargetVersion, true
 	}
-	return c.Successor(w, model, m.Stable)
+	return c.ResolveSuccessor(w, model, m.Stable)
 }
 
-// Successor follows successors from a version to one that is serving and
+// ResolveSuccessor follows successors from a version to one that is serving and
 // allowed. All daemons at one configuration number reach the same version.
-func (c *Config) Successor(w Workspace, model, version string) (string, bool) {
+func (c *Config) ResolveSuccessor(w Workspace, model, version string) (string, bool) {
 	for range maxSuccession {
 		if c.usable(w, model, version) {
 			return version, true
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -137,20 +137,20 @@
 type RolloutState string
 
 const (
-	// Running sends Percent of sessions to the new version.
-	Running RolloutState = "running"
-	// Held keeps its stage and starts no further one.
-	Held RolloutState = "held"
-	// Done has reached every session.
-	Done RolloutState = "done"
-	// RolledBack sends nobody to the new version.
-	RolledBack RolloutState = "rolled_back"
+	// RolloutRunning sends Percent of sessions to the new version.
+	RolloutRunning RolloutState = "running"
+	// RolloutHeld keeps its stage and starts no further one.
+	RolloutHeld RolloutState = "held"
+	// RolloutDone has reached every session.
+	RolloutDone RolloutState = "done"
+	// RolloutRolledBack sends nobody to the new version.
+	RolloutRolledBack RolloutState = "rolled_back"
 )
 
 // Rollout moves a model's sessions from its stable version to another.
 type Rollout struct {
-	Model string `json:"model"`
-	To    string `json:"to"`
+	Model         string `json:"model"`
+	TargetVersion string `json:"to"`
 	// Stages are shares in percent, rising to 100.
 	Stages []float64 `json:"stages"`
 	// Stage indexes Stages.
@@ -163,9 +163,9 @@
 // Percent returns the share of sessions on the new version, 0 to 100.
 func (r Rollout) Percent() float64 {
 	switch r.State {
-	case Done:
+	case RolloutDone:
 		return 100
-	case RolledBack:
+	case RolloutRolledBack:
 		return 0
 	}
 	if r.Stage < 0 || r.Stage >= len(r.Stages) {
@@ -183,8 +183,8 @@
 	Micros int64 `json:"micros,omitempty"`
 }
 
-// Empty returns configuration 0.
-func Empty() *Config {
+// NewConfig returns configuration 0.
+func NewConfig() *Config {
 	return &Config{
 		Workspaces: map[string]Workspace{},
 		Pools:      map[string]Pool{},
@@ -197,15 +197,15 @@
 	}
 }
 
-// HashKey returns the digest under which an API key stands in a Workspace.
-func HashKey(key string) string {
+// HashAPIKey returns the digest under which an API key stands in a Workspace.
+func HashAPIKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
 // WorkspaceByKey finds the workspace that owns an API key.
 func (c *Config) WorkspaceByKey(key string) (string, Workspace, bool) {
-	h := HashKey(key)
+	h := HashAPIKey(key)
 	for name, w := range c.Workspaces {
 		if slices.Contains(w.KeyHashes, h) {
 			return name, w, true
--- a/internal/fleet/diff.go
+++ b/internal/fleet/diff.go
@@ -32,7 +32,7 @@
 	maps.Copy(w.Evacuations, wanted.Evacuations)
 	w.Rollouts = map[string]Rollout{}
 	for name, r := range wanted.Rollouts {
-		if old, ok := inForce.Rollouts[name]; ok && old.To == r.To {
+		if old, ok := inForce.Rollouts[name]; ok && old.TargetVersion == r.TargetVersion {
 			r.Stage, r.State = old.Stage, old.State
 		}
 		w.Rollouts[name] = r
@@ -105,9 +105,9 @@
 	return &c, nil
 }
 
-// Unwithdrawn lists the "model@version" names that are withdrawn in force and
+// ReinstatedVersions lists the "model@version" names that are withdrawn in force and
 // that the wanted configuration would serve again.
-func Unwithdrawn(inForce, wanted *Config) []string {
+func ReinstatedVersions(inForce, wanted *Config) []string {
 	var out []string
 	for mn, m := range inForce.Models {
 		for vn, v := range m.Versions {
--- a/internal/fleet/fold.go
+++ b/internal/fleet/fold.go
@@ -48,11 +48,11 @@
 	Through uint64 `json:"through"`
 	// Recent are the newest patch outcomes, so that a repeated append after a
 	// checkpoint is still recognised.
-	Recent []Outcome `json:"recent"`
+	Recent []PatchOutcome `json:"recent"`
 }
 
-// Outcome says what the fold did with one patch.
-type Outcome struct {
+// PatchOutcome says what the fold did with one patch.
+type PatchOutcome struct {
 	Offset  uint64 `json:"offset"`
 	PatchID string `json:"patch_id"`
 	Author  string `json:"author,omitempty"`
@@ -62,8 +62,8 @@
 	Accepted bool       `json:"accepted"`
 	Kind     fault.Kind `json:"kind,omitempty"`
 	Detail   string     `json:"detail,omitempty"`
-	// Touched lists "section/name" of every changed entity.
-	Touched []string `json:"touched,omitempty"`
+	// Changed lists "section/name" of every changed entity.
+	Changed []string `json:"touched,omitempty"`
 }
 
 // recentOutcomes is how many outcomes the fold remembers: the history shown to
@@ -71,14 +71,14 @@
 // recognised. It is counted in records, so that all daemons forget alike.
 const recentOutcomes = 1024
 
-// Fold applies records in offset order. It is not safe for concurrent use;
+// StateMachine applies records in offset order. It is not safe for concurrent use;
 // Config returns a snapshot that is.
-type Fold struct {
+type StateMachine struct {
 	config   *Config
 	next     uint64
 	anchored bool
 	pending  []pendingRecord
-	recent   []Outcome
+	recent   []PatchOutcome
 	byPatch  map[string]int
 	dropped  int
 }
@@ -89,31 +89,31 @@
 	record Record
 }
 
-// NewFold returns a fold at configuration 0, expecting offset 0.
-func NewFold() *Fold {
-	return &Fold{config: Empty(), anchored: true, byPatch: map[string]int{}}
+// NewStateMachine returns a fold at configuration 0, expecting offset 0.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{config: NewConfig(), anchored: true, byPatch: map[string]int{}}
 }
 
 // Config returns the configuration in force. The result never changes.
-func (f *Fold) Config() *Config { return f.config }
+func (f *StateMachine) Config() *Config { return f.config }
 
-// Next returns the offset of the next record to fold.
-func (f *Fold) Next() uint64 { return f.next }
+// NextOffset returns the offset of the next record to fold.
+func (f *StateMachine) NextOffset() uint64 { return f.next }
 
-// Anchored reports whether every record up to Next is reflected in Config.
+// Synced reports whether every record up to Next is reflected in Config.
 // It is false after a gap until a checkpoint covers the gap.
-func (f *Fold) Anchored() bool { return f.anchored }
+func (f *StateMachine) Synced() bool { return f.anchored }
 
 // History returns the newest outcomes, oldest first.
-func (f *Fold) History() []Outcome {
-	return append([]Outcome(nil), f.recent[max(0, len(f.recent)-recentOutcomes):]...)
+func (f *StateMachine) History() []PatchOutcome {
+	return append([]PatchOutcome(nil), f.recent[max(0, len(f.recent)-recentOutcomes):]...)
 }
 
-// Lookup finds the outcome of a patch id among the remembered ones.
-func (f *Fold) Lookup(patchID string) (Outcome, bool) {
+// LookupOutcome finds the outcome of a patch id among the remembered ones.
+func (f *StateMachine) LookupOutcome(patchID string) (PatchOutcome, bool) {
 	i, ok := f.byPatch[patchID]
 	if !ok || i < f.dropped+len(f.recent)-recentOutcomes {
-		return Outcome{}, false
+		return PatchOutcome{}, false
 	}
 	return f.recent[i-f.dropped], true
 }
@@ -123,7 +123,7 @@
 // beyond the next one means that records aged out of the log unread: the fold
 // then keeps its number and holds records back until a checkpoint explains the
 // gap, since folding past it would silently skip accepted patches.
-func (f *Fold) Apply(offset uint64, data []byte) {
+func (f *StateMachine) Apply(offset uint64, data []byte) {
 	if offset < f.next {
 		return
 	}
@@ -146,31 +146,31 @@
 	f.fold(offset, r)
 }
 
-func (f *Fold) fold(offset uint64, r Record) {
-	if _, seen := f.Lookup(r.PatchID); seen && r.PatchID != "" {
+func (f *StateMachine) fold(offset uint64, r Record) {
+	if _, seen := f.LookupOutcome(r.PatchID); seen && r.PatchID != "" {
 		return
 	}
 	f.remember(f.patch(offset, r))
 }
 
-func (f *Fold) patch(offset uint64, r Record) Outcome {
-	out := Outcome{Offset: offset, PatchID: r.PatchID, Author: r.Author, Base: r.Base, Number: f.config.Number}
+func (f *StateMachine) patch(offset uint64, r Record) PatchOutcome {
+	out := PatchOutcome{Offset: offset, PatchID: r.PatchID, Author: r.Author, Base: r.Base, Number: f.config.Number}
 	if r.PatchID == "" {
 		return reject(out, fault.InvalidPatch, "the record is malformed or has no patch_id")
 	}
 	if r.Base != f.config.Number {
 		return reject(out, fault.BaseStale, fmt.Sprintf("base %d, in force %d", r.Base, f.config.Number))
 	}
-	next, touched, err := f.config.Apply(r.Patch)
+	next, touched, err := f.config.ApplyPatch(r.Patch)
 	if err != nil {
 		return reject(out, fault.InvalidPatch, err.Error())
 	}
 	f.config = next
-	out.Accepted, out.Number, out.Touched = true, next.Number, touched
+	out.Accepted, out.Number, out.Changed = true, next.Number, touched
 	return out
 }
 
-func reject(o Outcome, k fault.Kind, detail string) Outcome {
+func reject(o PatchOutcome, k fault.Kind, detail string) PatchOutcome {
 	o.Kind, o.Detail = k, detail
 	return o
 }
@@ -181,7 +181,7 @@
 // The checkpoint's writer may not have seen the records just before it in the
 // log, so those after Through are folded again on top of it; a daemon that
 // skipped them would lack an accepted patch for good.
-func (f *Fold) restore(c *Checkpoint) {
+func (f *StateMachine) restore(c *Checkpoint) {
 	if f.anchored || c.Config == nil || c.Config.Number < f.config.Number {
 		return
 	}
@@ -198,7 +198,7 @@
 	}
 }
 
-func (f *Fold) adopt(c *Checkpoint) {
+func (f *StateMachine) adopt(c *Checkpoint) {
 	f.config = c.Config.normalized()
 	f.anchored = true
 	f.recent, f.byPatch, f.dropped = nil, map[string]int{}, 0
@@ -208,7 +208,7 @@
 }
 
 // Checkpoint returns the state for appending or for handing to a peer.
-func (f *Fold) Checkpoint() *Checkpoint {
+func (f *StateMachine) Checkpoint() *Checkpoint {
 	through := f.next
 	if through > 0 {
 		through--
@@ -216,9 +216,9 @@
 	return &Checkpoint{Config: f.config, Through: through, Recent: f.History()}
 }
 
-// Adopt takes a peer's state when it is ahead and reports whether it did. The
+// InstallCheckpoint takes a peer's state when it is ahead and reports whether it did. The
 // next record to fold is then the one after the peer's last.
-func (f *Fold) Adopt(c *Checkpoint) bool {
+func (f *StateMachine) InstallCheckpoint(c *Checkpoint) bool {
 	if c == nil || c.Config == nil || c.Config.Number <= f.config.Number || c.Config.Validate() != nil {
 		return false
 	}
@@ -228,7 +228,7 @@
 	return true
 }
 
-func (f *Fold) remember(o Outcome) {
+func (f *StateMachine) remember(o PatchOutcome) {
 	f.recent = append(f.recent, o)
 	if o.PatchID != "" {
 		f.byPatch[o.PatchID] = f.dropped + len(f.recent) - 1
@@ -240,13 +240,13 @@
 	for _, old := range f.recent[:cut] {
 		delete(f.byPatch, old.PatchID)
 	}
-	f.recent = append([]Outcome(nil), f.recent[cut:]...)
+	f.recent = append([]PatchOutcome(nil), f.recent[cut:]...)
 	f.dropped += cut
 }
 
-// Apply returns the configuration that a patch leads to, with the next number
+// ApplyPatch returns the configuration that a patch leads to, with the next number
 // and the names of the entities it changed. c is left as it is.
-func (c *Config) Apply(raw json.RawMessage) (*Config, []string, error) {
+func (c *Config) ApplyPatch(raw json.RawMessage) (*Config, []string, error) {
 	var p Patch
 	if err := DecodeStrict(raw, &p); err != nil {
 		return nil, nil, err
@@ -296,7 +296,7 @@
 		old, exists := out[key]
 		value, err := merge(old, exists, raw)
 		if err != nil {
-			return fault.Field(fault.InvalidPatch, path, "%v", err)
+			return fault.NewField(fault.InvalidPatch, path, "%v", err)
 		}
 		out[key] = value
 	}
@@ -336,7 +336,7 @@
 
 func (c *Config) normalized() *Config {
 	n := *c
-	e := Empty()
+	e := NewConfig()
 	if n.Workspaces == nil {
 		n.Workspaces = e.Workspaces
 	}
--- a/internal/fleet/fold_test.go
+++ b/internal/fleet/fold_test.go
@@ -15,17 +15,17 @@
 const base = `{"pools":{"p":{"servers":[]}},"models":{"m":{"stable":"v1","versions":{"v1":{"pool":"p","micros_per_1k_tokens":1},"v2":{"pool":"p","micros_per_1k_tokens":1,"successor":"v1"}}}},"workspaces":{"w":{"key_hashes":[],"models":["m"]}}}`
 
 // apply folds patches given as id, base and body.
-func apply(t testing.TB, f *Fold, id string, number uint64, patch string) Outcome {
-	f.Apply(f.Next(), record(t, id, number, json.RawMessage(patch)))
-	o, ok := f.Lookup(id)
+func apply(t testing.TB, f *StateMachine, id string, number uint64, patch string) PatchOutcome {
+	f.Apply(f.NextOffset(), record(t, id, number, json.RawMessage(patch)))
+	o, ok := f.LookupOutcome(id)
 	if !ok {
 		t.Fatalf("no outcome of %s", id)
 	}
 	return o
 }
 
-func started(t testing.TB) *Fold {
-	f := NewFold()
+func started(t testing.TB) *StateMachine {
+	f := NewStateMachine()
 	if o := apply(t, f, "base", 0, base); !o.Accepted {
 		t.Fatal(o)
 	}
@@ -62,9 +62,9 @@
 		}
 	}
 	f := started(t)
-	f.Apply(f.Next(), []byte("{broken"))
-	if f.Config().Number != 1 || f.Next() != 2 {
-		t.Fatalf("a broken record: number %d, next %d", f.Config().Number, f.Next())
+	f.Apply(f.NextOffset(), []byte("{broken"))
+	if f.Config().Number != 1 || f.NextOffset() != 2 {
+		t.Fatalf("a broken record: number %d, next %d", f.Config().Number, f.NextOffset())
 	}
 }
 
@@ -80,7 +80,7 @@
 		record(t, "a", 1, json.RawMessage(`{"workspaces":{"w":{"priority":1}}}`)),
 		record(t, "b", 2, json.RawMessage(`{"workspaces":{"w":{"priority":2}}}`)),
 	}
-	writer := NewFold()
+	writer := NewStateMachine()
 	for o, r := range log {
 		writer.Apply(uint64(o), r)
 	}
@@ -91,15 +91,15 @@
 		mark,
 		record(t, "a", 1, json.RawMessage(`{"workspaces":{"w":{"priority":1}}}`)),
 		record(t, "e", 4, json.RawMessage(`{"workspaces":{"w":{"priority":5}}}`)))
-	all, fresh := NewFold(), NewFold()
+	all, fresh := NewStateMachine(), NewStateMachine()
 	for o, r := range log {
 		all.Apply(uint64(o), r)
 		if o >= 2 {
 			fresh.Apply(uint64(o), r)
 		}
 	}
-	if !fresh.Anchored() || fresh.Config().Number != 5 || !reflect.DeepEqual(all.Config(), fresh.Config()) {
-		t.Fatalf("fresh: anchored %v, %+v; all: %+v", fresh.Anchored(), fresh.Config(), all.Config())
+	if !fresh.Synced() || fresh.Config().Number != 5 || !reflect.DeepEqual(all.Config(), fresh.Config()) {
+		t.Fatalf("fresh: anchored %v, %+v; all: %+v", fresh.Synced(), fresh.Config(), all.Config())
 	}
 }
 
@@ -111,16 +111,16 @@
 func TestRacingOperatorsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep = 12
-		truth := NewFold()
+		truth := NewStateMachine()
 		var log [][]byte
-		daemons := []*Fold{NewFold(), NewFold(), NewFold()}
+		daemons := []*StateMachine{NewStateMachine(), NewStateMachine(), NewStateMachine()}
 		add := func(r []byte) {
 			truth.Apply(uint64(len(log)), r)
 			log = append(log, r)
 		}
-		read := func(f *Fold) {
+		read := func(f *StateMachine) {
 			before := f.Config().Number
-			for o := max(int(f.Next()), len(log)-keep); o < len(log); o++ {
+			for o := max(int(f.NextOffset()), len(log)-keep); o < len(log); o++ {
 				f.Apply(uint64(o), log[o])
 			}
 			if f.Config().Number < before {
@@ -144,7 +144,7 @@
 			case 4:
 				add(record2(t, fmt.Sprint("x", step), truth.Config().Number, `{"pools":{"p":null}}`))
 			case 5:
-				daemons[d] = NewFold()
+				daemons[d] = NewStateMachine()
 			default:
 				read(daemons[d])
 			}
@@ -166,8 +166,8 @@
 		add(mark)
 		for i, f := range daemons {
 			read(f)
-			if !f.Anchored() || !reflect.DeepEqual(f.Config(), truth.Config()) {
-				t.Fatalf("daemon %d: anchored %v at %d, truth at %d", i, f.Anchored(), f.Config().Number, truth.Config().Number)
+			if !f.Synced() || !reflect.DeepEqual(f.Config(), truth.Config()) {
+				t.Fatalf("daemon %d: anchored %v at %d, truth at %d", i, f.Synced(), f.Config().Number, truth.Config().Number)
 			}
 		}
 	})
@@ -185,11 +185,11 @@
 	f := started(t)
 	apply(t, f, "a", 1, `{"models":{"m":{"stable":"v2","versions":{"v1":{"state":"withdrawn","successor":"v2"},"v2":{"successor":""}}}}}`)
 	w := f.Config().Workspaces["w"]
-	if v, ok := f.Config().Successor(w, "m", "v1"); !ok || v != "v2" {
+	if v, ok := f.Config().ResolveSuccessor(w, "m", "v1"); !ok || v != "v2" {
 		t.Fatalf("successor %q %v", v, ok)
 	}
 	apply(t, f, "b", 2, `{"models":{"m":{"versions":{"v2":{"state":"withdrawn","successor":"v1"}}}}}`)
-	if v, ok := f.Config().Successor(w, "m", "v1"); ok {
+	if v, ok := f.Config().ResolveSuccessor(w, "m", "v1"); ok {
 		t.Fatalf("a cycle of withdrawn versions led to %q", v)
 	}
 	if f.Config().MayDispatch("w", "m", "v1") {
@@ -220,7 +220,7 @@
 
 func TestDiffLeadsToTheWantedConfiguration(t *testing.T) {
 	f := started(t)
-	wanted := Empty()
+	wanted := NewConfig()
 	if err := json.Unmarshal([]byte(`{"pools":{"q":{"servers":[]}},"models":{"n":{"stable":"v1","versions":{"v1":{"pool":"q","micros_per_1k_tokens":3}}}},"workspaces":{"w":{"key_hashes":[],"models":["n"],"priority":2}}}`), wanted); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/validate.go
+++ b/internal/fleet/validate.go
@@ -118,7 +118,7 @@
 }
 
 func invalid(field, format string, args ...any) error {
-	return fault.Field(fault.InvalidPatch, field, format, args...)
+	return fault.NewField(fault.InvalidPatch, field, format, args...)
 }
 
 func checkName(path, name string) error {
@@ -284,8 +284,8 @@
 	if r.Model != name {
 		return invalid(path+"/model", "%q must equal the roll-out's name: a model has one roll-out at a time", r.Model)
 	}
-	if _, ok := c.Version(r.Model, r.To); !ok {
-		return invalid(path+"/to", "version %q of model %q does not exist", r.To, r.Model)
+	if _, ok := c.Version(r.Model, r.TargetVersion); !ok {
+		return invalid(path+"/to", "version %q of model %q does not exist", r.TargetVersion, r.Model)
 	}
 	if len(r.Stages) == 0 || r.Stages[len(r.Stages)-1] != 100 {
 		return invalid(path+"/stages", "must end at 100")
@@ -296,7 +296,7 @@
 	if r.Stage < 0 || r.Stage >= len(r.Stages) {
 		return invalid(path+"/stage", "%d is out of 0..%d", r.Stage, len(r.Stages)-1)
 	}
-	if !slices.Contains([]RolloutState{Running, Held, Done, RolledBack}, r.State) {
+	if !slices.Contains([]RolloutState{RolloutRunning, RolloutHeld, RolloutDone, RolloutRolledBack}, r.State) {
 		return invalid(path+"/state", "%q is not running, held, done or rolled_back", r.State)
 	}
 	if r.MinRequests < 0 {
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -26,8 +26,8 @@
 // String implements fmt.Stringer.
 func (s Subject) String() string { return names[s] }
 
-// Own is the source of a confirmation that the store itself gave to this daemon.
-const Own = "store"
+// FromStore is the source of a confirmation that the store itself gave to this daemon.
+const FromStore = "store"
 
 // Confirmation says that a daemon's knowledge of a subject was complete.
 type Confirmation struct {
@@ -37,19 +37,19 @@
 	// found nothing newer. The store may have answered at any moment after that, so
 	// that only the sending proves anything.
 	At time.Duration
-	// By is Own, or the name of the daemon that told.
-	By string
+	// Source is Own, or the name of the daemon that told.
+	Source string
 }
 
-// Ledger holds the newest confirmation of each subject. Its owner guards it with a lock.
-type Ledger struct {
+// Tracker holds the newest confirmation of each subject. Its owner guards it with a lock.
+type Tracker struct {
 	newest [Subjects]Confirmation
 	known  [Subjects]bool
 }
 
 // Confirm takes a confirmation and returns the time since the one before it, or zero for
 // the first. Answers may overtake each other: an older one changes nothing.
-func (l *Ledger) Confirm(s Subject, c Confirmation) (gap time.Duration) {
+func (l *Tracker) Confirm(s Subject, c Confirmation) (gap time.Duration) {
 	if l.known[s] && c.At <= l.newest[s].At {
 		return 0
 	}
@@ -61,15 +61,15 @@
 }
 
 // Newest returns the newest confirmation of a subject, and whether there is one.
-func (l *Ledger) Newest(s Subject) (Confirmation, bool) { return l.newest[s], l.known[s] }
+func (l *Tracker) Newest(s Subject) (Confirmation, bool) { return l.newest[s], l.known[s] }
 
 // Age returns how old the newest confirmation of a subject is, and whether there is one.
-func (l *Ledger) Age(s Subject, now time.Duration) (time.Duration, bool) {
+func (l *Tracker) Age(s Subject, now time.Duration) (time.Duration, bool) {
 	return now - l.newest[s].At, l.known[s]
 }
 
 // Within reports whether a subject was confirmed within a limit.
-func (l *Ledger) Within(s Subject, now, limit time.Duration) bool {
+func (l *Tracker) Within(s Subject, now, limit time.Duration) bool {
 	age, known := l.Age(s, now)
 	return known && age < limit
 }
--- a/internal/freshness/upkeep.go
+++ b/internal/freshness/upkeep.go
@@ -10,21 +10,21 @@
 // One daemon looks and the others take its word with its age, so that a look of each is
 // not paid for. If it cannot, the next one by rank does.
 type Upkeep struct {
-	// Bears is the greatest age that the use of the subject bears.
-	Bears time.Duration
-	// First is the part of it at which the first daemon looks. Each further one by rank
+	// MaxAge is the greatest age that the use of the subject bears.
+	MaxAge time.Duration
+	// FirstFraction is the part of it at which the first daemon looks. Each further one by rank
 	// waits for Step longer, in which the word of those before it arrives.
-	First float64
-	Step  time.Duration
-	// Most is the part of it at which every daemon looks: the rest of the time is for
+	FirstFraction float64
+	RankDelay     time.Duration
+	// LastFraction is the part of it at which every daemon looks: the rest of the time is for
 	// reading what has changed.
-	Most float64
+	LastFraction float64
 }
 
 // Limit returns the age at which the daemon of a rank looks.
 func (u Upkeep) Limit(rank int) time.Duration {
-	first, most := part(u.First, u.Bears), part(u.Most, u.Bears)
-	return min(first+time.Duration(rank)*u.Step, most)
+	first, most := part(u.FirstFraction, u.MaxAge), part(u.LastFraction, u.MaxAge)
+	return min(first+time.Duration(rank)*u.RankDelay, most)
 }
 
 // awayPart is the part of what its use bears from which a subject that nobody confirmed
@@ -32,9 +32,9 @@
 // the time of an answer, and short of the three heartbeats after which entries lapse.
 const awayPart = 0.75
 
-// Away reports whether a time without a confirmation by anybody means that the store was
+// IsOutage reports whether a time without a confirmation by anybody means that the store was
 // away.
-func (u Upkeep) Away(gap time.Duration) bool { return gap >= part(awayPart, u.Bears) }
+func (u Upkeep) IsOutage(gap time.Duration) bool { return gap >= part(awayPart, u.MaxAge) }
 
 func part(p float64, d time.Duration) time.Duration { return time.Duration(p * float64(d)) }
 
@@ -46,7 +46,7 @@
 // whatever subject: it then takes the one that the first daemon would look at next, and
 // spares it that look. Without a subject that was ever confirmed there is none: a reading
 // that begins asks by itself.
-func (p Plan) Next(l *Ledger, now time.Duration, rank int, own time.Duration) (about Subject, due time.Duration, any bool) {
+func (p Plan) Next(l *Tracker, now time.Duration, rank int, own time.Duration) (about Subject, due time.Duration, any bool) {
 	about, due, any = p.first(l, now, rank)
 	if any && own < due {
 		about, _, _ = p.first(l, now, 0)
@@ -57,7 +57,7 @@
 
 // first returns the subject that the daemon of a rank has to look at first, and the time
 // until then.
-func (p Plan) first(l *Ledger, now time.Duration, rank int) (about Subject, due time.Duration, any bool) {
+func (p Plan) first(l *Tracker, now time.Duration, rank int) (about Subject, due time.Duration, any bool) {
 	for s := range Subjects {
 		u, looked := p[s]
 		age, known := l.Age(s, now)
--- a/internal/freshness/upkeep_test.go
+++ b/internal/freshness/upkeep_test.go
@@ -6,8 +6,8 @@
 )
 
 var plan = Plan{
-	Configuration: {Bears: 2 * time.Second, First: 0.4, Step: 150 * time.Millisecond, Most: 0.6},
-	Servers:       {Bears: 2 * time.Second, First: 0.25, Step: 250 * time.Millisecond, Most: 0.6},
+	Configuration: {MaxAge: 2 * time.Second, FirstFraction: 0.4, RankDelay: 150 * time.Millisecond, LastFraction: 0.6},
+	Servers:       {MaxAge: 2 * time.Second, FirstFraction: 0.25, RankDelay: 250 * time.Millisecond, LastFraction: 0.6},
 }
 
 func TestFurtherDaemonsLookLaterAndAllInTime(t *testing.T) {
@@ -20,7 +20,7 @@
 }
 
 func TestTheSubjectThatIsDueFirstIsLookedAt(t *testing.T) {
-	var l Ledger
+	var l Tracker
 	const long = time.Hour
 	if _, _, any := plan.Next(&l, 0, 0, long); any {
 		t.Error("a look before anything is known")
@@ -53,7 +53,7 @@
 
 func TestATimeWithoutConfirmationBeyondAllLooksIsAnOutage(t *testing.T) {
 	u := plan[Servers]
-	if u.Away(u.Limit(300)+200*time.Millisecond) || !u.Away(1500*time.Millisecond) {
+	if u.IsOutage(u.Limit(300)+200*time.Millisecond) || !u.IsOutage(1500*time.Millisecond) {
 		t.Error("an outage is told wrongly")
 	}
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -78,7 +78,7 @@
 
 // meter is the count of sends to a warming server, with the choice of its senders.
 type meter struct {
-	slowstart.Meter
+	slowstart.Pacer
 	share  slowstart.Share
 	sender bool
 	warmAt time.Duration
@@ -130,14 +130,14 @@
 	return out
 }
 
-// Ended takes it that a server has ended. If it comes back under its name it counts as just
+// ServerTerminated takes it that a server has ended. If it comes back under its name it counts as just
 // started from its first answer on, whatever its entry said before.
-func (g *Gate) Ended(id string, now time.Duration) { g.ended[id] = &restart{at: now} }
+func (g *Gate) ServerTerminated(id string, now time.Duration) { g.ended[id] = &restart{at: now} }
 
-// Answered takes it that a server has answered.
-func (g *Gate) Answered(id string, limit slowstart.Limit, now time.Duration) {
+// ServerResponded takes it that a server has answered.
+func (g *Gate) ServerResponded(id string, limit slowstart.Limit, now time.Duration) {
 	if r := g.ended[id]; r != nil && !r.answered {
-		r.answered, r.warmAt = true, now+limit.For
+		r.answered, r.warmAt = true, now+limit.WarmupPeriod
 	}
 }
 
@@ -168,10 +168,10 @@
 	if r := g.ended[s.ID]; r != nil && r.answered {
 		at = max(at, r.warmAt)
 	} else if r != nil {
-		at = max(at, now+s.Limit.For)
+		at = max(at, now+s.Limit.WarmupPeriod)
 	}
 	if lifted, any := g.lifted[s.FailureDomain]; any {
-		at = max(at, lifted+s.Limit.For)
+		at = max(at, lifted+s.Limit.WarmupPeriod)
 	}
 	return at
 }
@@ -195,7 +195,7 @@
 }
 
 // Admit reports whether a request may be sent to a server, and counts why not.
-func (g *Gate) Admit(r Request, s Server, now time.Duration, refused *Tally) bool {
+func (g *Gate) Admit(r Request, s Server, now time.Duration, refused *Refusals) bool {
 	reason := g.Check(r, s, now)
 	if reason != Open {
 		refused.Add(reason, g.WarmAt(s, now)-now)
@@ -218,31 +218,31 @@
 	m.warmAt = warmAt
 	if m.share.Senders == 0 {
 		m.share = s.Limit.Share()
-		m.sender = g.view.Sends(s.Hash, m.share.Senders)
+		m.sender = g.view.IsSender(s.Hash, m.share.Senders)
 	}
 	return m.sender && m.Ready(m.share, now)
 }
 
-// Pass records a send to a server that Check has let through.
-func (g *Gate) Pass(s Server, now time.Duration) {
+// RecordSend records a send to a server that Check has let through.
+func (g *Gate) RecordSend(s Server, now time.Duration) {
 	if now >= g.WarmAt(s, now) {
 		return
 	}
 	if m := g.meters[s.ID]; m != nil {
-		m.Take(now)
+		m.RecordSend(now)
 	}
 }
 
-// Tally counts why the servers of a service were refused, for the answer to a request that no
+// Refusals counts why the servers of a service were refused, for the answer to a request that no
 // server is left for.
-type Tally struct {
+type Refusals struct {
 	counts map[Reason]int
 	// warm is the time until the first of the warming servers has warmed up.
 	warm time.Duration
 }
 
 // Add counts a refused server. Warm is the time until it has warmed up, if it is warming.
-func (t *Tally) Add(r Reason, warm time.Duration) {
+func (t *Refusals) Add(r Reason, warm time.Duration) {
 	if t.counts == nil {
 		t.counts = map[Reason]int{}
 	}
@@ -252,9 +252,9 @@
 	}
 }
 
-// Main returns the reason that tells the caller most, or Open if none was counted, and the
+// Primary returns the reason that tells the caller most, or Open if none was counted, and the
 // time until it ends, if that is known.
-func (t *Tally) Main() (Reason, time.Duration) {
+func (t *Refusals) Primary() (Reason, time.Duration) {
 	for _, r := range Reasons() {
 		if t.counts[r] == 0 {
 			continue
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -7,12 +7,12 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-var limit = slowstart.Limit{For: 3 * time.Second, PerSecond: 15, Excess: 1.5, Slack: 5}
+var limit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
 
 // alone returns the gate of the only daemon.
 func alone() *Gate {
 	g := New()
-	g.SetView(slowstart.View{Own: 1, Trusted: true}, 0)
+	g.SetView(slowstart.View{Self: 1, Trusted: true}, 0)
 	return g
 }
 
@@ -46,14 +46,14 @@
 	sends := 0
 	for now := time.Minute; now < time.Minute+time.Second; now += time.Millisecond {
 		if g.Check(Request{}, s, now) == Open {
-			g.Pass(s, now)
+			g.RecordSend(s, now)
 			sends++
 		}
 	}
 	if sends == 0 || sends > limit.Bound()/2 {
 		t.Errorf("%d sends in the first second", sends)
 	}
-	if got := g.Check(Request{}, s, time.Minute+limit.For); got != Open {
+	if got := g.Check(Request{}, s, time.Minute+limit.WarmupPeriod); got != Open {
 		t.Errorf("warm: %q", got)
 	}
 }
@@ -111,14 +111,14 @@
 
 // Guards against an answer that hides when servers are warm.
 func TestTallyTellsTheReasonThatEndsSoonest(t *testing.T) {
-	var tally Tally
-	if r, _ := tally.Main(); r != Open {
+	var tally Refusals
+	if r, _ := tally.Primary(); r != Open {
 		t.Errorf("nothing counted: %q", r)
 	}
 	tally.Add(Leaving, 0)
 	tally.Add(Warming, 2*time.Second)
 	tally.Add(Warming, time.Second)
-	if r, left := tally.Main(); r != Warming || left != time.Second {
+	if r, left := tally.Primary(); r != Warming || left != time.Second {
 		t.Errorf("%q for %s", r, left)
 	}
 }
@@ -130,25 +130,25 @@
 	sends := func(from time.Duration) (n int) {
 		for now := from; now < from+time.Second; now += time.Millisecond {
 			if g.Check(Request{}, s, now) == Open {
-				g.Pass(s, now)
+				g.RecordSend(s, now)
 				n++
 			}
 		}
 		return n
 	}
-	g.Ended("a", time.Minute)
+	g.ServerTerminated("a", time.Minute)
 	if n := sends(time.Minute); n > limit.Bound()/2 {
 		t.Errorf("%d sends in a second before its first answer", n)
 	}
-	g.Answered("a", limit, 2*time.Minute)
-	g.Answered("a", limit, 3*time.Minute)
+	g.ServerResponded("a", limit, 2*time.Minute)
+	g.ServerResponded("a", limit, 3*time.Minute)
 	if n := sends(2 * time.Minute); n > limit.Bound()/2 {
 		t.Errorf("%d sends in a second after it", n)
 	}
-	if n := sends(2*time.Minute + limit.For); n != 1000 {
+	if n := sends(2*time.Minute + limit.WarmupPeriod); n != 1000 {
 		t.Errorf("%d of 1000 sends when it is warm", n)
 	}
-	g.SetView(slowstart.View{}, 2*time.Minute+limit.For)
+	g.SetView(slowstart.View{}, 2*time.Minute+limit.WarmupPeriod)
 	if len(g.ended) != 0 {
 		t.Errorf("%d ends are kept", len(g.ended))
 	}
--- a/internal/gossip/calls.go
+++ b/internal/gossip/calls.go
@@ -10,39 +10,39 @@
 	"github.com/damaskrudder/damaskrudder/internal/peer"
 )
 
-// AnswerRecords returns the records that a daemon asks for, or as many of the first of them as
+// HandleRecords returns the records that a daemon asks for, or as many of the first of them as
 // one message takes. A first record that is too long, and all keys there are, are not divided.
-func AnswerRecords(q AskRecords, since func(topic string, from feed.Position) feed.Tail) Records {
+func HandleRecords(q RecordsRequest, since func(topic string, from feed.Position) feed.Tail) RecordsResponse {
 	t := since(q.Topic, q.From)
 	page := firstPage(t.Records)
 	switch {
 	case len(page) == len(t.Records):
-		return Records{Records: t.Records, Next: t.Next, Whole: t.Whole}
-	case len(page) == 0 || t.Whole:
-		return Records{Next: t.Next, TooLong: true}
+		return RecordsResponse{Records: t.Records, Next: t.Next, Whole: t.Snapshot}
+	case len(page) == 0 || t.Snapshot:
+		return RecordsResponse{Next: t.Next, TooLong: true}
 	}
-	return Records{Records: page, Next: page[len(page)-1].At.Next()}
+	return RecordsResponse{Records: page, Next: page[len(page)-1].At.Next()}
 }
 
-// Caller calls other daemons at their addresses.
-type Caller interface {
+// Transport calls other daemons at their addresses.
+type Transport interface {
 	// Pulse tells a daemon this one's pulse and returns its own.
-	Pulse(ctx context.Context, address string, p Pulse) (Pulse, error)
+	Pulse(ctx context.Context, address string, p Message) (Message, error)
 	// Records asks a daemon for records.
-	Records(ctx context.Context, address string, q AskRecords) (Records, error)
+	Records(ctx context.Context, address string, q RecordsRequest) (RecordsResponse, error)
 }
 
-// Links calls daemons over peer links. It implements Caller.
-type Links struct{ *peer.Links }
+// PeerTransport calls daemons over peer links. It implements Caller.
+type PeerTransport struct{ *peer.Client }
 
 // Pulse implements Caller.
-func (l Links) Pulse(ctx context.Context, address string, p Pulse) (Pulse, error) {
-	return peer.Call[Pulse, Pulse](ctx, l.Links, address, kind, p)
+func (l PeerTransport) Pulse(ctx context.Context, address string, p Message) (Message, error) {
+	return peer.Call[Message, Message](ctx, l.Client, address, kind, p)
 }
 
 // Records implements Caller.
-func (l Links) Records(ctx context.Context, address string, q AskRecords) (Records, error) {
-	return peer.Call[AskRecords, Records](ctx, l.Links, address, recordsKind, q)
+func (l PeerTransport) Records(ctx context.Context, address string, q RecordsRequest) (RecordsResponse, error) {
+	return peer.Call[RecordsRequest, RecordsResponse](ctx, l.Client, address, recordsKind, q)
 }
 
 const kind = "pulse"
@@ -63,35 +63,35 @@
 	return records
 }
 
-// Records asks one of the daemons that live and have read further for records. Which
+// FetchRecords asks one of the daemons that live and have read further for records. Which
 // one is drawn, so that those that are behind do not all ask the same. The error is
 // feed.ErrTooLong if the records are longer than daemons pass on.
-func (m *Members) Records(ctx context.Context, topic string, from feed.Position, ahead func(p Pulse) bool) (feed.Tail, error) {
-	list := slices.DeleteFunc(m.Alive(), func(p Pulse) bool { return !ahead(p) })
+func (m *Members) FetchRecords(ctx context.Context, topic string, from feed.Position, ahead func(p Message) bool) (feed.Tail, error) {
+	list := slices.DeleteFunc(m.Alive(), func(p Message) bool { return !ahead(p) })
 	if len(list) == 0 {
 		return feed.Tail{}, errNobody
 	}
 	p := list[rand.IntN(len(list))]
-	a, err := m.peers.Records(ctx, p.Address, AskRecords{topic, from})
+	a, err := m.peers.Records(ctx, p.Address, RecordsRequest{topic, from})
 	if err != nil {
 		return feed.Tail{}, err
 	}
 	if a.TooLong {
 		return feed.Tail{}, feed.ErrTooLong
 	}
-	return feed.Tail{Records: a.Records, Next: a.Next, Whole: a.Whole}, nil
+	return feed.Tail{Records: a.Records, Next: a.Next, Snapshot: a.Whole}, nil
 }
 
 var errNobody = errors.New("no daemon that lives has read further")
 
-// AskRecords asks for the records of a topic from a position on.
-type AskRecords struct {
+// RecordsRequest asks for the records of a topic from a position on.
+type RecordsRequest struct {
 	Topic string        `cbor:"1,keyasint"`
 	From  feed.Position `cbor:"2,keyasint"`
 }
 
-// Records is the answer: the newest of each key, and how far the daemon has read.
-type Records struct {
+// RecordsResponse is the answer: the newest of each key, and how far the daemon has read.
+type RecordsResponse struct {
 	Records []feed.Record `cbor:"1,keyasint"`
 	Next    feed.Position `cbor:"2,keyasint"`
 	// TooLong says that the records are left out: the log has to be read.
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// Every is the pause between two rounds. The work of others is known that
+	// Interval is the pause between two rounds. The work of others is known that
 	// late; requests take a second, so it tells of most of them.
-	Every = 250 * time.Millisecond
+	Interval = 250 * time.Millisecond
 	// recentContact is the age of a pulse up to which its daemon is not called: of two
 	// daemons one calls.
 	recentContact = 200 * time.Millisecond
@@ -62,7 +62,7 @@
 // member is one address at which a daemon is or was.
 type member struct {
 	address     string
-	pulse       Pulse
+	pulse       Message
 	lastContact time.Time
 	added       time.Time
 	// met is when the daemon's present run was first heard.
@@ -80,33 +80,33 @@
 
 // Members are the other daemons, as far as known.
 type Members struct {
-	self  func(evidence bool) Pulse
-	peers Caller
+	self  func(evidence bool) Message
+	peers Transport
 	log   *log.Logger
-	// OnPulse is called with every pulse. After is a reading of Boot after which the pulse
+	// OnMessage is called with every pulse. After is a reading of Boot after which the pulse
 	// was made, or zero if none is known.
-	OnPulse func(p Pulse, after time.Duration)
+	OnMessage func(p Message, after time.Duration)
 	// Boot reads a clock that counts while the VM is suspended.
 	Boot func() time.Duration
 	// OnWorkChanged is called when the work of other daemons has changed at backend servers.
-	OnWorkChanged func(changes []relay.Work)
+	OnWorkChanged func(changes []relay.ServerWork)
 
-	// Quarantined returns the update on requests that end servers, with all that are
+	// QuarantineUpdate returns the update on requests that end servers, with all that are
 	// held for a daemon that was just met.
-	Quarantined func(justMet bool) quarantine.Update
+	QuarantineUpdate func(justMet bool) quarantine.Update
 
 	mu    sync.Mutex
 	all   map[string]*member
 	left  map[string]time.Time
 	where string
 	// roster holds those of all that were heard lately.
-	roster *membership.Roster
+	roster *membership.LivePeers
 	// failures are the members whose last call failed, the newest at the end.
 	failures []*member
 	// firstContact is when the first other daemon was in contact, if one was.
 	firstContact time.Time
 	// lapsed is work of daemons that fell silent, not yet passed to OnWorkChanged.
-	lapsed []relay.Work
+	lapsed []relay.ServerWork
 	// incarnation names this run, so that word of ourselves is told apart.
 	incarnation string
 	knownSentAt time.Time
@@ -114,31 +114,31 @@
 
 // New returns members that know the daemon's own address only. Self makes the daemon's
 // pulse, with its evidence on new versions or without.
-func New(name, address, incarnation string, self func(evidence bool) Pulse, peers Caller, boot func() time.Duration, l *log.Logger) *Members {
+func New(name, address, incarnation string, self func(evidence bool) Message, peers Transport, boot func() time.Duration, l *log.Logger) *Members {
 	return &Members{
-		self: self, peers: peers, log: l, where: address, incarnation: incarnation, OnPulse: func(Pulse, time.Duration) {}, Boot: boot,
-		OnWorkChanged: func([]relay.Work) {}, Quarantined: func(bool) quarantine.Update { return quarantine.Update{} }, all: map[string]*member{}, left: map[string]time.Time{}, roster: membership.NewRoster(name),
+		self: self, peers: peers, log: l, where: address, incarnation: incarnation, OnMessage: func(Message, time.Duration) {}, Boot: boot,
+		OnWorkChanged: func([]relay.ServerWork) {}, QuarantineUpdate: func(bool) quarantine.Update { return quarantine.Update{} }, all: map[string]*member{}, left: map[string]time.Time{}, roster: membership.NewLivePeers(name),
 	}
 }
 
-// Register makes a peer server answer pulses, and calls for records with since.
-func (m *Members) Register(s *peer.Server, since func(topic string, from feed.Position) feed.Tail) {
-	peer.Handle(s, recordsKind, func(_ context.Context, _ string, q AskRecords) (Records, error) {
-		return AnswerRecords(q, since), nil
+// RegisterHandlers makes a peer server answer pulses, and calls for records with since.
+func (m *Members) RegisterHandlers(s *peer.Server, since func(topic string, from feed.Position) feed.Tail) {
+	peer.Handle(s, recordsKind, func(_ context.Context, _ string, q RecordsRequest) (RecordsResponse, error) {
+		return HandleRecords(q, since), nil
 	})
-	peer.Handle(s, kind, func(_ context.Context, _ string, p Pulse) (Pulse, error) {
-		return m.Answer(p), nil
+	peer.Handle(s, kind, func(_ context.Context, _ string, p Message) (Message, error) {
+		return m.HandleExchange(p), nil
 	})
 }
 
-// Answer takes a pulse of a daemon that calls, and returns this daemon's.
-func (m *Members) Answer(p Pulse) Pulse {
-	m.Take(p.Address, p)
-	return m.stampedPulseFor(p.Address, p.Incarnation, p.Stamp, p.Judge)
+// HandleExchange takes a pulse of a daemon that calls, and returns this daemon's.
+func (m *Members) HandleExchange(p Message) Message {
+	m.Receive(p.Address, p)
+	return m.stampedPulseFor(p.Address, p.Incarnation, p.Stamp, p.WantsEvidence)
 }
 
-// Learn adds addresses at which daemons may be.
-func (m *Members) Learn(addresses ...string) {
+// AddAddresses adds addresses at which daemons may be.
+func (m *Members) AddAddresses(addresses ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, a := range addresses {
@@ -150,14 +150,14 @@
 }
 
 // pulseFor makes a pulse for the daemon at an address.
-func (m *Members) pulseFor(to string, evidence bool) Pulse {
+func (m *Members) pulseFor(to string, evidence bool) Message {
 	p := m.self(evidence)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	m.expire(now)
 	p.Suspects = m.failedLately(now)
-	p.Quarantine = m.Quarantined(m.justMet(to, now))
+	p.Quarantine = m.QuarantineUpdate(m.justMet(to, now))
 	switch o := m.all[to]; {
 	case now.Sub(m.knownSentAt) >= knownEvery:
 		m.knownSentAt = now
@@ -182,7 +182,7 @@
 		if len(out) == n {
 			break
 		}
-		if m.roster.Has(a) {
+		if m.roster.Contains(a) {
 			out = append(out, a)
 		}
 	}
@@ -190,7 +190,7 @@
 }
 
 // stampedPulseFor makes a pulse for the daemon at an address, whose run's newest stamp is known.
-func (m *Members) stampedPulseFor(address, incarnation string, stamp int64, evidence bool) Pulse {
+func (m *Members) stampedPulseFor(address, incarnation string, stamp int64, evidence bool) Message {
 	p := m.pulseFor(address, evidence)
 	p.Stamp = m.Boot().Milliseconds()
 	if incarnation != "" {
@@ -200,7 +200,7 @@
 }
 
 // after returns a reading of this daemon's clock after which a pulse was made.
-func (m *Members) after(p Pulse) time.Duration {
+func (m *Members) after(p Message) time.Duration {
 	if p.Echo <= 0 || p.EchoTo != xxhash.Sum64String(m.incarnation) {
 		return 0
 	}
@@ -210,15 +210,15 @@
 // silence is how long a daemon may be silent before it counts as gone. Callers hold
 // mu.
 func (m *Members) silence() time.Duration {
-	turn := time.Duration(len(m.all)) * Every / (2 * fanOut)
+	turn := time.Duration(len(m.all)) * Interval / (2 * fanOut)
 	return max(silentAfter, silentTurns*turn)
 }
 
-// Take takes a pulse that came from an address. Its cost does not grow with the number of
+// Receive takes a pulse that came from an address. Its cost does not grow with the number of
 // daemons: one of 195 is called, and called back, 64 times a second.
-func (m *Members) Take(address string, p Pulse) {
-	m.Learn(address)
-	m.Learn(p.Known...)
+func (m *Members) Receive(address string, p Message) {
+	m.AddAddresses(address)
+	m.AddAddresses(p.Known...)
 	now := time.Now()
 	m.mu.Lock()
 	o := m.all[address]
@@ -227,8 +227,8 @@
 		return
 	}
 	m.expire(now)
-	if !m.roster.Has(address) || o.pulse.Incarnation != p.Incarnation {
-		m.log.Info("daemon heard", "daemon", p.Name, "address", address, "incarnation", p.Incarnation, "config", p.Version, "ready", p.Ready)
+	if !m.roster.Contains(address) || o.pulse.Incarnation != p.Incarnation {
+		m.log.Info("daemon heard", "daemon", p.Name, "address", address, "incarnation", p.Incarnation, "config", p.ConfigVersion, "ready", p.Ready)
 	}
 	if p.Leaving && !o.pulse.Leaving {
 		m.log.Info("daemon leaves", "daemon", p.Name, "address", address)
@@ -247,7 +247,7 @@
 		o.met = now
 	}
 	changes := difference(o.pulse.Work, p.Work)
-	m.roster.Contacted(address, membership.Standing{Name: p.Name, Incarnation: p.Incarnation, Able: p.Able, Leaving: p.Leaving}, now)
+	m.roster.Update(address, membership.PeerStatus{Name: p.Name, Incarnation: p.Incarnation, Eligible: p.Eligible, Leaving: p.Leaving}, now)
 	o.pulse, o.lastContact, o.failed, o.suspected = p, now, false, false
 	m.suspect(p.Suspects, now)
 	// What is handed on at once is not kept: one daemon of 195 keeps as many pulses.
@@ -255,13 +255,13 @@
 	o.pulse.Quarantine = quarantine.Update{}
 	m.mu.Unlock()
 	m.OnWorkChanged(changes)
-	m.OnPulse(p, m.after(p))
+	m.OnMessage(p, m.after(p))
 }
 
 // expire takes those off the roster that have fallen silent, and their work with them.
 // Callers hold mu.
 func (m *Members) expire(now time.Time) {
-	m.roster.Silent(now, m.silence(), func(address string) {
+	m.roster.ExpireSilent(now, m.silence(), func(address string) {
 		o := m.all[address]
 		m.lapsed = append(m.lapsed, difference(o.pulse.Work, nil)...)
 		o.pulse.Work = nil
@@ -269,50 +269,50 @@
 }
 
 // with runs f on the roster of those that were heard lately.
-func (m *Members) with(f func(r *membership.Roster)) {
+func (m *Members) with(f func(r *membership.LivePeers)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire(time.Now())
 	f(m.roster)
 }
 
-// InTouch returns for how long others have been heard; false if none ever was.
-func (m *Members) InTouch() (time.Duration, bool) {
+// SinceFirstContact returns for how long others have been heard; false if none ever was.
+func (m *Members) SinceFirstContact() (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Since(m.firstContact), !m.firstContact.IsZero()
 }
 
-// Len returns how many other daemons were heard lately.
-func (m *Members) Len() (n int) {
-	m.with(func(r *membership.Roster) { n = r.Len() })
+// LiveCount returns how many other daemons were heard lately.
+func (m *Members) LiveCount() (n int) {
+	m.with(func(r *membership.LivePeers) { n = r.Len() })
 	return n
 }
 
 // Rank is this daemon's place among those that do not leave, the able ones first.
 func (m *Members) Rank(able bool) (rank int) {
-	m.with(func(r *membership.Roster) { rank = r.Rank(able) })
+	m.with(func(r *membership.LivePeers) { rank = r.Rank(able) })
 	return rank
 }
 
-// Lives reports whether a run of a daemon was heard lately.
-func (m *Members) Lives(incarnation string) (lives bool) {
-	m.with(func(r *membership.Roster) { lives = r.Lives(incarnation) })
+// IncarnationLive reports whether a run of a daemon was heard lately.
+func (m *Members) IncarnationLive(incarnation string) (lives bool) {
+	m.with(func(r *membership.LivePeers) { lives = r.HasIncarnation(incarnation) })
 	return lives
 }
 
 // Alive returns the newest pulses of the daemons heard lately, by name. It copies all of
 // them: no message and no request may ask for it.
-func (m *Members) Alive() []Pulse {
+func (m *Members) Alive() []Message {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire(time.Now())
-	out := make([]Pulse, 0, m.roster.Len())
+	out := make([]Message, 0, m.roster.Len())
 	for _, o := range m.all {
-		if m.roster.Has(o.address) {
+		if m.roster.Contains(o.address) {
 			out = append(out, o.pulse)
 		}
 	}
-	slices.SortFunc(out, func(a, b Pulse) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b Message) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -15,12 +15,12 @@
 )
 
 func testMembers() *Members {
-	return New("self", "self:1", "self/1", func(bool) Pulse { return Pulse{} }, Links{peer.NewLinks("self", "", nil)}, func() time.Duration { return 0 }, log.New(io.Discard))
+	return New("self", "self:1", "self/1", func(bool) Message { return Message{} }, PeerTransport{peer.NewClient("self", "", nil)}, func() time.Duration { return 0 }, log.New(io.Discard))
 }
 
 func TestDaemonsAreFoundThroughEachOther(t *testing.T) {
 	m := testMembers()
-	m.Take("a:1", Pulse{Incarnation: "a/1", Name: "a", Known: []string{"b:1", "self:1"}})
+	m.Receive("a:1", Message{Incarnation: "a/1", Name: "a", Known: []string{"b:1", "self:1"}})
 	if alive := m.Alive(); len(alive) != 1 || alive[0].Name != "a" {
 		t.Fatalf("alive %v", alive)
 	}
@@ -36,15 +36,15 @@
 // Guards against this failure: callers were sent to a daemon that was leaving.
 func TestLeavingIsNotTakenBack(t *testing.T) {
 	m := testMembers()
-	m.Take("a:1", Pulse{Incarnation: "a/1", Name: "a", FrontAddress: "f:1", Leaving: true})
-	m.Take("a:1", Pulse{Incarnation: "a/1", Name: "a", FrontAddress: "f:1", Ready: true})
+	m.Receive("a:1", Message{Incarnation: "a/1", Name: "a", ClientAddress: "f:1", Leaving: true})
+	m.Receive("a:1", Message{Incarnation: "a/1", Name: "a", ClientAddress: "f:1", Ready: true})
 	offered := func() []string {
-		return membership.Offer(append(m.Fronts(), membership.Front{Address: "self", Ready: true}), membership.Caller{}, 10)
+		return membership.SelectEndpoints(append(m.Endpoints(), membership.Endpoint{Address: "self", Ready: true}), membership.Client{}, 10)
 	}
 	if got := offered(); slices.Contains(got, "f:1") {
 		t.Fatalf("names %v", got)
 	}
-	m.Take("a:1", Pulse{Incarnation: "a/2", Name: "a", FrontAddress: "f:1", Ready: true})
+	m.Receive("a:1", Message{Incarnation: "a/2", Name: "a", ClientAddress: "f:1", Ready: true})
 	if got := offered(); !slices.Contains(got, "f:1") {
 		t.Fatalf("a new run of the daemon is not named: %v", got)
 	}
@@ -53,15 +53,15 @@
 func TestPlacementsAreHeardOnce(t *testing.T) {
 	var p Placements
 	now := time.Unix(50, 0)
-	take := func() []relay.Placed { return []relay.Placed{{Server: 7}} }
-	_, first := p.Current(take, now)
-	_, same := p.Current(take, now.Add(Every/2))
-	_, next := p.Current(take, now.Add(Every))
+	take := func() []relay.Placement { return []relay.Placement{{Server: 7}} }
+	_, first := p.CurrentRound(take, now)
+	_, same := p.CurrentRound(take, now.Add(Interval/2))
+	_, next := p.CurrentRound(take, now.Add(Interval))
 	if first != same || next == first {
 		t.Errorf("rounds %d, %d, %d", first, same, next)
 	}
 	var other Placements
-	if !other.Fresh("a/1", first) || other.Fresh("a/1", same) || !other.Fresh("a/1", next) || !other.Fresh("b/1", first) {
+	if !other.MarkSeen("a/1", first) || other.MarkSeen("a/1", same) || !other.MarkSeen("a/1", next) || !other.MarkSeen("b/1", first) {
 		t.Error("a round is heard once from each daemon")
 	}
 }
@@ -71,23 +71,23 @@
 func TestWorkIsSummedByServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := testMembers()
-		sum := map[relay.ServerKey]relay.Work{}
-		m.OnWorkChanged = func(changes []relay.Work) {
+		sum := map[relay.ServerKey]relay.ServerWork{}
+		m.OnWorkChanged = func(changes []relay.ServerWork) {
 			for _, c := range changes {
 				w := sum[c.Server]
-				sum[c.Server] = relay.Work{Running: w.Running + c.Running, Pending: w.Pending + c.Pending}
+				sum[c.Server] = relay.ServerWork{InFlight: w.InFlight + c.InFlight, PendingPrefill: w.PendingPrefill + c.PendingPrefill}
 			}
 		}
-		m.Take("a:1", Pulse{Incarnation: "a/1", Name: "a", Work: []relay.Work{{Server: 1, Running: 9, Pending: 9}, {Server: 3, Running: 1}}})
-		m.Take("a:1", Pulse{Incarnation: "a/1", Name: "a", Work: []relay.Work{{Server: 1, Running: 2, Pending: 5}}})
+		m.Receive("a:1", Message{Incarnation: "a/1", Name: "a", Work: []relay.ServerWork{{Server: 1, InFlight: 9, PendingPrefill: 9}, {Server: 3, InFlight: 1}}})
+		m.Receive("a:1", Message{Incarnation: "a/1", Name: "a", Work: []relay.ServerWork{{Server: 1, InFlight: 2, PendingPrefill: 5}}})
 		time.Sleep(silentAfter / 2)
-		m.Take("b:1", Pulse{Incarnation: "b/1", Name: "b", Work: []relay.Work{{Server: 1, Running: 1, Pending: 7}, {Server: 2, Running: 4}}})
-		if sum[1].Running != 3 || sum[1].Pending != 12 || sum[2].Running != 4 || sum[3].Running != 0 {
+		m.Receive("b:1", Message{Incarnation: "b/1", Name: "b", Work: []relay.ServerWork{{Server: 1, InFlight: 1, PendingPrefill: 7}, {Server: 2, InFlight: 4}}})
+		if sum[1].InFlight != 3 || sum[1].PendingPrefill != 12 || sum[2].InFlight != 4 || sum[3].InFlight != 0 {
 			t.Errorf("got %v", sum)
 		}
 		time.Sleep(silentAfter/2 + time.Millisecond)
 		m.forget()
-		if sum[1].Running != 1 || sum[1].Pending != 7 || sum[2].Running != 4 {
+		if sum[1].InFlight != 1 || sum[1].PendingPrefill != 7 || sum[2].InFlight != 4 {
 			t.Errorf("after a daemon fell silent: %v", sum)
 		}
 	})
@@ -96,10 +96,10 @@
 // Guards against this failure: a key that had been taken away opened a second too long.
 func TestAgeCountsFromTheEchoedStamp(t *testing.T) {
 	m := testMembers()
-	if got := m.after(Pulse{}); got != 0 {
+	if got := m.after(Message{}); got != 0 {
 		t.Errorf("a pulse without an echo is as old as %s", got)
 	}
-	other := New("a", "a:1", "a/1", func(bool) Pulse { return Pulse{} }, Links{peer.NewLinks("a", "", nil)}, func() time.Duration { return time.Hour }, log.New(io.Discard))
+	other := New("a", "a:1", "a/1", func(bool) Message { return Message{} }, PeerTransport{peer.NewClient("a", "", nil)}, func() time.Duration { return time.Hour }, log.New(io.Discard))
 	p := other.stampedPulseFor("self:1", "self/1", 5000, false)
 	if got := m.after(p); got != 5*time.Second {
 		t.Errorf("made after %s, want 5s", got)
--- a/internal/gossip/placements.go
+++ b/internal/gossip/placements.go
@@ -13,24 +13,24 @@
 	mu    sync.Mutex
 	round uint64
 	since time.Time
-	now   []relay.Placed
+	now   []relay.Placement
 	heard map[string]uint64
 }
 
-// Current returns the round that pulses carry now. A round is carried for as
+// CurrentRound returns the round that pulses carry now. A round is carried for as
 // long as one turn of pulses takes.
-func (p *Placements) Current(take func() []relay.Placed, now time.Time) ([]relay.Placed, uint64) {
+func (p *Placements) CurrentRound(take func() []relay.Placement, now time.Time) ([]relay.Placement, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.since) >= Every {
+	if now.Sub(p.since) >= Interval {
 		p.round++
 		p.since, p.now = now, take()
 	}
 	return p.now, p.round
 }
 
-// Fresh reports whether a round of another incarnation was not heard before.
-func (p *Placements) Fresh(incarnation string, round uint64) bool {
+// MarkSeen reports whether a round of another incarnation was not heard before.
+func (p *Placements) MarkSeen(incarnation string, round uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.heard == nil {
--- a/internal/gossip/rounds.go
+++ b/internal/gossip/rounds.go
@@ -12,17 +12,17 @@
 // Run calls the others until the context ends.
 func (m *Members) Run(ctx context.Context) {
 	m.round(ctx)
-	loop.Every(ctx, Every, func(ctx context.Context, _ time.Time) { m.round(ctx) })
+	loop.Every(ctx, Interval, func(ctx context.Context, _ time.Time) { m.round(ctx) })
 }
 
-// Tell calls some of the others at once, as when this daemon begins to leave or has
+// Broadcast calls some of the others at once, as when this daemon begins to leave or has
 // read something new. They tell on in turn, so that all hear within some calls.
-func (m *Members) Tell(ctx context.Context) {
+func (m *Members) Broadcast(ctx context.Context) {
 	m.mu.Lock()
 	m.expire(time.Now())
 	var list []*member
 	for a, o := range m.all {
-		if len(list) < fanOut && !o.calling && m.roster.Has(a) {
+		if len(list) < fanOut && !o.calling && m.roster.Contains(a) {
 			o.calling = true
 			list = append(list, o)
 		}
@@ -65,7 +65,7 @@
 			delete(m.all, a)
 			continue
 		}
-		quiet := !m.roster.Has(a)
+		quiet := !m.roster.Contains(a)
 		if now.Sub(o.lastContact) < recentContact {
 			continue // a call carries word both ways
 		}
@@ -95,19 +95,19 @@
 	m.mu.Lock()
 	last := o.pulse
 	m.mu.Unlock()
-	p, err := m.peers.Pulse(ctx, o.address, m.stampedPulseFor(o.address, last.Incarnation, last.Stamp, last.Judge))
+	p, err := m.peers.Pulse(ctx, o.address, m.stampedPulseFor(o.address, last.Incarnation, last.Stamp, last.WantsEvidence))
 	m.mu.Lock()
 	o.calling = false
 	o.failed, o.suspected = err != nil && o.lastContact.Before(sentAt), false
 	m.noteFailure(o)
 	m.expire(time.Now())
-	lost := err != nil && !o.lastContact.IsZero() && !m.roster.Has(o.address) && sentAt.Sub(o.lastContact) <= m.silence()
+	lost := err != nil && !o.lastContact.IsZero() && !m.roster.Contains(o.address) && sentAt.Sub(o.lastContact) <= m.silence()
 	m.mu.Unlock()
 	if lost {
 		m.log.Warn("daemon lost", "daemon", o.pulse.Name, "address", o.address, "err", err)
 	}
 	if err == nil {
-		m.Take(o.address, p)
+		m.Receive(o.address, p)
 	}
 }
 
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspect.go
@@ -12,7 +12,7 @@
 // suspect takes addresses that did not answer another daemon. Callers hold mu.
 func (m *Members) suspect(addresses []string, now time.Time) {
 	for _, a := range addresses {
-		if o := m.all[a]; o != nil && m.roster.Has(a) && !o.failed && now.Sub(o.lastContact) >= Every {
+		if o := m.all[a]; o != nil && m.roster.Contains(a) && !o.failed && now.Sub(o.lastContact) >= Interval {
 			o.suspected = true
 		}
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -34,21 +34,21 @@
 	Seen time.Time
 }
 
-// Fold folds the lease stream.
-type Fold struct {
+// State folds the lease stream.
+type State struct {
 	next   uint64
 	leases map[string]Lease
 }
 
-// NewFold returns an empty fold.
-func NewFold() *Fold { return &Fold{leases: map[string]Lease{}} }
+// NewState returns an empty fold.
+func NewState() *State { return &State{leases: map[string]Lease{}} }
 
-// Next returns the offset of the next record to fold.
-func (f *Fold) Next() uint64 { return f.next }
+// NextOffset returns the offset of the next record to fold.
+func (f *State) NextOffset() uint64 { return f.next }
 
 // Apply folds a record that was read at a time. A record whose predecessor aged
 // out of the log is accepted when nothing is known of the lease.
-func (f *Fold) Apply(offset uint64, r Record, now time.Time) {
+func (f *State) Apply(offset uint64, r Record, now time.Time) {
 	if offset < f.next {
 		return
 	}
@@ -61,11 +61,11 @@
 }
 
 // Current returns the lease of a name.
-func (f *Fold) Current(name string) Lease { return f.leases[name] }
+func (f *State) Current(name string) Lease { return f.leases[name] }
 
 // Claim returns the record to append now, if there is one: a renewal by the
 // holder, or a takeover of a lease that was not renewed for Term and Margin.
-func (f *Fold) Claim(name, owner string, now time.Time) (Record, bool) {
+func (f *State) Claim(name, owner string, now time.Time) (Record, bool) {
 	cur := f.leases[name]
 	age := now.Sub(cur.Seen)
 	r := Record{Name: name, Owner: owner, Supersedes: cur.Fence}
@@ -82,7 +82,7 @@
 // less than Term has passed since the record was asked for. A holder that was
 // paused finds its time over here, instead of acting on a lease that others
 // already hold.
-func (f *Fold) MayAct(name, owner string, askedAt, now time.Time) (fence uint64, ok bool) {
+func (f *State) MayAct(name, owner string, askedAt, now time.Time) (fence uint64, ok bool) {
 	cur := f.leases[name]
 	return cur.Fence, cur.Owner == owner && now.Sub(askedAt) < Term
 }
@@ -93,10 +93,10 @@
 	Version string `json:"version"`
 }
 
-// Orders returns the orders that turn what a server holds into what it should
+// Reconcile returns the orders that turn what a server holds into what it should
 // hold. They are declarative: repeated or late ones do no harm, and a holder
 // that acted after its time is corrected by the next round of the rightful one.
-func Orders(wanted, held []string) []Order {
+func Reconcile(wanted, held []string) []Order {
 	var out []Order
 	has := map[string]bool{}
 	for _, h := range held {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -15,7 +15,7 @@
 // its fencing number is lower, and a server that ignores it is corrected by b's
 // next round.
 func TestPausedHolder(t *testing.T) {
-	f := NewFold()
+	f := NewState()
 	claim, ok := f.Claim("p", "a", at)
 	if !ok {
 		t.Fatal("a free lease cannot be claimed")
@@ -42,7 +42,7 @@
 		t.Fatalf("new holder: fence %d after %d, %v", newer, fence, ok)
 	}
 	// A server that ignores fencing took a's late order to load the old version.
-	if got := Orders([]string{"m@v2"}, []string{"m@v1", "m@v2"}); !reflect.DeepEqual(got, []Order{{"unload", "m@v1"}}) {
+	if got := Reconcile([]string{"m@v2"}, []string{"m@v1", "m@v2"}); !reflect.DeepEqual(got, []Order{{"unload", "m@v1"}}) {
 		t.Fatalf("correction %v", got)
 	}
 }
@@ -51,7 +51,7 @@
 // Sequence: both claim against the same predecessor.
 // Cause: the log's order decides; the second claim supersedes nothing in force.
 func TestRacingClaims(t *testing.T) {
-	f := NewFold()
+	f := NewState()
 	f.Apply(0, Record{Name: "p", Owner: "a"}, at)
 	f.Apply(1, Record{Name: "p", Owner: "b", Supersedes: 1}, at)
 	f.Apply(2, Record{Name: "p", Owner: "c", Supersedes: 1}, at)
--- a/internal/membership/beat.go
+++ b/internal/membership/beat.go
@@ -26,8 +26,8 @@
 func (s State) String() string { return [...]string{"alive", "suspect", "gone"}[min(s, Gone)] }
 
 const (
-	// HeartbeatEvery is the period of rounds.
-	HeartbeatEvery = time.Second
+	// ProbeInterval is the period of rounds.
+	ProbeInterval = time.Second
 	// Fanout is how many daemons one round probes. Both sides learn from a
 	// probe, so news reaches n daemons in about log(n)/log(1+2*Fanout) rounds:
 	// four rounds for 520.
@@ -37,8 +37,8 @@
 	// rumorFactor times log2 of the fleet's size is how often one daemon passes
 	// a rumor on. What still misses a rumor hears it from a Sync.
 	rumorFactor = 1
-	// SyncEvery is the period of fetching another daemon's whole table.
-	SyncEvery = 5 * time.Minute
+	// SyncInterval is the period of fetching another daemon's whole table.
+	SyncInterval = 5 * time.Minute
 	// RefuteTime is how long a suspect daemon has to refute. It covers the
 	// spread of the suspicion and of the refutation in the largest fleet.
 	RefuteTime = 6 * time.Second
@@ -53,8 +53,8 @@
 	contactFresh = 6 * time.Second
 )
 
-// Beat is what a daemon says of itself.
-type Beat struct {
+// DaemonInfo is what a daemon says of itself.
+type DaemonInfo struct {
 	ID            string `cbor:"1,keyasint" json:"id"`
 	Address       string `cbor:"2,keyasint" json:"address"`
 	PeerAddress   string `cbor:"3,keyasint" json:"peer_address"`
@@ -65,9 +65,9 @@
 	// Sequence rises when the daemon refutes a suspicion, starts to serve, stops
 	// serving or starts to leave.
 	Sequence uint64 `cbor:"7,keyasint" json:"sequence"`
-	// Number is the configuration number in force there.
-	Number  uint64 `cbor:"8,keyasint,omitempty" json:"number"`
-	Leaving bool   `cbor:"9,keyasint,omitempty" json:"leaving"`
+	// ConfigNumber is the configuration number in force there.
+	ConfigNumber uint64 `cbor:"8,keyasint,omitempty" json:"number"`
+	Leaving      bool   `cbor:"9,keyasint,omitempty" json:"leaving"`
 	// Serving says that the daemon dispatches requests. One that just started has
 	// no configuration yet; naming it to callers would earn them refusals.
 	Serving bool `cbor:"12,keyasint,omitempty" json:"serving"`
@@ -77,11 +77,11 @@
 	LogAgeMillis int64 `cbor:"11,keyasint,omitempty" json:"log_age_ms"`
 }
 
-// NeverHeard is the log age of a daemon that has not heard the log yet.
-const NeverHeard = -1
+// LogAgeUnknown is the log age of a daemon that has not heard the log yet.
+const LogAgeUnknown = -1
 
 // newer reports whether b says something later than o.
-func (b Beat) newer(o Beat) bool {
+func (b DaemonInfo) newer(o DaemonInfo) bool {
 	if b.Incarnation != o.Incarnation {
 		return b.Incarnation > o.Incarnation
 	}
@@ -90,6 +90,6 @@
 
 // Rumor is a change that daemons pass on.
 type Rumor struct {
-	Beat  Beat  `cbor:"1,keyasint"`
-	State State `cbor:"2,keyasint"`
+	Info  DaemonInfo `cbor:"1,keyasint"`
+	State State      `cbor:"2,keyasint"`
 }
--- a/internal/membership/freshness.go
+++ b/internal/membership/freshness.go
@@ -9,27 +9,27 @@
 	// daemons keeps serving. It lies under the 16 s in which a configuration
 	// must be in force everywhere.
 	IsolatedLimit = 15 * time.Second
-	// ServersFresh is the age up to which the word on leaving servers may be
+	// ServersMaxAge is the age up to which the word on leaving servers may be
 	// relied on; the platform's list is read every second.
-	ServersFresh = 2500 * time.Millisecond
+	ServersMaxAge = 2500 * time.Millisecond
 )
 
-// Sight is what a daemon knows about how current its configuration is.
-type Sight struct {
-	// LogHeard is when the log last answered a read.
-	LogHeard time.Time
-	// PeersHeard is when the daemon last was in the larger part of the fleet.
-	PeersHeard time.Time
-	// NeedsLog makes the daemon refuse without the log even among its peers.
-	NeedsLog bool
-	// ServersHeard is when the list of VMs was last read, heard of, or found to
+// Readiness is what a daemon knows about how current its configuration is.
+type Readiness struct {
+	// LogReadAt is when the log last answered a read.
+	LogReadAt time.Time
+	// MajorityAt is when the daemon last was in the larger part of the fleet.
+	MajorityAt time.Time
+	// RequireLog makes the daemon refuse without the log even among its peers.
+	RequireLog bool
+	// ServersUpdatedAt is when the list of VMs was last read, heard of, or found to
 	// be down. Zero is a daemon that knows nothing of leaving servers yet.
-	ServersHeard time.Time
-	// Loaded says that a configuration was obtained at all.
-	Loaded bool
+	ServersUpdatedAt time.Time
+	// ConfigLoaded says that a configuration was obtained at all.
+	ConfigLoaded bool
 }
 
-// Serve decides whether a daemon may dispatch at a time.
+// CanServe decides whether a daemon may dispatch at a time.
 //
 // A log that is down for everyone cannot have changed, so daemons that hear most
 // of the fleet go on. One that hears neither may be the one that missed a
@@ -40,12 +40,12 @@
 //
 // A daemon that just started, or was paused, must first hear which servers leave:
 // it would send them work that they are about to cut.
-func (s Sight) Serve(now time.Time) bool {
-	if !s.Loaded || now.Sub(s.ServersHeard) > ServersFresh {
+func (s Readiness) CanServe(now time.Time) bool {
+	if !s.ConfigLoaded || now.Sub(s.ServersUpdatedAt) > ServersMaxAge {
 		return false
 	}
-	if s.NeedsLog {
-		return now.Sub(s.LogHeard) <= IsolatedLimit
+	if s.RequireLog {
+		return now.Sub(s.LogReadAt) <= IsolatedLimit
 	}
-	return now.Sub(s.LogHeard) <= LogFresh || now.Sub(s.PeersHeard) <= IsolatedLimit
+	return now.Sub(s.LogReadAt) <= LogFresh || now.Sub(s.MajorityAt) <= IsolatedLimit
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -11,7 +11,7 @@
 
 // Member is a row of the table.
 type Member struct {
-	Beat
+	DaemonInfo
 	State State `json:"state"`
 	// Since is when the state was taken.
 	Since time.Time `json:"since"`
@@ -39,40 +39,40 @@
 
 // NewTable returns a table that knows only its own daemon. The source orders the
 // probes, so that daemons do not all probe the same ones.
-func NewTable(self Beat, rng *rand.Rand) *Table {
+func NewTable(self DaemonInfo, rng *rand.Rand) *Table {
 	t := &Table{self: self.ID, rows: map[string]*Member{}, rumors: map[string]*rumor{}, rng: rng}
-	t.rows[self.ID] = &Member{Beat: self}
+	t.rows[self.ID] = &Member{DaemonInfo: self}
 	t.spread(self.ID, Alive)
 	return t
 }
 
 // Self returns the own row.
-func (t *Table) Self() Beat { return t.rows[t.self].Beat }
+func (t *Table) Self() DaemonInfo { return t.rows[t.self].DaemonInfo }
 
 // SetSelf refreshes what the own row says. Starting to leave, to serve or to
 // refuse is news.
-func (t *Table) SetSelf(b Beat) {
+func (t *Table) SetSelf(b DaemonInfo) {
 	own := t.rows[t.self]
 	b.Sequence = own.Sequence
 	if b.Leaving != own.Leaving || b.Serving != own.Serving {
 		b.Sequence++
 		t.spread(t.self, Alive)
 	}
-	own.Beat = b
+	own.DaemonInfo = b
 }
 
 // spread makes the state of a daemon a rumor to pass on.
 func (t *Table) spread(id string, s State) { t.rumors[id] = &rumor{state: s} }
 
-// Answered takes what a daemon said of itself, in a probe or its answer. A
+// MarkAlive takes what a daemon said of itself, in a probe or its answer. A
 // daemon that speaks is alive here, whatever others say; whether it is for them
 // is for it to refute.
-func (t *Table) Answered(b Beat, now time.Time) {
+func (t *Table) MarkAlive(b DaemonInfo, now time.Time) {
 	old, known := t.admit(b)
 	if !known {
 		return
 	}
-	if old == nil || b.newer(old.Beat) {
+	if old == nil || b.newer(old.DaemonInfo) {
 		t.set(b, Alive, now)
 		t.spread(b.ID, Alive)
 		return
@@ -80,7 +80,7 @@
 	if old.newer(b) {
 		return
 	}
-	old.Beat = b
+	old.DaemonInfo = b
 	if old.State != Alive {
 		old.State, old.Since = Alive, now
 	}
@@ -88,57 +88,57 @@
 
 // admit finds the row of a foreign daemon. It refuses beats without identity,
 // of the own id, and of daemons that were replaced at their address.
-func (t *Table) admit(b Beat) (*Member, bool) {
+func (t *Table) admit(b DaemonInfo) (*Member, bool) {
 	if b.ID == t.self || b.ID == "" || !t.takesAddress(b) {
 		return nil, false
 	}
 	return t.rows[b.ID], true
 }
 
-func (t *Table) set(b Beat, s State, now time.Time) {
-	t.rows[b.ID] = &Member{Beat: b, State: s, Since: now}
+func (t *Table) set(b DaemonInfo, s State, now time.Time) {
+	t.rows[b.ID] = &Member{DaemonInfo: b, State: s, Since: now}
 }
 
-// Take applies a rumor and passes it on if it was news. A rumor of lower
+// ApplyRumor applies a rumor and passes it on if it was news. A rumor of lower
 // incarnation or sequence is dropped: one that wandered long through others
 // must not bring a replaced daemon back to life.
-func (t *Table) Take(r Rumor, now time.Time) {
-	if r.Beat.ID == t.self {
+func (t *Table) ApplyRumor(r Rumor, now time.Time) {
+	if r.Info.ID == t.self {
 		t.refute(r)
 		return
 	}
-	old, known := t.admit(r.Beat)
+	old, known := t.admit(r.Info)
 	if !known {
 		return
 	}
 	switch {
 	case old == nil && r.State == Gone:
 		return
-	case old == nil || r.Beat.newer(old.Beat):
-	case old.newer(r.Beat) || r.State <= old.State:
+	case old == nil || r.Info.newer(old.DaemonInfo):
+	case old.newer(r.Info) || r.State <= old.State:
 		return
 	}
-	t.set(r.Beat, r.State, now)
-	t.spread(r.Beat.ID, r.State)
+	t.set(r.Info, r.State, now)
+	t.spread(r.Info.ID, r.State)
 }
 
-// Adopt takes another daemon's whole table. Its rows are no rumors: whoever has
+// Merge takes another daemon's whole table. Its rows are no rumors: whoever has
 // this daemon's news has them too.
-func (t *Table) Adopt(rows []Rumor, now time.Time) {
+func (t *Table) Merge(rows []Rumor, now time.Time) {
 	for _, r := range rows {
-		old, known := t.admit(r.Beat)
-		if !known || r.State == Gone || old != nil && !r.Beat.newer(old.Beat) {
+		old, known := t.admit(r.Info)
+		if !known || r.State == Gone || old != nil && !r.Info.newer(old.DaemonInfo) {
 			continue
 		}
-		t.set(r.Beat, r.State, now)
+		t.set(r.Info, r.State, now)
 	}
 }
 
-// Sync returns the whole table for another daemon to adopt.
-func (t *Table) Sync() []Rumor {
+// Snapshot returns the whole table for another daemon to adopt.
+func (t *Table) Snapshot() []Rumor {
 	var out []Rumor
 	for _, m := range t.Members() {
-		out = append(out, Rumor{m.Beat, m.State})
+		out = append(out, Rumor{m.DaemonInfo, m.State})
 	}
 	return out
 }
@@ -146,17 +146,17 @@
 // refute answers a rumor that this daemon is not alive with a higher sequence.
 func (t *Table) refute(r Rumor) {
 	own := t.rows[t.self]
-	if r.State == Alive || r.Beat.Incarnation != own.Incarnation || r.Beat.Sequence < own.Sequence {
+	if r.State == Alive || r.Info.Incarnation != own.Incarnation || r.Info.Sequence < own.Sequence {
 		return
 	}
-	own.Sequence = r.Beat.Sequence + 1
+	own.Sequence = r.Info.Sequence + 1
 	t.spread(t.self, Alive)
 }
 
 // takesAddress settles which daemon owns a peer address. A VM replaced at the
 // same address shows up under a new id; keeping both rows would send the old
 // one's share of work to a daemon that knows nothing of it.
-func (t *Table) takesAddress(b Beat) bool {
+func (t *Table) takesAddress(b DaemonInfo) bool {
 	if old := t.rows[b.ID]; old != nil && old.PeerAddress == b.PeerAddress {
 		return true
 	}
@@ -177,9 +177,9 @@
 	delete(t.rumors, id)
 }
 
-// Probed records the outcome of a probe. A daemon that did not answer becomes
+// RecordProbe records the outcome of a probe. A daemon that did not answer becomes
 // suspect, which is news.
-func (t *Table) Probed(id string, ok bool, now time.Time) {
+func (t *Table) RecordProbe(id string, ok bool, now time.Time) {
 	t.contacts = append(t.contacts, contact{now, ok})
 	if over := len(t.contacts) - contactsKept; over > 0 {
 		t.contacts = t.contacts[over:]
@@ -220,8 +220,8 @@
 	return out
 }
 
-// Len returns the number of daemons believed alive, the own one included.
-func (t *Table) Len() int {
+// AliveCount returns the number of daemons believed alive, the own one included.
+func (t *Table) AliveCount() int {
 	n := 0
 	for _, m := range t.rows {
 		if m.State == Alive {
@@ -240,10 +240,10 @@
 	return *m, true
 }
 
-// Targets returns the daemons to probe in the next round. Each cycle goes
+// ProbeTargets returns the daemons to probe in the next round. Each cycle goes
 // through all rows in a new random order, gone ones included, so that every
 // daemon is probed in bounded time and a healed partition is noticed.
-func (t *Table) Targets() []Member {
+func (t *Table) ProbeTargets() []Member {
 	var out []Member
 	for len(out) < Fanout {
 		if len(t.order) == 0 {
@@ -270,9 +270,9 @@
 	t.rng.Shuffle(len(t.order), func(i, j int) { t.order[i], t.order[j] = t.order[j], t.order[i] })
 }
 
-// Rumors returns the rumors for the next message, the least told first. A rumor
+// NextRumors returns the rumors for the next message, the least told first. A rumor
 // is told often enough to reach everybody with near certainty, then dropped.
-func (t *Table) Rumors() []Rumor {
+func (t *Table) NextRumors() []Rumor {
 	ids := make([]string, 0, len(t.rumors))
 	for id := range t.rumors {
 		ids = append(ids, id)
@@ -284,7 +284,7 @@
 	var out []Rumor
 	for _, id := range ids[:min(RumorRows, len(ids))] {
 		r := t.rumors[id]
-		out = append(out, Rumor{t.rows[id].Beat, r.state})
+		out = append(out, Rumor{t.rows[id].DaemonInfo, r.state})
 		if r.sent++; r.sent >= limit {
 			delete(t.rumors, id)
 		}
@@ -292,10 +292,10 @@
 	return out
 }
 
-// HearsMost reports whether the daemon is in the larger part of the fleet: at
+// InMajority reports whether the daemon is in the larger part of the fleet: at
 // least half of its newest probes were answered, and at least half of the
 // daemons it knows are alive. A lone daemon hears nobody and relies on the log.
-func (t *Table) HearsMost(now time.Time) bool {
+func (t *Table) InMajority(now time.Time) bool {
 	answered, asked := 0, 0
 	for _, c := range t.contacts {
 		if now.Sub(c.at) > contactFresh {
@@ -307,5 +307,5 @@
 		}
 	}
 	others := len(t.rows) - 1
-	return answered > 0 && 2*answered >= asked && 2*(t.Len()-1) >= others
+	return answered > 0 && 2*answered >= asked && 2*(t.AliveCount()-1) >= others
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -18,8 +18,8 @@
 	now    time.Time
 }
 
-func beatOf(i, incarnation int) Beat {
-	return Beat{ID: fmt.Sprintf("d%03d", i), Address: fmt.Sprintf("10.0.0.%d:80", i), PeerAddress: fmt.Sprintf("10.0.0.%d:81", i),
+func beatOf(i, incarnation int) DaemonInfo {
+	return DaemonInfo{ID: fmt.Sprintf("d%03d", i), Address: fmt.Sprintf("10.0.0.%d:80", i), PeerAddress: fmt.Sprintf("10.0.0.%d:81", i),
 		FailureDomain: fmt.Sprint("fd", i%5), Incarnation: uint64(incarnation), Serving: true}
 }
 
@@ -27,46 +27,46 @@
 	f := &fleet{cut: func(int, int) bool { return false }, down: map[int]bool{}, now: start}
 	for i := range n {
 		f.tables = append(f.tables, NewTable(beatOf(i, 1), rand.New(rand.NewPCG(uint64(i), 1))))
-		f.tables[i].Adopt([]Rumor{{Beat: beatOf(0, 1)}}, f.now)
+		f.tables[i].Merge([]Rumor{{Info: beatOf(0, 1)}}, f.now)
 		if i > 0 {
-			f.tables[i].Adopt(f.tables[0].Sync(), f.now)
-			f.tables[0].Answered(beatOf(i, 1), f.now)
+			f.tables[i].Merge(f.tables[0].Snapshot(), f.now)
+			f.tables[0].MarkAlive(beatOf(i, 1), f.now)
 		}
 	}
 	for i := range n {
-		f.tables[i].Adopt(f.tables[0].Sync(), f.now)
+		f.tables[i].Merge(f.tables[0].Snapshot(), f.now)
 	}
 	return f
 }
 
 // round lets every daemon probe once, as the daemon's loop does.
 func (f *fleet) round() {
-	f.now = f.now.Add(HeartbeatEvery)
+	f.now = f.now.Add(ProbeInterval)
 	for i, t := range f.tables {
 		if f.down[i] {
 			continue
 		}
 		t.Tick(f.now)
-		for _, m := range t.Targets() {
+		for _, m := range t.ProbeTargets() {
 			var j int
 			_, _ = fmt.Sscanf(m.ID, "d%d", &j)
 			ok := !f.down[j] && !f.cut(i, j)
 			if ok {
 				f.exchange(t, f.tables[j])
 			}
-			t.Probed(m.ID, ok, f.now)
+			t.RecordProbe(m.ID, ok, f.now)
 		}
 	}
 }
 
 func (f *fleet) exchange(a, b *Table) {
-	b.Answered(a.Self(), f.now)
-	for _, r := range a.Rumors() {
-		b.Take(r, f.now)
+	b.MarkAlive(a.Self(), f.now)
+	for _, r := range a.NextRumors() {
+		b.ApplyRumor(r, f.now)
 	}
-	a.Answered(b.Self(), f.now)
-	for _, r := range b.Rumors() {
-		a.Take(r, f.now)
+	a.MarkAlive(b.Self(), f.now)
+	for _, r := range b.NextRumors() {
+		a.ApplyRumor(r, f.now)
 	}
 }
 
@@ -114,8 +114,8 @@
 // Cause: it must hear of the suspicion and refute it in time, everywhere.
 func TestSuspectRefutes(t *testing.T) {
 	f := newFleet(100)
-	f.tables[0].Probed("d050", false, f.now)
-	for range int(RefuteTime/HeartbeatEvery) + 6 {
+	f.tables[0].RecordProbe("d050", false, f.now)
+	for range int(RefuteTime/ProbeInterval) + 6 {
 		f.round()
 	}
 	if n := f.seen(50, Alive); n != 99 {
@@ -137,7 +137,7 @@
 		f.round()
 	}
 	for i, table := range f.tables {
-		if got := table.HearsMost(f.now); got != (i < 4) {
+		if got := table.InMajority(f.now); got != (i < 4) {
 			t.Errorf("daemon %d hears most: %v", i, got)
 		}
 	}
@@ -146,7 +146,7 @@
 		f.round()
 	}
 	for i := range 6 {
-		if f.seen(i, Alive) != 5 || !f.tables[i].HearsMost(f.now) {
+		if f.seen(i, Alive) != 5 || !f.tables[i].InMajority(f.now) {
 			t.Errorf("daemon %d after healing: alive for %d", i, f.seen(i, Alive))
 		}
 	}
@@ -160,9 +160,9 @@
 	table := NewTable(beatOf(0, 1), rand.New(rand.NewPCG(1, 1)))
 	old, fresh := beatOf(1, 1), beatOf(2, 9)
 	fresh.PeerAddress = old.PeerAddress
-	table.Answered(old, start)
-	table.Answered(fresh, start)
-	table.Take(Rumor{Beat: old}, start)
+	table.MarkAlive(old, start)
+	table.MarkAlive(fresh, start)
+	table.ApplyRumor(Rumor{Info: old}, start)
 	if _, ok := table.Find(old.ID); ok {
 		t.Error("the replaced daemon is back")
 	}
@@ -171,10 +171,10 @@
 	}
 	again := old
 	again.ID, again.PeerAddress, again.Incarnation = "d003", "10.0.0.3:81", 5
-	table.Answered(again, start)
+	table.MarkAlive(again, start)
 	stale := again
 	stale.Incarnation, stale.Leaving = 4, true
-	table.Take(Rumor{Beat: stale, State: Gone}, start)
+	table.ApplyRumor(Rumor{Info: stale, State: Gone}, start)
 	if m, _ := table.Find("d003"); m.State != Alive || m.Leaving {
 		t.Error("a rumor of an earlier incarnation counts")
 	}
@@ -188,10 +188,10 @@
 	table.SetSelf(self)
 	leaving := beatOf(5, 1)
 	leaving.Sequence, leaving.Leaving = 1, true
-	table.Answered(leaving, f.now)
+	table.MarkAlive(leaving, f.now)
 	starting := beatOf(6, 1)
 	starting.Sequence, starting.Serving = 1, false
-	table.Answered(starting, f.now)
+	table.MarkAlive(starting, f.now)
 	got := table.Endpoints(4)
 	domains := map[byte]bool{}
 	for _, a := range got {
@@ -210,21 +210,21 @@
 	ago := func(s int) time.Time { return at.Add(-time.Duration(s) * time.Second) }
 	cases := []struct {
 		name  string
-		sight Sight
+		sight Readiness
 		want  bool
 	}{
-		{"fresh from log and peers", Sight{LogHeard: ago(1), PeersHeard: ago(1), ServersHeard: ago(1), Loaded: true}, true},
-		{"nothing loaded", Sight{LogHeard: ago(1), PeersHeard: ago(1), ServersHeard: ago(1)}, false},
-		{"log down, most peers heard", Sight{LogHeard: ago(3600), PeersHeard: ago(1), ServersHeard: ago(1), Loaded: true}, true},
-		{"the same, log needed", Sight{LogHeard: ago(3600), PeersHeard: ago(1), ServersHeard: ago(1), Loaded: true, NeedsLog: true}, false},
-		{"peers cut, log heard", Sight{LogHeard: ago(1), PeersHeard: ago(3600), ServersHeard: ago(1), Loaded: true}, true},
-		{"alone for 14 s", Sight{LogHeard: ago(14), PeersHeard: ago(14), ServersHeard: ago(1), Loaded: true}, true},
-		{"alone for 16 s", Sight{LogHeard: ago(16), PeersHeard: ago(16), ServersHeard: ago(1), Loaded: true}, false},
-		{"woken after a pause", Sight{LogHeard: ago(5), PeersHeard: ago(5), ServersHeard: ago(5), Loaded: true}, false},
-		{"leaving servers unknown", Sight{LogHeard: ago(1), PeersHeard: ago(1), Loaded: true}, false},
+		{"fresh from log and peers", Readiness{LogReadAt: ago(1), MajorityAt: ago(1), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
+		{"nothing loaded", Readiness{LogReadAt: ago(1), MajorityAt: ago(1), ServersUpdatedAt: ago(1)}, false},
+		{"log down, most peers heard", Readiness{LogReadAt: ago(3600), MajorityAt: ago(1), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
+		{"the same, log needed", Readiness{LogReadAt: ago(3600), MajorityAt: ago(1), ServersUpdatedAt: ago(1), ConfigLoaded: true, RequireLog: true}, false},
+		{"peers cut, log heard", Readiness{LogReadAt: ago(1), MajorityAt: ago(3600), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
+		{"alone for 14 s", Readiness{LogReadAt: ago(14), MajorityAt: ago(14), ServersUpdatedAt: ago(1), ConfigLoaded: true}, true},
+		{"alone for 16 s", Readiness{LogReadAt: ago(16), MajorityAt: ago(16), ServersUpdatedAt: ago(1), ConfigLoaded: true}, false},
+		{"woken after a pause", Readiness{LogReadAt: ago(5), MajorityAt: ago(5), ServersUpdatedAt: ago(5), ConfigLoaded: true}, false},
+		{"leaving servers unknown", Readiness{LogReadAt: ago(1), MajorityAt: ago(1), ConfigLoaded: true}, false},
 	}
 	for _, c := range cases {
-		if got := c.sight.Serve(at); got != c.want {
+		if got := c.sight.CanServe(at); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/internal/membership/offer.go
+++ b/internal/membership/offer.go
@@ -7,22 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Front is a daemon as callers are told of it.
-type Front struct {
+// Endpoint is a daemon as callers are told of it.
+type Endpoint struct {
 	// Address is where callers connect.
 	Address        string
 	FailureDomain  string
 	Ready, Leaving bool
 }
 
-// Caller is who asks where to connect; either field may be empty.
-type Caller struct {
+// Client is who asks where to connect; either field may be empty.
+type Client struct {
 	// Address is the caller's own, without a port.
 	Address       string
 	FailureDomain string
 }
 
-// Offer chooses up to most addresses for a caller, of the ready daemons. If none is ready,
+// SelectEndpoints chooses up to most addresses for a caller, of the ready daemons. If none is ready,
 // all that do not leave are offered, and if all leave, these: an answer without addresses
 // is no answer, and a daemon that is not ready refuses with when to come back.
 //
@@ -34,7 +34,7 @@
 // three times its part.
 //
 // An answer costs a hash of each daemon and a sorted list: 0.06 ms at 195, 0.2 ms at 520.
-func Offer(all []Front, c Caller, most int) []string {
+func SelectEndpoints(all []Endpoint, c Client, most int) []string {
 	list := offered(all)
 	if len(list) > most {
 		rank(list, c)
@@ -48,13 +48,13 @@
 }
 
 // offered returns the best of the daemons that there are.
-func offered(all []Front) []Front {
-	for _, admits := range []func(Front) bool{
-		func(f Front) bool { return f.Ready && !f.Leaving },
-		func(f Front) bool { return !f.Leaving },
-		func(Front) bool { return true },
+func offered(all []Endpoint) []Endpoint {
+	for _, admits := range []func(Endpoint) bool{
+		func(f Endpoint) bool { return f.Ready && !f.Leaving },
+		func(f Endpoint) bool { return !f.Leaving },
+		func(Endpoint) bool { return true },
 	} {
-		list := slices.DeleteFunc(slices.Clone(all), func(f Front) bool { return !admits(f) })
+		list := slices.DeleteFunc(slices.Clone(all), func(f Endpoint) bool { return !admits(f) })
 		if len(list) > 0 {
 			return list
 		}
@@ -63,11 +63,11 @@
 }
 
 // rank sorts daemons for a caller, by rendezvous hashing in each failure domain.
-func rank(list []Front, c Caller) {
+func rank(list []Endpoint, c Client) {
 	type ranked struct {
 		far    bool
 		weight uint64
-		front  Front
+		front  Endpoint
 	}
 	order := make([]ranked, len(list))
 	for i, f := range list {
--- a/internal/membership/offer_test.go
+++ b/internal/membership/offer_test.go
@@ -10,10 +10,10 @@
 const told = 64
 
 // fronts are ready daemons, evenly in failure domains.
-func fronts(n, domains int) []Front {
-	out := make([]Front, n)
+func fronts(n, domains int) []Endpoint {
+	out := make([]Endpoint, n)
 	for i := range out {
-		out[i] = Front{Address: fmt.Sprintf("10.%d.0.%d:80", i%domains, i), FailureDomain: fmt.Sprint("d", i%domains), Ready: true}
+		out[i] = Endpoint{Address: fmt.Sprintf("10.%d.0.%d:80", i%domains, i), FailureDomain: fmt.Sprint("d", i%domains), Ready: true}
 	}
 	return out
 }
@@ -28,8 +28,8 @@
 		all := fronts(n, domains)
 		got := map[string]int{}
 		for i := range callers {
-			c := Caller{Address: fmt.Sprintf("10.200.%d.%d", i/200, i%200), FailureDomain: fmt.Sprint("d", i%domains)}
-			offer := Offer(all, c, told)
+			c := Client{Address: fmt.Sprintf("10.200.%d.%d", i/200, i%200), FailureDomain: fmt.Sprint("d", i%domains)}
+			offer := SelectEndpoints(all, c, told)
 			if len(offer) != min(n, told) {
 				t.Fatalf("%d daemons: %d are offered", n, len(offer))
 			}
@@ -50,16 +50,16 @@
 // have to give it the same, and a daemon that comes or goes must not change the others.
 func TestOfferIsTheSameFromEveryDaemon(t *testing.T) {
 	all := fronts(195, 6)
-	c := Caller{Address: "10.200.0.1", FailureDomain: "d3"}
-	first := Offer(all, c, told)
+	c := Client{Address: "10.200.0.1", FailureDomain: "d3"}
+	first := SelectEndpoints(all, c, told)
 	slices.Reverse(all)
-	second := Offer(all, c, told)
+	second := SelectEndpoints(all, c, told)
 	if !slices.Equal(first, second) {
 		t.Errorf("%v and %v", first, second)
 	}
-	lost := slices.DeleteFunc(all, func(f Front) bool { return f.Address == first[5] })
+	lost := slices.DeleteFunc(all, func(f Endpoint) bool { return f.Address == first[5] })
 	kept := 0
-	for _, a := range Offer(lost, c, told) {
+	for _, a := range SelectEndpoints(lost, c, told) {
 		if slices.Contains(first, a) {
 			kept++
 		}
@@ -71,27 +71,27 @@
 
 func TestOwnFailureDomainIsOfferedFirst(t *testing.T) {
 	all := fronts(195, 6)
-	offer := Offer(all, Caller{Address: "10.200.0.1", FailureDomain: "d2"}, told)
+	offer := SelectEndpoints(all, Client{Address: "10.200.0.1", FailureDomain: "d2"}, told)
 	for _, f := range all {
 		if f.FailureDomain == "d2" && !slices.Contains(offer, f.Address) {
 			t.Errorf("%s is not offered", f.Address)
 		}
 	}
-	if got := Offer(all, Caller{FailureDomain: "elsewhere"}, told); len(got) != told {
+	if got := SelectEndpoints(all, Client{FailureDomain: "elsewhere"}, told); len(got) != told {
 		t.Errorf("%d are offered to a caller from elsewhere", len(got))
 	}
 }
 
 func TestOfferIsNeverEmpty(t *testing.T) {
-	a, b, c := Front{Address: "a", Leaving: true}, Front{Address: "b"}, Front{Address: "c"}
-	if got := Offer([]Front{a, b, c}, Caller{}, told); !slices.Equal(got, []string{"b", "c"}) {
+	a, b, c := Endpoint{Address: "a", Leaving: true}, Endpoint{Address: "b"}, Endpoint{Address: "c"}
+	if got := SelectEndpoints([]Endpoint{a, b, c}, Client{}, told); !slices.Equal(got, []string{"b", "c"}) {
 		t.Errorf("none ready: %v", got)
 	}
-	if got := Offer([]Front{a}, Caller{}, told); !slices.Equal(got, []string{"a"}) {
+	if got := SelectEndpoints([]Endpoint{a}, Client{}, told); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("all leaving: %v", got)
 	}
 	c.Ready = true
-	if got := Offer([]Front{a, b, c}, Caller{}, told); !slices.Equal(got, []string{"c"}) {
+	if got := SelectEndpoints([]Endpoint{a, b, c}, Client{}, told); !slices.Equal(got, []string{"c"}) {
 		t.Errorf("one ready: %v", got)
 	}
 }
@@ -102,7 +102,7 @@
 		all := fronts(n, 5)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				Offer(all, Caller{Address: "10.200.0.1", FailureDomain: "d2"}, told)
+				SelectEndpoints(all, Client{Address: "10.200.0.1", FailureDomain: "d2"}, told)
 			}
 		})
 	}
--- a/internal/membership/roles.go
+++ b/internal/membership/roles.go
@@ -11,21 +11,21 @@
 // usable rows may hold roles and get callers.
 func usable(m Member) bool { return m.State == Alive && m.Serving && !m.Leaving }
 
-// Homes returns the n best usable daemons for a key by rendezvous hashing, best
+// Owners returns the n best usable daemons for a key by rendezvous hashing, best
 // first, own daemon included.
-func (t *Table) Homes(key string, n int) []Member {
+func (t *Table) Owners(key string, n int) []Member {
 	return t.ranked(key, n, usable)
 }
 
-// HomesIn returns the n best usable daemons of one failure domain for a key.
-func (t *Table) HomesIn(domain, key string, n int) []Member {
+// OwnersIn returns the n best usable daemons of one failure domain for a key.
+func (t *Table) OwnersIn(domain, key string, n int) []Member {
 	return t.ranked(key, n, func(m Member) bool { return usable(m) && m.FailureDomain == domain })
 }
 
-// Keepers returns up to n daemons outside the own failure domain that keep copies
+// Replicas returns up to n daemons outside the own failure domain that keep copies
 // for the own one; where there is none, others of the own domain. A keeper need
 // not serve requests.
-func (t *Table) Keepers(n int) []Member {
+func (t *Table) Replicas(n int) []Member {
 	domain := t.Self().FailureDomain
 	stays := func(m Member) bool { return m.State == Alive && !m.Leaving && m.ID != t.self }
 	away := t.ranked(t.self, n, func(m Member) bool { return stays(m) && m.FailureDomain != domain })
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -12,13 +12,13 @@
 )
 
 // standings counts as the definitions say, over a plain list.
-type standings map[string]Standing
+type standings map[string]PeerStatus
 
 func (s standings) rank(own string, able bool) (rank int) {
 	for _, o := range s {
 		before := xxhash.Sum64String(o.Name) < xxhash.Sum64String(own)
-		if o.Able != able {
-			before = o.Able
+		if o.Eligible != able {
+			before = o.Eligible
 		}
 		if before && !o.Leaving {
 			rank++
@@ -28,10 +28,10 @@
 }
 
 func (s standings) lives(incarnation string) bool {
-	return slices.ContainsFunc(s.list(), func(o Standing) bool { return o.Incarnation == incarnation })
+	return slices.ContainsFunc(s.list(), func(o PeerStatus) bool { return o.Incarnation == incarnation })
 }
 
-func (s standings) list() (out []Standing) {
+func (s standings) list() (out []PeerStatus) {
 	for _, o := range s {
 		out = append(out, o)
 	}
@@ -43,7 +43,7 @@
 func TestRosterCountsAsCountingAnewDoes(t *testing.T) {
 	const own, limit = "d050", time.Second
 	rng := rand.New(rand.NewPCG(1, 2))
-	r, want, heard := NewRoster(own), standings{}, map[string]time.Time{}
+	r, want, heard := NewLivePeers(own), standings{}, map[string]time.Time{}
 	now := time.Unix(100, 0)
 	for step := range 4_000 {
 		now = now.Add(time.Duration(rng.IntN(20)) * time.Millisecond)
@@ -52,12 +52,12 @@
 		if rng.IntN(50) == 0 {
 			name = fmt.Sprintf("d%03d", rng.IntN(100)) // another daemon has taken the address
 		}
-		s := Standing{Name: name, Incarnation: fmt.Sprint(name, "/", rng.IntN(2)), Able: rng.IntN(3) > 0, Leaving: rng.IntN(5) == 0}
-		r.Contacted(address, s, now)
+		s := PeerStatus{Name: name, Incarnation: fmt.Sprint(name, "/", rng.IntN(2)), Eligible: rng.IntN(3) > 0, Leaving: rng.IntN(5) == 0}
+		r.Update(address, s, now)
 		want[address], heard[address] = s, now
 		now = now.Add(time.Duration(rng.IntN(3)) * 100 * time.Millisecond)
 		var gone, silent []string
-		r.Silent(now, limit, func(a string) { gone = append(gone, a) })
+		r.ExpireSilent(now, limit, func(a string) { gone = append(gone, a) })
 		for a, at := range heard {
 			if now.Sub(at) > limit {
 				silent = append(silent, a)
@@ -75,8 +75,8 @@
 				t.Fatalf("step %d: rank %d, not %d", step, r.Rank(able), want.rank(own, able))
 			}
 		}
-		if r.Lives(s.Incarnation) != want.lives(s.Incarnation) || r.Has(address) != (want[address] != Standing{}) {
-			t.Fatalf("step %d: lives %t", step, r.Lives(s.Incarnation))
+		if r.HasIncarnation(s.Incarnation) != want.lives(s.Incarnation) || r.Contains(address) != (want[address] != PeerStatus{}) {
+			t.Fatalf("step %d: lives %t", step, r.HasIncarnation(s.Incarnation))
 		}
 	}
 }
@@ -85,22 +85,22 @@
 // two have the same place.
 func TestOneDaemonComesFirst(t *testing.T) {
 	for _, n := range []int{1, 6, 195} {
-		all := make([]Standing, n)
+		all := make([]PeerStatus, n)
 		for i := range all {
-			all[i] = Standing{Name: fmt.Sprintf("d%03d", i), Able: i%3 != 1, Leaving: i%5 == 4}
+			all[i] = PeerStatus{Name: fmt.Sprintf("d%03d", i), Eligible: i%3 != 1, Leaving: i%5 == 4}
 		}
 		first, ranks := 0, map[int]bool{}
 		for _, own := range all {
-			r := NewRoster(own.Name)
+			r := NewLivePeers(own.Name)
 			for _, o := range all {
 				if o != own {
-					r.Contacted(o.Name, o, time.Unix(1, 0))
+					r.Update(o.Name, o, time.Unix(1, 0))
 				}
 			}
 			if own.Leaving {
 				continue
 			}
-			rank := r.Rank(own.Able)
+			rank := r.Rank(own.Eligible)
 			if ranks[rank] {
 				t.Errorf("%d daemons: two have rank %d", n, rank)
 			}
@@ -108,7 +108,7 @@
 			if rank == 0 {
 				first++
 			}
-			if rank == 0 && !own.Able && n > 1 {
+			if rank == 0 && !own.Eligible && n > 1 {
 				t.Errorf("%d daemons: one that is not able is first", n)
 			}
 		}
@@ -122,18 +122,18 @@
 func BenchmarkRoster(b *testing.B) {
 	for _, n := range []int{6, 60, 195, 520, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r, now := NewRoster("d050"), time.Unix(100, 0)
-			all := make([]Standing, n)
+			r, now := NewLivePeers("d050"), time.Unix(100, 0)
+			all := make([]PeerStatus, n)
 			for i := range all {
 				name := fmt.Sprintf("d%03d", i)
-				all[i] = Standing{Name: name, Incarnation: name + "/1", Able: true}
+				all[i] = PeerStatus{Name: name, Incarnation: name + "/1", Eligible: true}
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				s := all[i%n]
 				now = now.Add(time.Millisecond)
-				r.Contacted(s.Name, s, now)
-				r.Silent(now, time.Hour, func(string) {})
+				r.Update(s.Name, s, now)
+				r.ExpireSilent(now, time.Hour, func(string) {})
 				_, _ = r.Len(), r.Rank(true)
 			}
 		})
--- a/internal/node/broadcast.go
+++ b/internal/node/broadcast.go
@@ -11,5 +11,5 @@
 
 // broadcastHolds broadcasts what was learned of requests that end servers, until the context ends.
 func (n *Node) broadcastHolds(ctx context.Context) {
-	n.Relay.Guard.Broadcast(ctx, minBroadcastInterval, n.members.Tell)
+	n.Relay.Guard.Broadcast(ctx, minBroadcastInterval, n.members.Broadcast)
 }
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -9,17 +9,17 @@
 )
 
 // crowd has a daemon hear others, each with work on six servers, and returns their pulses.
-func crowd(n *Node, others int) []gossip.Pulse {
-	out := make([]gossip.Pulse, others)
+func crowd(n *Node, others int) []gossip.Message {
+	out := make([]gossip.Message, others)
 	for i := range out {
 		name := fmt.Sprintf("d%03d", i+1)
-		work := make([]relay.Work, 6)
+		work := make([]relay.ServerWork, 6)
 		for j := range work {
-			work[j] = relay.Work{Server: relay.KeyOf(fmt.Sprint("e", (i+7*j)%63)), Running: 1, Pending: 100}
+			work[j] = relay.ServerWork{Server: relay.ServerKeyOf(fmt.Sprint("e", (i+7*j)%63)), InFlight: 1, PendingPrefill: 100}
 		}
-		out[i] = gossip.Pulse{Incarnation: name + "/1", Name: name, Address: "c" + name, Ready: true, Ages: []int64{1, 1, 1, 1}, Work: work}
-		n.members.Learn(out[i].Address)
-		n.members.Take(out[i].Address, out[i])
+		out[i] = gossip.Message{Incarnation: name + "/1", Name: name, Address: "c" + name, Ready: true, Ages: []int64{1, 1, 1, 1}, Work: work}
+		n.members.AddAddresses(out[i].Address)
+		n.members.Receive(out[i].Address, out[i])
 	}
 	return out
 }
@@ -36,7 +36,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				p := pulses[i%len(pulses)]
-				n.members.Take(p.Address, p)
+				n.members.Receive(p.Address, p)
 				_, _ = n.rank(), n.pulse(false)
 			}
 		})
@@ -52,7 +52,7 @@
 		pulses, i := crowd(n, daemons-1), 0
 		return testing.AllocsPerRun(2000, func() {
 			p := pulses[i%len(pulses)]
-			n.members.Take(p.Address, p)
+			n.members.Receive(p.Address, p)
 			_, _ = n.rank(), n.pulse(false)
 			i++
 		})
--- a/internal/node/deadly_test.go
+++ b/internal/node/deadly_test.go
@@ -32,9 +32,9 @@
 
 // serving gives daemons a configuration with one service of streams.
 func serving(n *Node) {
-	t, err := route.New(route.Document{
+	t, err := route.NewTable(route.Document{
 		Version: 1 << 40, Services: []route.Service{{Name: "s", MaxConns: 1 << 20}},
-		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.Stream, Resumable: true, Attempts: 3, Timeout: 8 * time.Second, Backends: []route.Backend{{Service: "s", Weight: 1}}}},
+		Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Stream, Resumable: true, MaxAttempts: 3, Timeout: 8 * time.Second, Backends: []route.Backend{{Service: "s", Weight: 1}}}},
 	})
 	if err != nil {
 		panic(errors.Join(errors.New("the test's configuration"), err))
@@ -277,8 +277,8 @@
 			time.Sleep(6 * time.Second)
 			const held = quarantine.Fingerprint(7)
 			word := quarantine.Update{}
-			for run := range quarantine.RunKey(3) {
-				word.Ends = append(word.Ends, quarantine.End{Run: run, Suspects: []quarantine.Fingerprint{held}})
+			for run := range quarantine.IncarnationKey(3) {
+				word.Crashes = append(word.Crashes, quarantine.Crash{Incarnation: run, Suspects: []quarantine.Fingerprint{held}})
 			}
 			before := f.pulses.Load()
 			f.member(address(daemons / 2)).Relay.Guard.Merge(word)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -27,22 +27,22 @@
 func (n *Node) Drain(ctx context.Context) {
 	began := time.Now()
 	n.leaving.Store(true)
-	n.members.Tell(ctx)
-	last := n.config.Grace - endMargin
+	n.members.Broadcast(ctx)
+	last := n.config.GracePeriod - endMargin
 	for {
 		time.Sleep(drainStep)
 		since := time.Since(began)
 		if since >= shortOnlyAfter {
-			n.Relay.Leave(began.Add(last - answerMargin))
+			n.Relay.Drain(began.Add(last - answerMargin))
 		}
-		quiet := n.Relay.Idle() > quietFor && n.Relay.Active() == 0
+		quiet := n.Relay.IdleTime() > quietFor && n.Relay.ActiveRequests() == 0
 		if since >= last || since >= leaveFor && quiet {
 			break
 		}
 	}
-	n.Relay.Leave(began) // refuses all that still comes
+	n.Relay.Drain(began) // refuses all that still comes
 	time.Sleep(drainStep)
-	if active := n.Relay.Active(); active > 0 {
+	if active := n.Relay.ActiveRequests(); active > 0 {
 		n.log.Warn("cut at the end of the grace period", "requests", active)
 	}
 	n.links.Close()
--- a/internal/node/evacuation_orders_test.go
+++ b/internal/node/evacuation_orders_test.go
@@ -30,8 +30,8 @@
 		p.stored, p.lost = true, false
 	}},
 	{"take back", func(p *evacuationPlay) { p.f.store.Put("op", "evacuate/east", nil); p.stored, p.lost = false, false }},
-	{"silent", func(p *evacuationPlay) { p.f.store.Set(feedtest.Silent) }},
-	{"serving", func(p *evacuationPlay) { p.f.store.Set(feedtest.Serving) }},
+	{"silent", func(p *evacuationPlay) { p.f.store.SetMode(feedtest.Unresponsive) }},
+	{"serving", func(p *evacuationPlay) { p.f.store.SetMode(feedtest.Serving) }},
 	{"restart", func(p *evacuationPlay) { p.f.kill(0); p.f.start(0) }},
 	{"restart all", func(p *evacuationPlay) {
 		for i := range 3 {
@@ -41,7 +41,7 @@
 			p.f.start(i)
 		}
 	}},
-	{"return from a copy", func(p *evacuationPlay) { p.f.store.Return(p.f.copied); p.lost, p.stored = p.lost || p.stored, false }},
+	{"return from a copy", func(p *evacuationPlay) { p.f.store.Restore(p.f.copied); p.lost, p.stored = p.lost || p.stored, false }},
 }
 
 // playEvacuation plays steps and returns what is wrong 3 s after the store
@@ -53,7 +53,7 @@
 		s.do(p)
 		time.Sleep(stepTime)
 	}
-	p.f.store.Set(feedtest.Serving)
+	p.f.store.SetMode(feedtest.Serving)
 	time.Sleep(3 * time.Second)
 	switch n := p.f.count(func(m *member) bool { return m.evacuated("east") }); {
 	case p.stored && n < 3:
@@ -92,7 +92,7 @@
 
 func (d deafToRemovals) Evacuation(r feed.Record) (Evacuation, bool) {
 	e, about := d.words.Evacuation(r)
-	return e, about && !e.Over
+	return e, about && !e.Revoked
 }
 
 // Guards against a search that would find nothing: a planted fault is found.
@@ -100,7 +100,7 @@
 	found := 0
 	eachOrder(evacuationSteps, 2, func(order []evacuationStep) {
 		synctest.Test(t, func(t *testing.T) {
-			if playEvacuation(t, order, func(n *Node) { n.ports.Translator = deafToRemovals{} }) != "" {
+			if playEvacuation(t, order, func(n *Node) { n.ports.Codec = deafToRemovals{} }) != "" {
 				found++
 			}
 		})
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -17,12 +17,12 @@
 	restored := n.returned.take(freshness.Configuration)
 	listed := map[string]bool{}
 	for _, r := range records {
-		e, about := n.ports.Translator.Evacuation(r)
+		e, about := n.ports.Codec.Evacuation(r)
 		if !about {
 			continue
 		}
-		listed[e.FailureDomain] = !e.Over
-		if e.Over {
+		listed[e.FailureDomain] = !e.Revoked
+		if e.Revoked {
 			n.readmit(e.FailureDomain, r.At)
 			continue
 		}
@@ -49,11 +49,11 @@
 // viewPeers keeps up to date with whom this daemon shares the limits of warming servers, until
 // the context ends.
 func (n *Node) viewPeers(ctx context.Context) {
-	loop.Every(ctx, gossip.Every, func(context.Context, time.Time) {
-		v := n.members.View()
+	loop.Every(ctx, gossip.Interval, func(context.Context, time.Time) {
+		v := n.members.SlowStartView()
 		v.Trusted = v.Trusted && n.inTouchFor(placedAfter)
-		n.state.SetView(v)
-		n.ports.Metrics.Evacuated.Update(float64(len(n.state.Evacuations())))
-		n.ports.Metrics.Warming.Update(float64(n.state.Warming()))
+		n.state.SetSlowStartView(v)
+		n.ports.Metrics.DomainsEvacuated.Update(float64(len(n.state.Evacuations())))
+		n.ports.Metrics.ServersWarming.Update(float64(n.state.WarmingServers()))
 	})
 }
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -93,10 +93,10 @@
 		time.Sleep(5 * time.Second)
 		f.order("east", true)
 		time.Sleep(time.Second)
-		f.store.Set(feedtest.Silent)
+		f.store.SetMode(feedtest.Unresponsive)
 		time.Sleep(2 * time.Second)
-		f.store.Return(f.copied)
-		f.store.Set(feedtest.Serving)
+		f.store.Restore(f.copied)
+		f.store.SetMode(feedtest.Serving)
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			if n := f.count(func(m *member) bool { return m.evacuated("east") }); n < 6 {
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -32,7 +32,7 @@
 	// seeds are what each daemon is told of others.
 	seeds []string
 	// copied is the store's content before the first daemon ran.
-	copied *feedtest.Copy
+	copied *feedtest.Snapshot
 	// pulses counts the calls between daemons.
 	pulses atomic.Int64
 	// backend are the backend servers of all daemons; nil has none that answers.
@@ -48,13 +48,13 @@
 	f.mu.Lock()
 	m.deaf = on
 	f.mu.Unlock()
-	m.caller.Hold(on)
+	m.caller.DelayResponses(on)
 }
 
 // member is one daemon of a fleet.
 type member struct {
 	*Node
-	caller *feedtest.Caller
+	caller *feedtest.Client
 	stop   context.CancelFunc
 	// deaf daemons are reached by no other, and reach none.
 	deaf bool
@@ -104,7 +104,7 @@
 	f.store.Put("op", "config", []byte("5"))
 	f.store.Put("servers", "a", []byte("ready"))
 	f.store.Put("servers", "b", []byte("ready"))
-	f.copied = f.store.Copy()
+	f.copied = f.store.TakeSnapshot()
 	t.Cleanup(f.end)
 	return f
 }
@@ -122,19 +122,19 @@
 	f.t.Helper()
 	began := time.Now()
 	ctx, stop := context.WithCancel(f.t.Context())
-	m := &member{caller: f.store.Caller(), stop: stop}
+	m := &member{caller: f.store.NewClient(), stop: stop}
 	c := Config{
-		Name: fmt.Sprintf("d%03d", i), Control: address(i), Front: fmt.Sprintf("f%03d", i), Seeds: f.seeds,
-		InForce: f.bound, Leave: f.bound,
-		Rules: relay.Rules{BudgetWindow: 10 * time.Second, BudgetRatio: 0.9, BudgetReserve: 50},
+		Name: fmt.Sprintf("d%03d", i), ControlAddress: address(i), ClientAddress: fmt.Sprintf("f%03d", i), Seeds: f.seeds,
+		ConfigPropagationLimit: f.bound, ServerDrainLimit: f.bound,
+		RelayOptions: relay.Options{RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50},
 	}
 	var servers relay.Backend = noBackend{}
 	if f.backend != nil {
 		servers = f.backend
 	}
-	m.Node = New(ctx, c, Ports{
-		Log: m.caller, Backend: servers, Translator: words{}, Metrics: relay.NewMetrics(tally.NoopScope), Logger: log.New(io.Discard),
-		Boot: func() time.Duration { return time.Minute + time.Since(began) }, Peers: &path{f, address(i)},
+	m.Node = New(ctx, c, Dependencies{
+		Log: m.caller, Backend: servers, Codec: words{}, Metrics: relay.NewMetrics(tally.NoopScope), Logger: log.New(io.Discard),
+		BootTime: func() time.Duration { return time.Minute + time.Since(began) }, Peers: &path{f, address(i)},
 	})
 	f.mu.Lock()
 	f.nodes[address(i)] = m
@@ -201,23 +201,23 @@
 	return m, ctx.Err()
 }
 
-func (p *path) Pulse(ctx context.Context, address string, pulse gossip.Pulse) (gossip.Pulse, error) {
+func (p *path) Pulse(ctx context.Context, address string, pulse gossip.Message) (gossip.Message, error) {
 	p.fleet.pulses.Add(1)
 	m, err := p.to(ctx, address)
 	if err != nil {
-		return gossip.Pulse{}, err
+		return gossip.Message{}, err
 	}
-	answer := m.members.Answer(pulse)
+	answer := m.members.HandleExchange(pulse)
 	time.Sleep(oneWay)
 	return answer, nil
 }
 
-func (p *path) Records(ctx context.Context, address string, q gossip.AskRecords) (gossip.Records, error) {
+func (p *path) Records(ctx context.Context, address string, q gossip.RecordsRequest) (gossip.RecordsResponse, error) {
 	m, err := p.to(ctx, address)
 	if err != nil {
-		return gossip.Records{}, err
+		return gossip.RecordsResponse{}, err
 	}
-	answer := gossip.AnswerRecords(q, m.recordsSince)
+	answer := gossip.HandleRecords(q, m.recordsSince)
 	time.Sleep(oneWay)
 	return answer, nil
 }
--- a/internal/node/fresh.go
+++ b/internal/node/fresh.go
@@ -36,15 +36,15 @@
 // as long as the word of others takes.
 func upkeep(inForce, leave time.Duration) freshness.Plan {
 	return freshness.Plan{
-		freshness.Configuration: {Bears: inForce, First: 0.4, Step: 150 * time.Millisecond, Most: 0.6},
-		freshness.Servers:       {Bears: leave, First: 0.25, Step: gossip.Every, Most: 0.6},
+		freshness.Configuration: {MaxAge: inForce, FirstFraction: 0.4, RankDelay: 150 * time.Millisecond, LastFraction: 0.6},
+		freshness.Servers:       {MaxAge: leave, FirstFraction: 0.25, RankDelay: gossip.Interval, LastFraction: 0.6},
 	}
 }
 
 // readsStore reports whether this daemon waits on the store: it is one of the
 // readers, or has not heard of a fresh confirmation for too long.
 func (n *Node) readsStore() bool {
-	age, known := n.state.Age(freshness.Configuration)
+	age, known := n.state.ConfirmationAge(freshness.Configuration)
 	if !known {
 		return n.settled() // until then the reading of configurations itself asks
 	}
@@ -57,11 +57,11 @@
 // before the first refusal tells.
 func (n *Node) readsBeside() bool {
 	at := time.Duration(n.stoodIn.Load())
-	if n.reader() || at == 0 || n.ports.Boot()-at >= n.part(ownReadPart) {
+	if n.reader() || at == 0 || n.ports.BootTime()-at >= n.part(ownReadPart) {
 		return n.reader()
 	}
-	by, age := n.state.Confirmed(freshness.Configuration)
-	return by == freshness.Own && age >= peerReportDelay
+	by, age := n.state.LastConfirmation(freshness.Configuration)
+	return by == freshness.FromStore && age >= peerReportDelay
 }
 
 // peerReportDelay is the time within which peers report that they reach the store again, when
@@ -69,12 +69,14 @@
 const peerReportDelay = 600 * time.Millisecond
 
 // part returns a part of the time within which a configuration must be in force.
-func (n *Node) part(p float64) time.Duration { return time.Duration(p * float64(n.config.InForce)) }
+func (n *Node) part(p float64) time.Duration {
+	return time.Duration(p * float64(n.config.ConfigPropagationLimit))
+}
 
 // Ready reports whether callers should be sent here. A daemon that is cut off from
 // the store serves on by the word of others, but those that reach it come first.
 func (n *Node) Ready() bool {
-	return !n.leaving.Load() && n.state.Known() && !n.isOutdated() && n.state.Fresh(freshness.Configuration, readyAge) && n.ownAge() < n.ownEvery()+ownGrace
+	return !n.leaving.Load() && n.state.Ready() && !n.isOutdated() && n.state.ConfirmedWithin(freshness.Configuration, readyAge) && n.ownAge() < n.ownEvery()+ownGrace
 }
 
 // lookAfter keeps what this daemon knows of the store confirmed, until the context ends.
@@ -82,7 +84,7 @@
 	for ctx.Err() == nil {
 		now := time.Now()
 		for _, f := range n.followers {
-			f.Check(now)
+			f.CheckLag(now)
 		}
 		idle := n.look(ctx, now)
 		n.showAges()
@@ -94,8 +96,8 @@
 // showAges shows on the metrics port how old the knowledge of each subject is.
 func (n *Node) showAges() {
 	for about := range freshness.Subjects {
-		if age, known := n.state.Age(about); known {
-			n.ports.Metrics.Age(about).Update(age.Seconds())
+		if age, known := n.state.ConfirmationAge(about); known {
+			n.ports.Metrics.ConfirmationAge(about).Update(age.Seconds())
 		}
 	}
 }
@@ -104,17 +106,17 @@
 // While the reading of a subject itself asks for an answer, that will tell when the store
 // is back.
 func (n *Node) look(ctx context.Context, now time.Time) time.Duration {
-	about, due, any := n.state.NextLook(n.plan, n.rank(), n.ownDue())
+	about, due, any := n.state.NextCheck(n.plan, n.rank(), n.ownDue())
 	f := n.followers[about]
 	switch {
-	case !any || f.Away():
+	case !any || f.Unavailable():
 		return longestIdle
 	case now.Before(n.lookFrom):
 		return n.lookFrom.Sub(now)
 	case due > 0:
 		return due
 	}
-	current, err := f.Look(ctx)
+	current, err := f.ProbeEnd(ctx)
 	switch {
 	case err != nil:
 		n.noteUnanswered()
@@ -133,10 +135,10 @@
 // confirm takes a confirmation that the store itself gave.
 func (n *Node) confirm(about freshness.Subject, sent time.Duration) {
 	n.ownContact.Store(int64(sent))
-	if age, known := n.state.Age(about); about == freshness.Configuration && known && age > n.part(ownReadPart) {
-		n.stoodIn.Store(int64(n.ports.Boot()))
+	if age, known := n.state.ConfirmationAge(about); about == freshness.Configuration && known && age > n.part(ownReadPart) {
+		n.stoodIn.Store(int64(n.ports.BootTime()))
 	}
-	n.take(about, freshness.Confirmation{At: sent, By: freshness.Own})
+	n.take(about, freshness.Confirmation{At: sent, Source: freshness.FromStore})
 	n.unanswered.Store(0)
 	n.cutOff.Store(false)
 }
@@ -144,10 +146,10 @@
 // noteUnanswered records that the store did not answer a call. If it has confirmed something
 // to another daemon since it first did not, this one is cut off from it.
 func (n *Node) noteUnanswered() {
-	now := n.ports.Boot()
+	now := n.ports.BootTime()
 	n.unanswered.CompareAndSwap(0, int64(now))
 	first := time.Duration(n.unanswered.Load())
-	if age, known := n.state.Age(freshness.Configuration); known && now-age > first+peerReportDelay {
+	if age, known := n.state.ConfirmationAge(freshness.Configuration); known && now-age > first+peerReportDelay {
 		n.cutOff.Store(true)
 	}
 }
@@ -158,7 +160,7 @@
 	if about == freshness.Servers {
 		n.noteGap(gap)
 	}
-	if u, looked := n.plan[about]; looked && u.Away(gap) {
+	if u, looked := n.plan[about]; looked && u.IsOutage(gap) {
 		n.renew()
 	}
 }
@@ -170,7 +172,7 @@
 		return
 	}
 	for _, f := range n.followers {
-		f.Renew()
+		f.RestartRead()
 	}
 }
 
@@ -182,15 +184,15 @@
 // gone. A read that did not fail is no sign against it: it may have waited all the while.
 func (n *Node) noteGap(gap time.Duration) {
 	since := time.Duration(n.unanswered.Load())
-	if since == 0 || n.ports.Boot()-since < outageLeast || !n.plan[freshness.Servers].Away(gap) {
+	if since == 0 || n.ports.BootTime()-since < outageLeast || !n.plan[freshness.Servers].IsOutage(gap) {
 		return
 	}
-	n.log.Info("store back", "subject", freshness.Servers, "unconfirmed_ms", gap.Milliseconds(), "unanswered_ms", (n.ports.Boot() - since).Milliseconds())
-	n.state.Healed()
+	n.log.Info("store back", "subject", freshness.Servers, "unconfirmed_ms", gap.Milliseconds(), "unanswered_ms", (n.ports.BootTime() - since).Milliseconds())
+	n.state.StoreRecovered()
 }
 
 // ownAge is how long ago the store itself answered this daemon.
-func (n *Node) ownAge() time.Duration { return n.ports.Boot() - time.Duration(n.ownContact.Load()) }
+func (n *Node) ownAge() time.Duration { return n.ports.BootTime() - time.Duration(n.ownContact.Load()) }
 
 // ownEvery is how often this daemon looks whether it reaches the store. In a large
 // deployment the calls of all would cost more than the few that are cut off.
@@ -199,7 +201,7 @@
 // ownDue is the time until this daemon has to see for itself whether it reaches the store.
 // While nobody does, there is nothing to see.
 func (n *Node) ownDue() time.Duration {
-	if !n.state.Fresh(freshness.Configuration, n.part(ownReadPart)) {
+	if !n.state.ConfirmedWithin(freshness.Configuration, n.part(ownReadPart)) {
 		return n.ownEvery()
 	}
 	return n.ownEvery() - n.ownAge()
@@ -208,11 +210,11 @@
 // confirmedBy takes another daemon's confirmations with their ages, counted from a
 // moment after which the pulse was made: it may have been on its way for any time.
 // One holds only if this daemon knows what the other did.
-func (n *Node) confirmedBy(p gossip.Pulse, after time.Duration) {
+func (n *Node) confirmedBy(p gossip.Message, after time.Duration) {
 	for about := range freshness.Subjects {
 		age, known := p.Age(about)
-		if known && n.followers[about].Next() >= p.Next(int(about)) {
-			n.take(about, freshness.Confirmation{At: after - age, By: p.Name})
+		if known && n.followers[about].Next() >= p.NextPosition(int(about)) {
+			n.take(about, freshness.Confirmation{At: after - age, Source: p.Name})
 		}
 	}
 }
--- a/internal/node/holds.go
+++ b/internal/node/holds.go
@@ -10,10 +10,10 @@
 	"github.com/damaskrudder/damaskrudder/internal/quarantine"
 )
 
-// Held says in the store that a request is kept from servers, for daemons that start: when
+// HoldRecord says in the store that a request is kept from servers, for daemons that start: when
 // all were stopped at once, nobody else knows, and the request would have to end three servers
 // again.
-type Held struct {
+type HoldRecord struct {
 	Fingerprint quarantine.Fingerprint
 	// Until is when the hold ends, by the time of day.
 	Until time.Time
@@ -43,7 +43,7 @@
 	return &storedHolds{until: map[quarantine.Fingerprint]time.Time{}, differs: map[quarantine.Fingerprint]time.Duration{}}
 }
 
-func (s *storedHolds) note(h Held) {
+func (s *storedHolds) note(h HoldRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.differs, h.Fingerprint)
@@ -64,22 +64,22 @@
 
 // differences returns what the store does not say yet of the requests that are held, and what
 // it says of others, with how long that has been so.
-func (s *storedHolds) differences(held []quarantine.Hold, now time.Duration, at time.Time) map[Held]time.Duration {
+func (s *storedHolds) differences(held []quarantine.Hold, now time.Duration, at time.Time) map[HoldRecord]time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out, known := map[Held]time.Duration{}, map[quarantine.Fingerprint]bool{}
+	out, known := map[HoldRecord]time.Duration{}, map[quarantine.Fingerprint]bool{}
 	for _, h := range held {
 		known[h.Fingerprint] = true
 		if s.until[h.Fingerprint].After(at) {
 			delete(s.differs, h.Fingerprint)
 			continue
 		}
-		until := at.Add(time.Duration(h.LeftMs) * time.Millisecond)
-		out[Held{Fingerprint: h.Fingerprint, Until: until}] = s.since(h.Fingerprint, now)
+		until := at.Add(time.Duration(h.RemainingMs) * time.Millisecond)
+		out[HoldRecord{Fingerprint: h.Fingerprint, Until: until}] = s.since(h.Fingerprint, now)
 	}
 	for f, until := range s.until {
 		if !known[f] && until.After(at) {
-			out[Held{Fingerprint: f, Released: true}] = s.since(f, now)
+			out[HoldRecord{Fingerprint: f, Released: true}] = s.since(f, now)
 		}
 	}
 	return out
@@ -94,7 +94,7 @@
 }
 
 // takeHeld takes a record on a held request.
-func (n *Node) takeHeld(h Held) {
+func (n *Node) takeHeld(h HoldRecord) {
 	n.stored.note(h)
 	if h.Released {
 		n.Relay.Guard.Release(h.Fingerprint)
@@ -109,7 +109,7 @@
 // the contacts that notices writes; the others hear of the record before it is their turn.
 func (n *Node) keepHolds(ctx context.Context) {
 	loop.Every(ctx, holdsEvery, func(ctx context.Context, at time.Time) {
-		differ := n.stored.differences(n.Relay.Guard.Holds(), n.ports.Boot(), at)
+		differ := n.stored.differences(n.Relay.Guard.Holds(), n.ports.BootTime(), at)
 		if len(differ) == 0 || !n.contact() || !n.others.Loaded() {
 			return
 		}
@@ -122,10 +122,10 @@
 	})
 }
 
-func (n *Node) writeHeld(ctx context.Context, h Held) {
-	key, value, err := n.ports.Translator.EncodeHeld(h)
+func (n *Node) writeHeld(ctx context.Context, h HoldRecord) {
+	key, value, err := n.ports.Codec.EncodeHeld(h)
 	if err == nil {
-		err = feed.Put(ctx, n.ports.Log, n.topics.Daemons, key, value, nil)
+		err = feed.AppendWithTimeout(ctx, n.ports.Log, n.topics.Daemons, key, value, nil)
 	}
 	if err != nil {
 		n.log.Warn("held request not written", "fingerprint", h.Fingerprint, "released", h.Released, "err", err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,18 +29,18 @@
 	// Name stays the same over restarts.
 	Name          string
 	FailureDomain string
-	// Front is where callers connect, and Control where other daemons do.
-	Front, Control string
+	// ClientAddress is where callers connect, and Control where other daemons do.
+	ClientAddress, ControlAddress string
 	// Seeds are control addresses of other daemons; they may be stale.
 	Seeds []string
-	// Grace is the time from the word to leave to the end of the process.
-	Grace time.Duration
-	// InForce is the time within which a configuration must be in force everywhere.
-	InForce time.Duration
-	// Leave is the time within which a backend server that has said that it leaves, or
+	// GracePeriod is the time from the word to leave to the end of the process.
+	GracePeriod time.Duration
+	// ConfigPropagationLimit is the time within which a configuration must be in force everywhere.
+	ConfigPropagationLimit time.Duration
+	// ServerDrainLimit is the time within which a backend server that has said that it leaves, or
 	// whose entry is gone, must get nothing new.
-	Leave time.Duration
-	Rules relay.Rules
+	ServerDrainLimit time.Duration
+	RelayOptions     relay.Options
 }
 
 // Topics name the log's topics.
@@ -51,9 +51,9 @@
 	Operator, Servers, Status, Daemons string
 }
 
-// Instruction is what one of the operator's records says; both fields are nil for a
+// OperatorRecord is what one of the operator's records says; both fields are nil for a
 // record that is about something else.
-type Instruction struct {
+type OperatorRecord struct {
 	Table *route.Table
 	Order *rollout.Order
 }
@@ -61,52 +61,52 @@
 // Evacuation is the operator's order that the servers of a failure domain get nothing new.
 type Evacuation struct {
 	FailureDomain string
-	// Over says that the order was taken back: its record was removed.
-	Over bool
+	// Revoked says that the order was taken back: its record was removed.
+	Revoked bool
 }
 
-// Status is how far an order had come when it was written.
-type Status struct {
+// RolloutStatus is how far an order had come when it was written.
+type RolloutStatus struct {
 	Service string
-	// Order is the position of the order, and Target the version that it names.
-	Order  uint64
-	Target string
-	Phase  rollout.Phase
-	// Since is the time from the order to the writing.
-	Since time.Duration
+	// OrderOffset is the position of the order, and Target the version that it names.
+	OrderOffset uint64
+	Target      string
+	Phase       rollout.Phase
+	// OrderAge is the time from the order to the writing.
+	OrderAge time.Duration
 }
 
 // Translator knows how the platform writes records.
 type Translator interface {
 	Topics() Topics
-	Operator(r feed.Record) (Instruction, error)
+	Operator(r feed.Record) (OperatorRecord, error)
 	// Evacuation returns false for a record that is about something else.
 	Evacuation(r feed.Record) (Evacuation, bool)
 	// Server returns what a server says of itself, or a *backend.BadEntry.
 	Server(r feed.Record) (backend.Server, error)
 	// Status returns false for a record that is about something else.
-	Status(r feed.Record) (Status, bool, error)
+	Status(r feed.Record) (RolloutStatus, bool, error)
 	// Daemon returns the control address that a daemon's entry holds.
 	Daemon(r feed.Record) (string, error)
 	EncodeStatus(o rollout.Order, p rollout.Phase, since time.Duration) (key string, value []byte, err error)
 	EncodeDaemon(control string) ([]byte, error)
 	// Held returns false for a record that is about something else.
-	Held(r feed.Record) (Held, bool, error)
+	Held(r feed.Record) (HoldRecord, bool, error)
 	// EncodeHeld returns no value for a request that is released: the record is removed.
-	EncodeHeld(h Held) (key string, value []byte, err error)
+	EncodeHeld(h HoldRecord) (key string, value []byte, err error)
 }
 
-// Ports are the daemon's connections to its surroundings.
-type Ports struct {
-	Log        feed.Log
-	Translator Translator
-	Backend    relay.Backend
-	Metrics    *relay.Metrics
-	Logger     *log.Logger
-	// Boot reads a clock that counts while the VM is suspended.
-	Boot func() time.Duration
+// Dependencies are the daemon's connections to its surroundings.
+type Dependencies struct {
+	Log     feed.Log
+	Codec   Translator
+	Backend relay.Backend
+	Metrics *relay.Metrics
+	Logger  *log.Logger
+	// BootTime reads a clock that counts while the VM is suspended.
+	BootTime func() time.Duration
 	// Peers calls other daemons; nil calls them over the network.
-	Peers gossip.Caller
+	Peers gossip.Transport
 }
 
 // Node is one daemon.
@@ -114,13 +114,13 @@
 	Relay *relay.Relay
 
 	config      Config
-	ports       Ports
+	ports       Dependencies
 	log         *log.Logger
 	incarnation string
 	topics      Topics
 	state       *relay.State
 	members     *gossip.Members
-	links       *peer.Links
+	links       *peer.Client
 	// followers read the topics, in the order in which pulses tell how far.
 	followers  []*feed.Follower
 	operators  *feed.Follower
@@ -158,29 +158,29 @@
 }
 
 // New returns a daemon that is not running yet.
-func New(ctx context.Context, c Config, p Ports) *Node {
-	n := &Node{config: c, ports: p, log: p.Logger, topics: p.Translator.Topics(), plan: upkeep(c.InForce, c.Leave), faults: faults{}, born: p.Boot(), stored: newStoredHolds()}
+func New(ctx context.Context, c Config, p Dependencies) *Node {
+	n := &Node{config: c, ports: p, log: p.Logger, topics: p.Codec.Topics(), plan: upkeep(c.ConfigPropagationLimit, c.ServerDrainLimit), faults: faults{}, born: p.BootTime(), stored: newStoredHolds()}
 	n.incarnation = c.Name + "/" + strconv.FormatUint(rand.Uint64(), 36)
-	n.state = relay.NewState(c.Name, c.FailureDomain, p.Boot)
-	n.Relay = relay.New(n.state, p.Backend, c.Rules, p.Metrics, p.Logger)
-	n.links = peer.NewLinks(c.Name, "", nil)
-	var peers gossip.Caller = gossip.Links{Links: n.links}
+	n.state = relay.NewState(c.Name, c.FailureDomain, p.BootTime)
+	n.Relay = relay.New(n.state, p.Backend, c.RelayOptions, p.Metrics, p.Logger)
+	n.links = peer.NewClient(c.Name, "", nil)
+	var peers gossip.Transport = gossip.PeerTransport{Client: n.links}
 	if p.Peers != nil {
 		peers = p.Peers
 	}
-	n.members = gossip.New(c.Name, c.Control, n.incarnation, n.pulse, peers, p.Boot, p.Logger)
-	n.members.OnPulse, n.members.OnWorkChanged = n.onPulse, n.state.AddPeerWork
-	n.members.Quarantined = n.Relay.Guard.Update
-	n.Relay.Outdated = n.isOutdated
-	n.members.Learn(c.Seeds...)
+	n.members = gossip.New(c.Name, c.ControlAddress, n.incarnation, n.pulse, peers, p.BootTime, p.Logger)
+	n.members.OnMessage, n.members.OnWorkChanged = n.onPulse, n.state.AddPeerWork
+	n.members.QuarantineUpdate = n.Relay.Guard.Update
+	n.Relay.ConfigOutdated = n.isOutdated
+	n.members.AddAddresses(c.Seeds...)
 	n.prepare(ctx)
 	return n
 }
 
-// Peers returns the handler for other daemons.
-func (n *Node) Peers() *peer.Server {
+// PeerServer returns the handler for other daemons.
+func (n *Node) PeerServer() *peer.Server {
 	s := peer.NewServer("")
-	n.members.Register(s, n.recordsSince)
+	n.members.RegisterHandlers(s, n.recordsSince)
 	return s
 }
 
@@ -192,31 +192,31 @@
 	for _, loop := range []func(context.Context){n.Relay.Run, n.members.Run, n.decide, n.lookAfter, n.enroll, n.broadcastHolds, n.keepHolds, n.viewPeers} {
 		go loop(ctx)
 	}
-	n.log.Info("started", "daemon", n.config.Name, "incarnation", n.incarnation, "front", n.config.Front, "control", n.config.Control)
+	n.log.Info("started", "daemon", n.config.Name, "incarnation", n.incarnation, "front", n.config.ClientAddress, "control", n.config.ControlAddress)
 }
 
 // Leaving reports whether the daemon is leaving.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// Learn adds addresses at which daemons may be.
-func (n *Node) Learn(addresses ...string) { n.members.Learn(addresses...) }
+// AddPeerAddresses adds addresses at which daemons may be.
+func (n *Node) AddPeerAddresses(addresses ...string) { n.members.AddAddresses(addresses...) }
 
 // EachServer calls f for every server of a service that may get requests.
 func (n *Node) EachServer(service string, f func(id string)) { n.state.EachServer(service, f) }
 
 // pulse is what this daemon tells another, with its evidence on new versions or without.
-func (n *Node) pulse(evidence bool) gossip.Pulse {
+func (n *Node) pulse(evidence bool) gossip.Message {
 	judge := n.judges()
-	p := gossip.Pulse{
-		Incarnation: n.incarnation, Name: n.config.Name, Address: n.config.Control, FrontAddress: n.config.Front,
-		FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load(), Able: n.able(),
-		Work: n.state.Work(), Orders: n.Relay.Rollouts.Reports(n.state.RunningBut, evidence, judge), Ages: n.ages(), Judge: judge,
+	p := gossip.Message{
+		Incarnation: n.incarnation, Name: n.config.Name, Address: n.config.ControlAddress, ClientAddress: n.config.ClientAddress,
+		FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load(), Eligible: n.able(),
+		Work: n.state.OwnWork(), Orders: n.Relay.Rollouts.Reports(n.state.InFlightOnOtherVersions, evidence, judge), Ages: n.ages(), WantsEvidence: judge,
 	}
 	for _, f := range n.followers {
-		p.Nexts = append(p.Nexts, f.Next())
+		p.NextPositions = append(p.NextPositions, f.Next())
 	}
-	p.Placed, p.PlacedRound = n.placements.Current(n.state.Placements, time.Now())
-	p.Version = n.version()
+	p.Placed, p.PlacedRound = n.placements.CurrentRound(n.state.DrainPlacements, time.Now())
+	p.ConfigVersion = n.version()
 	return p
 }
 
@@ -224,8 +224,8 @@
 func (n *Node) ages() []int64 {
 	out := make([]int64, freshness.Subjects)
 	for about := range freshness.Subjects {
-		out[about] = gossip.Unconfirmed
-		if age, known := n.state.Age(about); known {
+		out[about] = gossip.AgeUnknown
+		if age, known := n.state.ConfirmationAge(about); known {
 			out[about] = age.Milliseconds()
 		}
 	}
@@ -234,24 +234,24 @@
 
 // onPulse takes another daemon's pulse, made after a reading of the boot clock, or
 // zero if none is known.
-func (n *Node) onPulse(p gossip.Pulse, after time.Duration) {
+func (n *Node) onPulse(p gossip.Message, after time.Duration) {
 	for i, f := range n.followers {
-		f.Expect(p.Next(i))
+		f.ObservePeerPosition(p.NextPosition(i))
 	}
 	n.noteNewer(p)
 	if after != 0 {
 		n.confirmedBy(p, after)
 	}
-	n.Relay.Rollouts.Heard(p.Incarnation, p.Orders)
+	n.Relay.Rollouts.ApplyReports(p.Incarnation, p.Orders)
 	n.Relay.Guard.Merge(p.Quarantine)
-	if n.placements.Fresh(p.Incarnation, p.PlacedRound) {
-		n.state.TakePlacements(p.Placed)
+	if n.placements.MarkSeen(p.Incarnation, p.PlacedRound) {
+		n.state.ApplyPlacements(p.Placed)
 	}
 	n.state.SetDaemons(n.daemons())
 }
 
-// Fronts lists up to most addresses at which a caller should connect.
-func (n *Node) Fronts(c membership.Caller, most int) []string {
-	own := membership.Front{Address: n.config.Front, FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load()}
-	return membership.Offer(append(n.members.Fronts(), own), c, most)
+// SelectEndpoints lists up to most addresses at which a caller should connect.
+func (n *Node) SelectEndpoints(c membership.Client, most int) []string {
+	own := membership.Endpoint{Address: n.config.ClientAddress, FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load()}
+	return membership.SelectEndpoints(append(n.members.Endpoints(), own), c, most)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -27,57 +27,57 @@
 type words struct{}
 
 func (words) Topics() Topics { return Topics{"op", "servers", "status", "daemons"} }
-func (words) Operator(r feed.Record) (Instruction, error) {
+func (words) Operator(r feed.Record) (OperatorRecord, error) {
 	var version int64
 	if _, err := fmt.Sscan(string(r.Value), &version); err != nil {
-		return Instruction{}, errors.New("not a version")
+		return OperatorRecord{}, errors.New("not a version")
 	}
-	t, err := route.New(route.Document{Version: version})
-	return Instruction{Table: t}, err
+	t, err := route.NewTable(route.Document{Version: version})
+	return OperatorRecord{Table: t}, err
 }
 
 // Evacuation reads keys "evacuate/DOMAIN".
 func (words) Evacuation(r feed.Record) (Evacuation, bool) {
 	domain, about := strings.CutPrefix(r.Key, "evacuate/")
-	return Evacuation{FailureDomain: domain, Over: r.Value == nil}, about
+	return Evacuation{FailureDomain: domain, Revoked: r.Value == nil}, about
 }
 
 // Server reads "STATE" or "STATE BORN".
 func (words) Server(r feed.Record) (backend.Server, error) {
 	state, born, _ := strings.Cut(string(r.Value), " ")
 	if state != "ready" && state != "leaving" {
-		return backend.Server{}, backend.Bad(backend.UnknownState, "%s", state)
+		return backend.Server{}, backend.Invalid(backend.UnknownState, "%s", state)
 	}
-	s := backend.Server{Run: backend.Incarnation{Name: r.Key}, Service: "s", Address: r.Key, Leaving: state == "leaving"}
-	_, err := fmt.Sscan(born, &s.Run.Born)
+	s := backend.Server{Incarnation: backend.Incarnation{Name: r.Key}, Service: "s", Address: r.Key, Leaving: state == "leaving"}
+	_, err := fmt.Sscan(born, &s.Incarnation.StartMillis)
 	if born != "" && err != nil {
-		return backend.Server{}, backend.Bad(backend.FieldType, "born")
+		return backend.Server{}, backend.Invalid(backend.FieldType, "born")
 	}
 	return s, nil
 }
-func (words) Status(feed.Record) (Status, bool, error) { return Status{}, false, nil }
-func (words) Daemon(r feed.Record) (string, error)     { return string(r.Value), nil }
+func (words) Status(feed.Record) (RolloutStatus, bool, error) { return RolloutStatus{}, false, nil }
+func (words) Daemon(r feed.Record) (string, error)            { return string(r.Value), nil }
 func (words) EncodeStatus(rollout.Order, rollout.Phase, time.Duration) (string, []byte, error) {
 	return "", nil, nil
 }
 func (words) EncodeDaemon(control string) ([]byte, error) { return []byte(control), nil }
 
 // Held reads keys "held/FINGERPRINT" whose values are times in Unix ms.
-func (words) Held(r feed.Record) (Held, bool, error) {
+func (words) Held(r feed.Record) (HoldRecord, bool, error) {
 	text, about := strings.CutPrefix(r.Key, "held/")
 	if !about {
-		return Held{}, false, nil
+		return HoldRecord{}, false, nil
 	}
 	f, err := quarantine.ParseFingerprint(text)
 	if err != nil || r.Value == nil {
-		return Held{Fingerprint: f, Released: true}, true, err
+		return HoldRecord{Fingerprint: f, Released: true}, true, err
 	}
 	var until int64
 	_, err = fmt.Sscan(string(r.Value), &until)
-	return Held{Fingerprint: f, Until: time.UnixMilli(until)}, true, err
+	return HoldRecord{Fingerprint: f, Until: time.UnixMilli(until)}, true, err
 }
 
-func (words) EncodeHeld(h Held) (string, []byte, error) {
+func (words) EncodeHeld(h HoldRecord) (string, []byte, error) {
 	if h.Released {
 		return "held/" + h.Fingerprint.String(), nil, nil
 	}
@@ -96,9 +96,9 @@
 func testNode(t testing.TB) (*Node, *time.Duration) {
 	t.Helper()
 	now := time.Minute
-	n := New(t.Context(), Config{Name: "d0", Control: "c0", Front: "f0", InForce: inForce, Leave: leaveBound}, Ports{
-		Backend: noBackend{}, Translator: words{}, Metrics: relay.NewMetrics(tally.NoopScope), Logger: log.New(io.Discard),
-		Boot: func() time.Duration { return now },
+	n := New(t.Context(), Config{Name: "d0", ControlAddress: "c0", ClientAddress: "f0", ConfigPropagationLimit: inForce, ServerDrainLimit: leaveBound}, Dependencies{
+		Backend: noBackend{}, Codec: words{}, Metrics: relay.NewMetrics(tally.NoopScope), Logger: log.New(io.Discard),
+		BootTime: func() time.Duration { return now },
 	})
 	return n, &now
 }
@@ -106,7 +106,7 @@
 func (n *Node) know() {
 	n.operator([]feed.Record{{Key: "config", Value: []byte("5")}}, true)
 	n.servers([]feed.Record{{Key: "a", Value: []byte("ready")}}, true)
-	n.confirm(freshness.Configuration, n.ports.Boot())
+	n.confirm(freshness.Configuration, n.ports.BootTime())
 }
 
 func TestReadyAsksForKnowledgeAndContact(t *testing.T) {
@@ -130,8 +130,8 @@
 	n, now := testNode(t)
 	n.know()
 	*now += ownLeast + ownGrace
-	n.confirmedBy(gossip.Pulse{Ages: []int64{100}}, *now)
-	if !n.state.Fresh(freshness.Configuration, time.Second) {
+	n.confirmedBy(gossip.Message{Ages: []int64{100}}, *now)
+	if !n.state.ConfirmedWithin(freshness.Configuration, time.Second) {
 		t.Error("the word of another daemon is not taken")
 	}
 	if n.Ready() {
@@ -143,8 +143,8 @@
 	n, now := testNode(t)
 	n.know()
 	*now += time.Second
-	n.confirmedBy(gossip.Pulse{Ages: []int64{0}, Nexts: []feed.Position{9}}, *now)
-	if n.state.Fresh(freshness.Configuration, time.Second/2) {
+	n.confirmedBy(gossip.Message{Ages: []int64{0}, NextPositions: []feed.Position{9}}, *now)
+	if n.state.ConfirmedWithin(freshness.Configuration, time.Second/2) {
 		t.Error("confirmed although the other daemon has read a configuration that this one has not")
 	}
 }
@@ -208,8 +208,8 @@
 	hear := func(ready, able bool) {
 		for i := range 40 {
 			name := fmt.Sprint("d", i+1)
-			n.members.Learn("c" + name)
-			n.members.Take("c"+name, gossip.Pulse{Incarnation: name, Name: name, Ready: ready, Able: able})
+			n.members.AddAddresses("c" + name)
+			n.members.Receive("c"+name, gossip.Message{Incarnation: name, Name: name, Ready: ready, Eligible: able})
 		}
 	}
 	hear(true, true)
@@ -222,7 +222,7 @@
 			t.Errorf("place %d in an outage, others ready %t; %d before", got, ready, among)
 		}
 	}
-	n.take(freshness.Configuration, freshness.Confirmation{At: *now, By: "d1"})
+	n.take(freshness.Configuration, freshness.Confirmation{At: *now, Source: "d1"})
 	if got := n.rank(); got != among {
 		t.Errorf("place %d when the store is back, %d before", got, among)
 	}
@@ -264,7 +264,7 @@
 
 func TestDrainOfIdleDaemonEndsBeforeTheGracePeriod(t *testing.T) {
 	n, _ := testNode(t)
-	n.config.Grace = time.Hour
+	n.config.GracePeriod = time.Hour
 	n.Drain(context.Background())
 	if !n.Leaving() || n.Ready() {
 		t.Error("a daemon that has left is ready")
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -20,13 +20,13 @@
 // steps are all of them. What they leave behind lasts until another one changes it.
 var steps = []step{
 	{"record", func(f *fleet) { f.store.Put("servers", "b", []byte("ready")) }},
-	{"silent", func(f *fleet) { f.store.Set(feedtest.Silent) }},
-	{"serving", func(f *fleet) { f.store.Set(feedtest.Serving) }},
-	{"busy", func(f *fleet) { f.store.Set(feedtest.Busy) }},
-	{"one silent", func(f *fleet) { f.member(address(1)).caller.Set(feedtest.Silent) }},
-	{"hang", func(f *fleet) { f.each(func(m *member) { m.caller.Mute() }) }},
+	{"silent", func(f *fleet) { f.store.SetMode(feedtest.Unresponsive) }},
+	{"serving", func(f *fleet) { f.store.SetMode(feedtest.Serving) }},
+	{"busy", func(f *fleet) { f.store.SetMode(feedtest.Refusing) }},
+	{"one silent", func(f *fleet) { f.member(address(1)).caller.SetMode(feedtest.Unresponsive) }},
+	{"hang", func(f *fleet) { f.each(func(m *member) { m.caller.HangPending() }) }},
 	{"restart", func(f *fleet) { f.kill(0); f.start(0) }},
-	{"return from a copy", func(f *fleet) { f.store.Return(f.copied) }},
+	{"return from a copy", func(f *fleet) { f.store.Restore(f.copied) }},
 	{"written again", func(f *fleet) {
 		f.store.Put("op", "config", []byte("5"))
 		f.store.Put("servers", "a", []byte("ready"))
@@ -50,8 +50,8 @@
 		s.do(f)
 		time.Sleep(stepTime)
 	}
-	f.store.Set(feedtest.Serving)
-	f.each(func(m *member) { m.caller.Set(feedtest.Serving) })
+	f.store.SetMode(feedtest.Serving)
+	f.each(func(m *member) { m.caller.SetMode(feedtest.Serving) })
 	time.Sleep(3 * time.Second)
 	all := f.word("a", "leaving", func(m *member) bool { return !m.uses("a") })
 	if len(all) < 3 {
--- a/internal/node/outdated.go
+++ b/internal/node/outdated.go
@@ -48,10 +48,10 @@
 }
 
 // noteNewer notes it if a daemon has a newer configuration and has read no further.
-func (n *Node) noteNewer(p gossip.Pulse) {
-	next := p.Next(n.topicIndex(n.topics.Operator))
-	if p.Version > n.version() && n.operators.Loaded() && next > 0 && n.operators.Next() >= next {
-		n.outdated.hear(p.Version, n.ports.Boot())
+func (n *Node) noteNewer(p gossip.Message) {
+	next := p.NextPosition(n.topicIndex(n.topics.Operator))
+	if p.ConfigVersion > n.version() && n.operators.Loaded() && next > 0 && n.operators.Next() >= next {
+		n.outdated.hear(p.ConfigVersion, n.ports.BootTime())
 	}
 }
 
@@ -64,4 +64,4 @@
 }
 
 // isOutdated reports whether others have a newer configuration than the store.
-func (n *Node) isOutdated() bool { return n.outdated.by(n.version(), n.ports.Boot()) }
+func (n *Node) isOutdated() bool { return n.outdated.by(n.version(), n.ports.BootTime()) }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -33,9 +33,9 @@
 func (n *Node) prepare(ctx context.Context) {
 	add := func(about freshness.Subject, topic string, wait, gather time.Duration, apply func([]feed.Record, bool)) *feed.Follower {
 		f := feed.New(&feed.Follower{
-			Log: n.ports.Log, Topic: topic, Wait: wait, Gather: gather, Boot: n.ports.Boot,
-			Apply: apply, Returned: func() { n.returned.note(about) }, Confirmed: func(sent time.Duration) { n.confirm(about, sent) }, Unanswered: n.noteUnanswered, Logger: n.log,
-			Peer: n.recordsOf, ReadsLog: n.readsStore, Reader: n.reader, IdlePause: n.idlePause,
+			Log: n.ports.Log, Topic: topic, MaxWait: wait, BatchDelay: gather, BootTime: n.ports.BootTime,
+			Apply: apply, OnEraChange: func() { n.returned.note(about) }, OnConfirmed: func(sent time.Duration) { n.confirm(about, sent) }, OnReadFailed: n.noteUnanswered, Logger: n.log,
+			FetchTail: n.recordsOf, ReadsLog: n.readsStore, IsDesignatedReader: n.reader, MaxStandbyBackoff: n.idlePause,
 		})
 		n.followers = append(n.followers, f)
 		return f
@@ -45,18 +45,18 @@
 	n.statuses = add(freshness.Rollouts, n.topics.Status, quietWait, 0, n.status)
 	n.others = add(freshness.Daemons, n.topics.Daemons, quietWait, serversGather, n.entries)
 	for _, f := range n.followers[1:] {
-		f.After, f.ReadsLog = n.operators, n.readsBeside
+		f.DependsOn, f.ReadsLog = n.operators, n.readsBeside
 	}
 	for _, f := range []*feed.Follower{n.operators, servers} {
-		f.Grown = func() { n.members.Tell(ctx) }
+		f.OnApplied = func() { n.members.Broadcast(ctx) }
 	}
-	n.statuses.Grown = n.operators.Grown
-	n.others.Wanted = func() bool { return n.contact() || n.reader() }
+	n.statuses.OnApplied = n.operators.OnApplied
+	n.others.Enabled = func() bool { return n.contact() || n.reader() }
 }
 
 // recordsOf fetches records from a daemon that has read further.
 func (n *Node) recordsOf(ctx context.Context, topic string, from feed.Position) (feed.Tail, error) {
-	return n.members.Records(ctx, topic, from, func(p gossip.Pulse) bool { return p.Next(n.topicIndex(topic)) > from })
+	return n.members.FetchRecords(ctx, topic, from, func(p gossip.Message) bool { return p.NextPosition(n.topicIndex(topic)) > from })
 }
 
 // topicIndex is a topic's place in pulses.
@@ -68,7 +68,7 @@
 func (n *Node) recordsSince(topic string, from feed.Position) feed.Tail {
 	for _, f := range n.followers {
 		if f.Topic == topic {
-			return f.Since(from)
+			return f.TailFrom(from)
 		}
 	}
 	return feed.Tail{Next: from}
@@ -82,7 +82,7 @@
 		if r.Value == nil {
 			continue
 		}
-		in, err := n.ports.Translator.Operator(r)
+		in, err := n.ports.Codec.Operator(r)
 		if err != nil {
 			n.log.Error("record passed over, what it would change is kept", "key", r.Key, "at", r.At, "err", err)
 			continue
@@ -91,27 +91,27 @@
 			n.log.Info("configuration in force", "version", in.Table.Version, "at", r.At)
 		}
 		if in.Order != nil {
-			n.Relay.Rollouts.Ordered(*in.Order)
+			n.Relay.Rollouts.AddOrder(*in.Order)
 		}
 	}
 }
 
 // servers takes the entries of backend servers.
 func (n *Node) servers(records []feed.Record, whole bool) {
-	confirmed, known := n.state.Age(freshness.Servers)
+	confirmed, known := n.state.ConfirmationAge(freshness.Servers)
 	if known {
 		// The last read that found nothing newer is the youngest proof that these
 		// records were not there: they are late by its age at most.
-		n.ports.Metrics.Lateness(freshness.Servers).RecordDuration(confirmed)
+		n.ports.Metrics.ReadDelay(freshness.Servers).RecordDuration(confirmed)
 		n.noteGap(confirmed)
 	}
 	var ended []backend.Server
 	restored := n.returned.take(freshness.Servers)
 	if restored {
 		// What the copy lacks has two seconds to be written again, as after an outage.
-		n.state.Healed()
+		n.state.StoreRecovered()
 	}
-	n.state.Servers(func(reg *backend.Registry, now time.Duration) {
+	n.state.UpdateServers(func(reg *backend.Registry, now time.Duration) {
 		listed := map[string]bool{}
 		for _, r := range records {
 			listed[r.Key] = r.Value != nil
@@ -127,18 +127,18 @@
 		}
 	})
 	for _, run := range ended {
-		n.Relay.Ended(run)
+		n.Relay.ServerRestarted(run)
 	}
 }
 
 // passedOver reports whether an entry of a store that came back from a copy says less than this
 // daemon knows. A server that left would get requests again.
 func (n *Node) passedOver(reg *backend.Registry, r feed.Record, now time.Duration) bool {
-	s, err := n.ports.Translator.Server(r)
-	if err != nil || !reg.Outdated(s, now) {
+	s, err := n.ports.Codec.Server(r)
+	if err != nil || !reg.Stale(s, now) {
 		return false
 	}
-	n.log.Info("server entry of a copy passed over", "server", s.Run.ID(), "leaving", s.Leaving, "at", r.At)
+	n.log.Info("server entry of a copy passed over", "server", s.Incarnation.ID(), "leaving", s.Leaving, "at", r.At)
 	return true
 }
 
@@ -154,14 +154,14 @@
 		reg.Remove(r.Key, now)
 		return nil
 	}
-	s, err := n.ports.Translator.Server(r)
+	s, err := n.ports.Codec.Server(r)
 	if err != nil {
-		reg.Bar(r.Key)
+		reg.MarkUnusable(r.Key)
 		n.badEntry(r, err)
 		return nil
 	}
-	if s.Warming > 0 {
-		s.WarmAt = now + s.Warming
+	if s.WarmupRemaining > 0 {
+		s.WarmAt = now + s.WarmupRemaining
 	}
 	ended, err := reg.Put(s)
 	if err != nil {
@@ -169,8 +169,8 @@
 		return nil
 	}
 	n.faults.clear(r.Key)
-	if !known || !usable || ended != nil || old.Leaving != s.Leaving || old.Address != s.Address || s.Warming > 0 && old.Warming == 0 {
-		n.log.Info("server entry", "server", s.Run.ID(), "service", s.Service, "address", s.Address, "version", s.Version, "leaving", s.Leaving, "warming_ms", s.Warming.Milliseconds(), "started_again", ended != nil, "at", r.At, "confirmed_ms", confirmed.Milliseconds())
+	if !known || !usable || ended != nil || old.Leaving != s.Leaving || old.Address != s.Address || s.WarmupRemaining > 0 && old.WarmupRemaining == 0 {
+		n.log.Info("server entry", "server", s.Incarnation.ID(), "service", s.Service, "address", s.Address, "version", s.Version, "leaving", s.Leaving, "warming_ms", s.WarmupRemaining.Milliseconds(), "started_again", ended != nil, "at", r.At, "confirmed_ms", confirmed.Milliseconds())
 	}
 	return ended
 }
@@ -178,8 +178,8 @@
 // badEntry counts an entry that names no server to use, and logs it when it has turned bad
 // or is bad in another way: its writer may repeat it with each heartbeat.
 func (n *Node) badEntry(r feed.Record, err error) {
-	fault := backend.FaultOf(err)
-	n.ports.Metrics.BadEntry(fault).Inc(1)
+	fault := backend.InvalidReasonOf(err)
+	n.ports.Metrics.BadServerEntries(fault).Inc(1)
 	if n.faults.note(r.Key, fault) {
 		n.log.Error("server entry names no server to use", "server", r.Key, "at", r.At, "fault", fault, "err", err)
 	}
@@ -188,19 +188,19 @@
 // status takes how far roll-outs have come.
 func (n *Node) status(records []feed.Record, _ bool) {
 	if n.returned.take(freshness.Rollouts) {
-		n.Relay.Rollouts.Restored()
+		n.Relay.Rollouts.StoreRestored()
 	}
 	for _, r := range records {
 		if r.Value == nil {
 			continue
 		}
-		s, about, err := n.ports.Translator.Status(r)
+		s, about, err := n.ports.Codec.Status(r)
 		if err != nil {
 			n.log.Error("status passed over", "key", r.Key, "at", r.At, "err", err)
 			continue
 		}
 		if about {
-			n.Relay.Rollouts.Settled(relay.Settlement{Service: s.Service, Target: s.Target, Order: s.Order, Phase: s.Phase, Ago: s.Since})
+			n.Relay.Rollouts.ApplyStoredPhase(relay.StoredPhase{Service: s.Service, Target: s.Target, OrderOffset: s.OrderOffset, Phase: s.Phase, OrderAge: s.OrderAge})
 		}
 	}
 }
@@ -213,7 +213,7 @@
 		n.stored.forget()
 	}
 	for _, r := range records {
-		h, about, err := n.ports.Translator.Held(r)
+		h, about, err := n.ports.Codec.Held(r)
 		switch {
 		case err != nil:
 			n.log.Error("held request passed over", "key", r.Key, "at", r.At, "err", err)
@@ -224,15 +224,15 @@
 		case r.Value == nil:
 			continue
 		}
-		control, err := n.ports.Translator.Daemon(r)
+		control, err := n.ports.Codec.Daemon(r)
 		if err != nil {
 			n.log.Error("daemon entry passed over", "daemon", r.Key, "err", err)
 			continue
 		}
-		if r.Key == n.config.Name && control == n.config.Control {
+		if r.Key == n.config.Name && control == n.config.ControlAddress {
 			n.enrolled.Store(true)
 		}
-		n.members.Learn(control)
+		n.members.AddAddresses(control)
 	}
 }
 
@@ -249,7 +249,7 @@
 // enroll writes where this daemon is, for those that know nobody, once it is one of the
 // contacts.
 func (n *Node) enroll(ctx context.Context) {
-	value, err := n.ports.Translator.EncodeDaemon(n.config.Control)
+	value, err := n.ports.Codec.EncodeDaemon(n.config.ControlAddress)
 	if err != nil {
 		n.log.Error("own entry", "err", err)
 		return
@@ -263,7 +263,7 @@
 			loop.Pause(ctx, enrollLook)
 			continue
 		}
-		err := feed.Put(ctx, n.ports.Log, n.topics.Daemons, n.config.Name, value, nil)
+		err := feed.AppendWithTimeout(ctx, n.ports.Log, n.topics.Daemons, n.config.Name, value, nil)
 		if err == nil {
 			n.log.Info("own entry written")
 			n.enrolled.Store(true)
@@ -278,17 +278,17 @@
 // status meanwhile: one that was paused while it decided must not undo what another
 // has decided since.
 func (n *Node) writeStatus(ctx context.Context, o rollout.Order, p rollout.Phase, since time.Duration) error {
-	key, value, err := n.ports.Translator.EncodeStatus(o, p, since)
+	key, value, err := n.ports.Codec.EncodeStatus(o, p, since)
 	if err != nil {
 		return err
 	}
 	at := n.statuses.Next()
-	err = feed.Put(ctx, n.ports.Log, n.topics.Status, key, value, &at)
-	var conflict *feed.Conflict
+	err = feed.AppendWithTimeout(ctx, n.ports.Log, n.topics.Status, key, value, &at)
+	var conflict *feed.ConflictError
 	if errors.As(err, &conflict) {
 		// The reading hangs if it does not tell by itself what another daemon wrote;
 		// every further try would be refused like this one.
-		n.statuses.Expect(conflict.End)
+		n.statuses.ObservePeerPosition(conflict.End)
 	}
 	return err
 }
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -12,12 +12,12 @@
 
 // comesBack has the store be silent for a moment and come back from an older copy, which then
 // takes some records, before anybody can read.
-func (f *fleet) comesBack(c *feedtest.Copy, then func()) {
-	f.store.Set(feedtest.Silent)
+func (f *fleet) comesBack(c *feedtest.Snapshot, then func()) {
+	f.store.SetMode(feedtest.Unresponsive)
 	time.Sleep(800 * time.Millisecond)
-	f.store.Return(c)
+	f.store.Restore(c)
 	then()
-	f.store.Set(feedtest.Serving)
+	f.store.SetMode(feedtest.Serving)
 }
 
 // Guards against this failure: a server that had said that it leaves got requests for good.
@@ -26,7 +26,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, daemons)
 			time.Sleep(4 * time.Second)
-			copied := f.store.Copy()
+			copied := f.store.TakeSnapshot()
 			for i := range 6 {
 				f.store.Put("servers", fmt.Sprint("c", i), []byte("ready"))
 			}
@@ -53,7 +53,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, daemons)
 					time.Sleep(4 * time.Second)
-					copied := f.store.Copy()
+					copied := f.store.TakeSnapshot()
 					f.store.Put("servers", "a", value)
 					within(t, f.bound, "a server that left is not used", func() bool { return f.using("a") == 0 })
 					f.comesBack(copied, func() {})
@@ -79,7 +79,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, daemons)
 			time.Sleep(4 * time.Second)
-			copied := f.store.Copy()
+			copied := f.store.TakeSnapshot()
 			f.store.Put("servers", "new", []byte("ready"))
 			within(t, f.bound, "a new server is used", func() bool { return f.using("new") == daemons })
 			f.comesBack(copied, func() {})
@@ -105,7 +105,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6)
 		time.Sleep(4 * time.Second)
-		copied := f.store.Copy()
+		copied := f.store.TakeSnapshot()
 		f.store.Put("op", "config", []byte("9"))
 		at := func(version int64) func() bool {
 			return func() bool { return f.count(func(m *member) bool { return m.state.Table().Version == version }) == 6 }
@@ -128,23 +128,23 @@
 	for _, daemons := range fleetSizes() {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, daemons)
-			copied := f.store.Copy()
+			copied := f.store.TakeSnapshot()
 			time.Sleep(15 * time.Second)
-			entries := f.store.Keys("daemons")
-			before := f.store.Calls()
+			entries := f.store.KeyCount("daemons")
+			before := f.store.TotalCalls()
 			time.Sleep(10 * time.Second)
-			calm := f.store.Calls() - before
+			calm := f.store.TotalCalls() - before
 			f.comesBack(copied, func() {})
-			began, before := time.Now(), f.store.Calls()
+			began, before := time.Now(), f.store.TotalCalls()
 			known := func() bool {
 				return f.count(func(m *member) bool { return m.operators.Next().Era() == 1 }) == daemons
 			}
 			took := within(t, f.bound/2, "all have read the store anew", known)
 			time.Sleep(10*time.Second - time.Since(began))
-			calls := f.store.Calls() - before
-			t.Logf("%d daemons: all know after %s; %d calls in 10 s, %d in 10 s of calm; %d of %d entries of daemons again", daemons, took, calls, calm, f.store.Keys("daemons"), entries)
-			if f.store.Keys("daemons") < entries {
-				t.Errorf("%d entries of daemons, %d before", f.store.Keys("daemons"), entries)
+			calls := f.store.TotalCalls() - before
+			t.Logf("%d daemons: all know after %s; %d calls in 10 s, %d in 10 s of calm; %d of %d entries of daemons again", daemons, took, calls, calm, f.store.KeyCount("daemons"), entries)
+			if f.store.KeyCount("daemons") < entries {
+				t.Errorf("%d entries of daemons, %d before", f.store.KeyCount("daemons"), entries)
 			}
 			if most := calm + 2*daemons; calls > most && daemons > 16 {
 				t.Errorf("%d calls, at most %d are planned", calls, most)
@@ -159,7 +159,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, daemons)
 			time.Sleep(4 * time.Second)
-			copied := f.store.Copy()
+			copied := f.store.TakeSnapshot()
 			f.store.Put("op", "config", []byte("9"))
 			within(t, f.bound, "the configuration is in force", func() bool {
 				return f.count(func(m *member) bool { return m.version() == 9 }) == daemons
--- a/internal/node/roles.go
+++ b/internal/node/roles.go
@@ -74,7 +74,7 @@
 }
 
 // daemons returns how many daemons live, this one included.
-func (n *Node) daemons() int { return n.members.Len() + 1 }
+func (n *Node) daemons() int { return n.members.LiveCount() + 1 }
 
 // settled reports whether this daemon has heard others for long enough to know its place
 // among them, or is alone.
@@ -83,9 +83,9 @@
 // inTouchFor reports whether others have been heard for some time, or nobody while it was
 // waited for them.
 func (n *Node) inTouchFor(span time.Duration) bool {
-	since, any := n.members.InTouch()
+	since, any := n.members.SinceFirstContact()
 	if !any {
-		return n.ports.Boot()-n.born >= aloneAfter
+		return n.ports.BootTime()-n.born >= aloneAfter
 	}
 	return since >= span
 }
@@ -100,7 +100,7 @@
 // able reports whether this daemon can work for all. It cannot while the store does not
 // answer it, but somebody else: then others take its place. In an outage for all, and after
 // it, nobody's place changes.
-func (n *Node) able() bool { return n.state.Known() && !n.cutOff.Load() }
+func (n *Node) able() bool { return n.state.Ready() && !n.cutOff.Load() }
 
 // contact reports whether others are to find the deployment through this daemon.
 func (n *Node) contact() bool { return n.inTouchFor(placedAfter) && n.rank() < contacts }
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -23,13 +23,13 @@
 
 func (n *Node) judge(ctx context.Context) {
 	n.writeUnsaid(ctx)
-	for _, step := range n.Relay.Rollouts.Due(n.members.Lives) {
+	for _, step := range n.Relay.Rollouts.NextPhases(n.members.IncarnationLive) {
 		if step.Phase == rollout.RolledBack {
-			n.Relay.Rollouts.Brake(step.Order.Service, step.Order.Offset, step.Why)
+			n.Relay.Rollouts.Suspend(step.Order.Service, step.Order.Offset, step.Reason)
 		}
 		if n.decides() {
-			err := n.writeStatus(ctx, step.Order, step.Phase, step.Since)
-			n.log.Info("roll-out status", "service", step.Order.Service, "phase", step.Phase, "why", step.Why, "err", err)
+			err := n.writeStatus(ctx, step.Order, step.Phase, step.Age)
+			n.log.Info("roll-out status", "service", step.Order.Service, "phase", step.Phase, "why", step.Reason, "err", err)
 		}
 	}
 }
@@ -39,8 +39,8 @@
 	if !n.decides() {
 		return
 	}
-	for _, step := range n.Relay.Rollouts.Unsaid(unsaidFor) {
-		err := n.writeStatus(ctx, step.Order, step.Phase, step.Since)
+	for _, step := range n.Relay.Rollouts.LostPhases(unsaidFor) {
+		err := n.writeStatus(ctx, step.Order, step.Phase, step.Age)
 		n.log.Info("roll-out status written again", "service", step.Order.Service, "phase", step.Phase, "err", err)
 	}
 }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -31,9 +31,9 @@
 // outage is one of all daemons, or of every third.
 func outage(name string, mode feedtest.Mode) trouble {
 	return trouble{name, func(f *fleet) {
-		f.store.Set(mode)
+		f.store.SetMode(mode)
 		time.Sleep(6 * time.Second)
-		f.store.Set(feedtest.Serving)
+		f.store.SetMode(feedtest.Serving)
 	}}
 }
 
@@ -41,7 +41,7 @@
 	return trouble{name, func(f *fleet) {
 		struck := func(m feedtest.Mode) {
 			for i := 0; f.member(address(i)) != nil; i += 3 {
-				f.member(address(i)).caller.Set(m)
+				f.member(address(i)).caller.SetMode(m)
 			}
 		}
 		struck(mode)
@@ -52,9 +52,9 @@
 
 var troubles = []trouble{
 	{"calm", func(*fleet) {}},
-	outage("silent", feedtest.Silent), outage("busy", feedtest.Busy), outage("reset", feedtest.Reset),
-	partial("silent for a third", feedtest.Silent), partial("busy for a third", feedtest.Busy), partial("reset for a third", feedtest.Reset),
-	{"silent connections", func(f *fleet) { f.each(func(m *member) { m.caller.Mute() }) }},
+	outage("silent", feedtest.Unresponsive), outage("busy", feedtest.Refusing), outage("reset", feedtest.Resetting),
+	partial("silent for a third", feedtest.Unresponsive), partial("busy for a third", feedtest.Refusing), partial("reset for a third", feedtest.Resetting),
+	{"silent connections", func(f *fleet) { f.each(func(m *member) { m.caller.HangPending() }) }},
 }
 
 // spread is the times until each daemon acts on a word, sorted.
@@ -132,10 +132,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, daemons)
 			time.Sleep(10 * time.Second)
-			before := f.store.Calls()
+			before := f.store.TotalCalls()
 			const span = 60
 			time.Sleep(span * time.Second)
-			perSecond := float64(f.store.Calls()-before) / span
+			perSecond := float64(f.store.TotalCalls()-before) / span
 			t.Logf("%d daemons: %.1f calls a second", daemons, perSecond)
 			if perSecond > most {
 				t.Errorf("%d daemons make %.1f calls a second, at most %d are planned", daemons, perSecond, most)
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -18,9 +18,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 1)
 				time.Sleep(storeWait + 900*time.Millisecond - lapse)
-				f.store.Set(feedtest.Silent)
+				f.store.SetMode(feedtest.Unresponsive)
 				time.Sleep(6 * time.Second)
-				f.store.Set(feedtest.Serving)
+				f.store.SetMode(feedtest.Serving)
 				time.Sleep(3 * time.Second)
 				f.store.Put("servers", "a", []byte("leaving"))
 				within(t, leaveBound/2, "the leaving is known", func() bool { return f.using("a") == 0 })
@@ -38,11 +38,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		time.Sleep(storeWait)
-		f.store.Set(feedtest.Silent)
+		f.store.SetMode(feedtest.Unresponsive)
 		time.Sleep(4 * time.Second)
-		f.store.Set(feedtest.Serving)
+		f.store.SetMode(feedtest.Serving)
 		within(t, leaveBound, "the configuration is confirmed", func() bool {
-			return f.member(address(0)).state.Fresh(freshness.Configuration, time.Second)
+			return f.member(address(0)).state.ConfirmedWithin(freshness.Configuration, time.Second)
 		})
 	})
 }
@@ -52,15 +52,15 @@
 func TestServerThatLeavesIsNoticedBesideAReadThatHangs(t *testing.T) {
 	hangs := map[string]func(f *fleet){
 		"silent connections": func(f *fleet) {
-			f.each(func(m *member) { m.caller.Mute() })
+			f.each(func(m *member) { m.caller.HangPending() })
 			time.Sleep(3 * time.Second)
 		},
 		"sent into the silence": func(f *fleet) {
 			f.store.Put("servers", "c", []byte("ready"))
 			time.Sleep(serversGather / 2)
-			f.store.Set(feedtest.Silent)
+			f.store.SetMode(feedtest.Unresponsive)
 			time.Sleep(6 * time.Second)
-			f.store.Set(feedtest.Serving)
+			f.store.SetMode(feedtest.Serving)
 			time.Sleep(3 * time.Second)
 		},
 	}
@@ -81,12 +81,12 @@
 
 // Guards against this failure: the same, from one daemon that does not reach the store.
 func TestDaemonCutOffFromTheStoreHearsOfServersThatLeave(t *testing.T) {
-	for _, mode := range []feedtest.Mode{feedtest.Silent, feedtest.Busy, feedtest.Reset} {
+	for _, mode := range []feedtest.Mode{feedtest.Unresponsive, feedtest.Refusing, feedtest.Resetting} {
 		t.Run(fmt.Sprint("mode ", mode), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 3)
 				time.Sleep(5 * time.Second)
-				f.member(address(1)).caller.Set(mode)
+				f.member(address(1)).caller.SetMode(mode)
 				time.Sleep(3 * time.Second)
 				f.store.Put("servers", "a", []byte("leaving"))
 				within(t, leaveBound/2, "the leaving is known everywhere", func() bool { return f.using("a") == 0 })
@@ -102,7 +102,7 @@
 		f := newFleet(t, 1)
 		time.Sleep(5 * time.Second)
 		m := f.member(address(0))
-		m.caller.Mute()
+		m.caller.HangPending()
 		f.store.Put("status", "rollout/s", []byte("x"))
 		if err := m.writeStatus(t.Context(), orderOf("s"), 0, 0); err == nil {
 			t.Fatal("written although another daemon has")
@@ -118,11 +118,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, daemons)
 			time.Sleep(5 * time.Second)
-			f.store.Set(feedtest.Silent)
+			f.store.SetMode(feedtest.Unresponsive)
 			time.Sleep(5 * time.Second)
 			f.store.Put("servers", "a", nil)
 			f.store.Put("servers", "b", nil)
-			f.store.Set(feedtest.Serving)
+			f.store.SetMode(feedtest.Serving)
 			for range 10 {
 				time.Sleep(100 * time.Millisecond)
 				if f.using("a") != daemons || f.using("b") != daemons {
@@ -144,9 +144,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		time.Sleep(5 * time.Second)
-		f.member(address(1)).caller.Set(feedtest.Silent)
+		f.member(address(1)).caller.SetMode(feedtest.Unresponsive)
 		time.Sleep(5 * time.Second)
-		f.member(address(1)).caller.Set(feedtest.Serving)
+		f.member(address(1)).caller.SetMode(feedtest.Serving)
 		time.Sleep(time.Second)
 		f.store.Put("servers", "a", nil)
 		within(t, leaveBound/2, "the server is gone everywhere", func() bool { return f.using("a") == 0 })
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -49,13 +49,13 @@
 				}
 				within(t, soon, "all daemons are ready", func() bool { return f.count(func(m *member) bool { return m.Ready() }) == daemons })
 				time.Sleep(30 * time.Second)
-				t.Logf("%d calls: %v", f.store.Calls(), f.store.CallsBy())
-				if n := f.store.Calls(); n > each*daemons+all {
+				t.Logf("%d calls: %v", f.store.TotalCalls(), f.store.CallCounts())
+				if n := f.store.TotalCalls(); n > each*daemons+all {
 					t.Errorf("%d daemons made %d calls, at most %d are planned", daemons, n, each*daemons+all)
 				}
 				f.each(func(m *member) {
-					if m.members.Len() != daemons-1 {
-						t.Errorf("%s has heard %d others", m.config.Name, m.members.Len())
+					if m.members.LiveCount() != daemons-1 {
+						t.Errorf("%s has heard %d others", m.config.Name, m.members.LiveCount())
 					}
 				})
 			})
@@ -72,9 +72,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleetWith(t, 5, nil)
 		within(t, 8*time.Second, "all have heard all", func() bool {
-			return f.count(func(m *member) bool { return m.members.Len() == 4 }) == 5
+			return f.count(func(m *member) bool { return m.members.LiveCount() == 4 }) == 5
 		})
-		if n := f.store.CallsBy()[feedtest.Call{Kind: feedtest.Append, Topic: "daemons"}]; n != 5 {
+		if n := f.store.CallCounts()[feedtest.Call{Kind: feedtest.CallAppend, Topic: "daemons"}]; n != 5 {
 			t.Errorf("%d entries were written", n)
 		}
 	})
@@ -96,27 +96,27 @@
 		// do so every 0.4 s, and word of it goes round in some pulses.
 		again = 1500 * time.Millisecond
 	)
-	for _, mode := range []feedtest.Mode{feedtest.Reset, feedtest.Busy, feedtest.Silent} {
+	for _, mode := range []feedtest.Mode{feedtest.Resetting, feedtest.Refusing, feedtest.Unresponsive} {
 		for _, daemons := range fleetSizes() {
 			t.Run(fmt.Sprint("mode ", mode, "/", daemons, " daemons"), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, daemons)
 					time.Sleep(12 * time.Second)
-					before := f.store.Calls()
-					f.store.Set(mode)
+					before := f.store.TotalCalls()
+					f.store.SetMode(mode)
 					time.Sleep(span)
-					during := f.store.Calls() - before
-					f.store.Set(feedtest.Serving)
+					during := f.store.TotalCalls() - before
+					f.store.SetMode(feedtest.Serving)
 					took := within(t, again, "all know that the store is back", func() bool {
-						return f.count(func(m *member) bool { return m.state.Fresh(freshness.Configuration, again) }) == daemons
+						return f.count(func(m *member) bool { return m.state.ConfirmedWithin(freshness.Configuration, again) }) == daemons
 					})
 					f.store.Put("servers", "a", []byte("leaving"))
 					acted := within(t, f.bound/2, "a word is acted on", func() bool { return f.using("a") == 0 })
 					time.Sleep(after)
-					total := f.store.Calls() - before
+					total := f.store.TotalCalls() - before
 					t.Logf("%d calls, %d with those of the return; back after %s, word after %s", during, total, took, acted)
 					if most := each*daemons + all*int((span+after)/time.Second); total > most {
-						t.Errorf("%d calls, at most %d are planned: %v", total, most, f.store.CallsBy())
+						t.Errorf("%d calls, at most %d are planned: %v", total, most, f.store.CallCounts())
 					}
 				})
 			})
@@ -136,11 +136,11 @@
 			f.kill(1)
 			lost := fmt.Sprintf("f%03d", 1)
 			took := within(t, kept, "no daemon names the lost one", func() bool {
-				return f.count(func(m *member) bool { return slices.Contains(m.Fronts(membership.Caller{}, daemons), lost) }) == 0
+				return f.count(func(m *member) bool { return slices.Contains(m.SelectEndpoints(membership.Client{}, daemons), lost) }) == 0
 			})
 			t.Logf("%d daemons: %s", daemons, took)
 			f.each(func(m *member) {
-				if n := len(m.Fronts(membership.Caller{}, daemons)); n != daemons-1 {
+				if n := len(m.SelectEndpoints(membership.Client{}, daemons)); n != daemons-1 {
 					t.Errorf("%s names %d of %d daemons", m.config.Name, n, daemons-1)
 				}
 			})
--- a/internal/node/turned_away_test.go
+++ b/internal/node/turned_away_test.go
@@ -17,7 +17,7 @@
 		i++
 	}
 	m := f.member(address(i))
-	m.caller.Set(feedtest.Busy)
+	m.caller.SetMode(feedtest.Refusing)
 	return m
 }
 
@@ -30,7 +30,7 @@
 		f := newFleet(t, daemons)
 		time.Sleep(5 * time.Second)
 		away := f.turnAway()
-		before := f.store.Calls()
+		before := f.store.TotalCalls()
 		long := strings.Repeat("x", 200)
 		for i := range servers {
 			f.store.Put("servers", fmt.Sprint("s", i, long), []byte("ready"))
@@ -38,7 +38,7 @@
 		last := fmt.Sprint("s", servers-1, long)
 		within(t, 2*time.Second, "the daemon uses the last of them", func() bool { return away.uses(last) })
 		time.Sleep(8 * time.Second)
-		if calls := f.store.Calls() - before; calls > 15*10 {
+		if calls := f.store.TotalCalls() - before; calls > 15*10 {
 			t.Errorf("%d calls of the store in ten seconds", calls)
 		}
 	})
@@ -52,13 +52,13 @@
 		f := newFleet(t, daemons)
 		time.Sleep(5 * time.Second)
 		away := f.turnAway()
-		before := f.store.Calls()
+		before := f.store.TotalCalls()
 		f.store.Put("op", "config", []byte("7"+strings.Repeat(" ", 64<<10)))
 		time.Sleep(10 * time.Second)
-		if calls := f.store.Calls() - before; calls > 15*10 {
+		if calls := f.store.TotalCalls() - before; calls > 15*10 {
 			t.Errorf("%d calls of the store in ten seconds", calls)
 		}
-		away.caller.Set(feedtest.Serving)
+		away.caller.SetMode(feedtest.Serving)
 		within(t, inForce, "the configuration is in force", func() bool { return away.state.Table().Version == 7 })
 	})
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -74,20 +74,20 @@
 	return parts[0], hmac.Equal([]byte(want), []byte(header))
 }
 
-// Links holds the outgoing connections of one daemon, one for each peer address.
-type Links struct {
+// Client holds the outgoing connections of one daemon, one for each peer address.
+type Client struct {
 	self, key string
 	tls       *tls.Config
 	mu        sync.Mutex
 	links     map[string]*link
-	// Bytes counts what was sent and received, for the control budget.
-	Bytes func(n int)
+	// OnBytes counts what was sent and received, for the control budget.
+	OnBytes func(n int)
 }
 
-// NewLinks returns links for a daemon that knows the peer key. A nil tls config
+// NewClient returns links for a daemon that knows the peer key. A nil tls config
 // uses plain connections.
-func NewLinks(self, key string, t *tls.Config) *Links {
-	return &Links{self: self, key: key, tls: t, links: map[string]*link{}, Bytes: func(int) {}}
+func NewClient(self, key string, t *tls.Config) *Client {
+	return &Client{self: self, key: key, tls: t, links: map[string]*link{}, OnBytes: func(int) {}}
 }
 
 type link struct {
@@ -103,7 +103,7 @@
 // Call sends a message to a peer and decodes its answer. A call that times out
 // closes the connection: open connections can go silent for good while new ones
 // work, and the next call would hang on the same one.
-func Call[Q, A any](ctx context.Context, l *Links, address, kind string, q Q) (A, error) {
+func Call[Q, A any](ctx context.Context, l *Client, address, kind string, q Q) (A, error) {
 	var answer A
 	body, err := cbor.Marshal(q)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return answer, oops.In("peer").Wrapf(decoder.Unmarshal(reply.Body, &answer), "decode %s", kind)
 }
 
-func (l *Links) open(ctx context.Context, address string) (*link, error) {
+func (l *Client) open(ctx context.Context, address string) (*link, error) {
 	l.mu.Lock()
 	c := l.links[address]
 	l.mu.Unlock()
@@ -160,14 +160,14 @@
 	return fresh, nil
 }
 
-func (l *Links) receive(address string, c *link) {
+func (l *Client) receive(address string, c *link) {
 	for {
 		_, data, err := c.conn.Read(context.Background())
 		if err != nil {
 			l.drop(address, c)
 			return
 		}
-		l.Bytes(len(data))
+		l.OnBytes(len(data))
 		var e envelope
 		if decoder.Unmarshal(data, &e) != nil {
 			l.drop(address, c)
@@ -183,7 +183,7 @@
 	}
 }
 
-func (l *Links) drop(address string, c *link) {
+func (l *Client) drop(address string, c *link) {
 	l.mu.Lock()
 	if l.links[address] == c {
 		delete(l.links, address)
@@ -204,7 +204,7 @@
 }
 
 // Close ends all connections.
-func (l *Links) Close() {
+func (l *Client) Close() {
 	l.mu.Lock()
 	all := l.links
 	l.links = map[string]*link{}
@@ -214,7 +214,7 @@
 	}
 }
 
-func (c *link) call(ctx context.Context, l *Links, kind string, body []byte) (envelope, error) {
+func (c *link) call(ctx context.Context, l *Client, kind string, body []byte) (envelope, error) {
 	ch := make(chan envelope, 1)
 	c.idle.Reset(idleLimit)
 	c.mu.Lock()
@@ -236,7 +236,7 @@
 	if err != nil {
 		return envelope{}, err
 	}
-	l.Bytes(len(data))
+	l.OnBytes(len(data))
 	select {
 	case e, ok := <-ch:
 		if !ok {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -33,7 +33,7 @@
 
 func TestCallAndRefusal(t *testing.T) {
 	s, address := serve(t)
-	l := NewLinks("d1", "right-key", nil)
+	l := NewClient("d1", "right-key", nil)
 	defer l.Close()
 	for range 3 {
 		if a, err := Call[echo, echo](t.Context(), l, address, "echo", echo{"x"}); err != nil || a.Text != "d1:x" {
@@ -47,8 +47,8 @@
 		t.Fatal("an unknown call was answered")
 	}
 	refused := 0
-	s.Refused = func() { refused++ }
-	stranger := NewLinks("d1", "wrong-key", nil)
+	s.OnRefused = func() { refused++ }
+	stranger := NewClient("d1", "wrong-key", nil)
 	if _, err := Call[echo, echo](t.Context(), stranger, address, "echo", echo{"x"}); err == nil || refused != 1 {
 		t.Fatalf("a wrong key got in: %v, %d refused", err, refused)
 	}
@@ -100,7 +100,7 @@
 			}()
 		}
 	}()
-	l := NewLinks("d1", "right-key", nil)
+	l := NewClient("d1", "right-key", nil)
 	defer l.Close()
 	call := func(limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,10 +16,10 @@
 type Server struct {
 	key      string
 	handlers map[string]func(ctx context.Context, from string, body []byte) ([]byte, error)
-	// Refused counts connections without the right key.
-	Refused func()
-	// Bytes counts what was sent and received.
-	Bytes func(n int)
+	// OnRefused counts connections without the right key.
+	OnRefused func()
+	// OnBytes counts what was sent and received.
+	OnBytes func(n int)
 
 	mu     sync.Mutex
 	conns  map[*websocket.Conn]bool
@@ -28,7 +28,7 @@
 
 // NewServer returns a server that admits holders of the peer key.
 func NewServer(key string) *Server {
-	return &Server{key: key, handlers: map[string]func(context.Context, string, []byte) ([]byte, error){}, Refused: func() {}, Bytes: func(int) {}, conns: map[*websocket.Conn]bool{}}
+	return &Server{key: key, handlers: map[string]func(context.Context, string, []byte) ([]byte, error){}, OnRefused: func() {}, OnBytes: func(int) {}, conns: map[*websocket.Conn]bool{}}
 }
 
 // Close ends every connection. The HTTP server does not: it no longer knows those
@@ -72,7 +72,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, ok := verify(s.key, r.Header.Get("Authorization"), time.Now())
 	if !ok || r.URL.Path != path {
-		s.Refused()
+		s.OnRefused()
 		http.Error(w, "unauthorized", http.StatusUnauthorized)
 		return
 	}
@@ -96,7 +96,7 @@
 		if err != nil {
 			return
 		}
-		s.Bytes(len(data))
+		s.OnBytes(len(data))
 		var e envelope
 		if decoder.Unmarshal(data, &e) != nil {
 			return
@@ -106,7 +106,7 @@
 			writing.Lock()
 			defer writing.Unlock()
 			if conn.Write(ctx, websocket.MessageBinary, reply) == nil {
-				s.Bytes(len(reply))
+				s.OnBytes(len(reply))
 			}
 		}()
 	}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -31,10 +31,10 @@
 // fingerprintDigits is the length of a fingerprint as text.
 const fingerprintDigits = 16
 
-// Of returns the fingerprint of a request: whose it is, what it asks for, and its body. It
+// FingerprintOf returns the fingerprint of a request: whose it is, what it asks for, and its body. It
 // is a part of a cryptographic hash, or somebody could make a request with the fingerprint
 // of another workspace's and have that one refused.
-func Of(workspace, host, method, target string, body []byte) Fingerprint {
+func FingerprintOf(workspace, host, method, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{workspace, host, method, target} {
 		writePart(h, []byte(part))
