--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -7,14 +7,14 @@
 )
 
 // judge brings the holds to the ends that are known, and returns what has changed.
-func (l *Ledger) judge(now time.Duration) (held, released []Fingerprint) {
+func (l *Tracker) judge(now time.Duration) (held, released []Fingerprint) {
 	guilty := l.guilty(now)
 	for _, f := range guilty {
 		if h := l.holds[f]; h != nil {
-			h.until = max(h.until, l.lastEnd(f)+HoldFor)
+			h.until = max(h.until, l.lastEnd(f)+HoldTTL)
 			continue
 		}
-		l.hold(f, &hold{since: l.lastEnd(f), until: l.lastEnd(f) + HoldFor, learned: now})
+		l.hold(f, &hold{since: l.lastEnd(f), until: l.lastEnd(f) + HoldTTL, learned: now})
 		held = append(held, f)
 	}
 	for f := range l.holds {
@@ -29,7 +29,7 @@
 	return held, released
 }
 
-func (l *Ledger) lastEnd(f Fingerprint) (at time.Duration) {
+func (l *Tracker) lastEnd(f Fingerprint) (at time.Duration) {
 	for _, id := range l.of[f] {
 		at = max(at, l.ends[id].at)
 	}
@@ -41,7 +41,7 @@
 // no other: a request that was beside a deadly one three times would be held for it else.
 // Of two that were at the same three ends neither is held for a while, unless one is already:
 // the next end tells, or the answer that one of them gets.
-func (l *Ledger) guilty(now time.Duration) (out []Fingerprint) {
+func (l *Tracker) guilty(now time.Duration) (out []Fingerprint) {
 	explained := map[endID]bool{}
 	doubtful := map[Fingerprint]bool{}
 	left := map[Fingerprint]bool{}
@@ -76,7 +76,7 @@
 // unanswered returns those of some doubtful requests that were not answered in full for a
 // while and whose ends are not all explained. Of two deadly requests that ended servers
 // together, the second has too few ends of its own.
-func (l *Ledger) unanswered(doubtful map[Fingerprint]bool, explained map[endID]bool, now time.Duration) (out []Fingerprint) {
+func (l *Tracker) unanswered(doubtful map[Fingerprint]bool, explained map[endID]bool, now time.Duration) (out []Fingerprint) {
 	for _, f := range slices.Sorted(maps.Keys(doubtful)) {
 		if now-l.lastEnd(f) >= doubtFor && len(l.unexplained(f, explained)) > 0 {
 			out = append(out, f)
@@ -87,7 +87,7 @@
 
 // most returns the largest number of unexplained ends of one request, and which have it, in
 // order.
-func (l *Ledger) most(left map[Fingerprint]bool, explained map[endID]bool) (most int, first []Fingerprint) {
+func (l *Tracker) most(left map[Fingerprint]bool, explained map[endID]bool) (most int, first []Fingerprint) {
 	for _, f := range slices.Sorted(maps.Keys(left)) {
 		n := len(l.unexplained(f, explained))
 		switch {
@@ -100,7 +100,7 @@
 	return most, first
 }
 
-func (l *Ledger) unexplained(f Fingerprint, explained map[endID]bool) (out []endID) {
+func (l *Tracker) unexplained(f Fingerprint, explained map[endID]bool) (out []endID) {
 	for _, id := range l.of[f] {
 		if !explained[id] {
 			out = append(out, id)
@@ -110,7 +110,7 @@
 }
 
 // rival reports whether another request was at the same unexplained ends.
-func (l *Ledger) rival(f Fingerprint, others []Fingerprint, explained map[endID]bool) bool {
+func (l *Tracker) rival(f Fingerprint, others []Fingerprint, explained map[endID]bool) bool {
 	own := l.unexplained(f, explained)
 	slices.Sort(own)
 	return slices.ContainsFunc(others, func(o Fingerprint) bool {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -18,10 +18,10 @@
 	// endKept is how long the end of a server is remembered, and HoldFor how long a
 	// request is held from its last end on: it ends servers again when it comes later.
 	endKept = time.Hour
-	HoldFor = time.Hour
-	// SameEnd is the time within which ends of a run are one, as daemons notice it: where
+	HoldTTL = time.Hour
+	// CrashDedupWindow is the time within which ends of a run are one, as daemons notice it: where
 	// servers keep their name over a start, a later one is another.
-	SameEnd = 2 * time.Second
+	CrashDedupWindow = 2 * time.Second
 	// mostEnds, mostSuspects and mostHolds bound what is remembered: ends, requests for
 	// each, and requests held. Together they take some MB at most.
 	mostEnds    = 256
@@ -40,16 +40,16 @@
 	settled = time.Second
 )
 
-// RunKey names a run of a backend server among daemons.
-type RunKey uint32
+// IncarnationKey names a run of a backend server among daemons.
+type IncarnationKey uint32
 
-// Standing is what is known of one request.
-type Standing struct {
-	// Ends is how many servers ended that ran it.
-	Ends int
+// Status is what is known of one request.
+type Status struct {
+	// Crashes is how many servers ended that ran it.
+	Crashes int
 	// Held says that it is kept from servers, For since when, and Left for how long yet.
-	Held      bool
-	For, Left time.Duration
+	Held               bool
+	HeldFor, Remaining time.Duration
 }
 
 // Change is what something learned has changed.
@@ -66,13 +66,13 @@
 	}
 }
 
-// Ledger keeps which servers ended, what ran there, and which requests are held for it.
+// Tracker keeps which servers ended, what ran there, and which requests are held for it.
 // Every daemon's ledger comes to the same verdict from the same ends. It is guarded by its
 // owner's lock; times are readings of a steady clock.
-type Ledger struct {
+type Tracker struct {
 	ends map[endID]*end
 	// newest is the newest end of each run, and lastID the number given last.
-	newest map[RunKey]endID
+	newest map[IncarnationKey]endID
 	lastID endID
 	// of lists the ends of each suspected request.
 	of    map[Fingerprint][]endID
@@ -90,7 +90,7 @@
 type endID uint64
 
 type end struct {
-	run      RunKey
+	run      IncarnationKey
 	at       time.Duration
 	suspects map[Fingerprint]bool
 }
@@ -111,25 +111,25 @@
 	confirmed bool
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{
-		ends: map[endID]*end{}, newest: map[RunKey]endID{}, of: map[Fingerprint][]endID{}, holds: map[Fingerprint]*hold{},
+// NewTracker returns an empty ledger.
+func NewTracker() *Tracker {
+	return &Tracker{
+		ends: map[endID]*end{}, newest: map[IncarnationKey]endID{}, of: map[Fingerprint][]endID{}, holds: map[Fingerprint]*hold{},
 		cleared: map[Fingerprint]time.Duration{}, succeeded: map[Fingerprint]time.Duration{},
 	}
 }
 
-// Standing returns what is known of a request.
-func (l *Ledger) Standing(f Fingerprint, now time.Duration) Standing {
-	out := Standing{Ends: len(l.of[f])}
+// Status returns what is known of a request.
+func (l *Tracker) Status(f Fingerprint, now time.Duration) Status {
+	out := Status{Crashes: len(l.of[f])}
 	if h := l.holds[f]; h != nil && now < h.until {
-		out.Held, out.For, out.Left = true, now-h.since, h.until-now
+		out.Held, out.HeldFor, out.Remaining = true, now-h.since, h.until-now
 	}
 	return out
 }
 
 // Holds lists the requests that are held, in order.
-func (l *Ledger) Holds(now time.Duration) (out []Hold) {
+func (l *Tracker) Holds(now time.Duration) (out []Hold) {
 	for f, h := range l.holds {
 		if now < h.until {
 			out = append(out, h.word(f, now))
@@ -140,11 +140,11 @@
 }
 
 func (h *hold) word(f Fingerprint, now time.Duration) Hold {
-	return Hold{Fingerprint: f, AgeMs: (now - h.since).Milliseconds(), LeftMs: (h.until - now).Milliseconds()}
+	return Hold{Fingerprint: f, AgeMs: (now - h.since).Milliseconds(), RemainingMs: (h.until - now).Milliseconds()}
 }
 
-// Ended takes it that a run of a server ended at a time, and which requests were there.
-func (l *Ledger) Ended(run RunKey, at time.Duration, suspects []Fingerprint, now time.Duration) Change {
+// RecordCrash takes it that a run of a server ended at a time, and which requests were there.
+func (l *Tracker) RecordCrash(run IncarnationKey, at time.Duration, suspects []Fingerprint, now time.Duration) Change {
 	l.sweep(now)
 	id := l.endOf(run, at)
 	e := l.ends[id]
@@ -167,8 +167,8 @@
 }
 
 // endOf returns the end of a run at about a time.
-func (l *Ledger) endOf(run RunKey, at time.Duration) endID {
-	if id, known := l.newest[run]; known && (at-l.ends[id].at).Abs() <= SameEnd {
+func (l *Tracker) endOf(run IncarnationKey, at time.Duration) endID {
+	if id, known := l.newest[run]; known && (at-l.ends[id].at).Abs() <= CrashDedupWindow {
 		return id
 	}
 	l.makeRoom()
@@ -179,7 +179,7 @@
 }
 
 // suspected reports whether a request that was at a server is to be remembered for its end.
-func (l *Ledger) suspected(e *end, f Fingerprint) bool {
+func (l *Tracker) suspected(e *end, f Fingerprint) bool {
 	if e.suspects[f] || len(e.suspects) >= maxSuspects {
 		return false
 	}
@@ -191,7 +191,7 @@
 }
 
 // makeRoom forgets the oldest end if there are too many.
-func (l *Ledger) makeRoom() {
+func (l *Tracker) makeRoom() {
 	if len(l.ends) < mostEnds {
 		return
 	}
@@ -200,7 +200,7 @@
 	}))
 }
 
-func (l *Ledger) forget(id endID) {
+func (l *Tracker) forget(id endID) {
 	e := l.ends[id]
 	for f := range e.suspects {
 		l.unlink(f, id)
@@ -211,7 +211,7 @@
 	delete(l.ends, id)
 }
 
-func (l *Ledger) unlink(f Fingerprint, id endID) {
+func (l *Tracker) unlink(f Fingerprint, id endID) {
 	list := slices.DeleteFunc(l.of[f], func(o endID) bool { return o == id })
 	if len(list) == 0 {
 		delete(l.of, f)
@@ -220,10 +220,10 @@
 	l.of[f] = list
 }
 
-// Succeeded takes it that a request was answered in full. A request that ends its servers
+// RecordSuccess takes it that a request was answered in full. A request that ends its servers
 // never is, so that no end before counts against it. It is broadcast if it was at more than
 // one end: of each server that ends there are dozens that were at one.
-func (l *Ledger) Succeeded(f Fingerprint, now time.Duration) Change {
+func (l *Tracker) RecordSuccess(f Fingerprint, now time.Duration) Change {
 	l.sweep(now)
 	l.succeeded[f] = now
 	if len(l.of[f]) == 0 && l.holds[f] == nil {
@@ -232,14 +232,14 @@
 	return l.clear(f, now, now, len(l.of[f]) > 1 || l.holds[f] != nil)
 }
 
-// Cleared takes it that a request is not to blame for servers that ended before a time.
-func (l *Ledger) Cleared(f Fingerprint, at, now time.Duration) Change {
+// ApplyClearance takes it that a request is not to blame for servers that ended before a time.
+func (l *Tracker) ApplyClearance(f Fingerprint, at, now time.Duration) Change {
 	return l.clear(f, at, now, true)
 }
 
 // clear takes a clearance, and broadcasts it unless others know: one that is received again is
 // a little younger each time, by the time that it was on its way.
-func (l *Ledger) clear(f Fingerprint, at, now time.Duration, tell bool) (out Change) {
+func (l *Tracker) clear(f Fingerprint, at, now time.Duration, tell bool) (out Change) {
 	before, any := l.cleared[f]
 	if any && before >= at {
 		return out
@@ -255,7 +255,7 @@
 		delete(l.holds, f)
 		out.Broadcast, out.Released = true, []Fingerprint{f}
 	}
-	if tell && (!any || at-before > SameEnd || out.Broadcast) {
+	if tell && (!any || at-before > CrashDedupWindow || out.Broadcast) {
 		l.pending = append(l.pending, pendingBroadcast{fingerprint: f, cleared: true, learned: now})
 	}
 	return out
@@ -263,14 +263,14 @@
 
 // ApplyHold takes it from another daemon or the store that a request is held since a time and
 // until another. One that was cleared since is not.
-func (l *Ledger) ApplyHold(f Fingerprint, since, until, now time.Duration) (out Change) {
+func (l *Tracker) ApplyHold(f Fingerprint, since, until, now time.Duration) (out Change) {
 	if at, any := l.cleared[f]; any && at >= since || until <= now {
 		return out
 	}
 	if l.holds[f] == nil && len(l.of[f]) >= endsToHold && !slices.Contains(l.guilty(now), f) {
 		return out // the ends that are known here are laid to another request
 	}
-	until = min(until, now+HoldFor)
+	until = min(until, now+HoldTTL)
 	if h := l.holds[f]; h != nil {
 		h.until = max(h.until, until)
 		return out
@@ -281,7 +281,7 @@
 
 // hold holds a request, in place of the one that is held for the shortest time if there are
 // too many.
-func (l *Ledger) hold(f Fingerprint, h *hold) {
+func (l *Tracker) hold(f Fingerprint, h *hold) {
 	if len(l.holds) >= mostHolds {
 		next := slices.MinFunc(slices.Collect(maps.Keys(l.holds)), func(a, b Fingerprint) int {
 			return cmp.Or(cmp.Compare(l.holds[a].until, l.holds[b].until), cmp.Compare(a, b))
@@ -292,7 +292,7 @@
 }
 
 // sweep forgets what is too old, once a second.
-func (l *Ledger) sweep(now time.Duration) {
+func (l *Tracker) sweep(now time.Duration) {
 	if now-l.swept < time.Second {
 		return
 	}
@@ -307,9 +307,9 @@
 	maps.DeleteFunc(l.succeeded, func(_ Fingerprint, at time.Duration) bool { return now-at > 2*justSucceeded })
 }
 
-// Reconsider judges a request that was at enough ends again: its rivals may have been at no
+// Reevaluate judges a request that was at enough ends again: its rivals may have been at no
 // further one for long enough.
-func (l *Ledger) Reconsider(f Fingerprint, now time.Duration) (out Change) {
+func (l *Tracker) Reevaluate(f Fingerprint, now time.Duration) (out Change) {
 	if len(l.of[f]) >= endsToHold && l.holds[f] == nil {
 		out.Held, out.Released = l.judge(now)
 	}
@@ -317,6 +317,6 @@
 }
 
 // moreEndsFirst orders requests by how many servers ended with them.
-func (l *Ledger) moreEndsFirst(a, b Fingerprint) int {
+func (l *Tracker) moreEndsFirst(a, b Fingerprint) int {
 	return cmp.Or(cmp.Compare(len(l.of[b]), len(l.of[a])), cmp.Compare(a, b))
 }
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ask is a daemon's request for a lease.
-type Ask struct {
+// LeaseRequest is a daemon's request for a lease.
+type LeaseRequest struct {
 	// Meter names the workspace and what is limited.
 	Meter string `cbor:"1,keyasint"`
 	Want  int64  `cbor:"2,keyasint"`
@@ -32,19 +32,19 @@
 	RetryAfter time.Duration `cbor:"4,keyasint"`
 }
 
-// Home holds the windows of the meters it is home of.
-type Home struct {
+// Lessor holds the windows of the meters it is home of.
+type Lessor struct {
 	epoch  uint64
 	meters map[string]*Window
 }
 
-// NewHome returns a home with no history.
-func NewHome(epoch uint64) *Home { return &Home{epoch: epoch, meters: map[string]*Window{}} }
+// NewLessor returns a home with no history.
+func NewLessor(epoch uint64) *Lessor { return &Lessor{epoch: epoch, meters: map[string]*Window{}} }
 
 // Grant answers an ask. An amount leased at t may be spent until t+LeaseTerm,
 // so the home bounds leases over Span+LeaseTerm: no span of spending can then
 // hold more than the limit.
-func (h *Home) Grant(now time.Time, a Ask) Lease {
+func (h *Lessor) Grant(now time.Time, a LeaseRequest) Lease {
 	w := h.meters[a.Meter]
 	if w == nil {
 		w = &Window{}
@@ -55,18 +55,18 @@
 	}
 	w.AddAt(now, a.Bucket, -a.Unused)
 	w.Add(now, a.Homeless)
-	free := max(0, a.Limit-w.Sum(now, Span+LeaseTerm))
+	free := max(0, a.Limit-w.Sum(now, WindowSpan+LeaseTerm))
 	l := Lease{Amount: min(a.Want, free), Epoch: h.epoch}
 	w.Add(now, l.Amount)
 	l.History = w.History(now)
 	if l.Amount < a.Want {
-		l.RetryAfter = w.FreeAt(now, Span+LeaseTerm, a.Limit, a.Want)
+		l.RetryAfter = w.FreeAt(now, WindowSpan+LeaseTerm, a.Limit, a.Want)
 	}
 	return l
 }
 
-// Share is a daemon's side of one meter.
-type Share struct {
+// Limiter is a daemon's side of one meter.
+type Limiter struct {
 	meter   string
 	spent   Window
 	amount  int64
@@ -90,17 +90,17 @@
 	rateAt      time.Time
 }
 
-// NewShare returns a share with nothing leased.
-func NewShare(meter string) *Share { return &Share{meter: meter} }
+// NewLimiter returns a share with nothing leased.
+func NewLimiter(meter string) *Limiter { return &Limiter{meter: meter} }
 
-// TrySpend takes n from the lease and reports whether it was there. While no
+// TryAcquire takes n from the lease and reports whether it was there. While no
 // home answers, a daemon may keep its own window at the level it had when the
 // home was lost: the sum over all daemons then stays within the limit without
 // any of them knowing the others.
-func (s *Share) TrySpend(now time.Time, n int64) bool {
+func (s *Limiter) TryAcquire(now time.Time, n int64) bool {
 	s.expire(now)
 	if s.lost {
-		if !now.Before(s.askAgain) || s.spent.Sum(now, Span)+n > s.ceiling {
+		if !now.Before(s.askAgain) || s.spent.Sum(now, WindowSpan)+n > s.ceiling {
 			return false
 		}
 		s.homeless += n
@@ -115,7 +115,7 @@
 	return true
 }
 
-func (s *Share) record(now time.Time, n int64) {
+func (s *Limiter) record(now time.Time, n int64) {
 	s.spent.Add(now, n)
 	s.rate = s.rate*decay(now.Sub(s.rateAt)) + float64(n)
 	s.rateAt = now
@@ -128,7 +128,7 @@
 	return max(0, 1-float64(age)/float64(LeaseTerm))
 }
 
-func (s *Share) expire(now time.Time) {
+func (s *Limiter) expire(now time.Time) {
 	if s.amount > 0 && !now.Before(s.expires) {
 		s.unused += s.amount
 		s.amount = 0
@@ -138,7 +138,7 @@
 // Settle gives back what a reservation did not use. A reservation counts the
 // most a request may use, so that concurrent requests cannot all pass on the
 // same room.
-func (s *Share) Settle(now time.Time, reserved, used int64) {
+func (s *Limiter) Settle(now time.Time, reserved, used int64) {
 	back := reserved - used
 	s.spent.Add(now, -back)
 	if s.lost {
@@ -148,11 +148,11 @@
 	s.unused += back
 }
 
-// Ask returns what to ask the home for: what is needed now plus what the recent
+// NewLeaseRequest returns what to ask the home for: what is needed now plus what the recent
 // rate will use within a lease's term.
-func (s *Share) Ask(now time.Time, need, limit int64, epoch uint64) Ask {
+func (s *Limiter) NewLeaseRequest(now time.Time, need, limit int64, epoch uint64) LeaseRequest {
 	s.expire(now)
-	a := Ask{Meter: s.meter, Want: need + int64(s.rate*decay(now.Sub(s.rateAt))), Limit: limit, Unused: s.unused, Bucket: s.bucket, Homeless: s.homeless}
+	a := LeaseRequest{Meter: s.meter, Want: need + int64(s.rate*decay(now.Sub(s.rateAt))), Limit: limit, Unused: s.unused, Bucket: s.bucket, Homeless: s.homeless}
 	s.unused, s.homeless = 0, 0
 	if epoch == 0 || epoch != s.epoch {
 		known := s.known
@@ -167,15 +167,15 @@
 const denialTerm = 200 * time.Millisecond
 
 // Denied reports whether the home had nothing a moment ago.
-func (s *Share) Denied(now time.Time) bool { return now.Before(s.deniedUntil) }
+func (s *Limiter) Denied(now time.Time) bool { return now.Before(s.deniedUntil) }
 
-// Owes reports whether the home must hear of spending without a lease. A daemon
+// HasUnleasedSpend reports whether the home must hear of spending without a lease. A daemon
 // with little demand would otherwise tell it much later, and the new home would
 // lease out room that is used up.
-func (s *Share) Owes() bool { return s.homeless != 0 }
+func (s *Limiter) HasUnleasedSpend() bool { return s.homeless != 0 }
 
-// Granted stores a lease that was asked for at a time.
-func (s *Share) Granted(askedAt time.Time, l Lease) {
+// ApplyLease stores a lease that was asked for at a time.
+func (s *Limiter) ApplyLease(askedAt time.Time, l Lease) {
 	s.amount += l.Amount
 	s.expires = askedAt.Add(LeaseTerm)
 	s.epoch, s.known, s.lost = l.Epoch, l.History, false
@@ -185,13 +185,13 @@
 	}
 }
 
-// Epoch returns the home incarnation that last answered, or 0.
-func (s *Share) Epoch() uint64 { return s.epoch }
+// LessorEpoch returns the home incarnation that last answered, or 0.
+func (s *Limiter) LessorEpoch() uint64 { return s.epoch }
 
-// HomeLost records that an ask got no answer. What the ask reported was perhaps
+// LeaseRequestFailed records that an ask got no answer. What the ask reported was perhaps
 // not heard: the unused part is forgotten, so that it counts as spent, and what
 // was spent without a home is reported again. Both err on the safe side.
-func (s *Share) HomeLost(now time.Time, failed Ask) {
+func (s *Limiter) LeaseRequestFailed(now time.Time, failed LeaseRequest) {
 	s.expire(now)
 	s.unused = 0
 	s.homeless += failed.Homeless
@@ -200,5 +200,5 @@
 		return
 	}
 	s.lost = true
-	s.ceiling = s.spent.Sum(now, Span)
+	s.ceiling = s.spent.Sum(now, WindowSpan)
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,14 +13,14 @@
 // Sequence: the whole limit is spent at 0:59 and again at 1:00.
 // Cause: a fixed window forgets all at once; a sliding one does not.
 func TestNoBoundaryBurst(t *testing.T) {
-	home, share := NewHome(1), NewShare("m")
+	home, share := NewLessor(1), NewLimiter("m")
 	spend := func(at time.Duration) int {
 		now := start.Add(at)
 		n := 0
 		for range 200 {
-			if !share.TrySpend(now, 1) {
-				share.Granted(now, home.Grant(now, share.Ask(now, 1, 100, 1)))
-				if !share.TrySpend(now, 1) {
+			if !share.TryAcquire(now, 1) {
+				share.ApplyLease(now, home.Grant(now, share.NewLeaseRequest(now, 1, 100, 1)))
+				if !share.TryAcquire(now, 1) {
 					break
 				}
 			}
@@ -34,7 +34,7 @@
 	if got := spend(60 * time.Second); got != 0 {
 		t.Fatalf("second burst %d", got)
 	}
-	if got := spend(59*time.Second + Span + 2*LeaseTerm); got != 100 {
+	if got := spend(59*time.Second + WindowSpan + 2*LeaseTerm); got != 100 {
 		t.Fatalf("a minute later %d", got)
 	}
 }
@@ -45,13 +45,13 @@
 // Cause: a lease is spent up to a term after the home counted it, so the home
 // must remember it for the minute and the term.
 func TestLateSpendingOfALeaseCounts(t *testing.T) {
-	home, share := NewHome(1), NewShare("m")
-	share.Granted(start, home.Grant(start, share.Ask(start, 100, 100, 1)))
-	if !share.TrySpend(start.Add(950*time.Millisecond), 100) {
+	home, share := NewLessor(1), NewLimiter("m")
+	share.ApplyLease(start, home.Grant(start, share.NewLeaseRequest(start, 100, 100, 1)))
+	if !share.TryAcquire(start.Add(950*time.Millisecond), 100) {
 		t.Fatal("the lease ended early")
 	}
 	again := start.Add(60800 * time.Millisecond)
-	if l := home.Grant(again, share.Ask(again, 100, 100, 1)); l.Amount != 0 {
+	if l := home.Grant(again, share.NewLeaseRequest(again, 100, 100, 1)); l.Amount != 0 {
 		t.Fatalf("%d leased again", l.Amount)
 	}
 }
@@ -62,9 +62,9 @@
 func TestSpendingStaysWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit, step = 1000, 250 * time.Millisecond
-		shares := []*Share{NewShare("m"), NewShare("m"), NewShare("m")}
+		shares := []*Limiter{NewLimiter("m"), NewLimiter("m"), NewLimiter("m")}
 		epoch := uint64(1)
-		home := NewHome(epoch)
+		home := NewLessor(epoch)
 		var spent []int64
 		down := 0
 		for i := range 500 {
@@ -73,7 +73,7 @@
 				down--
 			} else if i > 0 && rapid.IntRange(0, 150).Draw(t, "lose") == 0 {
 				epoch++
-				home, down = NewHome(epoch), 8
+				home, down = NewLessor(epoch), 8
 			}
 			sum := int64(0)
 			for _, s := range shares {
@@ -81,15 +81,15 @@
 				if n == 0 {
 					continue
 				}
-				ok := s.TrySpend(now, n)
-				if !ok || s.Owes() && down == 0 {
-					a := s.Ask(now, n, limit, epoch)
+				ok := s.TryAcquire(now, n)
+				if !ok || s.HasUnleasedSpend() && down == 0 {
+					a := s.NewLeaseRequest(now, n, limit, epoch)
 					if down > 0 {
-						s.HomeLost(now, a)
+						s.LeaseRequestFailed(now, a)
 					} else {
-						s.Granted(now, home.Grant(now, a))
+						s.ApplyLease(now, home.Grant(now, a))
 					}
-					ok = ok || s.TrySpend(now, n)
+					ok = ok || s.TryAcquire(now, n)
 				}
 				if ok {
 					sum += n
@@ -97,7 +97,7 @@
 			}
 			spent = append(spent, sum)
 			total := int64(0)
-			for _, v := range spent[max(0, len(spent)-int(Span/step)):] {
+			for _, v := range spent[max(0, len(spent)-int(WindowSpan/step)):] {
 				total += v
 			}
 			if total > limit*105/100 {
@@ -112,13 +112,13 @@
 // Cause: the most a request may use must be taken before it runs; what it did
 // not use comes back.
 func TestReservationsHoldTheRoom(t *testing.T) {
-	home, share := NewHome(1), NewShare("m")
-	share.Granted(start, home.Grant(start, share.Ask(start, 500, 500, 1)))
-	if !share.TrySpend(start, 500) || share.TrySpend(start, 1) {
+	home, share := NewLessor(1), NewLimiter("m")
+	share.ApplyLease(start, home.Grant(start, share.NewLeaseRequest(start, 500, 500, 1)))
+	if !share.TryAcquire(start, 500) || share.TryAcquire(start, 1) {
 		t.Fatal("the second request passed")
 	}
 	share.Settle(start, 500, 100)
-	if l := home.Grant(start, share.Ask(start, 400, 500, 1)); l.Amount != 400 {
+	if l := home.Grant(start, share.NewLeaseRequest(start, 400, 500, 1)); l.Amount != 400 {
 		t.Fatalf("of 400 unused tokens %d came back", l.Amount)
 	}
 }
@@ -128,10 +128,10 @@
 	w.Add(start, 60)
 	w.Add(start.Add(30*time.Second), 40)
 	now := start.Add(40 * time.Second)
-	if d := w.FreeAt(now, Span, 100, 50); d < 19*time.Second || d > 22*time.Second {
+	if d := w.FreeAt(now, WindowSpan, 100, 50); d < 19*time.Second || d > 22*time.Second {
 		t.Fatalf("room for 50 in %s", d)
 	}
-	if d := w.FreeAt(now, Span, 100, 0); d != 0 {
+	if d := w.FreeAt(now, WindowSpan, 100, 0); d != 0 {
 		t.Fatalf("room for nothing in %s", d)
 	}
 }
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -7,15 +7,15 @@
 import "time"
 
 const (
-	// Span is the length of the sliding window.
-	Span = time.Minute
+	// WindowSpan is the length of the sliding window.
+	WindowSpan = time.Minute
 	// bucketWidth is the window's resolution. A partly expired bucket counts
 	// whole, so a limit is undershot by up to bucketWidth/Span (0.8%).
 	bucketWidth = 500 * time.Millisecond
 	// LeaseTerm is how long a leased amount may be spent.
 	LeaseTerm = time.Second
 	// bucketCount covers Span and, for homes, one LeaseTerm more.
-	bucketCount = int((Span+LeaseTerm)/bucketWidth) + 1
+	bucketCount = int((WindowSpan+LeaseTerm)/bucketWidth) + 1
 )
 
 // Window sums amounts over a sliding span.
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -30,14 +30,14 @@
 // plain reads an answer whole before it passes on any of it. A server may break
 // off or be reset in the middle; then the request can still go elsewhere, and a
 // part is never taken for the whole.
-func (x *exchange) plain(t *target, reply *Reply, began time.Time, ok bool) (request.Outcome, bool) {
+func (x *exchange) plain(t *target, reply *BackendResponse, began time.Time, ok bool) (request.SendOutcome, bool) {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxPlain+1))
 	if err == nil && len(body) > maxPlain {
 		return x.passOn(t, reply, body)
 	}
-	if err != nil || reply.Length >= 0 && int64(len(body)) != reply.Length {
+	if err != nil || reply.ContentLength >= 0 && int64(len(body)) != reply.ContentLength {
 		x.note("answer broke off", t, "status", reply.Status, "bytes", len(body), "err", err)
-		return request.Lost, false
+		return request.ResponseLost, false
 	}
 	took := time.Since(began)
 	a := &answer{reply.Status, reply.Header, body}
@@ -50,7 +50,7 @@
 		x.failure = a
 		if x.journey.Repeatable {
 			x.note("server failed", t, "status", reply.Status)
-			return request.Failed, false
+			return request.ErrorResponse, false
 		}
 	}
 	x.succeeded = ok
@@ -58,27 +58,27 @@
 	x.relay.Metrics.Latency.RecordDuration(time.Since(x.call.Received))
 	x.note("answered", t, "status", reply.Status, "bytes", len(body))
 	a.deliver(x.out)
-	return request.Failed, true
+	return request.ErrorResponse, true
 }
 
 // passOn passes an answer on that is too long to be held: what came so far, and the
 // rest as it comes. One that breaks off is cut, or its beginning would look whole.
-func (x *exchange) passOn(t *target, reply *Reply, begun []byte) (request.Outcome, bool) {
+func (x *exchange) passOn(t *target, reply *BackendResponse, begun []byte) (request.SendOutcome, bool) {
 	x.headed = true
-	x.out.Head(reply.Status, reply.Header, reply.Length)
+	x.out.Head(reply.Status, reply.Header, reply.ContentLength)
 	n, err := io.Copy(passing{x.out}, io.MultiReader(bytes.NewReader(begun), reply.Body))
-	if err == nil && reply.Length >= 0 && n != reply.Length {
+	if err == nil && reply.ContentLength >= 0 && n != reply.ContentLength {
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
 		x.note("long answer broke off", t, "status", reply.Status, "bytes", n, "err", err)
 		x.journey.Repeatable = false // no other answer fits what the caller has of this one
-		return request.Lost, false
+		return request.ResponseLost, false
 	}
 	x.succeeded = true
 	x.note("answered", t, "status", reply.Status, "bytes", n)
 	x.relay.Metrics.Answered(true).Inc(1)
-	return request.Failed, true
+	return request.ErrorResponse, true
 }
 
 // passing writes to a caller.
@@ -104,22 +104,22 @@
 }
 
 // stream passes the events of an answer on as they come.
-func (x *exchange) stream(ctx context.Context, t *target, a *attempt, reply *Reply, began time.Time) (request.Outcome, bool) {
+func (x *exchange) stream(ctx context.Context, t *target, a *attempt, reply *BackendResponse, began time.Time) (request.SendOutcome, bool) {
 	if x.escalates(t, reply.Confidence, began) {
-		return request.Unconvincing, false
+		return request.LowConfidence, false
 	}
 	s := &streaming{x: x, t: t, a: a, reply: reply, began: began}
 	err := s.copy()
 	switch {
 	case err == nil:
 		x.streamed(s)
-		return request.Failed, true
+		return request.ErrorResponse, true
 	case errors.Is(err, errCallerLeft):
-		return request.Lost, false
+		return request.ResponseLost, false
 	}
 	x.relay.Rollouts.observe(t, ctx.Err() == nil, 0)
 	x.note("stream broke off", t, "last_event", x.last, "err", err, "cause", context.Cause(ctx))
-	return request.CutShort, false
+	return request.Truncated, false
 }
 
 // streamed books a complete stream.
@@ -139,7 +139,7 @@
 	x      *exchange
 	t      *target
 	a      *attempt
-	reply  *Reply
+	reply  *BackendResponse
 	began  time.Time
 	first  time.Time
 	events int
@@ -240,7 +240,7 @@
 // begin books the first event of this server.
 func (s *streaming) begin() {
 	s.first = time.Now()
-	s.x.relay.Guard.Pass(s.x.run)
+	s.x.relay.Guard.MarkForwarded(s.x.run)
 	took := s.first.Sub(s.began)
 	s.x.relay.State.began(s.t, took, true)
 	s.x.learnBegan(s.t, took)
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -14,10 +14,10 @@
 func engineState(daemon string, engines int) *State {
 	boot := time.Duration(0)
 	s := NewState(daemon, "", func() time.Duration { boot += time.Microsecond; return boot })
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for i := range engines {
 			_, _ = r.Put(backend.Server{
-				Run: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1),
+				Incarnation: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1),
 				Slots: 32, Version: fmt.Sprint("v", 1+i%2),
 			})
 		}
@@ -26,8 +26,8 @@
 }
 
 func engineWant(rng *rand.Rand) *want {
-	e := &route.Engine{Slots: 32, KVTokens: 500_000, Cost: map[string]float64{"m0": 1, "m1": 8, "m2": 16}}
-	parts := []Part{{ID: uint64(rng.IntN(4)), Tokens: 2500}, {ID: uint64(rng.IntN(1000)), Tokens: 3800}, {ID: rng.Uint64(), Tokens: 2900}}
+	e := &route.Engine{Slots: 32, KVCacheTokens: 500_000, CostPer1kTokens: map[string]float64{"m0": 1, "m1": 8, "m2": 16}}
+	parts := []PromptPart{{ID: uint64(rng.IntN(4)), Tokens: 2500}, {ID: uint64(rng.IntN(1000)), Tokens: 3800}, {ID: rng.Uint64(), Tokens: 2900}}
 	return &want{service: "lm", engine: e, model: "m0", prompt: Prompt{Tokens: 9200, Parts: parts}, budget: 8 * time.Second, choice: everyVersionChoice()}
 }
 
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -41,42 +41,42 @@
 	LastEvent int64
 	// Session names requests that belong together; may be empty.
 	Session string
-	// Wait is how long the caller waits from Received on; zero is unbounded.
-	Wait     time.Duration
+	// Timeout is how long the caller waits from Received on; zero is unbounded.
+	Timeout  time.Duration
 	Received time.Time
 }
 
 // Prompt describes what an engine has to read and make.
 type Prompt struct {
 	// Tokens is the prompt's length and AnswerTokens the most to be generated.
-	Tokens       int
-	AnswerTokens int
-	// LikelyTokens is the caller's estimate of the answer's length, right at the
+	Tokens          int
+	MaxAnswerTokens int
+	// AnswerTokensHint is the caller's estimate of the answer's length, right at the
 	// median and often far off; zero is none.
-	LikelyTokens int
+	AnswerTokensHint int
 	// Parts are the prompt's parts in order; requests share leading ones.
-	Parts []Part
+	Parts []PromptPart
 }
 
-// Answer returns the expected length of the answer in tokens.
-func (p Prompt) Answer() int {
-	if p.LikelyTokens <= 0 {
-		return p.AnswerTokens
+// ExpectedAnswerTokens returns the expected length of the answer in tokens.
+func (p Prompt) ExpectedAnswerTokens() int {
+	if p.AnswerTokensHint <= 0 {
+		return p.MaxAnswerTokens
 	}
-	if p.AnswerTokens <= 0 {
-		return p.LikelyTokens
+	if p.MaxAnswerTokens <= 0 {
+		return p.AnswerTokensHint
 	}
-	return min(p.LikelyTokens, p.AnswerTokens)
+	return min(p.AnswerTokensHint, p.MaxAnswerTokens)
 }
 
-// Part is one part of a prompt.
-type Part struct {
+// PromptPart is one part of a prompt.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Send is one sending of a call to a server.
-type Send struct {
+// BackendRequest is one sending of a call to a server.
+type BackendRequest struct {
 	Call      *Call
 	Server    backend.Server
 	Workspace string
@@ -84,35 +84,35 @@
 	Model string
 	// LastEvent is the number of the event after which to begin, or NoEvent.
 	LastEvent int64
-	// Left is how long the answer is of use.
-	Left time.Duration
-	// Urgency goes from 0, first, to 9.
-	Urgency int
-	// Connections bounds the connections to the server; zero is unbounded.
-	Connections int
+	// Timeout is how long the answer is of use.
+	Timeout time.Duration
+	// Priority goes from 0, first, to 9.
+	Priority int
+	// MaxConnections bounds the connections to the server; zero is unbounded.
+	MaxConnections int
 }
 
-// Reply is the head of a server's answer and its body. Closing the body before
+// BackendResponse is the head of a server's answer and its body. Closing the body before
 // its end cancels the run.
-type Reply struct {
+type BackendResponse struct {
 	Status int
 	// Header holds what is passed on to the caller.
 	Header http.Header
 	Body   io.ReadCloser
 	// NotRun is the server's word that it did not run the request.
 	NotRun bool
-	// Sealed answers bear the proof that a server made them.
-	Sealed bool
+	// Authenticated answers bear the proof that a server made them.
+	Authenticated bool
 	// Confidence is the model's own opinion of its answer, 0 to 100; negative
 	// if none is stated.
 	Confidence float64
-	// Length is the body's length in bytes, or -1.
-	Length int64
+	// ContentLength is the body's length in bytes, or -1.
+	ContentLength int64
 }
 
 // Backend sends to backend servers. Its errors are *upstream.Error.
 type Backend interface {
-	Send(ctx context.Context, s Send) (*Reply, error)
+	Send(ctx context.Context, s BackendRequest) (*BackendResponse, error)
 	// Alive asks whether a server answers at all, not whether it is well.
 	Alive(ctx context.Context, s backend.Server, engine bool) error
 	// Refuses reports whether the VM at an address refuses connections: what listened there
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -30,14 +30,14 @@
 	deadline  time.Time
 	// draw is uniform and the same for every send of the call.
 	draw    uint64
-	journey request.Journey
+	journey request.ProxyRetryState
 	tried   []string
 	// fingerprint is the same for every repeat of the request by its caller.
 	fingerprint quarantine.Fingerprint
 	// standing is what was known of the request before the last send.
-	standing quarantine.Standing
+	standing quarantine.Status
 	// run is the last send.
-	run *containment.Run
+	run *containment.Attempt
 	// succeeded says that a server answered in full, and not with a failure.
 	succeeded bool
 	// model indexes the route's models.
@@ -76,7 +76,7 @@
 		if x.journey.Sends() == 0 {
 			x.relay.firstSend(x.service.Name)
 		}
-		x.journey.Sent()
+		x.journey.RecordSend()
 		if t.warming {
 			x.relay.Metrics.WarmingSends.Inc(1)
 		}
@@ -92,11 +92,11 @@
 		}
 		// One that servers may end by asks the larger model of the same server: its cancelled
 		// run may end that one all the same, and a second would end with it.
-		if outcome != request.Unconvincing || x.standing.Ends == 0 {
+		if outcome != request.LowConfidence || x.standing.Crashes == 0 {
 			x.tried = append(x.tried, t.server.ID)
 		}
-		refusal = x.journey.After(outcome, time.Now(), func() bool {
-			return outcome == request.Unconvincing || x.repeatTaken.Swap(false) || x.relay.mayRepeat(x.service.Name, 0)
+		refusal = x.journey.Next(outcome, time.Now(), func() bool {
+			return outcome == request.LowConfidence || x.repeatTaken.Swap(false) || x.relay.mayRepeat(x.service.Name, 0)
 		})
 		if refusal != nil {
 			x.giveUp(refusal)
@@ -134,7 +134,7 @@
 		t, err = x.relay.State.pick(&w, x.service.MaxConns)
 	}
 	if err != nil {
-		return nil, x.journey.Refuse(err.Kind, err.Detail).After(err.RetryAfter)
+		return nil, x.journey.Fail(err.Kind, err.Detail).WithRetryAfter(err.RetryAfter)
 	}
 	return t, nil
 }
@@ -154,21 +154,21 @@
 }
 
 // attempt sends the request to a server and books what became of it there.
-func (x *exchange) attempt(ctx context.Context, t *target) (request.Outcome, bool) {
+func (x *exchange) attempt(ctx context.Context, t *target) (request.SendOutcome, bool) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	x.run = x.relay.Guard.Enter(guarded(t.server), x.fingerprint, cancel)
+	x.run = x.relay.Guard.Begin(guarded(t.server), x.fingerprint, cancel)
 	outcome, done := x.send(ctx, cancel, t)
-	x.relay.Guard.Leave(ctx, x.run, guarded(t.server), fateOf(ctx, outcome, done))
+	x.relay.Guard.End(ctx, x.run, guarded(t.server), fateOf(ctx, outcome, done))
 	if x.succeeded {
-		x.relay.Guard.Succeeded(x.fingerprint)
+		x.relay.Guard.RecordSuccess(x.fingerprint)
 	}
 	return outcome, done
 }
 
 // send makes one attempt. Done says that the caller has the final answer.
-func (x *exchange) send(ctx context.Context, cancel context.CancelCauseFunc, t *target) (request.Outcome, bool) {
-	by, age := x.relay.State.Confirmed(freshness.Servers)
+func (x *exchange) send(ctx context.Context, cancel context.CancelCauseFunc, t *target) (request.SendOutcome, bool) {
+	by, age := x.relay.State.LastConfirmation(freshness.Servers)
 	x.note("send", t, "entries_age_ms", age.Milliseconds(), "entries_by", by, "expected_ms", t.expected.Milliseconds(), "uncached", t.uncached, "warming", t.warming, "send", x.journey.Sends(), "session", x.call.Session, "fingerprint", x.fingerprint)
 	began := time.Now()
 	ctx, stop := context.WithDeadline(ctx, x.deadline)
@@ -181,9 +181,9 @@
 		return true
 	})
 	defer x.relay.watch.leave(a)
-	s := Send{
+	s := BackendRequest{
 		Call: x.call, Server: t.server, Workspace: x.workspace, Model: x.modelName(), LastEvent: x.last,
-		Left: time.Until(x.deadline) - deadlineMargin, Urgency: x.sendUrgency(), Connections: t.connections,
+		Timeout: time.Until(x.deadline) - deadlineMargin, Priority: x.sendUrgency(), MaxConnections: t.connections,
 	}
 	reply, err := x.relay.backend.Send(ctx, s)
 	if err != nil {
@@ -191,7 +191,7 @@
 	}
 	x.relay.watch.answered(a)
 	outcome, done := x.take(ctx, t, a, reply, began)
-	failed := !done && outcome != request.Unconvincing && outcome != request.NotStarted
+	failed := !done && outcome != request.LowConfidence && outcome != request.NotStarted
 	x.relay.State.ended(t, time.Since(began), failed)
 	return outcome, done
 }
@@ -221,7 +221,7 @@
 }
 
 // sendFailed tells from an error whether the request may have run.
-func (x *exchange) sendFailed(t *target, began time.Time, err error) request.Outcome {
+func (x *exchange) sendFailed(t *target, began time.Time, err error) request.SendOutcome {
 	var e *upstream.Error
 	if !errors.As(err, &e) {
 		e = &upstream.Error{Reason: upstream.Broken, Sent: true, Err: err}
@@ -239,11 +239,11 @@
 	if !e.Sent {
 		return request.NotStarted
 	}
-	return request.Lost
+	return request.ResponseLost
 }
 
 // take judges the head of a reply and passes the answer on.
-func (x *exchange) take(ctx context.Context, t *target, a *attempt, reply *Reply, began time.Time) (request.Outcome, bool) {
+func (x *exchange) take(ctx context.Context, t *target, a *attempt, reply *BackendResponse, began time.Time) (request.SendOutcome, bool) {
 	defer func() { _ = reply.Body.Close() }() // ends the run if it is not over; there is nothing to do about an error
 	if reply.NotRun {
 		x.note("not run", t, "status", reply.Status)
@@ -251,13 +251,13 @@
 	}
 	ok := reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices
 	switch {
-	case !reply.Sealed:
+	case !reply.Authenticated:
 		x.note("unproven answer", t, "status", reply.Status)
-		return request.Lost, false
+		return request.ResponseLost, false
 	case ok && x.route.Kind == route.Stream:
 		return x.stream(ctx, t, a, reply, began)
 	case x.headed:
-		return request.Failed, false
+		return request.ErrorResponse, false
 	}
 	return x.plain(t, reply, began, ok)
 }
@@ -270,12 +270,12 @@
 		x.note("cut", nil, "kind", e.Kind, "why", e.Detail, "last_event", x.last)
 		x.relay.Metrics.Cut.Inc(1)
 		x.out.Cut()
-	case x.failure != nil && e.State() != fault.NotRun:
+	case x.failure != nil && e.ExecutionState() != fault.NotRun:
 		x.note("failed at the server", nil, "status", x.failure.status)
 		x.failure.deliver(x.out)
 	default:
-		if e.State() == fault.NotRun && e.Advice() > 0 && e.RetryAfter == 0 {
-			e = e.After(x.retryAfter())
+		if e.ExecutionState() == fault.NotRun && e.RetryDelay() > 0 && e.RetryAfter == 0 {
+			e = e.WithRetryAfter(x.retryAfter())
 		}
 		x.relay.refused(x.call, x.out, e)
 	}
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -32,8 +32,8 @@
 	return s.gate.Evacuations()
 }
 
-// SetView takes with whom this daemon shares the limits of warming servers.
-func (s *State) SetView(v slowstart.View) {
+// SetSlowStartView takes with whom this daemon shares the limits of warming servers.
+func (s *State) SetSlowStartView(v slowstart.View) {
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 
 // bar excludes the servers that the request may not be sent to now, and counts why.
 func (s *State) bar(o *selection, w *want, now time.Duration) {
-	o.refused = gate.Tally{}
+	o.refused = gate.Refusals{}
 	for i := range o.candidates {
 		b, known := o.service.servers[o.candidates[i].ID]
 		if !known {
@@ -64,7 +64,7 @@
 func (s *State) pass(o *selection, w *want, now time.Duration) (warming bool) {
 	c := &o.candidates[o.decision.Index]
 	g := gated(o.service.servers[c.ID], c.Hash, w.limit)
-	s.gate.Pass(g, now)
+	s.gate.RecordSend(g, now)
 	return now < s.gate.WarmAt(g, now)
 }
 
@@ -73,11 +73,11 @@
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gate.Ended(id, now)
+	s.gate.ServerTerminated(id, now)
 }
 
-// Warming counts the servers that are warming up by their entries.
-func (s *State) Warming() (n int) {
+// WarmingServers counts the servers that are warming up by their entries.
+func (s *State) WarmingServers() (n int) {
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,9 +93,9 @@
 
 // noServer is the refusal of a request that no server is left for.
 func noServer(o *selection, w *want) *fault.Error {
-	switch reason, left := o.refused.Main(); reason {
+	switch reason, left := o.refused.Primary(); reason {
 	case gate.Warming:
-		return fault.New(fault.Warming, "the servers of %s that are left are warming up", w.service).After(max(left, warmRetry))
+		return fault.New(fault.Warming, "the servers of %s that are left are warming up", w.service).WithRetryAfter(max(left, warmRetry))
 	case gate.Evacuated:
 		return fault.New(fault.Evacuated, "the servers of %s that are left stand in evacuated failure domains", w.service)
 	}
@@ -109,7 +109,7 @@
 // limitOf is what a warming server of a service bears.
 func (r *Relay) limitOf(x *exchange) slowstart.Limit {
 	return slowstart.Limit{
-		For: x.service.WarmUp, PerSecond: x.service.WarmUpRate, Excess: r.rules.WarmUpExcess, Slack: r.rules.WarmUpSlack,
+		WarmupPeriod: x.service.WarmUp, PerSecond: x.service.WarmUpRate, BurstFactor: r.rules.WarmUpRateFactor, BurstSlack: r.rules.WarmUpBurst,
 	}
 }
 
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -10,17 +10,17 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-var warmUp = slowstart.Limit{For: 3 * time.Second, PerSecond: 15, Excess: 1.5, Slack: 5}
+var warmUp = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
 
 // gatedState has servers a in "east" and b in "west" and is the only daemon.
 func gatedState(t *testing.T, warmAt time.Duration) (*State, *clock) {
 	t.Helper()
 	c := &clock{now: time.Minute}
 	s := NewState("d1", "", c.read)
-	s.SetView(slowstart.View{Own: 1, Trusted: true})
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
+	s.SetSlowStartView(slowstart.View{Self: 1, Trusted: true})
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for id, domain := range map[string]string{"a": "east", "b": "west"} {
-			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: id}, Service: "s", Address: id, FailureDomain: domain, Slots: 4, WarmAt: warmAt})
+			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: id}, Service: "s", Address: id, FailureDomain: domain, Slots: 4, WarmAt: warmAt})
 		}
 	})
 	return s, c
@@ -38,7 +38,7 @@
 		"repeat":        func(w *want) { w.tried = []string{"b"} },
 		"other version": func(w *want) { w.choice.Prefer = func(string) bool { return false } },
 		"part":          func(w *want) { w.choice.Part = 0.1 },
-		"ended servers": func(w *want) { w.standing.Ends = 1; w.fingerprint = 7 },
+		"ended servers": func(w *want) { w.standing.Crashes = 1; w.fingerprint = 7 },
 		"all suspect": func(*want) {
 			for _, id := range []string{"a", "b"} {
 				s.unreachable(&target{service: "s", server: backend.Server{ID: id}})
@@ -62,7 +62,7 @@
 	s.Evacuate("east")
 	s.Evacuate("west")
 	w := gatedWant()
-	if _, err := s.pick(&w, 10); err == nil || err.Kind != fault.Evacuated || err.State() != fault.NotRun {
+	if _, err := s.pick(&w, 10); err == nil || err.Kind != fault.Evacuated || err.ExecutionState() != fault.NotRun {
 		t.Errorf("got %v", err)
 	}
 }
@@ -78,7 +78,7 @@
 		switch {
 		case err == nil:
 			sent++
-		case err.Kind != fault.Warming || err.State() != fault.NotRun || err.RetryAfter > 2*time.Second || err.RetryAfter <= 0:
+		case err.Kind != fault.Warming || err.ExecutionState() != fault.NotRun || err.RetryAfter > 2*time.Second || err.RetryAfter <= 0:
 			t.Fatalf("got %v after %s", err, err.RetryAfter)
 		default:
 			refused++
--- a/internal/relay/homes.go
+++ b/internal/relay/homes.go
@@ -27,26 +27,26 @@
 
 // homes ranks the first candidates by rendezvous hashing.
 func homes(key uint64, candidates []routing.Candidate, r *routing.Request) {
-	var first [routing.FarHome]int
-	var weights [routing.FarHome]uint64
+	var first [routing.MaxHomeRank]int
+	var weights [routing.MaxHomeRank]uint64
 	found := 0
 	for i := range candidates {
-		r.Home[i] = routing.FarHome
+		r.HomeRank[i] = routing.MaxHomeRank
 		weight := rendezvous(candidates[i].Hash, key)
 		place := found
 		for place > 0 && weights[place-1] < weight {
 			place--
 		}
-		if place == routing.FarHome {
+		if place == routing.MaxHomeRank {
 			continue
 		}
 		copy(first[place+1:], first[place:])
 		copy(weights[place+1:], weights[place:])
 		first[place], weights[place] = i, weight
-		found = min(found+1, routing.FarHome)
+		found = min(found+1, routing.MaxHomeRank)
 	}
 	for place, i := range first[:found] {
-		r.Home[i] = uint8(place)
+		r.HomeRank[i] = uint8(place)
 	}
 	nearHome(key, candidates, r)
 }
@@ -56,17 +56,17 @@
 // first is near.
 func nearHome(key uint64, candidates []routing.Candidate, r *routing.Request) {
 	best, most := -1, uint64(0)
-	r.Near = 0
+	r.LocalCandidates = 0
 	for i := range candidates {
 		if candidates[i].ID == "" || candidates[i].FailureDomain != r.FailureDomain {
 			continue
 		}
-		r.Near++
+		r.LocalCandidates++
 		if weight := rendezvous(candidates[i].Hash, key); best < 0 || weight > most {
 			best, most = i, weight
 		}
 	}
 	if best >= 0 {
-		r.Home[best] = min(r.Home[best], 1)
+		r.HomeRank[best] = min(r.HomeRank[best], 1)
 	}
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -33,9 +33,9 @@
 	ServersEnded tally.Counter
 	// Held is how many requests are kept from servers.
 	Held tally.Gauge
-	// Evacuated is how many failure domains get nothing new, and Warming how many servers
+	// DomainsEvacuated is how many failure domains get nothing new, and Warming how many servers
 	// warm up.
-	Evacuated, Warming tally.Gauge
+	DomainsEvacuated, ServersWarming tally.Gauge
 	// WarmingSends counts sends to servers that warm up.
 	WarmingSends tally.Counter
 	// Panics counts panics of handlers.
@@ -60,7 +60,7 @@
 		Cut: s.Counter("answers_cut"), CallersLeft: s.Counter("callers_left"),
 		AliveChecks: s.Counter("alive_checks"), Moved: s.Counter("sends_moved"), Restarts: s.Counter("server_restarts"),
 		ServersEnded: s.Counter("servers_ended"), Held: s.Gauge("requests_held"),
-		Evacuated: s.Gauge("domains_evacuated"), Warming: s.Gauge("servers_warming"), WarmingSends: s.Counter("warming_sends"),
+		DomainsEvacuated: s.Gauge("domains_evacuated"), ServersWarming: s.Gauge("servers_warming"), WarmingSends: s.Counter("warming_sends"),
 		Panics:  s.Counter("panics"),
 		Latency: s.Histogram("answer_seconds", buckets), FirstEvent: s.Histogram("first_event_seconds", buckets),
 	}
@@ -72,11 +72,11 @@
 	return m
 }
 
-// Age shows how old, in seconds, the newest confirmation of a subject is.
-func (m *Metrics) Age(about freshness.Subject) tally.Gauge { return m.ages[about] }
+// ConfirmationAge shows how old, in seconds, the newest confirmation of a subject is.
+func (m *Metrics) ConfirmationAge(about freshness.Subject) tally.Gauge { return m.ages[about] }
 
-// Lateness counts how late, at most, records of a subject were read.
-func (m *Metrics) Lateness(about freshness.Subject) tally.Histogram { return m.lateness[about] }
+// ReadDelay counts how late, at most, records of a subject were read.
+func (m *Metrics) ReadDelay(about freshness.Subject) tally.Histogram { return m.lateness[about] }
 
 // latencyBuckets reach from 5 ms to 20 s by doubling.
 const latencyBuckets = 13
@@ -86,8 +86,8 @@
 	return m.scope.Tagged(map[string]string{"kind": string(k)}).Counter("refusals")
 }
 
-// BadEntry counts entries of servers that name none to use, by fault.
-func (m *Metrics) BadEntry(f backend.Fault) tally.Counter {
+// BadServerEntries counts entries of servers that name none to use, by fault.
+func (m *Metrics) BadServerEntries(f backend.InvalidReason) tally.Counter {
 	return m.scope.Tagged(map[string]string{"fault": string(f)}).Counter("server_entries_bad")
 }
 
@@ -99,8 +99,8 @@
 	return m.scope.Counter("answers_failed")
 }
 
-// MetricNames lists every metric with its meaning, for the page of metrics.
-func MetricNames() map[string]string {
+// MetricDescriptions lists every metric with its meaning, for the page of metrics.
+func MetricDescriptions() map[string]string {
 	return map[string]string{
 		"requests":              "Requests of callers.",
 		"repeats":               "Sends after the first of a request.",
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -25,12 +25,12 @@
 	for i, name := range x.route.Models {
 		out[i].Name = name
 		if x.service.Engine != nil {
-			out[i].Price = x.service.Engine.Cost[name]
+			out[i].Price = x.service.Engine.CostPer1kTokens[name]
 		}
 		dearest = max(dearest, out[i].Price)
 	}
 	for i := range out {
-		out[i].Dearest = dearest
+		out[i].HighestPrice = dearest
 	}
 	return out
 }
@@ -38,12 +38,12 @@
 // asked is the request as a decision on models sees it.
 func (x *exchange) asked() cascade.Request {
 	r := cascade.Request{
-		Route: x.route.Name, Prompt: x.call.Prompt.Tokens, Answer: x.call.Prompt.Answer(),
-		Left: time.Until(x.deadline),
+		Route: x.route.Name, PromptTokens: x.call.Prompt.Tokens, AnswerTokens: x.call.Prompt.ExpectedAnswerTokens(),
+		Remaining: time.Until(x.deadline),
 	}
 	if target := x.route.LatencyTarget; target > 0 {
 		// A target that has passed is not the same as none.
-		r.Target = max(target-time.Since(x.call.Received), 1)
+		r.FirstEventTarget = max(target-time.Since(x.call.Received), 1)
 	}
 	return r
 }
@@ -54,15 +54,15 @@
 	if e := x.service.Engine; e != nil {
 		perEvent = max(e.EventTokens, 1)
 	}
-	return float64(x.call.Prompt.Answer()) / float64(perEvent)
+	return float64(x.call.Prompt.ExpectedAnswerTokens()) / float64(perEvent)
 }
 
 // offers asks what is expected of each model from an index on.
-func (x *exchange) offers(from int) []cascade.Offer {
-	out := make([]cascade.Offer, len(x.route.Models))
+func (x *exchange) offers(from int) []cascade.Estimate {
+	out := make([]cascade.Estimate, len(x.route.Models))
 	for i := range out {
 		if i < from {
-			out[i].None = true
+			out[i].Unavailable = true
 			continue
 		}
 		w := x.want(x.route.Models[i])
@@ -77,7 +77,7 @@
 	x.opinion = opinion{confidence: noOpinion}
 	if x.cascades() {
 		r := x.asked()
-		x.relay.valuer(x.service.Name, func(v *cascade.Valuer) { v.Arrived(r) })
+		x.relay.valuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveRequest(r) })
 	}
 }
 
@@ -86,28 +86,28 @@
 	if !x.cascades() || x.headed {
 		return false
 	}
-	var v cascade.Verdict
+	var v cascade.Decision
 	r, models, offers := x.asked(), x.models(), x.offers(x.model+1)
-	standing := cascade.Offer{Rest: x.relay.State.rest(t, x.events())}
+	standing := cascade.Estimate{Remainder: x.relay.State.rest(t, x.events())}
 	delay := 0.0
 	before := x.opinion
 	x.opinion = opinion{x.model, confidence}
-	x.relay.valuer(x.service.Name, func(l *cascade.Valuer) {
+	x.relay.valuer(x.service.Name, func(l *cascade.Escalator) {
 		if before.model < x.model {
-			l.Asked(models[before.model], models[x.model], before.confidence, confidence)
+			l.ObserveEscalation(models[before.model], models[x.model], before.confidence, confidence)
 		}
-		v = l.Next(r, models, offers, x.model, confidence, standing, x.journey.RunsLeft())
-		delay = l.Delay(models[len(models)-1])
+		v = l.Decide(r, models, offers, x.model, confidence, standing, x.journey.RunsLeft())
+		delay = l.DelayCost(models[len(models)-1])
 	})
 	if v.Model == x.model {
-		x.note("answer stands", t, "confidence", confidence, "right", v.Right, "worth", v.Stand, "worth_of_asking", v.Ask, "delay_price", delay)
+		x.note("answer stands", t, "confidence", confidence, "right", v.CorrectProbability, "worth", v.KeepValue, "worth_of_asking", v.EscalateValue, "delay_price", delay)
 		return false
 	}
 	if !x.relay.mayRepeat(x.service.Name, keepForLoss) {
-		x.note("keeps a doubtful answer", t, "confidence", confidence, "right", v.Right, "why", "no budget left")
+		x.note("keeps a doubtful answer", t, "confidence", confidence, "right", v.CorrectProbability, "why", "no budget left")
 		return false
 	}
-	x.note("asks a larger model", t, "confidence", confidence, "right", v.Right, "worth", v.Stand, "worth_of_asking", v.Ask, "delay_price", delay, "next", x.route.Models[v.Model])
+	x.note("asks a larger model", t, "confidence", confidence, "right", v.CorrectProbability, "worth", v.KeepValue, "worth_of_asking", v.EscalateValue, "delay_price", delay, "next", x.route.Models[v.Model])
 	x.relay.Metrics.Escalations.Inc(1)
 	x.relay.Rollouts.observe(t, false, x.ratio(t, time.Since(began), 0))
 	x.model = v.Model
@@ -121,14 +121,14 @@
 		return
 	}
 	r, models := x.asked(), x.models()
-	o := cascade.Offer{First: t.expected, Rest: x.relay.State.rest(t, x.events())}
-	x.relay.valuer(x.service.Name, func(v *cascade.Valuer) { v.Sent(r, models, x.model, o) })
+	o := cascade.Estimate{FirstEvent: t.expected, Remainder: x.relay.State.rest(t, x.events())}
+	x.relay.valuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveDispatch(r, models, x.model, o) })
 }
 
 // learnBegan tells how long a first event took.
 func (x *exchange) learnBegan(t *target, took time.Duration) {
 	if x.cascades() {
-		x.relay.valuer(x.service.Name, func(v *cascade.Valuer) { v.Began(t.expected, took) })
+		x.relay.valuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveFirstEvent(t.expected, took) })
 	}
 }
 
@@ -138,5 +138,5 @@
 		return
 	}
 	expected := x.relay.State.rest(t, x.events())
-	x.relay.valuer(x.service.Name, func(v *cascade.Valuer) { v.Ended(expected, took) })
+	x.relay.valuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveCompletion(expected, took) })
 }
--- a/internal/relay/others.go
+++ b/internal/relay/others.go
@@ -7,18 +7,18 @@
 // asked, which is less often: each of 195 daemons hears 64 pulses a second, and makes some
 // four choices.
 type peerWork struct {
-	sum map[ServerKey]Work
+	sum map[ServerKey]ServerWork
 	// changes counts them.
 	changes uint64
 }
 
 // add takes changes.
-func (p *peerWork) add(changes []Work) {
+func (p *peerWork) add(changes []ServerWork) {
 	p.changes++
 	for _, c := range changes {
 		w := p.sum[c.Server]
-		w = Work{Server: c.Server, Running: w.Running + c.Running, Pending: w.Pending + c.Pending}
-		if w.Running == 0 && w.Pending == 0 {
+		w = ServerWork{Server: c.Server, InFlight: w.InFlight + c.InFlight, PendingPrefill: w.PendingPrefill + c.PendingPrefill}
+		if w.InFlight == 0 && w.PendingPrefill == 0 {
 			delete(p.sum, c.Server)
 			continue
 		}
@@ -32,6 +32,6 @@
 	now := time.Now()
 	for key, id := range sv.ids {
 		w := p.sum[key]
-		sv.picture.Peers(id, float64(w.Running), float64(w.Pending), now)
+		sv.picture.SetPeerLoad(id, float64(w.InFlight), float64(w.PendingPrefill), now)
 	}
 }
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -13,11 +13,11 @@
 
 type pace struct {
 	// line is the time to the first event by uncached tokens.
-	line *routing.Line
+	line *routing.FirstTokenFit
 	// gap is the mean time between events in seconds.
 	gap float64
 	// load is how many of the model's prompts this daemon sends.
-	load routing.Load
+	load routing.PromptRate
 	// first is the mean time to the answer of a plain service in seconds.
 	first float64
 }
@@ -41,7 +41,7 @@
 func (p paces) of(model string, e *route.Engine) *pace {
 	v := p[model]
 	if v == nil {
-		v = &pace{line: routing.NewLine(firstFixed, time.Duration(costRatio(model, e)*float64(firstPerToken)))}
+		v = &pace{line: routing.NewFirstTokenFit(firstFixed, time.Duration(costRatio(model, e)*float64(firstPerToken)))}
 		p[model] = v
 	}
 	return v
@@ -49,16 +49,16 @@
 
 // costRatio relates a model's cost to the cheapest one's.
 func costRatio(model string, e *route.Engine) float64 {
-	if e == nil || e.Cost[model] <= 0 {
+	if e == nil || e.CostPer1kTokens[model] <= 0 {
 		return 1
 	}
-	least := e.Cost[model]
-	for _, c := range e.Cost {
+	least := e.CostPer1kTokens[model]
+	for _, c := range e.CostPer1kTokens {
 		if c > 0 {
 			least = min(least, c)
 		}
 	}
-	return math.Pow(e.Cost[model]/least, costPower)
+	return math.Pow(e.CostPer1kTokens[model]/least, costPower)
 }
 
 // scale is how much longer the model takes over a token than the reference.
@@ -93,7 +93,7 @@
 		p := sv.pace.of(t.model, nil)
 		first, gap = p.first, p.gap
 		if engine {
-			first = (t.ahead + p.line.At(t.uncached)).Seconds()
+			first = (t.ahead + p.line.Predict(t.uncached)).Seconds()
 		}
 	})
 	return first, gap
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -28,7 +28,7 @@
 	tried     []string
 	// fingerprint and standing say whether servers have ended that ran the request.
 	fingerprint quarantine.Fingerprint
-	standing    quarantine.Standing
+	standing    quarantine.Status
 	// choice says which versions of servers may get the request.
 	choice Choice
 	// gated is the request as the gate sees it, and limit what a warming server bears.
@@ -63,7 +63,7 @@
 	candidates []routing.Candidate
 	decision   routing.Decision
 	// refused says why the gate refused servers.
-	refused gate.Tally
+	refused gate.Refusals
 }
 
 // choose runs the pipeline. Callers hold mu.
@@ -73,27 +73,27 @@
 	sv := s.serviceOf(w.service)
 	pc := sv.pace.of(w.model, w.engine)
 	if w.engine != nil {
-		sv.picture.ReadAt(referenceToken)
+		sv.picture.SetPrefillPerToken(referenceToken)
 	}
 	out := selection{service: sv, candidates: sv.picture.Snapshot(s.room[:0], now)}
 	s.room = out.candidates
 	r := &out.request
 	*r = routing.Request{PromptTokens: w.prompt.Tokens, Urgent: w.urgent, PrefillScale: pc.scale(), Budget: w.budget, FailureDomain: s.failureDomain, BodyBytes: w.bodyBytes}
-	pipeline := routing.Default()
+	pipeline := routing.DefaultPipeline()
 	if w.engine != nil {
-		pipeline = routing.Engines()
+		pipeline = routing.EnginePipeline()
 		r.Blocks, r.BlockEnds = blocks(w.model, w.prompt.Parts)
 		if n := len(r.BlockEnds); n > 1 {
-			r.SharedTokens = r.BlockEnds[n-2]
+			r.SharedPrefixTokens = r.BlockEnds[n-2]
 		}
-		sv.picture.Prefix.Age(now)
-		sv.picture.Prefix.Fill(r)
+		sv.picture.Prefix.Expire(now)
+		sv.picture.Prefix.Lookup(r)
 		homes(homeKey(w.model, w.prompt), out.candidates, r)
-		r.Foreign = sv.lanesOf(w.engine).Foreign(w.model, sv.picture.Order())
+		r.OutsidePartition = sv.lanesOf(w.engine).Outside(w.model, sv.picture.IndicesByHash())
 	}
 	s.mark(&out, w, w.choice.Prefer, boot)
-	limit(r, out.candidates, sv.picture.Order(), w.choice.Part)
-	if w.standing.Ends > 0 {
+	limit(r, out.candidates, sv.picture.IndicesByHash(), w.choice.Part)
+	if w.standing.Crashes > 0 {
 		out.decision = s.pickApart(pipeline, *r, &out, w)
 		if out.decision.Index >= 0 {
 			return out
@@ -118,7 +118,7 @@
 // one server and end no other meanwhile.
 func (s *State) pickApart(p routing.Pipeline, r routing.Request, o *selection, w *want) routing.Decision {
 	var usable []int
-	for _, i := range o.service.picture.Order() {
+	for _, i := range o.service.picture.IndicesByHash() {
 		if c := &o.candidates[i]; c.ID != "" && !c.Suspect && !c.Leaving && !r.Tried.Has(i) {
 			usable = append(usable, i)
 		}
@@ -139,30 +139,30 @@
 
 // outlook returns what is expected of an answer of some events from the server that
 // would be chosen.
-func (s *State) outlook(w *want, events float64) cascade.Offer {
+func (s *State) outlook(w *want, events float64) cascade.Estimate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	out := s.choose(w, now)
 	if out.decision.Index < 0 {
-		return cascade.Offer{None: true}
+		return cascade.Estimate{Unavailable: true}
 	}
 	work := out.work()
-	return cascade.Offer{
-		First: out.decision.Expected, Rest: out.service.pace.rest(w.model, events),
-		Work: work, Delayed: out.service.pace.of(w.model, w.engine).load.Delayed(out.ahead(), work, s.daemons, out.lane(), now),
+	return cascade.Estimate{
+		FirstEvent: out.decision.Expected, Remainder: out.service.pace.rest(w.model, events),
+		EngineTime: work, DelayedPerSecond: out.service.pace.of(w.model, w.engine).load.ArrivalsDuring(out.ahead(), work, s.daemons, out.lane(), now),
 	}
 }
 
 // work is the time to read the prompt at the chosen server.
 func (o *selection) work() time.Duration {
-	return time.Duration(float64(o.request.Uncached(o.decision.Index)) * o.request.PrefillScale * float64(referenceToken))
+	return time.Duration(float64(o.request.UncachedTokens(o.decision.Index)) * o.request.PrefillScale * float64(referenceToken))
 }
 
 // lane is the number of engines that the model's requests go to.
 func (o *selection) lane() int {
 	n := 0
-	out := o.request.Foreign.With(o.request.Tried)
+	out := o.request.OutsidePartition.Union(o.request.Tried)
 	for i := range o.candidates {
 		if o.candidates[i].ID != "" && !out.Has(i) {
 			n++
@@ -183,7 +183,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.choose(w, now)
-	if out.decision.Refusal == routing.TooLate {
+	if out.decision.Refusal == routing.BudgetExceeded {
 		return nil, fault.New(fault.Overloaded, "the first server of %s would begin after %s", w.service, out.decision.Expected.Round(time.Millisecond))
 	}
 	if out.decision.Index < 0 {
@@ -191,35 +191,35 @@
 	}
 	c := out.candidates[out.decision.Index]
 	picture, blocks := out.service.picture, out.request.Blocks
-	picture.Dispatched(c.ID, blocks, w.urgent, now)
+	picture.RecordDispatch(c.ID, blocks, w.urgent, now)
 	t := &target{
 		server: out.service.servers[c.ID], service: w.service, model: w.model, urgent: w.urgent, limit: w.limit,
 		expected:    out.decision.Expected,
-		uncached:    out.request.Uncached(out.decision.Index),
+		uncached:    out.request.UncachedTokens(out.decision.Index),
 		idle:        c.PendingPrefill+c.OthersPending == 0,
 		ahead:       out.ahead(),
 		connections: max(leastConnections, maxConns/(s.daemons+1)),
 	}
 	t.warming = s.pass(&out, w, s.boot())
 	t.pending = float64(t.uncached) * out.request.PrefillScale
-	picture.Pending(c.ID, t.pending)
+	picture.AddPendingPrefill(c.ID, t.pending)
 	if w.engine != nil {
-		out.service.pace.of(w.model, w.engine).load.Sent(now)
+		out.service.pace.of(w.model, w.engine).load.Record(now)
 	}
 	if out.service.lanes != nil {
-		out.service.lanes.Work(w.model, out.work(), now)
+		out.service.lanes.RecordWork(w.model, out.work(), now)
 	}
 	if shared := len(blocks) - 1; shared > 0 && len(s.placed) < maxPlaced {
 		// The last part is the request's own; no other daemon meets it.
-		s.placed = append(s.placed, Placed{Server: KeyOf(c.ID), Blocks: blocks[:shared]})
+		s.placed = append(s.placed, Placement{Server: ServerKeyOf(c.ID), Blocks: blocks[:shared]})
 	}
 	return t, nil
 }
 
 // lanesOf returns the division of the service's engines between its models.
-func (sv *service) lanesOf(e *route.Engine) *routing.Lanes {
+func (sv *service) lanesOf(e *route.Engine) *routing.Partition {
 	if sv.lanes == nil {
-		sv.lanes = routing.NewLanes(expectedWork(e))
+		sv.lanes = routing.NewPartition(expectedWork(e))
 	}
 	return sv.lanes
 }
@@ -231,11 +231,11 @@
 // expectedWork relates the work of the smallest and the largest model.
 func expectedWork(e *route.Engine) map[string]float64 {
 	var small, large string
-	for m, c := range e.Cost {
-		if small == "" || c < e.Cost[small] {
+	for m, c := range e.CostPer1kTokens {
+		if small == "" || c < e.CostPer1kTokens[small] {
 			small = m
 		}
-		if large == "" || c > e.Cost[large] {
+		if large == "" || c > e.CostPer1kTokens[large] {
 			large = m
 		}
 	}
@@ -300,24 +300,24 @@
 func (s *State) began(t *target, took time.Duration, engine bool) {
 	s.with(t.service, func(sv *service) {
 		s.read(sv, t)
-		s.gate.Answered(t.server.ID, t.limit, s.boot())
+		s.gate.ServerResponded(t.server.ID, t.limit, s.boot())
 		p := sv.pace.of(t.model, nil)
 		if !engine {
 			// An answer is the whole work, of which no part tells of a queue.
-			sv.picture.Late(t.server.ID, 0, time.Now())
+			sv.picture.RecordLateness(t.server.ID, 0, time.Now())
 			mean(&p.first, took.Seconds())
 			return
 		}
-		sv.picture.Late(t.server.ID, took-t.ahead-p.line.At(t.uncached), time.Now())
+		sv.picture.RecordLateness(t.server.ID, took-t.ahead-p.line.Predict(t.uncached), time.Now())
 		if t.idle {
-			p.line.Sample(t.uncached, took)
+			p.line.Observe(t.uncached, took)
 		}
 	})
 }
 
 // read takes a prompt off the backlog of its server.
 func (s *State) read(sv *service, t *target) {
-	sv.picture.Pending(t.server.ID, -t.pending)
+	sv.picture.AddPendingPrefill(t.server.ID, -t.pending)
 	t.pending = 0
 }
 
@@ -325,11 +325,11 @@
 func (s *State) ended(t *target, held time.Duration, failed bool) {
 	s.with(t.service, func(sv *service) {
 		s.read(sv, t)
-		sv.picture.Completed(t.server.ID, held, failed, t.urgent, time.Now())
+		sv.picture.RecordCompletion(t.server.ID, held, failed, t.urgent, time.Now())
 	})
 }
 
 // unreachable books a server that takes no connection or answers nothing.
 func (s *State) unreachable(t *target) {
-	s.with(t.service, func(sv *service) { sv.picture.Unreachable(t.server.ID, time.Now()) })
+	s.with(t.service, func(sv *service) { sv.picture.RecordUnreachable(t.server.ID, time.Now()) })
 }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -13,11 +13,11 @@
 
 // newGuard returns what keeps requests from servers that end when they run them.
 func newGuard(r *Relay) *containment.Guard {
-	return containment.New(containment.Ports{
-		Boot: r.State.boot, Logger: r.log, Ended: r.Metrics.ServersEnded, Held: r.Metrics.Held,
-		Refuses: func(ctx context.Context, s containment.Server) bool { return r.backend.Refuses(ctx, s.Address) },
-		Leaving: func(s containment.Server) bool { return r.State.leaving(s.ID) },
-		Lost:    r.State.lost,
+	return containment.New(containment.Options{
+		BootTime: r.State.boot, Logger: r.log, ServersTerminated: r.Metrics.ServersEnded, RequestsHeld: r.Metrics.Held,
+		RefusesConnections: func(ctx context.Context, s containment.Server) bool { return r.backend.Refuses(ctx, s.Address) },
+		Leaving:            func(s containment.Server) bool { return r.State.leaving(s.ID) },
+		OnTerminated:       r.State.lost,
 	})
 }
 
@@ -33,32 +33,32 @@
 	if !x.standing.Held {
 		return nil
 	}
-	x.note("held", nil, "fingerprint", x.fingerprint, "left_ms", x.standing.Left.Milliseconds(), "sends", x.journey.Sends())
-	return x.journey.Refuse(fault.Quarantined, "servers ended that ran this request").After(containment.Advice(x.standing))
+	x.note("held", nil, "fingerprint", x.fingerprint, "left_ms", x.standing.Remaining.Milliseconds(), "sends", x.journey.Sends())
+	return x.journey.Fail(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(x.standing))
 }
 
 // fateOf tells what became of a send from its outcome.
-func fateOf(ctx context.Context, o request.Outcome, done bool) containment.Fate {
+func fateOf(ctx context.Context, o request.SendOutcome, done bool) containment.Outcome {
 	switch {
 	case done, o == request.NotStarted:
-		return containment.Finished
-	case o == request.Unconvincing, ctx.Err() != nil:
-		return containment.Left
-	case o == request.Lost, o == request.CutShort:
-		return containment.Broke
+		return containment.Completed
+	case o == request.LowConfidence, ctx.Err() != nil:
+		return containment.Canceled
+	case o == request.ResponseLost, o == request.Truncated:
+		return containment.ConnectionLost
 	}
-	return containment.Finished
+	return containment.Completed
 }
 
 // lost books a server that has ended, under the key by which daemons tell of it.
-func (s *State) lost(run quarantine.RunKey) {
+func (s *State) lost(run quarantine.IncarnationKey) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
 		if id, known := sv.ids[ServerKey(run)]; known {
-			sv.picture.Unreachable(id, now)
-			s.gate.Ended(id, s.boot())
+			sv.picture.RecordUnreachable(id, now)
+			s.gate.ServerTerminated(id, s.boot())
 		}
 	}
 }
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -26,14 +26,14 @@
 func requestTo(path, body string) *Call {
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Body: []byte(body), Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
-		c.Model, c.Prompt = AnyModel, Prompt{Tokens: 100, AnswerTokens: 20, Parts: []Part{{1, 50}, {2, 50}}}
+		c.Model, c.Prompt = AnyModel, Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
 	return c
 }
 
 // printOf is the fingerprint of a request that ask sends.
 func printOf(path, body string) quarantine.Fingerprint {
-	return quarantine.Of("w", "h", "POST", path, []byte(body))
+	return quarantine.FingerprintOf("w", "h", "POST", path, []byte(body))
 }
 
 // refusing is a backend whose servers have ended for whoever asks.
@@ -41,15 +41,15 @@
 
 func (refusing) Refuses(context.Context, string) bool { return true }
 
-func brokenStream(Send) (*Reply, error) {
-	return &Reply{Status: 200, Sealed: true, Confidence: -1, Length: -1, Body: io.NopCloser(failing{io.ErrUnexpectedEOF})}, nil
+func brokenStream(BackendRequest) (*BackendResponse, error) {
+	return &BackendResponse{Status: 200, Authenticated: true, Confidence: -1, ContentLength: -1, Body: io.NopCloser(failing{io.ErrUnexpectedEOF})}, nil
 }
 
 func TestHeldRequestReachesNoServer(t *testing.T) {
 	w := newWorld(t, brokenStream)
 	w.relay.backend = refusing{w.backend}
 	first := w.ask("/s/1", "x")
-	if first.refusal == nil || first.refusal.State() == fault.NotRun || fault.Lookup(first.refusal.Kind).Run == fault.NotRun {
+	if first.refusal == nil || first.refusal.ExecutionState() == fault.NotRun || fault.Lookup(first.refusal.Kind).Execution == fault.NotRun {
 		t.Errorf("a request that ran was refused with %v", first.refusal)
 	}
 	sent := len(w.backend.sends)
@@ -57,14 +57,14 @@
 		t.Fatalf("sent %d times", sent)
 	}
 	second := w.ask("/s/1", "x")
-	if r := second.refusal; r == nil || r.Kind != fault.Quarantined || r.State() != fault.NotRun || r.Advice() < time.Second {
+	if r := second.refusal; r == nil || r.Kind != fault.Quarantined || r.ExecutionState() != fault.NotRun || r.RetryDelay() < time.Second {
 		t.Errorf("refused with %v", r)
 	}
 	if len(w.backend.sends) != sent {
 		t.Error("a held request was sent")
 	}
 	w.relay.backend = w.backend
-	w.backend.script = []func(Send) (*Reply, error){streamingFrom(90, nil, 1, 2)}
+	w.backend.script = []func(BackendRequest) (*BackendResponse, error){streamingFrom(90, nil, 1, 2)}
 	if other := w.ask("/s/1", "y"); other.status != 200 {
 		t.Errorf("another body was refused with %v", other.refusal)
 	}
@@ -73,7 +73,7 @@
 // What is held by the word of another daemon while a request is between two servers stops it
 // there too, whether it was lost, goes to a larger model or goes on in the middle.
 func TestEveryWayToAServerLeadsPastTheCheck(t *testing.T) {
-	for name, first := range map[string]func(Send) (*Reply, error){
+	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
 		"first send":   nil,
 		"repeat":       failed(upstream.Broken, true),
 		"larger model": streamingFrom(0, nil, 1, 2),
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, nil)
 			hold := func() { w.relay.Guard.ApplyHold(printOf("/s/1", "x"), time.Minute) }
-			w.backend.script = []func(Send) (*Reply, error){func(s Send) (*Reply, error) {
+			w.backend.script = []func(BackendRequest) (*BackendResponse, error){func(s BackendRequest) (*BackendResponse, error) {
 				hold()
 				return first(s)
 			}, answering(200, "")}
@@ -113,14 +113,14 @@
 		f := printOf("/s/1", "x")
 		server := w.backend.sends[0].Server
 		ended := func(age time.Duration) {
-			w.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
-				Run: containment.RunKey(server.ID), AgeMs: age.Milliseconds(), Suspects: []quarantine.Fingerprint{1},
+			w.relay.Guard.Merge(quarantine.Update{Crashes: []quarantine.Crash{{
+				Incarnation: containment.IncarnationKey(server.ID), AgeMs: age.Milliseconds(), Suspects: []quarantine.Fingerprint{1},
 			}}})
 		}
 		*w.clock = clock{now: w.clock.now + 2*time.Second}
 		time.Sleep(2 * time.Second)
 		ended(1900 * time.Millisecond)
-		if n := w.relay.Guard.Check(f).Ends; n != 0 {
+		if n := w.relay.Guard.Check(f).Crashes; n != 0 {
 			t.Fatalf("answered in full, and suspected for %d ends", n)
 		}
 	})
@@ -128,10 +128,10 @@
 		w := newWorld(t, streamingFrom(0, nil, 1, 2), brokenStream)
 		w.ask("/s/1", "x")
 		time.Sleep(100 * time.Millisecond)
-		w.relay.Guard.Merge(quarantine.Update{Ends: []quarantine.End{{
-			Run: containment.RunKey(w.backend.sends[0].Server.ID), Suspects: []quarantine.Fingerprint{1},
+		w.relay.Guard.Merge(quarantine.Update{Crashes: []quarantine.Crash{{
+			Incarnation: containment.IncarnationKey(w.backend.sends[0].Server.ID), Suspects: []quarantine.Fingerprint{1},
 		}}})
-		if n := w.relay.Guard.Check(printOf("/s/1", "x")).Ends; n != 1 {
+		if n := w.relay.Guard.Check(printOf("/s/1", "x")).Crashes; n != 1 {
 			t.Errorf("suspected for %d ends", n)
 		}
 	})
@@ -147,12 +147,12 @@
 	for range 4 {
 		w.ask("/s/1", "x")
 	}
-	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Ends != 0 {
+	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Crashes != 0 {
 		t.Errorf("servers that are well: %+v", s)
 	}
 	w = newWorld(t, failed(upstream.Broken, true))
 	w.relay.backend = refusing{w.backend}
-	w.relay.State.Servers(func(r *backend.Registry, _ time.Duration) {
+	w.relay.State.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for _, id := range []string{"e0", "e1", "e2"} {
 			s, _, _ := r.Get(id, 0)
 			s.Leaving = true
@@ -160,10 +160,10 @@
 		}
 	})
 	for _, id := range []string{"e0", "e1", "e2"} {
-		u := w.relay.Guard.Enter(containment.Server{ID: id}, 7, func(error) {})
-		w.relay.Guard.Leave(t.Context(), u, containment.Server{ID: id}, containment.Broke)
+		u := w.relay.Guard.Begin(containment.Server{ID: id}, 7, func(error) {})
+		w.relay.Guard.End(t.Context(), u, containment.Server{ID: id}, containment.ConnectionLost)
 	}
-	if s := w.relay.Guard.Check(7); s.Ends != 0 {
+	if s := w.relay.Guard.Check(7); s.Crashes != 0 {
 		t.Errorf("servers that leave: %+v", s)
 	}
 }
@@ -176,10 +176,10 @@
 	w := newWorld(t, failed(upstream.Broken, true))
 	w.ask("/s/1", "x")
 	for _, s := range w.backend.sends {
-		w.relay.Ended(s.Server)
-		w.relay.Ended(s.Server)
+		w.relay.ServerRestarted(s.Server)
+		w.relay.ServerRestarted(s.Server)
 	}
-	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Ends != 3 || !s.Held {
+	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Crashes != 3 || !s.Held {
 		t.Errorf("stands %+v", s)
 	}
 }
@@ -189,12 +189,12 @@
 func TestSendsThatWaitEndWhenTheirRequestIsHeld(t *testing.T) {
 	w := newWorld(t, answering(200, ""))
 	var causes []error
-	enter := func(server string) *containment.Run {
-		return w.relay.Guard.Enter(containment.Server{ID: server}, 7, func(err error) { causes = append(causes, err) })
+	enter := func(server string) *containment.Attempt {
+		return w.relay.Guard.Begin(containment.Server{ID: server}, 7, func(err error) { causes = append(causes, err) })
 	}
 	enter("e0")
-	w.relay.Guard.Pass(enter("e1"))
-	w.relay.Guard.Leave(t.Context(), enter("e2"), containment.Server{ID: "e2"}, containment.Finished)
+	w.relay.Guard.MarkForwarded(enter("e1"))
+	w.relay.Guard.End(t.Context(), enter("e2"), containment.Server{ID: "e2"}, containment.Completed)
 	w.relay.Guard.ApplyHold(7, time.Minute)
 	if len(causes) != 1 || !errors.Is(causes[0], containment.ErrHeld) {
 		t.Errorf("ended with %v", causes)
@@ -207,7 +207,7 @@
 	w := newWorld(t, answering(200, ""))
 	to := map[string]int{}
 	for f := quarantine.Fingerprint(1); f <= 60; f++ {
-		x := &want{service: "app", fingerprint: f, standing: quarantine.Standing{Ends: 1}, choice: Choice{Prefer: everyVersion, Else: everyVersion}}
+		x := &want{service: "app", fingerprint: f, standing: quarantine.Status{Crashes: 1}, choice: Choice{Prefer: everyVersion, Else: everyVersion}}
 		first := ""
 		for range 3 {
 			got, err := w.relay.State.pick(x, 100)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,24 +18,24 @@
 	"github.com/damaskrudder/damaskrudder/internal/route"
 )
 
-// Rules are the limits that the deployment sets.
-type Rules struct {
-	// KeyFreshness is how old the newest confirmation of the configuration may be
+// Options are the limits that the deployment sets.
+type Options struct {
+	// MaxKeyStaleness is how old the newest confirmation of the configuration may be
 	// for a request with an API key to be sent to a server. A key that was taken
 	// away longer ago than the deployment allows must open nothing, so this lies
 	// under that bound. Zero does not limit it.
-	KeyFreshness time.Duration
-	// BudgetWindow, BudgetRatio and BudgetReserve limit the repeats of all
+	MaxKeyStaleness time.Duration
+	// RetryBudgetWindow, BudgetRatio and BudgetReserve limit the repeats of all
 	// daemons for one service: see request.Share.
-	BudgetWindow  time.Duration
-	BudgetRatio   float64
-	BudgetReserve float64
-	// SessionSpan is how long after each other requests of a session belong
+	RetryBudgetWindow  time.Duration
+	RetryBudgetRatio   float64
+	RetryBudgetReserve float64
+	// SessionIdleTimeout is how long after each other requests of a session belong
 	// together.
-	SessionSpan time.Duration
-	// WarmUpExcess and WarmUpSlack bound what a warming server gets in any second: its
+	SessionIdleTimeout time.Duration
+	// WarmUpRateFactor and WarmUpSlack bound what a warming server gets in any second: its
 	// stated rate times the first, plus the second.
-	WarmUpExcess, WarmUpSlack float64
+	WarmUpRateFactor, WarmUpBurst float64
 }
 
 const (
@@ -58,19 +58,19 @@
 	Rollouts *Rollouts
 	Metrics  *Metrics
 	backend  Backend
-	rules    Rules
+	rules    Options
 	log      *log.Logger
 	watch    *watch
 	// Guard keeps requests from servers that end when they run them.
 	Guard *containment.Guard
-	// Outdated reports whether other daemons have a newer configuration than the store.
-	Outdated func() bool
+	// ConfigOutdated reports whether other daemons have a newer configuration than the store.
+	ConfigOutdated func() bool
 	// started is where the steady clock of the retry budget begins.
 	started time.Time
 
 	mu      sync.Mutex
-	shares  map[string]*request.Share
-	valuers map[string]*cascade.Valuer
+	shares  map[string]*request.WindowedRetryBudget
+	valuers map[string]*cascade.Escalator
 	active  int
 	// end is when the daemon stops; zero while it does not leave.
 	end time.Time
@@ -79,10 +79,10 @@
 }
 
 // New returns a relay.
-func New(s *State, b Backend, rules Rules, m *Metrics, l *log.Logger) *Relay {
+func New(s *State, b Backend, rules Options, m *Metrics, l *log.Logger) *Relay {
 	r := &Relay{
-		State: s, Rollouts: NewRollouts(rules.SessionSpan, time.Now, l), Metrics: m, backend: b, rules: rules, log: l, started: time.Now(), Outdated: func() bool { return false },
-		shares: map[string]*request.Share{}, valuers: map[string]*cascade.Valuer{},
+		State: s, Rollouts: NewRollouts(rules.SessionIdleTimeout, time.Now, l), Metrics: m, backend: b, rules: rules, log: l, started: time.Now(), ConfigOutdated: func() bool { return false },
+		shares: map[string]*request.WindowedRetryBudget{}, valuers: map[string]*cascade.Escalator{},
 	}
 	r.watch = newWatch(s, b, l, m)
 	r.Guard = newGuard(r)
@@ -92,11 +92,11 @@
 // Run watches over servers until the context ends.
 func (r *Relay) Run(ctx context.Context) { r.watch.run(ctx) }
 
-// Ended tells that a run of a server has ended because the server has started again. What
+// ServerRestarted tells that a run of a server has ended because the server has started again. What
 // is known of a run is kept by its id, so that nothing of it counts for the next one; what
 // waits for it, and connections to it, are ended here.
-func (r *Relay) Ended(run backend.Server) {
-	r.Guard.Restarted(guarded(run))
+func (r *Relay) ServerRestarted(run backend.Server) {
+	r.Guard.ServerRestarted(guarded(run))
 	moved := r.watch.ended(run.ID, time.Now())
 	r.backend.Forget(run.Address)
 	r.Metrics.Restarts.Inc(1)
@@ -104,40 +104,40 @@
 	r.log.Info("server started again", "server", run.ID, "address", run.Address, "moved", moved)
 }
 
-// Heard records that bytes came from a server's address.
-func (r *Relay) Heard(address string) { r.watch.heard(address) }
+// RecordActivity records that bytes came from a server's address.
+func (r *Relay) RecordActivity(address string) { r.watch.heard(address) }
 
-// Leave makes the relay refuse requests that might not be answered by the end of
+// Drain makes the relay refuse requests that might not be answered by the end of
 // the daemon: a request that is read and then cut may have run, and its caller
 // cannot know.
-func (r *Relay) Leave(end time.Time) {
+func (r *Relay) Drain(end time.Time) {
 	r.mu.Lock()
 	r.end = end
 	r.mu.Unlock()
 }
 
-// Active returns the number of requests being served.
-func (r *Relay) Active() int {
+// ActiveRequests returns the number of requests being served.
+func (r *Relay) ActiveRequests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.active
 }
 
-// Idle returns how long no request was admitted.
-func (r *Relay) Idle() time.Duration {
+// IdleTime returns how long no request was admitted.
+func (r *Relay) IdleTime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Since(r.admitted)
 }
 
 // share returns a service's part of the retry budget. Callers hold mu.
-func (r *Relay) share(service string, daemons int) *request.Share {
+func (r *Relay) share(service string, daemons int) *request.WindowedRetryBudget {
 	s := r.shares[service]
 	if s == nil {
-		s = &request.Share{Window: r.rules.BudgetWindow, Ratio: r.rules.BudgetRatio}
+		s = &request.WindowedRetryBudget{Window: r.rules.RetryBudgetWindow, Ratio: r.rules.RetryBudgetRatio}
 		r.shares[service] = s
 	}
-	s.Reserve = reservePart * r.rules.BudgetReserve / float64(daemons)
+	s.Reserve = reservePart * r.rules.RetryBudgetReserve / float64(daemons)
 	return s
 }
 
@@ -152,23 +152,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.share(service, daemons)
-	return s.Take(time.Since(r.started), keep*s.Reserve)
+	return s.TryWithdraw(time.Since(r.started), keep*s.Reserve)
 }
 
 func (r *Relay) firstSend(service string) {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.share(service, daemons).First(time.Since(r.started))
+	r.share(service, daemons).Deposit(time.Since(r.started))
 }
 
 // valuer runs f on what a service's answers taught.
-func (r *Relay) valuer(service string, f func(v *cascade.Valuer)) {
+func (r *Relay) valuer(service string, f func(v *cascade.Escalator)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.valuers[service]
 	if v == nil {
-		v = &cascade.Valuer{}
+		v = &cascade.Escalator{}
 		r.valuers[service] = v
 	}
 	f(v)
@@ -186,7 +186,7 @@
 		r.mu.Unlock()
 	}()
 	r.Metrics.Requests.Inc(1)
-	if !r.State.Known() {
+	if !r.State.Ready() {
 		r.State.Await(ctx, startWait)
 	}
 	x, refusal := r.admit(c, end)
@@ -203,12 +203,12 @@
 
 func (r *Relay) refused(c *Call, out Caller, e *fault.Error) {
 	r.Metrics.Refused(e.Kind).Inc(1)
-	age, known := r.State.Age(freshness.Configuration)
+	age, known := r.State.ConfirmationAge(freshness.Configuration)
 	version := int64(0)
 	if t := r.State.Table(); t != nil {
 		version = t.Version
 	}
-	r.log.Info("refused", "request", c.ID, "kind", e.Kind, "ran", e.State(), "why", e.Detail,
+	r.log.Info("refused", "request", c.ID, "kind", e.Kind, "ran", e.ExecutionState(), "why", e.Detail,
 		"config", version, "config_known", known, "config_age_ms", age.Milliseconds(),
 		"held_ms", time.Since(c.Received).Milliseconds())
 	out.Refuse(e)
@@ -217,11 +217,11 @@
 // admit finds what a call may use, or says why it may not.
 func (r *Relay) admit(c *Call, end time.Time) (*exchange, *fault.Error) {
 	t := r.State.Table()
-	if t == nil || !r.State.Known() {
-		return nil, fault.New(fault.ConfigurationStale, "no configuration is known yet").After(staleRetry)
+	if t == nil || !r.State.Ready() {
+		return nil, fault.New(fault.ConfigurationStale, "no configuration is known yet").WithRetryAfter(staleRetry)
 	}
-	if r.Outdated() {
-		return nil, fault.New(fault.ConfigurationStale, "other daemons have a newer configuration than the store").After(staleRetry)
+	if r.ConfigOutdated() {
+		return nil, fault.New(fault.ConfigurationStale, "other daemons have a newer configuration than the store").WithRetryAfter(staleRetry)
 	}
 	rt := t.Match(c.Host, c.Path)
 	if rt == nil {
@@ -229,28 +229,28 @@
 	}
 	x := &exchange{relay: r, call: c, route: rt, last: c.LastEvent}
 	x.draw = xxhash.Sum64String(c.ID)
-	w, known := t.Workspace(c.Key)
-	keyed := t.Keyed() && !rt.Public
+	w, known := t.WorkspaceByKey(c.Key)
+	keyed := t.KeyRequired() && !rt.Public
 	switch {
 	case keyed && !r.keysFresh():
-		return nil, fault.New(fault.ConfigurationStale, "the list of keys was not confirmed lately").After(staleRetry)
+		return nil, fault.New(fault.ConfigurationStale, "the list of keys was not confirmed lately").WithRetryAfter(staleRetry)
 	case keyed && !known:
 		return nil, fault.New(fault.Unauthorized, "no workspace owns the presented key")
 	}
 	if known {
 		x.workspace = w.Name
 	}
-	x.fingerprint = quarantine.Of(x.workspace, c.Host, c.Method, c.Target, c.Body)
+	x.fingerprint = quarantine.FingerprintOf(x.workspace, c.Host, c.Method, c.Target, c.Body)
 	x.urgency = urgency(rt, w)
 	if limit := t.Limits.BodyBytes; limit > 0 && int64(len(c.Body)) > limit {
 		return nil, fault.New(fault.TooLarge, "the body is longer than %d bytes", limit)
 	}
-	x.service = t.Services[rt.Service(x.draw)]
+	x.service = t.Services[rt.SelectService(x.draw)]
 	x.deadline = deadline(c, rt)
 	if !end.IsZero() && x.deadline.After(end) {
-		return nil, fault.New(fault.ShuttingDown, "this daemon is leaving").After(leavingRetry)
+		return nil, fault.New(fault.ShuttingDown, "this daemon is leaving").WithRetryAfter(leavingRetry)
 	}
-	x.journey = request.Journey{Repeatable: rt.Repeatable(), MaxRuns: rt.Attempts, Deadline: x.deadline}
+	x.journey = request.ProxyRetryState{Repeatable: rt.Repeatable(), MaxRuns: rt.MaxAttempts, Deadline: x.deadline}
 	return x, nil
 }
 
@@ -265,14 +265,14 @@
 )
 
 func (r *Relay) keysFresh() bool {
-	return r.rules.KeyFreshness == 0 || r.State.Fresh(freshness.Configuration, r.rules.KeyFreshness)
+	return r.rules.MaxKeyStaleness == 0 || r.State.ConfirmedWithin(freshness.Configuration, r.rules.MaxKeyStaleness)
 }
 
 // deadline is when the caller leaves or the route's limit ends the wait.
 func deadline(c *Call, rt *route.Route) time.Time {
 	wait := defaultWait
-	if c.Wait > 0 {
-		wait = c.Wait
+	if c.Timeout > 0 {
+		wait = c.Timeout
 	}
 	if rt.Timeout > 0 && rt.Timeout < wait {
 		wait = rt.Timeout
@@ -283,7 +283,7 @@
 // urgency maps priorities, 0 first, to what engines take: 0 to 9, 5 by default.
 func urgency(rt *route.Route, w route.Workspace) int {
 	p := rt.Priority
-	if w.Ranked {
+	if w.HasPriority {
 		p = w.Priority
 	}
 	return min(max(p, 0)+firstUrgency, lastUrgency)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,13 +25,13 @@
 // fakeBackend answers sends by a script, in turn; the last line repeats.
 type fakeBackend struct {
 	mu     sync.Mutex
-	script []func(s Send) (*Reply, error)
-	sends  []Send
+	script []func(s BackendRequest) (*BackendResponse, error)
+	sends  []BackendRequest
 	// forgotten are the addresses whose connections were closed.
 	forgotten []string
 }
 
-func (f *fakeBackend) Send(_ context.Context, s Send) (*Reply, error) {
+func (f *fakeBackend) Send(_ context.Context, s BackendRequest) (*BackendResponse, error) {
 	f.mu.Lock()
 	at := min(len(f.sends), len(f.script)-1)
 	f.sends = append(f.sends, s)
@@ -44,15 +44,15 @@
 func (f *fakeBackend) Forget(address string)                             { f.forgotten = append(f.forgotten, address) }
 
 // answering returns a whole answer.
-func answering(status int, body string) func(Send) (*Reply, error) {
-	return func(Send) (*Reply, error) {
-		return &Reply{Status: status, Header: http.Header{}, Sealed: true, Confidence: -1, Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
+func answering(status int, body string) func(BackendRequest) (*BackendResponse, error) {
+	return func(BackendRequest) (*BackendResponse, error) {
+		return &BackendResponse{Status: status, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
 }
 
 // streamingFrom returns a stream of events, ended by err or properly if it is nil.
-func streamingFrom(confidence float64, err error, ids ...int) func(Send) (*Reply, error) {
-	return func(Send) (*Reply, error) {
+func streamingFrom(confidence float64, err error, ids ...int) func(BackendRequest) (*BackendResponse, error) {
+	return func(BackendRequest) (*BackendResponse, error) {
 		var b strings.Builder
 		for _, id := range ids {
 			fmt.Fprintf(&b, "id: %d\ndata: x%d\n\n", id, id)
@@ -61,7 +61,7 @@
 		if err != nil {
 			r = io.MultiReader(r, failing{err})
 		}
-		return &Reply{Status: 200, Header: http.Header{}, Sealed: true, Confidence: confidence, Length: -1, Body: io.NopCloser(r)}, nil
+		return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: confidence, ContentLength: -1, Body: io.NopCloser(r)}, nil
 	}
 }
 
@@ -69,14 +69,14 @@
 
 func (f failing) Read([]byte) (int, error) { return 0, f.err }
 
-func failed(reason upstream.Reason, sent bool) func(Send) (*Reply, error) {
-	return func(Send) (*Reply, error) {
+func failed(reason upstream.Reason, sent bool) func(BackendRequest) (*BackendResponse, error) {
+	return func(BackendRequest) (*BackendResponse, error) {
 		return nil, &upstream.Error{Reason: reason, Sent: sent, Err: errors.New("test")}
 	}
 }
 
-func notRun(Send) (*Reply, error) {
-	return &Reply{Status: 503, NotRun: true, Confidence: -1, Body: io.NopCloser(strings.NewReader(""))}, nil
+func notRun(BackendRequest) (*BackendResponse, error) {
+	return &BackendResponse{Status: 503, NotRun: true, Confidence: -1, Body: io.NopCloser(strings.NewReader(""))}, nil
 }
 
 // fakeCaller records the answer.
@@ -99,36 +99,36 @@
 	clock   *clock
 }
 
-func newWorld(t *testing.T, script ...func(Send) (*Reply, error)) *world {
+func newWorld(t *testing.T, script ...func(BackendRequest) (*BackendResponse, error)) *world {
 	t.Helper()
 	c := &clock{now: time.Minute}
 	s := NewState("d1", "", c.read)
 	b := &fakeBackend{script: script}
 	models := []string{"small", "middle", "large"}
-	table, err := route.New(route.Document{
-		Version: 1, Keyed: true, Keys: map[string]route.Workspace{"k": {Name: "w"}},
+	table, err := route.NewTable(route.Document{
+		Version: 1, KeyRequired: true, Keys: map[string]route.Workspace{"k": {Name: "w"}},
 		Services: []route.Service{
-			{Name: "lm", MaxConns: 100, Engine: &route.Engine{Slots: 8, Cost: map[string]float64{"small": 0.02, "middle": 0.14, "large": 0.27}}},
+			{Name: "lm", MaxConns: 100, Engine: &route.Engine{Slots: 8, CostPer1kTokens: map[string]float64{"small": 0.02, "middle": 0.14, "large": 0.27}}},
 			{Name: "app", MaxConns: 100},
 		},
 		Routes: []route.Route{
-			{Name: "stream", Host: "h", Prefix: "/s/", Kind: route.Stream, Resumable: true, Attempts: 3, Timeout: 5 * time.Second, LatencyTarget: time.Second, Models: models, Backends: []route.Backend{{Service: "lm", Weight: 1}}},
-			{Name: "pay", Host: "h", Prefix: "/p/", Kind: route.NonIdempotent, Attempts: 1, Timeout: 2 * time.Second, Backends: []route.Backend{{Service: "app", Weight: 1}}},
-			{Name: "look", Host: "h", Prefix: "/l/", Kind: route.Idempotent, Attempts: 2, Timeout: 2 * time.Second, Backends: []route.Backend{{Service: "app", Weight: 1}}},
+			{Name: "stream", Host: "h", PathPrefix: "/s/", Kind: route.Stream, Resumable: true, MaxAttempts: 3, Timeout: 5 * time.Second, LatencyTarget: time.Second, Models: models, Backends: []route.Backend{{Service: "lm", Weight: 1}}},
+			{Name: "pay", Host: "h", PathPrefix: "/p/", Kind: route.NonIdempotent, MaxAttempts: 1, Timeout: 2 * time.Second, Backends: []route.Backend{{Service: "app", Weight: 1}}},
+			{Name: "look", Host: "h", PathPrefix: "/l/", Kind: route.Idempotent, MaxAttempts: 2, Timeout: 2 * time.Second, Backends: []route.Backend{{Service: "app", Weight: 1}}},
 		},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.SetTable(table)
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for i := range 3 {
-			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.0.%d:1", i), Slots: 8, Version: "v1"})
-			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: fmt.Sprint("a", i)}, Service: "app", Address: fmt.Sprintf("10.0.1.%d:1", i), Slots: 4, Version: "v1"})
+			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: fmt.Sprint("e", i)}, Service: "lm", Address: fmt.Sprintf("10.0.0.%d:1", i), Slots: 8, Version: "v1"})
+			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: fmt.Sprint("a", i)}, Service: "app", Address: fmt.Sprintf("10.0.1.%d:1", i), Slots: 4, Version: "v1"})
 		}
 	})
-	s.Confirm(freshness.Configuration, freshness.Confirmation{At: c.now, By: freshness.Own})
-	rules := Rules{KeyFreshness: 4 * time.Second, BudgetWindow: 10 * time.Second, BudgetRatio: 0.9, BudgetReserve: 50}
+	s.Confirm(freshness.Configuration, freshness.Confirmation{At: c.now, Source: freshness.FromStore})
+	rules := Options{MaxKeyStaleness: 4 * time.Second, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50}
 	return &world{New(s, b, rules, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
 }
 
@@ -137,7 +137,7 @@
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
 		c.Model = AnyModel
-		c.Prompt = Prompt{Tokens: 100, AnswerTokens: 20, Parts: []Part{{1, 50}, {2, 50}}}
+		c.Prompt = Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
 	w.relay.Serve(context.Background(), c, out)
 	return out
@@ -145,8 +145,8 @@
 
 func (w *world) inFlight() int {
 	n := 0
-	for _, v := range w.relay.State.Work() {
-		n += v.Running
+	for _, v := range w.relay.State.OwnWork() {
+		n += v.InFlight
 	}
 	return n
 }
@@ -175,7 +175,7 @@
 	for range 50 {
 		w.call("/l/1")
 	}
-	w.backend.script = []func(Send) (*Reply, error){streamingFrom(90, nil, 1, 2)}
+	w.backend.script = []func(BackendRequest) (*BackendResponse, error){streamingFrom(90, nil, 1, 2)}
 	w.call("/s/1")
 	if n := w.inFlight(); n != 0 {
 		t.Fatalf("%d requests still count as running", n)
@@ -192,7 +192,7 @@
 	if len(w.backend.sends) != 1 {
 		t.Fatalf("sent %d times", len(w.backend.sends))
 	}
-	if out.refusal == nil || out.refusal.State() == fault.NotRun {
+	if out.refusal == nil || out.refusal.ExecutionState() == fault.NotRun {
 		t.Fatalf("refused with %v, which says that it did not run", out.refusal)
 	}
 	if status := fault.Lookup(out.refusal.Kind).Status; status == 503 || status == 429 {
@@ -201,7 +201,7 @@
 }
 
 func TestPaymentThatDidNotRunGoesElsewhere(t *testing.T) {
-	for name, first := range map[string]func(Send) (*Reply, error){
+	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
 		"server says so": notRun, "no connection": failed(upstream.Unreachable, false),
 	} {
 		w := newWorld(t, first, answering(200, "paid"))
@@ -218,7 +218,7 @@
 func TestRefusedByAllIsRefusedAsNotRun(t *testing.T) {
 	w := newWorld(t, notRun)
 	out := w.call("/p/1")
-	if out.refusal == nil || out.refusal.State() != fault.NotRun || out.refusal.Advice() <= 0 {
+	if out.refusal == nil || out.refusal.ExecutionState() != fault.NotRun || out.refusal.RetryDelay() <= 0 {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
@@ -278,7 +278,7 @@
 	}{{95, []string{"small"}}, {10, []string{"small", "large"}}} {
 		w := newWorld(t, streamingFrom(tt.confidence, nil, 8, 9), streamingFrom(95, nil, 8, 9))
 		out := &fakeCaller{}
-		prompt := Prompt{Tokens: 100, AnswerTokens: 20, Parts: []Part{{1, 50}, {2, 50}}}
+		prompt := Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 		w.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/s/1", Key: "k", Model: AnyModel, Prompt: prompt, LastEvent: 7, Received: time.Now()}, out)
 		var asked []string
 		for _, s := range w.backend.sends {
@@ -304,7 +304,7 @@
 	if out.refusal == nil || out.refusal.Kind != fault.ConfigurationStale || len(w.backend.sends) != 0 {
 		t.Fatalf("got %+v after %d sends", out.refusal, len(w.backend.sends))
 	}
-	w.relay.State.Confirm(freshness.Configuration, freshness.Confirmation{At: w.clock.now, By: freshness.Own})
+	w.relay.State.Confirm(freshness.Configuration, freshness.Confirmation{At: w.clock.now, Source: freshness.FromStore})
 	if out := w.call("/l/1"); out.status != 200 {
 		t.Fatalf("got %+v after a confirmation", out.refusal)
 	}
@@ -327,15 +327,15 @@
 // Cause: it was taken though it could outlast the daemon.
 func TestLeavingDaemonTakesNothingThatCouldOutlastIt(t *testing.T) {
 	w := newWorld(t, answering(200, "x"))
-	w.relay.Leave(time.Now().Add(500 * time.Millisecond))
-	if out := w.call("/l/1"); out.refusal == nil || out.refusal.Kind != fault.ShuttingDown || out.refusal.State() != fault.NotRun {
+	w.relay.Drain(time.Now().Add(500 * time.Millisecond))
+	if out := w.call("/l/1"); out.refusal == nil || out.refusal.Kind != fault.ShuttingDown || out.refusal.ExecutionState() != fault.NotRun {
 		t.Fatalf("got %+v", out.refusal)
 	}
 }
 
 func TestUnsealedAnswerIsNotPassedOn(t *testing.T) {
-	w := newWorld(t, func(Send) (*Reply, error) {
-		return &Reply{Status: 200, Header: http.Header{}, Confidence: -1, Length: 1, Body: io.NopCloser(strings.NewReader("x"))}, nil
+	w := newWorld(t, func(BackendRequest) (*BackendResponse, error) {
+		return &BackendResponse{Status: 200, Header: http.Header{}, Confidence: -1, ContentLength: 1, Body: io.NopCloser(strings.NewReader("x"))}, nil
 	})
 	if out := w.call("/p/1"); out.status != 0 || out.refusal == nil {
 		t.Fatalf("passed on %d %q", out.status, out.body.String())
@@ -343,8 +343,8 @@
 }
 
 func TestShortAnswerIsNotTakenForTheWhole(t *testing.T) {
-	short := func(Send) (*Reply, error) {
-		return &Reply{Status: 200, Header: http.Header{}, Sealed: true, Confidence: -1, Length: 9, Body: io.NopCloser(strings.NewReader("x"))}, nil
+	short := func(BackendRequest) (*BackendResponse, error) {
+		return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: 9, Body: io.NopCloser(strings.NewReader("x"))}, nil
 	}
 	w := newWorld(t, short, answering(200, "whole"))
 	if out := w.call("/l/1"); out.body.String() != "whole" {
@@ -358,9 +358,9 @@
 // Cause: the key was asked for again at every send.
 func TestKeyTakenAwayLaterDoesNotCutAStream(t *testing.T) {
 	w := newWorld(t, nil)
-	w.backend.script = []func(Send) (*Reply, error){
-		func(s Send) (*Reply, error) {
-			table, err := route.New(route.Document{Version: 2, Keyed: true, Keys: map[string]route.Workspace{}})
+	w.backend.script = []func(BackendRequest) (*BackendResponse, error){
+		func(s BackendRequest) (*BackendResponse, error) {
+			table, err := route.NewTable(route.Document{Version: 2, KeyRequired: true, Keys: map[string]route.Workspace{}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -381,12 +381,12 @@
 func TestLongAnswerIsPassedOnWholeOrCut(t *testing.T) {
 	long := strings.Repeat("x", maxPlain+10)
 	for _, broken := range []error{nil, io.ErrUnexpectedEOF} {
-		w := newWorld(t, func(Send) (*Reply, error) {
+		w := newWorld(t, func(BackendRequest) (*BackendResponse, error) {
 			var r io.Reader = strings.NewReader(long)
 			if broken != nil {
 				r = io.MultiReader(r, failing{broken})
 			}
-			return &Reply{Status: 200, Header: http.Header{}, Sealed: true, Confidence: -1, Length: -1, Body: io.NopCloser(r)}, nil
+			return &BackendResponse{Status: 200, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: -1, Body: io.NopCloser(r)}, nil
 		})
 		out := w.call("/l/x")
 		if out.body.Len() != len(long) || out.cut != (broken != nil) {
@@ -419,12 +419,12 @@
 func TestEachSendStatesWhatIsLeft(t *testing.T) {
 	w := newWorld(t, answering(500, "x"), answering(200, "y"))
 	out := &fakeCaller{}
-	c := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Wait: time.Second}
+	c := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Timeout: time.Second}
 	w.relay.Serve(context.Background(), c, out)
 	if len(w.backend.sends) != 2 {
 		t.Fatalf("%d sends", len(w.backend.sends))
 	}
-	first, second := w.backend.sends[0].Left, w.backend.sends[1].Left
+	first, second := w.backend.sends[0].Timeout, w.backend.sends[1].Timeout
 	if first > 500*time.Millisecond || second > first {
 		t.Errorf("sends state %s and %s of 0.5 s that are left", first, second)
 	}
@@ -435,13 +435,13 @@
 // Cause: nothing but the caller's own patience ended the wait.
 func TestRouteLimitEndsTheWait(t *testing.T) {
 	w := newWorld(t, nil)
-	w.backend.script[0] = func(Send) (*Reply, error) {
+	w.backend.script[0] = func(BackendRequest) (*BackendResponse, error) {
 		return nil, &upstream.Error{Reason: upstream.Canceled, Sent: true, Err: context.DeadlineExceeded}
 	}
 	out := &fakeCaller{}
-	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Wait: time.Minute}
+	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Timeout: time.Minute}
 	w.relay.Serve(context.Background(), c, out)
-	if out.refusal == nil || out.refusal.Kind != fault.DeadlineExceeded || out.refusal.State() == fault.NotRun {
+	if out.refusal == nil || out.refusal.Kind != fault.DeadlineExceeded || out.refusal.ExecutionState() == fault.NotRun {
 		t.Errorf("answered %+v after the route's two seconds", out.refusal)
 	}
 }
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -24,7 +24,7 @@
 	seen sessions
 	// usual is how long answers of a service usually take, on the version that
 	// carries the traffic.
-	usual map[string]*rollout.Usual
+	usual map[string]*rollout.LatencyBaseline
 	// settled is what the store says of orders, by service. It may be read
 	// before the order itself.
 	settled map[string]settled
@@ -43,7 +43,7 @@
 	braked bool
 	// since is when the order was given, by this daemon's clock.
 	since time.Time
-	own   map[string]*rollout.Cell
+	own   map[string]*rollout.ServerCounts
 	peers map[string]OrderReport
 	// oldRunning counts own requests on old servers.
 	oldRunning int
@@ -82,7 +82,7 @@
 // recent lists the sessions of a service that a share of the canary's size moves.
 func (s *sessions) recent(service string, now time.Time) map[uint64]bool {
 	out := map[uint64]bool{}
-	share := rollout.DefaultCourse().Share(rollout.Canary) * shareGrain
+	share := rollout.DefaultOrderPolicy().Share(rollout.Canary) * shareGrain
 	for id, at := range s.last[service] {
 		if now.Sub(at) <= s.span && float64(id>>versionShift%shareGrain) < share {
 			out[id] = true
@@ -110,14 +110,14 @@
 // each other within the span belong together. Now reads the clock.
 func NewRollouts(sessionSpan time.Duration, now func() time.Time, l *log.Logger) *Rollouts {
 	return &Rollouts{
-		log: l, now: now, orders: map[string]*order{}, usual: map[string]*rollout.Usual{}, settled: map[string]settled{}, unsaid: map[string]time.Time{},
+		log: l, now: now, orders: map[string]*order{}, usual: map[string]*rollout.LatencyBaseline{}, settled: map[string]settled{}, unsaid: map[string]time.Time{},
 		seen: sessions{span: sessionSpan, last: map[string]map[uint64]time.Time{}},
 	}
 }
 
-// Ordered takes an order. One that is known or older than a known one changes
+// AddOrder takes an order. One that is known or older than a known one changes
 // nothing.
-func (r *Rollouts) Ordered(o rollout.Order) {
+func (r *Rollouts) AddOrder(o rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := r.orders[o.Service]
@@ -131,10 +131,10 @@
 		r.settle(o.Service)
 		return
 	}
-	o.SessionSpan = r.seen.span
+	o.SessionWindow = r.seen.span
 	r.orders[o.Service] = &order{
 		Order: o, since: r.now(),
-		own: map[string]*rollout.Cell{}, peers: map[string]OrderReport{},
+		own: map[string]*rollout.ServerCounts{}, peers: map[string]OrderReport{},
 	}
 	r.log.Info("roll-out ordered", "service", o.Service, "target", o.Target, "offset", o.Offset, "duration", o.Duration)
 	r.settle(o.Service)
@@ -142,10 +142,10 @@
 
 // advance moves an order on. Callers hold mu.
 func (r *Rollouts) advance(o *order, p rollout.Phase, why string) {
-	if p <= o.phase || o.phase.Over() {
+	if p <= o.phase || o.phase.Final() {
 		return
 	}
-	o.braked = o.braked && !p.Over()
+	o.braked = o.braked && !p.Final()
 	r.log.Info("roll-out phase", "service", o.Service, "target", o.Target, "from", o.phase, "to", p, "why", why, "since_ms", r.now().Sub(o.since).Milliseconds())
 	o.phase = p
 }
@@ -191,7 +191,7 @@
 	if o.braked {
 		return Choice{Prefer: onOld, Else: everyVersion}
 	}
-	share := rollout.DefaultCourse().Share(o.phase)
+	share := rollout.DefaultOrderPolicy().Share(o.phase)
 	if o.phase == rollout.Canary && (now.Sub(o.since) < canaryDelay || session != "" && o.kept(draw)) {
 		share = 0
 	}
@@ -235,21 +235,21 @@
 	defer r.mu.Unlock()
 	usual := r.usual[t.service]
 	if usual == nil {
-		usual = &rollout.Usual{}
+		usual = &rollout.LatencyBaseline{}
 		r.usual[t.service] = usual
 	}
 	o := r.orders[t.service]
-	if o == nil || o.phase.Over() {
-		usual.Add(ratio)
+	if o == nil || o.phase.Final() {
+		usual.Observe(ratio)
 		return
 	}
 	c := o.own[t.server.ID]
 	if c == nil {
-		c = &rollout.Cell{Server: t.server.ID, FailureDomain: t.server.FailureDomain, New: t.server.Version == o.Target}
+		c = &rollout.ServerCounts{Server: t.server.ID, FailureDomain: t.server.FailureDomain, New: t.server.Version == o.Target}
 		o.own[t.server.ID] = c
 	}
 	if !c.New {
-		usual.Add(ratio)
+		usual.Observe(ratio)
 	}
 	c.Counts.Requests++
 	if failed {
@@ -258,7 +258,7 @@
 	}
 	if ratio > 0 {
 		c.Counts.Timed++
-		if usual.Slow(ratio, o.phase) {
+		if usual.IsSlow(ratio, o.phase) {
 			c.Counts.Slow++
 		}
 	}
@@ -272,7 +272,7 @@
 	defer r.mu.Unlock()
 	var out []OrderReport
 	for _, o := range r.orders {
-		if o.phase.Over() {
+		if o.phase.Final() {
 			continue
 		}
 		o.oldRunning = running(o.Service, o.Target)
@@ -300,9 +300,9 @@
 	return e
 }
 
-// Heard takes another daemon's reports. A report of one that ended since is kept:
+// ApplyReports takes another daemon's reports. A report of one that ended since is kept:
 // what it saw stays true.
-func (r *Rollouts) Heard(incarnation string, reports []OrderReport) {
+func (r *Rollouts) ApplyReports(incarnation string, reports []OrderReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range reports {
@@ -321,7 +321,7 @@
 		if ago := time.Duration(p.SinceMs) * time.Millisecond; ago > r.now().Sub(o.since) {
 			o.since = r.now().Add(-ago)
 		}
-		if !p.Phase.Over() {
+		if !p.Phase.Final() {
 			r.advance(o, p.Phase, "another daemon says so")
 		}
 	}
@@ -329,20 +329,20 @@
 
 // Step is a phase that an order should go on to.
 type Step struct {
-	Order rollout.Order
-	Phase rollout.Phase
-	Since time.Duration
-	Why   string
+	Order  rollout.Order
+	Phase  rollout.Phase
+	Age    time.Duration
+	Reason string
 }
 
-// Due lists the orders that should go on, by the evidence of all daemons. Alive
+// NextPhases lists the orders that should go on, by the evidence of all daemons. Alive
 // tells whether an incarnation still runs, since only then does its work count.
-func (r *Rollouts) Due(alive func(incarnation string) bool) []Step {
+func (r *Rollouts) NextPhases(alive func(incarnation string) bool) []Step {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Step
 	for _, o := range r.orders {
-		if o.phase.Over() {
+		if o.phase.Final() {
 			continue
 		}
 		parts, running := []rollout.Evidence{o.cells()}, o.oldRunning
@@ -354,16 +354,16 @@
 		}
 		all := rollout.Sum(parts...)
 		since := r.now().Sub(o.since)
-		if p, why := rollout.DefaultCourse().Next(o.Order, o.phase, since, all, running); p != o.phase {
+		if p, why := rollout.DefaultOrderPolicy().NextPhase(o.Order, o.phase, since, all, running); p != o.phase {
 			out = append(out, Step{o.Order, p, since, why})
 		}
 	}
 	return out
 }
 
-// Brake stops this daemon's use of a new version at once, before the store says
+// Suspend stops this daemon's use of a new version at once, before the store says
 // so: writing there takes time, and fails while it is away.
-func (r *Rollouts) Brake(service string, offset uint64, why string) {
+func (r *Rollouts) Suspend(service string, offset uint64, why string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o := r.orders[service]; o != nil && o.Offset == offset {
@@ -373,7 +373,7 @@
 
 // brake stops this daemon's use of an order's version. Callers hold mu.
 func (r *Rollouts) brake(o *order, why string) {
-	if o.phase.Over() || o.braked {
+	if o.phase.Final() || o.braked {
 		return
 	}
 	o.braked = true
--- a/internal/relay/rollouts_bench_test.go
+++ b/internal/relay/rollouts_bench_test.go
@@ -14,9 +14,9 @@
 		var cells rollout.Evidence
 		for i := range 21 {
 			server := (d + 6*i) % 126
-			cells = append(cells, rollout.Cell{Server: fmt.Sprintf("i-%08x", server), FailureDomain: "d", New: server%2 == 0, Counts: rollout.Counts{Requests: 3}})
+			cells = append(cells, rollout.ServerCounts{Server: fmt.Sprintf("i-%08x", server), FailureDomain: "d", New: server%2 == 0, Counts: rollout.Counts{Requests: 3}})
 		}
-		r.Heard(fmt.Sprint("d", d), []OrderReport{{Service: "s", Offset: 7, Cells: cells}})
+		r.ApplyReports(fmt.Sprint("d", d), []OrderReport{{Service: "s", Offset: 7, Cells: cells}})
 	}
 	return r
 }
@@ -29,7 +29,7 @@
 			r := judged(daemons)
 			b.ReportAllocs()
 			for b.Loop() {
-				r.Due(func(string) bool { return true })
+				r.NextPhases(func(string) bool { return true })
 			}
 		})
 	}
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -16,7 +16,7 @@
 
 func testRollouts() *Rollouts {
 	r := NewRollouts(5*time.Second, time.Now, log.New(io.Discard))
-	r.Ordered(rollout.Order{Service: "s", Target: "v2", Duration: 24 * time.Second, Offset: 7})
+	r.AddOrder(rollout.Order{Service: "s", Target: "v2", Duration: 24 * time.Second, Offset: 7})
 	return r
 }
 
@@ -27,16 +27,16 @@
 // Cause: a daemon's own stop outranked the store's word.
 func TestStoreGoesBeforeOwnBrake(t *testing.T) {
 	r := testRollouts()
-	r.Settled(Settlement{Service: "s", Order: 7, Phase: rollout.Whole, Ago: 15 * time.Second})
-	r.Brake("s", 7, "slow")
+	r.ApplyStoredPhase(StoredPhase{Service: "s", OrderOffset: 7, Phase: rollout.Full, OrderAge: 15 * time.Second})
+	r.Suspend("s", 7, "slow")
 	if c := r.Admits("s", "", 1); !c.Prefer("v1") || c.Prefer("v2") {
 		t.Fatal("a braked version is still preferred")
 	}
-	r.Settled(Settlement{Service: "s", Order: 7, Phase: rollout.Completed, Ago: 20 * time.Second})
+	r.ApplyStoredPhase(StoredPhase{Service: "s", OrderOffset: 7, Phase: rollout.Completed, OrderAge: 20 * time.Second})
 	if c := r.Admits("s", "", 1); !c.Prefer("v2") || c.Prefer("v1") {
 		t.Fatal("after the store's word the old version is still preferred")
 	}
-	r.Brake("s", 7, "slow")
+	r.Suspend("s", 7, "slow")
 	if c := r.Admits("s", "", 1); !c.Prefer("v2") {
 		t.Fatal("an order that is over was braked")
 	}
@@ -70,7 +70,7 @@
 	name := canarySession(t)
 	one.Admits("s", name, 0)
 	none := func(string, string) int { return 0 }
-	other.Heard("one/1", one.Reports(none, true, false))
+	other.ApplyReports("one/1", one.Reports(none, true, false))
 	for _, r := range []*Rollouts{one, other} {
 		r.orders["s"].since = time.Now().Add(-2 * canaryDelay)
 		if r.Admits("s", name, 0).Prefer("v2") {
@@ -84,7 +84,7 @@
 	t.Helper()
 	for i := range 10000 {
 		name := fmt.Sprint("session-", i)
-		if float64(xxhash.Sum64String(name)>>versionShift%shareGrain) < rollout.DefaultCourse().CanaryShare*shareGrain {
+		if float64(xxhash.Sum64String(name)>>versionShift%shareGrain) < rollout.DefaultOrderPolicy().CanaryShare*shareGrain {
 			return name
 		}
 	}
@@ -102,8 +102,8 @@
 	if len(with[0].Cells) != 1 || without[0].Cells != nil {
 		t.Fatalf("with evidence %+v, without %+v", with[0].Cells, without[0].Cells)
 	}
-	judge.Heard("one/1", with)
-	judge.Heard("one/1", without)
+	judge.ApplyReports("one/1", with)
+	judge.ApplyReports("one/1", without)
 	if got := judge.orders["s"].peers["one/1"].Cells; len(got) != 1 {
 		t.Errorf("the evidence is gone: %v", got)
 	}
@@ -116,12 +116,12 @@
 func TestStopOfAJudgeHoldsForAll(t *testing.T) {
 	judge, other, third := testRollouts(), testRollouts(), testRollouts()
 	none := func(string, string) int { return 0 }
-	judge.Brake("s", 7, "errors")
-	other.Heard("judge/1", judge.Reports(none, false, true))
+	judge.Suspend("s", 7, "errors")
+	other.ApplyReports("judge/1", judge.Reports(none, false, true))
 	if c := other.Admits("s", "", 1); c.Prefer("v2") {
 		t.Error("the version is preferred still")
 	}
-	third.Heard("other/1", other.Reports(none, false, false))
+	third.ApplyReports("other/1", other.Reports(none, false, false))
 	if third.orders["s"].braked {
 		t.Error("the stop of a daemon that does not judge was told on")
 	}
@@ -132,31 +132,31 @@
 // at a later position; the copy holds an earlier phase of it, or none.
 // Cause: an order was known by its offset, and its phase by the store's last word.
 func TestOrderThatIsOverStaysOverWhenTheStoreReturns(t *testing.T) {
-	later := uint64(feed.At(1, 9))
-	for name, said := range map[string]*Settlement{
+	later := uint64(feed.NewPosition(1, 9))
+	for name, said := range map[string]*StoredPhase{
 		"nothing said":          nil,
-		"an earlier phase said": {Service: "s", Target: "v2", Order: 7, Phase: rollout.Whole},
+		"an earlier phase said": {Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Full},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRollouts(0, time.Now, log.New(io.Discard))
 			order := rollout.Order{Service: "s", Target: "v2", Offset: 7}
-			r.Ordered(order)
-			r.Settled(Settlement{Service: "s", Target: "v2", Order: 7, Phase: rollout.Completed})
-			r.Restored()
+			r.AddOrder(order)
+			r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Completed})
+			r.StoreRestored()
 			if said != nil {
-				r.Settled(*said)
+				r.ApplyStoredPhase(*said)
 			}
 			order.Offset = later
-			r.Ordered(order)
-			if due := r.Due(func(string) bool { return true }); len(due) != 0 {
+			r.AddOrder(order)
+			if due := r.NextPhases(func(string) bool { return true }); len(due) != 0 {
 				t.Fatalf("goes on: %+v", due)
 			}
-			again := r.Unsaid(0)
+			again := r.LostPhases(0)
 			if len(again) != 1 || again[0].Phase != rollout.Completed || again[0].Order.Offset != later {
 				t.Fatalf("to be written again: %+v", again)
 			}
-			r.Settled(Settlement{Service: "s", Target: "v2", Order: later, Phase: rollout.Completed})
-			if again := r.Unsaid(0); len(again) != 0 {
+			r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: later, Phase: rollout.Completed})
+			if again := r.LostPhases(0); len(again) != 0 {
 				t.Errorf("still to be written: %+v", again)
 			}
 		})
@@ -167,15 +167,15 @@
 // that was written of the earlier one.
 func TestPhaseOfAnEarlierEraIsOfTheSameOrder(t *testing.T) {
 	r := NewRollouts(0, time.Now, log.New(io.Discard))
-	r.Settled(Settlement{Service: "s", Target: "v2", Order: 7, Phase: rollout.Completed})
-	r.Ordered(rollout.Order{Service: "s", Target: "v2", Offset: uint64(feed.At(1, 9))})
-	if due := r.Due(func(string) bool { return true }); len(due) != 0 {
+	r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Completed})
+	r.AddOrder(rollout.Order{Service: "s", Target: "v2", Offset: uint64(feed.NewPosition(1, 9))})
+	if due := r.NextPhases(func(string) bool { return true }); len(due) != 0 {
 		t.Errorf("goes on: %+v", due)
 	}
-	r.Ordered(rollout.Order{Service: "s", Target: "v3", Offset: uint64(feed.At(1, 12))})
+	r.AddOrder(rollout.Order{Service: "s", Target: "v3", Offset: uint64(feed.NewPosition(1, 12))})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if o := r.orders["s"]; o.Target != "v3" || o.phase.Over() {
+	if o := r.orders["s"]; o.Target != "v3" || o.phase.Final() {
 		t.Errorf("another target is the same order: %+v", o)
 	}
 }
--- a/internal/relay/settlements.go
+++ b/internal/relay/settlements.go
@@ -7,19 +7,19 @@
 	"github.com/damaskrudder/damaskrudder/internal/rollout"
 )
 
-// Settlement is how far an order had come when the store took it.
-type Settlement struct {
+// StoredPhase is how far an order had come when the store took it.
+type StoredPhase struct {
 	Service string
 	// Target is the version that the order names, and Order the order's position.
-	Target string
-	Order  uint64
-	Phase  rollout.Phase
-	// Ago is how long before the order was given.
-	Ago time.Duration
+	Target      string
+	OrderOffset uint64
+	Phase       rollout.Phase
+	// OrderAge is how long before the order was given.
+	OrderAge time.Duration
 }
 
 type settled struct {
-	Settlement
+	StoredPhase
 	// since is when the order was given, as far as the store tells.
 	since time.Time
 }
@@ -27,7 +27,7 @@
 // about reports whether a settlement is of an order. In a store that has come back from an
 // older copy the order has a later position: it was written again, or read again.
 func (s settled) about(o rollout.Order) bool {
-	return o.Offset == s.Order || laterEra(o.Offset, s.Order) && o.Target == s.Target
+	return o.Offset == s.OrderOffset || laterEra(o.Offset, s.OrderOffset) && o.Target == s.Target
 }
 
 // laterEra reports whether a position is of a later era of the store than another.
@@ -35,18 +35,18 @@
 	return feed.Position(position).Era() > feed.Position(other).Era()
 }
 
-// Settled takes a phase that the store holds for an order. Phases only go on.
-func (r *Rollouts) Settled(s Settlement) {
+// ApplyStoredPhase takes a phase that the store holds for an order. Phases only go on.
+func (r *Rollouts) ApplyStoredPhase(s StoredPhase) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.settled[s.Service] = settled{s, r.now().Add(-s.Ago)}
+	r.settled[s.Service] = settled{s, r.now().Add(-s.OrderAge)}
 	delete(r.unsaid, s.Service)
 	r.settle(s.Service)
 }
 
-// Restored takes it that the store has come back from an older copy, whose settlements are told
+// StoreRestored takes it that the store has come back from an older copy, whose settlements are told
 // next: what it has lost is to be written again.
-func (r *Rollouts) Restored() {
+func (r *Rollouts) StoreRestored() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.settled, r.restored = map[string]settled{}, true
@@ -57,9 +57,9 @@
 	}
 }
 
-// Unsaid lists the phases that a store which came back from an older copy does not hold, and
+// LostPhases lists the phases that a store which came back from an older copy does not hold, and
 // that were known for some time since.
-func (r *Rollouts) Unsaid(since time.Duration) (out []Step) {
+func (r *Rollouts) LostPhases(since time.Duration) (out []Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for service, at := range r.unsaid {
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -22,7 +22,7 @@
 	boot  func() time.Duration
 
 	mu       sync.Mutex
-	fresh    freshness.Ledger
+	fresh    freshness.Tracker
 	registry *backend.Registry
 	listed   bool
 	// known is closed when the configuration and the servers are known.
@@ -41,7 +41,7 @@
 	// others is the work of the other daemons.
 	others peerWork
 	// placed are placements not yet told to the other daemons.
-	placed []Placed
+	placed []Placement
 	// expiry is when a lapsed server is to be taken as gone; zero if none is.
 	expiry time.Duration
 	// gate is what every choice of a server passes.
@@ -50,7 +50,7 @@
 
 // service is the picture of one service's servers.
 type service struct {
-	picture *routing.Picture
+	picture *routing.LoadTracker
 	members []routing.Member
 	servers map[string]backend.Server
 	// ids names the members by the keys under which daemons tell of them.
@@ -59,7 +59,7 @@
 	// othersAt is the change of the others' work that the picture shows.
 	othersAt uint64
 	// lanes divides engines between models; nil until the first choice.
-	lanes *routing.Lanes
+	lanes *routing.Partition
 }
 
 // NewState returns an empty state. Boot reads a clock that counts while the
@@ -67,7 +67,7 @@
 func NewState(daemon, failureDomain string, boot func() time.Duration) *State {
 	return &State{
 		boot: boot, known: make(chan struct{}), registry: backend.NewRegistry(), gate: gate.New(), services: map[string]*service{}, daemon: daemon, failureDomain: failureDomain, daemons: 1,
-		others: peerWork{sum: map[ServerKey]Work{}}, rng: rand.New(rand.NewPCG(xxhash.Sum64String(daemon), uint64(boot()))),
+		others: peerWork{sum: map[ServerKey]ServerWork{}}, rng: rand.New(rand.NewPCG(xxhash.Sum64String(daemon), uint64(boot()))),
 	}
 }
 
@@ -99,42 +99,42 @@
 	return s.fresh.Confirm(about, c)
 }
 
-// Fresh reports whether a subject was confirmed within a limit.
-func (s *State) Fresh(about freshness.Subject, limit time.Duration) bool {
+// ConfirmedWithin reports whether a subject was confirmed within a limit.
+func (s *State) ConfirmedWithin(about freshness.Subject, limit time.Duration) bool {
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fresh.Within(about, now, limit)
 }
 
-// Age returns the age of the newest confirmation of a subject; false if there is none.
-func (s *State) Age(about freshness.Subject) (time.Duration, bool) {
+// ConfirmationAge returns the age of the newest confirmation of a subject; false if there is none.
+func (s *State) ConfirmationAge(about freshness.Subject) (time.Duration, bool) {
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fresh.Age(about, now)
 }
 
-// NextLook returns which subject is to be looked at next and the time until then; own is
+// NextCheck returns which subject is to be looked at next and the time until then; own is
 // the time until this daemon must hear from the store itself.
-func (s *State) NextLook(p freshness.Plan, rank int, own time.Duration) (about freshness.Subject, due time.Duration, any bool) {
+func (s *State) NextCheck(p freshness.Plan, rank int, own time.Duration) (about freshness.Subject, due time.Duration, any bool) {
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return p.Next(&s.fresh, now, rank, own)
 }
 
-// Confirmed returns who confirmed a subject last, and its age.
-func (s *State) Confirmed(about freshness.Subject) (by string, age time.Duration) {
+// LastConfirmation returns who confirmed a subject last, and its age.
+func (s *State) LastConfirmation(about freshness.Subject) (by string, age time.Duration) {
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c, _ := s.fresh.Newest(about)
-	return c.By, now - c.At
+	return c.Source, now - c.At
 }
 
-// Known reports whether a configuration and the servers are known.
-func (s *State) Known() bool {
+// Ready reports whether a configuration and the servers are known.
+func (s *State) Ready() bool {
 	s.mu.Lock()
 	listed := s.listed
 	s.mu.Unlock()
@@ -170,8 +170,8 @@
 	s.mu.Unlock()
 }
 
-// Servers changes the registry.
-func (s *State) Servers(change func(r *backend.Registry, now time.Duration)) {
+// UpdateServers changes the registry.
+func (s *State) UpdateServers(change func(r *backend.Registry, now time.Duration)) {
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,12 +208,12 @@
 func (s *State) refresh(name string, now time.Duration) *service {
 	sv := s.services[name]
 	if sv == nil {
-		sv = &service{picture: routing.NewPicture(), pace: paces{}}
-		sv.picture.Exact = true
+		sv = &service{picture: routing.NewLoadTracker(), pace: paces{}}
+		sv.picture.ExactPeerLoad = true
 		sv.picture.Prefix.SetCapacity(prefixCapacity)
 		s.services[name] = sv
 	}
-	all := s.registry.Of(name, now)
+	all := s.registry.ForService(name, now)
 	sv.servers = make(map[string]backend.Server, len(all))
 	members := make([]routing.Member, 0, len(all))
 	for _, b := range all {
@@ -226,7 +226,7 @@
 	sv.picture.Update(sv.members)
 	sv.ids = make(map[ServerKey]string, len(sv.members))
 	for _, m := range sv.members {
-		sv.ids[KeyOf(m.ID)] = m.ID
+		sv.ids[ServerKeyOf(m.ID)] = m.ID
 	}
 	s.others.show(sv)
 	return sv
@@ -255,12 +255,12 @@
 // four times a second names every server.
 type ServerKey uint32
 
-// KeyOf returns the key of a server's id.
-func KeyOf(id string) ServerKey { return ServerKey(xxhash.Sum64String(id)) }
+// ServerKeyOf returns the key of a server's id.
+func ServerKeyOf(id string) ServerKey { return ServerKey(xxhash.Sum64String(id)) }
 
-// Placed is a prompt's shared beginning that a daemon sent to a server: the
+// Placement is a prompt's shared beginning that a daemon sent to a server: the
 // chained hashes of its parts.
-type Placed struct {
+type Placement struct {
 	_      struct{} `cbor:",toarray"`
 	Server ServerKey
 	Blocks []uint64
@@ -269,8 +269,8 @@
 // maxPlaced bounds the placements kept for one round of telling the others.
 const maxPlaced = 256
 
-// Placements returns what this daemon placed since it was last asked.
-func (s *State) Placements() []Placed {
+// DrainPlacements returns what this daemon placed since it was last asked.
+func (s *State) DrainPlacements() []Placement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.placed
@@ -278,37 +278,37 @@
 	return out
 }
 
-// TakePlacements books what other daemons placed. Without it each daemon knows a
+// ApplyPlacements books what other daemons placed. Without it each daemon knows a
 // sixth of what is cached where, and begins caches of its own.
-func (s *State) TakePlacements(list []Placed) {
+func (s *State) ApplyPlacements(list []Placement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
 		for _, p := range list {
 			if id, known := sv.ids[p.Server]; known {
-				sv.picture.Cached(id, p.Blocks)
+				sv.picture.RecordCachedBlocks(id, p.Blocks)
 			}
 		}
 	}
 }
 
-// Work is this daemon's unfinished work on one server.
-type Work struct {
-	_       struct{} `cbor:",toarray"`
-	Server  ServerKey
-	Running int
-	// Pending is the prompt tokens that wait to be read, scaled by their models.
-	Pending int
+// ServerWork is this daemon's unfinished work on one server.
+type ServerWork struct {
+	_        struct{} `cbor:",toarray"`
+	Server   ServerKey
+	InFlight int
+	// PendingPrefill is the prompt tokens that wait to be read, scaled by their models.
+	PendingPrefill int
 }
 
-// Work lists this daemon's unfinished work, for the other daemons.
-func (s *State) Work() []Work {
+// OwnWork lists this daemon's unfinished work, for the other daemons.
+func (s *State) OwnWork() []ServerWork {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []Work
+	var out []ServerWork
 	for _, sv := range s.services {
 		sv.picture.EachBusy(func(c *routing.Candidate) {
-			out = append(out, Work{Server: ServerKey(c.Hash), Running: c.InFlight, Pending: int(c.PendingPrefill)})
+			out = append(out, ServerWork{Server: ServerKey(c.Hash), InFlight: c.InFlight, PendingPrefill: int(c.PendingPrefill)})
 		})
 	}
 	return out
@@ -316,7 +316,7 @@
 
 // AddPeerWork takes changes of the other daemons' work. They are changes and not sums, so
 // that their order does not matter: pulses are taken at the same time.
-func (s *State) AddPeerWork(changes []Work) {
+func (s *State) AddPeerWork(changes []ServerWork) {
 	if len(changes) == 0 {
 		return
 	}
@@ -330,7 +330,7 @@
 
 // blocks returns the chained hashes of a prompt's parts, and the tokens up to
 // the end of each. A part is cached only behind all parts before it.
-func blocks(model string, parts []Part) (hashes []uint64, ends []int) {
+func blocks(model string, parts []PromptPart) (hashes []uint64, ends []int) {
 	chain := xxhash.Sum64String(model)
 	tokens := 0
 	for _, part := range parts[:min(len(parts), maxParts)] {
@@ -355,9 +355,9 @@
 	return s.daemons
 }
 
-// RunningBut counts this daemon's unfinished requests on servers of a service
+// InFlightOnOtherVersions counts this daemon's unfinished requests on servers of a service
 // that have another version than the one given.
-func (s *State) RunningBut(name, version string) int {
+func (s *State) InFlightOnOtherVersions(name, version string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sv := s.serviceOf(name)
@@ -370,12 +370,12 @@
 	return n
 }
 
-// Healed records that the store answers again after an outage.
-func (s *State) Healed() {
+// StoreRecovered records that the store answers again after an outage.
+func (s *State) StoreRecovered() {
 	now := s.boot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.registry.Healed(now)
+	s.registry.StoreRecovered(now)
 }
 
 // EachServer calls f for every server of a service that may get requests.
--- a/internal/relay/state_test.go
+++ b/internal/relay/state_test.go
@@ -24,11 +24,11 @@
 func TestLapsedServerIsGoneAtTheEndOfTheWindow(t *testing.T) {
 	c := &clock{now: time.Minute}
 	s := NewState("d1", "", c.read)
-	s.Servers(func(r *backend.Registry, _ time.Duration) {
-		_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
+	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
+		_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
 	})
-	s.Healed()
-	s.Servers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
+	s.StoreRecovered()
+	s.UpdateServers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
 	w := want{service: "s", choice: everyVersionChoice()}
 	if _, err := s.pick(&w, 10); err != nil {
 		t.Fatalf("a server whose entry lapsed in an outage was taken as gone at once: %v", err)
@@ -47,13 +47,13 @@
 	c := &clock{now: time.Minute}
 	s := NewState("d1", "", c.read)
 	put := func(r *backend.Registry, _ time.Duration) {
-		_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
+		_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
 	}
-	s.Servers(put)
-	s.Healed()
-	s.Servers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
+	s.UpdateServers(put)
+	s.StoreRecovered()
+	s.UpdateServers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
 	c.now += time.Second
-	s.Servers(put)
+	s.UpdateServers(put)
 	c.now += time.Hour
 	w := want{service: "s", choice: everyVersionChoice()}
 	if _, err := s.pick(&w, 10); err != nil {
@@ -70,8 +70,8 @@
 	w := newWorld(t, answering(200, ""))
 	s := w.relay.State
 	put := func(born int64) {
-		s.Servers(func(r *backend.Registry, _ time.Duration) {
-			_, _ = r.Put(backend.Server{Run: backend.Incarnation{Name: "e0", Born: born}, Service: "lm", Address: "10.0.0.0:1", Slots: 8, Version: "v1"})
+		s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
+			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: "e0", StartMillis: born}, Service: "lm", Address: "10.0.0.0:1", Slots: 8, Version: "v1"})
 		})
 	}
 	held := func() (n int) {
@@ -82,7 +82,7 @@
 					n++
 				}
 			}
-			sv.picture.Prefix.Fill(&r)
+			sv.picture.Prefix.Lookup(&r)
 			for _, blocks := range r.CachedBlocks {
 				if blocks > 0 {
 					n++
@@ -93,10 +93,10 @@
 	}
 	s.with("lm", func(*service) {}) // somebody has asked for the service
 	put(100)
-	before := backend.Incarnation{Name: "e0", Born: 100}.ID()
+	before := backend.Incarnation{Name: "e0", StartMillis: 100}.ID()
 	tell := func(id string) {
-		s.TakePlacements([]Placed{{Server: KeyOf(id), Blocks: []uint64{7}}})
-		s.AddPeerWork([]Work{{Server: KeyOf(id), Running: 3}})
+		s.ApplyPlacements([]Placement{{Server: ServerKeyOf(id), Blocks: []uint64{7}}})
+		s.AddPeerWork([]ServerWork{{Server: ServerKeyOf(id), InFlight: 3}})
 	}
 	tell(before)
 	if held() != 2 {
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -94,7 +94,7 @@
 	if !x.mayMove(false) || !x.repeatTaken.Swap(false) {
 		t.Error("with budget left it does not go on elsewhere")
 	}
-	w.relay.rules.BudgetRatio, w.relay.rules.BudgetReserve = 0, 0
+	w.relay.rules.RetryBudgetRatio, w.relay.rules.RetryBudgetReserve = 0, 0
 	for w.relay.mayRepeat("lm", 0) {
 	}
 	if x.mayMove(false) {
@@ -104,7 +104,7 @@
 		t.Error("it stays with a server that is lost")
 	}
 	x.journey.MaxRuns = 0
-	x.journey.Sent()
+	x.journey.RecordSend()
 	if x.mayMove(true) {
 		t.Error("it leaves a server though no other may run it")
 	}
@@ -117,7 +117,7 @@
 // run did show one.
 func TestWhatWaitsForARunMovesWhenTheServerStartsAgain(t *testing.T) {
 	w := newWorld(t, answering(200, ""))
-	old := backend.Server{ID: "e0", Run: backend.Incarnation{Name: "e0"}, Address: "10.0.0.0:1"}
+	old := backend.Server{ID: "e0", Incarnation: backend.Incarnation{Name: "e0"}, Address: "10.0.0.0:1"}
 	at := &target{server: old, service: "lm", expected: 100 * time.Millisecond}
 	moved := map[string]bool{}
 	enter := func(name string) *attempt {
@@ -128,7 +128,7 @@
 	}
 	enter("waits")
 	enter("streams").progress()
-	w.relay.Ended(old)
+	w.relay.ServerRestarted(old)
 	if lost, told := moved["waits"]; !told || !lost {
 		t.Error("a request that waits is left at a run that has ended")
 	}
--- a/internal/request/assembler.go
+++ b/internal/request/assembler.go
@@ -27,8 +27,8 @@
 	DropForeign
 	// DropRepeated drops a frame that was delivered before.
 	DropRepeated
-	// Gap drops the frame and asks for a resume from Last.
-	Gap
+	// SequenceGap drops the frame and asks for a resume from Last.
+	SequenceGap
 	// DropAfterEnd drops a frame after the terminal one.
 	DropAfterEnd
 )
@@ -45,8 +45,8 @@
 // NewAssembler returns an assembler for one run.
 func NewAssembler(run string) *Assembler { return &Assembler{run: run} }
 
-// Last returns the offset of the newest delivered frame, from which to resume.
-func (a *Assembler) Last() int { return a.last }
+// LastOffset returns the offset of the newest delivered frame, from which to resume.
+func (a *Assembler) LastOffset() int { return a.last }
 
 // Done reports whether the terminal frame was delivered. Without it the answer
 // is not whole, however the connection ended.
@@ -62,7 +62,7 @@
 	case f.Offset <= a.last:
 		return DropRepeated
 	case f.Offset > a.last+1:
-		return Gap
+		return SequenceGap
 	}
 	a.last = f.Offset
 	a.done = f.End || f.Failed
--- a/internal/request/claim.go
+++ b/internal/request/claim.go
@@ -6,16 +6,16 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// ClaimKind says what a record of a claims stream means.
-type ClaimKind string
+// ClaimRecordKind says what a record of a claims stream means.
+type ClaimRecordKind string
 
 const (
 	// Claimed asks for the right to run a key.
-	Claimed ClaimKind = "claimed"
+	Claimed ClaimRecordKind = "claimed"
 	// Finished carries the outcome of the run.
-	Finished ClaimKind = "finished"
+	Finished ClaimRecordKind = "finished"
 	// Abandoned says that the claim's owner did not and will not run it.
-	Abandoned ClaimKind = "abandoned"
+	Abandoned ClaimRecordKind = "abandoned"
 )
 
 // KeyRetention is how long a key is remembered. It must stay below the log's
@@ -24,45 +24,45 @@
 
 // ClaimRecord is one record of a claims stream.
 type ClaimRecord struct {
-	Kind ClaimKind `cbor:"1,keyasint"`
+	Kind ClaimRecordKind `cbor:"1,keyasint"`
 	// Key is the hash of workspace and idempotency key.
 	Key string `cbor:"2,keyasint"`
-	// Body is the hash of the request's body.
-	Body string `cbor:"3,keyasint"`
-	// Request identifies the claimant; a repeated append of one claim carries
+	// BodyHash is the hash of the request's body.
+	BodyHash string `cbor:"3,keyasint"`
+	// RequestID identifies the claimant; a repeated append of one claim carries
 	// the same value and counts once.
-	Request string `cbor:"4,keyasint"`
+	RequestID string `cbor:"4,keyasint"`
 	// Owner is the daemon and incarnation that runs the request.
 	Owner string `cbor:"5,keyasint"`
-	// At is the claimant's time in Unix seconds, used for retention only.
-	At int64 `cbor:"6,keyasint"`
+	// UnixSeconds is the claimant's time in Unix seconds, used for retention only.
+	UnixSeconds int64 `cbor:"6,keyasint"`
 	// Status and Answer are the outcome of a finished run.
-	Status int    `cbor:"7,keyasint,omitempty"`
-	Answer []byte `cbor:"8,keyasint,omitempty"`
+	Status   int    `cbor:"7,keyasint,omitempty"`
+	Response []byte `cbor:"8,keyasint,omitempty"`
 }
 
 // VerdictKind says what a claimant may do.
 type VerdictKind uint8
 
 const (
-	// Wait means the claim is not folded yet.
-	Wait VerdictKind = iota
-	// Run grants the run to this claimant, once.
-	Run
-	// Replay returns the stored answer.
-	Replay
-	// InProgress means another claimant holds the key.
-	InProgress
-	// Reused means the key stands for another body.
-	Reused
+	// ClaimPending means the claim is not folded yet.
+	ClaimPending VerdictKind = iota
+	// ClaimGranted grants the run to this claimant, once.
+	ClaimGranted
+	// ClaimReplay returns the stored answer.
+	ClaimReplay
+	// ClaimInProgress means another claimant holds the key.
+	ClaimInProgress
+	// ClaimKeyReused means the key stands for another body.
+	ClaimKeyReused
 )
 
-// Verdict is the state of a key as seen by one claimant.
-type Verdict struct {
-	Kind   VerdictKind
-	Owner  string
-	Status int
-	Answer []byte
+// ClaimResult is the state of a key as seen by one claimant.
+type ClaimResult struct {
+	State    VerdictKind
+	Owner    string
+	Status   int
+	Response []byte
 }
 
 type claim struct {
@@ -73,9 +73,9 @@
 	answer               []byte
 }
 
-// Claims folds one claims stream. The first claim of a key that no live claim
+// ClaimTable folds one claims stream. The first claim of a key that no live claim
 // precedes owns the key; the log's order decides and nothing else does.
-type Claims struct {
+type ClaimTable struct {
 	next  uint64
 	owner map[string]*claim
 	void  map[string]int64
@@ -84,19 +84,19 @@
 	seen map[string]int64
 }
 
-// NewClaims returns an empty fold.
-func NewClaims() *Claims {
-	return &Claims{owner: map[string]*claim{}, void: map[string]int64{}, seen: map[string]int64{}}
+// NewClaimTable returns an empty fold.
+func NewClaimTable() *ClaimTable {
+	return &ClaimTable{owner: map[string]*claim{}, void: map[string]int64{}, seen: map[string]int64{}}
 }
 
-// Next returns the offset of the next record to fold.
-func (c *Claims) Next() uint64 { return c.next }
+// NextOffset returns the offset of the next record to fold.
+func (c *ClaimTable) NextOffset() uint64 { return c.next }
 
 // Len returns the number of remembered keys.
-func (c *Claims) Len() int { return len(c.owner) }
+func (c *ClaimTable) Len() int { return len(c.owner) }
 
 // Apply folds the record at an offset; repeated offsets are ignored.
-func (c *Claims) Apply(offset uint64, r ClaimRecord) {
+func (c *ClaimTable) Apply(offset uint64, r ClaimRecord) {
 	if offset < c.next {
 		return
 	}
@@ -105,12 +105,12 @@
 	case Claimed:
 		c.claim(r)
 	case Finished:
-		if o := c.owner[r.Key]; o != nil && o.request == r.Request {
-			o.finished, o.status, o.answer = true, r.Status, r.Answer
+		if o := c.owner[r.Key]; o != nil && o.request == r.RequestID {
+			o.finished, o.status, o.answer = true, r.Status, r.Response
 		}
 	case Abandoned:
-		c.void[r.Request] = r.At
-		if o := c.owner[r.Key]; o != nil && o.request == r.Request && !o.finished {
+		c.void[r.RequestID] = r.UnixSeconds
+		if o := c.owner[r.Key]; o != nil && o.request == r.RequestID && !o.finished {
 			delete(c.owner, r.Key)
 		}
 	}
@@ -119,42 +119,42 @@
 // claim admits a claim only when no live one stands. A loser never inherits the
 // key later: it has told its caller "not run" by then, and granting it the key
 // would lock out everybody else.
-func (c *Claims) claim(r ClaimRecord) {
-	c.seen[r.Request] = r.At
-	if _, void := c.void[r.Request]; void {
+func (c *ClaimTable) claim(r ClaimRecord) {
+	c.seen[r.RequestID] = r.UnixSeconds
+	if _, void := c.void[r.RequestID]; void {
 		return
 	}
 	o := c.owner[r.Key]
-	if o != nil && r.At-o.at < int64(KeyRetention/time.Second) {
+	if o != nil && r.UnixSeconds-o.at < int64(KeyRetention/time.Second) {
 		return
 	}
-	c.owner[r.Key] = &claim{body: r.Body, request: r.Request, owner: r.Owner, at: r.At}
+	c.owner[r.Key] = &claim{body: r.BodyHash, request: r.RequestID, owner: r.Owner, at: r.UnixSeconds}
 }
 
-// Verdict judges a claimant's request for a key.
-func (c *Claims) Verdict(key, body, request string) Verdict {
+// Resolve judges a claimant's request for a key.
+func (c *ClaimTable) Resolve(key, body, request string) ClaimResult {
 	o := c.owner[key]
 	switch {
 	case o == nil:
-		return Verdict{Kind: Wait}
+		return ClaimResult{State: ClaimPending}
 	case o.body != body:
-		return Verdict{Kind: Reused, Owner: o.owner}
+		return ClaimResult{State: ClaimKeyReused, Owner: o.owner}
 	case o.finished:
-		return Verdict{Kind: Replay, Owner: o.owner, Status: o.status, Answer: o.answer}
+		return ClaimResult{State: ClaimReplay, Owner: o.owner, Status: o.status, Response: o.answer}
 	case o.request == request:
-		return Verdict{Kind: Run, Owner: o.owner}
+		return ClaimResult{State: ClaimGranted, Owner: o.owner}
 	}
-	return Verdict{Kind: InProgress, Owner: o.owner}
+	return ClaimResult{State: ClaimInProgress, Owner: o.owner}
 }
 
-// Folded reports whether a claimant's own record has been folded.
-func (c *Claims) Folded(request string) bool {
+// Applied reports whether a claimant's own record has been folded.
+func (c *ClaimTable) Applied(request string) bool {
 	_, folded := c.seen[request]
 	return folded
 }
 
 // Expire forgets keys, void marks and requests past retention.
-func (c *Claims) Expire(now time.Time) {
+func (c *ClaimTable) Expire(now time.Time) {
 	cut := now.Add(-KeyRetention).Unix()
 	for k, o := range c.owner {
 		if o.at < cut {
@@ -170,14 +170,14 @@
 	}
 }
 
-// Refusal turns a verdict that forbids the run into the caller's answer. The
+// Err turns a verdict that forbids the run into the caller's answer. The
 // claimant itself never ran; whether the key's owner did is for the owner to say.
-func (v Verdict) Refusal() *fault.Error {
-	switch v.Kind {
-	case Reused:
-		return fault.Field(fault.KeyReused, "Idempotency-Key", "the key stands for another body")
-	case InProgress:
-		return fault.Field(fault.KeyInProgress, "Idempotency-Key", "a request with this key is held by %s", v.Owner)
+func (v ClaimResult) Err() *fault.Error {
+	switch v.State {
+	case ClaimKeyReused:
+		return fault.NewField(fault.KeyReused, "Idempotency-Key", "the key stands for another body")
+	case ClaimInProgress:
+		return fault.NewField(fault.KeyInProgress, "Idempotency-Key", "a request with this key is held by %s", v.Owner)
 	}
 	return fault.New(fault.LogUnavailable, "the claim was not confirmed by the log in time")
 }
--- a/internal/request/journey.go
+++ b/internal/request/journey.go
@@ -6,31 +6,31 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// Outcome is how one send of an opaque request to a backend server ended.
-type Outcome uint8
+// SendOutcome is how one send of an opaque request to a backend server ended.
+type SendOutcome uint8
 
 const (
 	// NotStarted is a send that the server proved it did not run, or of which
 	// no byte left.
-	NotStarted Outcome = iota
-	// Lost is a send without a usable answer; it may have run.
-	Lost
-	// Failed is an answer that says the run failed.
-	Failed
-	// Unconvincing is an answer of a smaller model that was dropped unseen.
-	Unconvincing
-	// CutShort is a stream that ended before its last event.
-	CutShort
+	NotStarted SendOutcome = iota
+	// ResponseLost is a send without a usable answer; it may have run.
+	ResponseLost
+	// ErrorResponse is an answer that says the run failed.
+	ErrorResponse
+	// LowConfidence is an answer of a smaller model that was dropped unseen.
+	LowConfidence
+	// Truncated is a stream that ended before its last event.
+	Truncated
 )
 
 // maxSends bounds the sends of one request that did not run, so that a service
 // whose servers all refuse is not asked over and over: each is an arrival there.
 const maxSends = 4
 
-// Journey decides what follows each send of one opaque request. Unlike Life, it
+// ProxyRetryState decides what follows each send of one opaque request. Unlike Life, it
 // may continue a stream on another server, because the server is told after
 // which event to begin.
-type Journey struct {
+type ProxyRetryState struct {
 	// Repeatable requests may run again after they may have run.
 	Repeatable bool
 	// MaxRuns is the most servers that may run the request; zero is one.
@@ -44,20 +44,20 @@
 	doubt bool
 }
 
-// Sent records a send.
-func (j *Journey) Sent() { j.sends++; j.runs++ }
+// RecordSend records a send.
+func (j *ProxyRetryState) RecordSend() { j.sends++; j.runs++ }
 
 // Sends returns how many sends began.
-func (j *Journey) Sends() int { return j.sends }
+func (j *ProxyRetryState) Sends() int { return j.sends }
 
 // Runs returns how many sends ran or may have run.
-func (j *Journey) Runs() int { return j.runs }
+func (j *ProxyRetryState) Runs() int { return j.runs }
 
 // RunsLeft returns how many more servers may run the request.
-func (j *Journey) RunsLeft() int { return max(1, j.MaxRuns) - j.runs }
+func (j *ProxyRetryState) RunsLeft() int { return max(1, j.MaxRuns) - j.runs }
 
 // State returns what may truthfully be said about execution.
-func (j *Journey) State() fault.Run {
+func (j *ProxyRetryState) State() fault.ExecutionState {
 	switch {
 	case j.ran:
 		return fault.Ran
@@ -67,14 +67,14 @@
 	return fault.NotRun
 }
 
-// After returns nil if the request is to be sent again, and else the final
+// Next returns nil if the request is to be sent again, and else the final
 // refusal. Allowed says whether the budget admits a repeat; it is asked last, so
 // that nothing is spent on a request that cannot be repeated.
-func (j *Journey) After(o Outcome, now time.Time, allowed func() bool) *fault.Error {
+func (j *ProxyRetryState) Next(o SendOutcome, now time.Time, allowed func() bool) *fault.Error {
 	switch o {
 	case NotStarted:
 		j.runs--
-	case Lost:
+	case ResponseLost:
 		j.doubt = true
 	default:
 		j.ran = true
@@ -97,9 +97,9 @@
 // truthful returns the kind of a refusal in place of one that says something else of the run.
 // One that promises not to have run must not be given once the request may have run: the
 // caller would repeat it.
-func truthful(k fault.Kind, state fault.Run) fault.Kind {
+func truthful(k fault.Kind, state fault.ExecutionState) fault.Kind {
 	switch {
-	case state != fault.NotRun && fault.Lookup(k).Run == fault.NotRun:
+	case state != fault.NotRun && fault.Lookup(k).Execution == fault.NotRun:
 		return fault.EngineFailed
 	case state == fault.NotRun && k == fault.EngineFailed:
 		return fault.EngineRefused
@@ -108,11 +108,11 @@
 }
 
 // refuse returns a final refusal.
-func (j *Journey) refuse(k fault.Kind, detail string) *fault.Error {
+func (j *ProxyRetryState) refuse(k fault.Kind, detail string) *fault.Error {
 	state := j.State()
 	k = truthful(k, state)
-	return fault.New(k, "%s", detail).With(state)
+	return fault.New(k, "%s", detail).WithExecution(state)
 }
 
-// Refuse returns a final refusal for a request that will not be sent (again).
-func (j *Journey) Refuse(k fault.Kind, detail string) *fault.Error { return j.refuse(k, detail) }
+// Fail returns a final refusal for a request that will not be sent (again).
+func (j *ProxyRetryState) Fail(k fault.Kind, detail string) *fault.Error { return j.refuse(k, detail) }
--- a/internal/request/journey_test.go
+++ b/internal/request/journey_test.go
@@ -13,27 +13,27 @@
 func TestJourneyKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
-		j := Journey{
+		j := ProxyRetryState{
 			Repeatable: rapid.Bool().Draw(t, "repeatable"), MaxRuns: rapid.IntRange(0, 4).Draw(t, "runs"),
 			Deadline: now.Add(time.Second),
 		}
 		mayHaveRun := 0
 		for {
-			j.Sent()
-			o := Outcome(rapid.IntRange(int(NotStarted), int(CutShort)).Draw(t, "outcome"))
+			j.RecordSend()
+			o := SendOutcome(rapid.IntRange(int(NotStarted), int(Truncated)).Draw(t, "outcome"))
 			if o != NotStarted {
 				mayHaveRun++
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			refusal := j.After(o, now, func() bool { return rapid.Bool().Draw(t, "allowed") })
+			refusal := j.Next(o, now, func() bool { return rapid.Bool().Draw(t, "allowed") })
 			if refusal == nil {
 				continue
 			}
 			row := fault.Lookup(refusal.Kind)
-			if mayHaveRun > 0 && (refusal.State() == fault.NotRun || row.Run == fault.NotRun) {
+			if mayHaveRun > 0 && (refusal.ExecutionState() == fault.NotRun || row.Execution == fault.NotRun) {
 				t.Fatalf("%s promises that a request did not run which may have", refusal.Kind)
 			}
-			if mayHaveRun == 0 && refusal.State() != fault.NotRun {
+			if mayHaveRun == 0 && refusal.ExecutionState() != fault.NotRun {
 				t.Fatalf("%s does not say that the request did not run", refusal.Kind)
 			}
 			break
@@ -48,9 +48,9 @@
 }
 
 func TestDeadlineEndsTheJourney(t *testing.T) {
-	j := Journey{Repeatable: true, MaxRuns: 3, Deadline: time.Unix(1, 0)}
-	j.Sent()
-	if e := j.After(Lost, time.Unix(1, 0), func() bool { return true }); e == nil || e.Kind != fault.DeadlineExceeded {
+	j := ProxyRetryState{Repeatable: true, MaxRuns: 3, Deadline: time.Unix(1, 0)}
+	j.RecordSend()
+	if e := j.Next(ResponseLost, time.Unix(1, 0), func() bool { return true }); e == nil || e.Kind != fault.DeadlineExceeded {
 		t.Fatalf("got %v", e)
 	}
 }
@@ -61,9 +61,9 @@
 func TestSharesOfAllDaemonsKeepTheLimitInEveryWindow(t *testing.T) {
 	const daemons, window, ratio, reserve = 6, 10 * time.Second, 0.9, 52.0
 	rapid.Check(t, func(t *rapid.T) {
-		shares := make([]Share, daemons)
+		shares := make([]WindowedRetryBudget, daemons)
 		for i := range shares {
-			shares[i] = Share{Window: window, Ratio: ratio, Reserve: reserve / daemons}
+			shares[i] = WindowedRetryBudget{Window: window, Ratio: ratio, Reserve: reserve / daemons}
 		}
 		type point struct {
 			at     time.Duration
@@ -75,10 +75,10 @@
 			now += time.Duration(rapid.IntRange(0, 80).Draw(t, "ms")) * time.Millisecond
 			s := &shares[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
 			if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
-				s.First(now)
+				s.Deposit(now)
 				all = append(all, point{now, false})
 			}
-			if s.Take(now, 0) {
+			if s.TryWithdraw(now, 0) {
 				all = append(all, point{now, true})
 			}
 		}
@@ -110,18 +110,18 @@
 // Cause: the kind of the last event was answered, whatever had happened before.
 func TestLifeIsNotRefusedAsNotRunAfterARun(t *testing.T) {
 	now := time.Now()
-	l := &Life{Repeatable: true}
+	l := &RetryState{Repeatable: true}
 	budget := NewRetryBudget()
-	l.Began()
-	l.Started()
-	if d := l.After(RunGone, now, budget); d.Action != TryAnother {
+	l.RecordAttempt()
+	l.RecordExecution()
+	if d := l.Next(RunNotFound, now, budget); d.Action != Retry {
 		t.Fatalf("decided %+v", d)
 	}
 	for range MaxAttempts - 1 {
-		l.Began()
+		l.RecordAttempt()
 	}
-	d := l.After(ConnectFailed, now, budget)
-	if d.Action != Fail || fault.Lookup(d.Error.Kind).Run == fault.NotRun || d.Error.State() != fault.Ran {
-		t.Errorf("refused with %v, %s", d.Error, d.Error.State())
+	d := l.Next(ConnectFailed, now, budget)
+	if d.Action != Fail || fault.Lookup(d.Error.Kind).Execution == fault.NotRun || d.Error.ExecutionState() != fault.Ran {
+		t.Errorf("refused with %v, %s", d.Error, d.Error.ExecutionState())
 	}
 }
--- a/internal/request/life.go
+++ b/internal/request/life.go
@@ -6,30 +6,30 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// Event is something that happened to an attempt.
-type Event uint8
+// AttemptEvent is something that happened to an attempt.
+type AttemptEvent uint8
 
 const (
-	// Refused means the backend server proved that it did not start the run.
-	Refused Event = iota
+	// AttemptRefused means the backend server proved that it did not start the run.
+	AttemptRefused AttemptEvent = iota
 	// ConnectFailed means no connection was made, so nothing was sent.
 	ConnectFailed
-	// Broken means the connection ended or went silent after the request was sent.
-	Broken
-	// RunGone means a resume was answered: the server knows no such run.
-	RunGone
+	// ConnectionLost means the connection ended or went silent after the request was sent.
+	ConnectionLost
+	// RunNotFound means a resume was answered: the server knows no such run.
+	RunNotFound
 	// RunFailed means the server reported that the run failed.
 	RunFailed
-	// CallerGone means the caller closed its connection.
-	CallerGone
+	// CallerDisconnected means the caller closed its connection.
+	CallerDisconnected
 )
 
 // Action is what to do next.
 type Action uint8
 
 const (
-	// TryAnother starts a new attempt on another server.
-	TryAnother Action = iota
+	// Retry starts a new attempt on another server.
+	Retry Action = iota
 	// Resume reconnects to the same run.
 	Resume
 	// Cancel cancels the run and ends the request.
@@ -51,8 +51,8 @@
 	MaxResumes = 4
 )
 
-// Life decides what follows each event of one request.
-type Life struct {
+// RetryState decides what follows each event of one request.
+type RetryState struct {
 	// Repeatable requests may run again after a run was lost.
 	Repeatable bool
 	// Deadline ends the request; zero is none.
@@ -65,21 +65,21 @@
 	doubt     bool
 }
 
-// Began records a new attempt.
-func (l *Life) Began() { l.attempts++; l.resumes = 0 }
+// RecordAttempt records a new attempt.
+func (l *RetryState) RecordAttempt() { l.attempts++; l.resumes = 0 }
 
 // Attempts returns how many attempts began.
-func (l *Life) Attempts() int { return l.attempts }
+func (l *RetryState) Attempts() int { return l.attempts }
 
-// Delivered records that the caller has seen part of the answer. From then on
+// RecordDelivery records that the caller has seen part of the answer. From then on
 // another run cannot continue it, since its words would differ.
-func (l *Life) Delivered() { l.delivered, l.ran = true, true }
+func (l *RetryState) RecordDelivery() { l.delivered, l.ran = true, true }
 
-// Started records proof that the server runs the attempt.
-func (l *Life) Started() { l.ran = true }
+// RecordExecution records proof that the server runs the attempt.
+func (l *RetryState) RecordExecution() { l.ran = true }
 
-// State returns what may truthfully be said about execution.
-func (l *Life) State() fault.Run {
+// ExecutionState returns what may truthfully be said about execution.
+func (l *RetryState) ExecutionState() fault.ExecutionState {
 	switch {
 	case l.ran:
 		return fault.Ran
@@ -89,21 +89,21 @@
 	return fault.NotRun
 }
 
-// After decides. Budget allows or denies a further attempt.
-func (l *Life) After(e Event, now time.Time, budget *RetryBudget) Decision {
+// Next decides. Budget allows or denies a further attempt.
+func (l *RetryState) Next(e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
 	switch e {
-	case CallerGone:
-		return Decision{Cancel, fault.New(fault.CallerLeft, "the caller left").With(l.State())}
-	case Refused, ConnectFailed:
+	case CallerDisconnected:
+		return Decision{Cancel, fault.New(fault.CallerLeft, "the caller left").WithExecution(l.ExecutionState())}
+	case AttemptRefused, ConnectFailed:
 		return l.again(fault.NoServer, e, now, budget)
-	case Broken:
+	case ConnectionLost:
 		l.doubt = true
 		if l.resumes < MaxResumes && !l.expired(now) {
 			l.resumes++
 			return Decision{Action: Resume}
 		}
 		return l.again(fault.EngineFailed, e, now, budget)
-	case RunGone:
+	case RunNotFound:
 		l.doubt = true
 		return l.again(fault.EngineFailed, e, now, budget)
 	}
@@ -111,8 +111,8 @@
 	return l.again(fault.EngineFailed, e, now, budget)
 }
 
-func (l *Life) again(k fault.Kind, e Event, now time.Time, budget *RetryBudget) Decision {
-	proven := e == Refused || e == ConnectFailed
+func (l *RetryState) again(k fault.Kind, e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
+	proven := e == AttemptRefused || e == ConnectFailed
 	switch {
 	case l.expired(now):
 		return l.fail(fault.DeadlineExceeded, "the deadline passed")
@@ -125,13 +125,15 @@
 	case !budget.Take():
 		return l.fail(k, "the retry budget is used up")
 	}
-	return Decision{Action: TryAnother}
+	return Decision{Action: Retry}
 }
 
-func (l *Life) expired(now time.Time) bool { return !l.Deadline.IsZero() && !now.Before(l.Deadline) }
+func (l *RetryState) expired(now time.Time) bool {
+	return !l.Deadline.IsZero() && !now.Before(l.Deadline)
+}
 
-func (l *Life) fail(k fault.Kind, detail string) Decision {
-	return Decision{Fail, fault.New(truthful(k, l.State()), "%s", detail).With(l.State())}
+func (l *RetryState) fail(k fault.Kind, detail string) Decision {
+	return Decision{Fail, fault.New(truthful(k, l.ExecutionState()), "%s", detail).WithExecution(l.ExecutionState())}
 }
 
 // RetryBudget keeps retries below a fraction of first attempts, so that they
@@ -150,8 +152,8 @@
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: retryReserve} }
 
-// Earn records a first attempt.
-func (b *RetryBudget) Earn() { b.tokens = min(retryReserve, b.tokens+retryRatio) }
+// Deposit records a first attempt.
+func (b *RetryBudget) Deposit() { b.tokens = min(retryReserve, b.tokens+retryRatio) }
 
 // Take spends one retry if there is one. A nil budget denies.
 func (b *RetryBudget) Take() bool {
--- a/internal/request/minted.go
+++ b/internal/request/minted.go
@@ -22,8 +22,8 @@
 // mintedPurpose marks minted keys of this form.
 const mintedPurpose = "dk1"
 
-// IsMinted reports whether a key claims to be one of ours.
-func IsMinted(key string) bool { return strings.HasPrefix(key, mintedPurpose+".") }
+// IsMintedKey reports whether a key claims to be one of ours.
+func IsMintedKey(key string) bool { return strings.HasPrefix(key, mintedPurpose+".") }
 
 // Mint signs a key.
 func (k MintedKey) Mint(ring *session.Keyring) string {
@@ -31,9 +31,9 @@
 	return ring.Sign(mintedPurpose, payload)
 }
 
-// ParseMinted verifies a key.
-func ParseMinted(ring *session.Keyring, key string) (MintedKey, error) {
-	refused := fault.Field(fault.BadRequest, "Idempotency-Key", "the key looks minted but its signature is wrong")
+// ParseMintedKey verifies a key.
+func ParseMintedKey(ring *session.Keyring, key string) (MintedKey, error) {
+	refused := fault.NewField(fault.BadRequest, "Idempotency-Key", "the key looks minted but its signature is wrong")
 	payload, ok := ring.Verify(mintedPurpose, key)
 	if !ok {
 		return MintedKey{}, refused
@@ -49,16 +49,16 @@
 	return MintedKey{parts[0], parts[1], inc, parts[3]}, nil
 }
 
-// Admit says whether daemon may run the key: a nil error allows it, provided
+// Authorize says whether daemon may run the key: a nil error allows it, provided
 // its own memory holds no earlier use.
-func (k MintedKey) Admit(workspace, daemon string, incarnation uint64) error {
+func (k MintedKey) Authorize(workspace, daemon string, incarnation uint64) error {
 	switch {
 	case k.Workspace != workspace:
-		return fault.Field(fault.NotEntitled, "Idempotency-Key", "the key belongs to another workspace")
+		return fault.NewField(fault.NotEntitled, "Idempotency-Key", "the key belongs to another workspace")
 	case k.Daemon != daemon:
-		return fault.Field(fault.AnswerUnavailable, "Idempotency-Key", "only daemon %s may run this key", k.Daemon)
+		return fault.NewField(fault.AnswerUnavailable, "Idempotency-Key", "only daemon %s may run this key", k.Daemon)
 	case k.Incarnation != incarnation:
-		return fault.Field(fault.AnswerUnavailable, "Idempotency-Key", "the daemon that minted this key was restarted")
+		return fault.NewField(fault.AnswerUnavailable, "Idempotency-Key", "the daemon that minted this key was restarted")
 	}
 	return nil
 }
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -33,11 +33,11 @@
 			return v
 		}
 		for tries := 0; !a.Done(); tries++ {
-			for _, f := range frames[a.Last():] {
+			for _, f := range frames[a.LastOffset():] {
 				if rapid.IntRange(0, 9).Draw(t, "fault") == 0 && tries < 20 {
 					take(Frame{Run: "other", Offset: f.Offset, Delta: "X"})
 					take(frames[0])
-					if v := take(Frame{Run: "r", Offset: f.Offset + 2, Delta: "X"}); v != Gap && !a.Done() {
+					if v := take(Frame{Run: "r", Offset: f.Offset + 2, Delta: "X"}); v != SequenceGap && !a.Done() {
 						t.Fatalf("a skipped frame gave %v", v)
 					}
 					break
@@ -57,40 +57,40 @@
 	cases := []struct {
 		name       string
 		repeatable bool
-		events     []Event
+		events     []AttemptEvent
 		delivered  bool
 		action     Action
-		run        fault.Run
+		run        fault.ExecutionState
 	}{
-		{"refused", false, []Event{Refused}, false, TryAnother, fault.NotRun},
-		{"refused three times", true, []Event{Refused, Refused, Refused}, false, Fail, fault.NotRun},
-		{"broken resumes", false, []Event{Broken}, false, Resume, fault.Unknown},
-		{"payment lost", false, []Event{Broken, RunGone}, false, Fail, fault.Unknown},
-		{"chat lost", true, []Event{Broken, RunGone}, false, TryAnother, fault.Unknown},
-		{"lost after part was delivered", true, []Event{RunGone}, true, Fail, fault.Ran},
-		{"payment failed", false, []Event{RunFailed}, false, Fail, fault.Ran},
-		{"caller left", true, []Event{CallerGone}, true, Cancel, fault.Ran},
-		{"silent for good", false, []Event{Broken, Broken, Broken, Broken, Broken}, false, Fail, fault.Unknown},
+		{"refused", false, []AttemptEvent{AttemptRefused}, false, Retry, fault.NotRun},
+		{"refused three times", true, []AttemptEvent{AttemptRefused, AttemptRefused, AttemptRefused}, false, Fail, fault.NotRun},
+		{"broken resumes", false, []AttemptEvent{ConnectionLost}, false, Resume, fault.Unknown},
+		{"payment lost", false, []AttemptEvent{ConnectionLost, RunNotFound}, false, Fail, fault.Unknown},
+		{"chat lost", true, []AttemptEvent{ConnectionLost, RunNotFound}, false, Retry, fault.Unknown},
+		{"lost after part was delivered", true, []AttemptEvent{RunNotFound}, true, Fail, fault.Ran},
+		{"payment failed", false, []AttemptEvent{RunFailed}, false, Fail, fault.Ran},
+		{"caller left", true, []AttemptEvent{CallerDisconnected}, true, Cancel, fault.Ran},
+		{"silent for good", false, []AttemptEvent{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, false, Fail, fault.Unknown},
 	}
 	for _, c := range cases {
-		l := Life{Repeatable: c.repeatable, Deadline: now.Add(time.Minute)}
+		l := RetryState{Repeatable: c.repeatable, Deadline: now.Add(time.Minute)}
 		budget := NewRetryBudget()
 		var d Decision
-		l.Began()
+		l.RecordAttempt()
 		if c.delivered {
-			l.Delivered()
+			l.RecordDelivery()
 		}
 		for _, e := range c.events {
-			if d = l.After(e, now, budget); d.Action == TryAnother {
-				l.Began()
+			if d = l.Next(e, now, budget); d.Action == Retry {
+				l.RecordAttempt()
 			}
 		}
-		if d.Action != c.action || l.State() != c.run || d.Error != nil && d.Error.State() != c.run {
-			t.Errorf("%s: action %d, state %s", c.name, d.Action, l.State())
+		if d.Action != c.action || l.ExecutionState() != c.run || d.Error != nil && d.Error.ExecutionState() != c.run {
+			t.Errorf("%s: action %d, state %s", c.name, d.Action, l.ExecutionState())
 		}
 	}
-	late := Life{Repeatable: true, Deadline: now}
-	if d := late.After(Refused, now, NewRetryBudget()); d.Action != Fail || d.Error.Kind != fault.DeadlineExceeded || d.Error.State() != fault.NotRun {
+	late := RetryState{Repeatable: true, Deadline: now}
+	if d := late.Next(AttemptRefused, now, NewRetryBudget()); d.Action != Fail || d.Error.Kind != fault.DeadlineExceeded || d.Error.ExecutionState() != fault.NotRun {
 		t.Errorf("past the deadline: %+v", d)
 	}
 }
@@ -103,7 +103,7 @@
 	retries := 0
 	const firsts = 10_000
 	for range firsts {
-		b.Earn()
+		b.Deposit()
 		for b.Take() {
 			retries++
 		}
@@ -114,55 +114,55 @@
 }
 
 func claimed(request string) ClaimRecord {
-	return ClaimRecord{Kind: Claimed, Key: "k", Body: "b", Request: request, Owner: "d", At: 1000}
+	return ClaimRecord{Kind: Claimed, Key: "k", BodyHash: "b", RequestID: request, Owner: "d", UnixSeconds: 1000}
 }
 
 func TestClaims(t *testing.T) {
 	void := func(request string) ClaimRecord { r := claimed(request); r.Kind = Abandoned; return r }
 	done := func(request string) ClaimRecord {
 		r := claimed(request)
-		r.Kind, r.Status, r.Answer = Finished, 200, []byte("x")
+		r.Kind, r.Status, r.Response = Finished, 200, []byte("x")
 		return r
 	}
 	late := claimed("b")
-	late.At += int64(KeyRetention / time.Second)
+	late.UnixSeconds += int64(KeyRetention / time.Second)
 	cases := []struct {
 		name    string
 		records []ClaimRecord
 		request string
 		want    VerdictKind
 	}{
-		{"nothing folded", nil, "a", Wait},
-		{"first wins", []ClaimRecord{claimed("a"), claimed("b")}, "a", Run},
-		{"second loses", []ClaimRecord{claimed("a"), claimed("b")}, "b", InProgress},
-		{"a repeated append is the same claim", []ClaimRecord{claimed("a"), claimed("a")}, "a", Run},
-		{"finished is replayed", []ClaimRecord{claimed("a"), done("a")}, "b", Replay},
-		{"a stranger cannot finish", []ClaimRecord{claimed("a"), done("b")}, "a", Run},
-		{"abandoned frees the key", []ClaimRecord{claimed("a"), void("a"), claimed("b")}, "b", Run},
-		{"a claim that lands after its abandonment is void", []ClaimRecord{void("a"), claimed("a"), claimed("b")}, "b", Run},
-		{"a loser does not inherit the key", []ClaimRecord{claimed("a"), claimed("b"), void("a"), claimed("c")}, "b", InProgress},
-		{"the next claim does", []ClaimRecord{claimed("a"), claimed("b"), void("a"), claimed("c")}, "c", Run},
-		{"a finished key cannot be abandoned", []ClaimRecord{claimed("a"), done("a"), void("a")}, "b", Replay},
-		{"past retention the key is free", []ClaimRecord{claimed("a"), late}, "b", Run},
+		{"nothing folded", nil, "a", ClaimPending},
+		{"first wins", []ClaimRecord{claimed("a"), claimed("b")}, "a", ClaimGranted},
+		{"second loses", []ClaimRecord{claimed("a"), claimed("b")}, "b", ClaimInProgress},
+		{"a repeated append is the same claim", []ClaimRecord{claimed("a"), claimed("a")}, "a", ClaimGranted},
+		{"finished is replayed", []ClaimRecord{claimed("a"), done("a")}, "b", ClaimReplay},
+		{"a stranger cannot finish", []ClaimRecord{claimed("a"), done("b")}, "a", ClaimGranted},
+		{"abandoned frees the key", []ClaimRecord{claimed("a"), void("a"), claimed("b")}, "b", ClaimGranted},
+		{"a claim that lands after its abandonment is void", []ClaimRecord{void("a"), claimed("a"), claimed("b")}, "b", ClaimGranted},
+		{"a loser does not inherit the key", []ClaimRecord{claimed("a"), claimed("b"), void("a"), claimed("c")}, "b", ClaimInProgress},
+		{"the next claim does", []ClaimRecord{claimed("a"), claimed("b"), void("a"), claimed("c")}, "c", ClaimGranted},
+		{"a finished key cannot be abandoned", []ClaimRecord{claimed("a"), done("a"), void("a")}, "b", ClaimReplay},
+		{"past retention the key is free", []ClaimRecord{claimed("a"), late}, "b", ClaimGranted},
 	}
 	for _, c := range cases {
-		f := NewClaims()
+		f := NewClaimTable()
 		for i, r := range c.records {
 			f.Apply(uint64(i), r)
 			f.Apply(uint64(i), r)
 		}
-		if v := f.Verdict("k", "b", c.request); v.Kind != c.want {
-			t.Errorf("%s: got %d, want %d", c.name, v.Kind, c.want)
+		if v := f.Resolve("k", "b", c.request); v.State != c.want {
+			t.Errorf("%s: got %d, want %d", c.name, v.State, c.want)
 		}
 	}
-	f := NewClaims()
+	f := NewClaimTable()
 	f.Apply(0, claimed("a"))
 	f.Apply(1, claimed("a loser"))
-	if v := f.Verdict("k", "other body", "b"); v.Kind != Reused || v.Refusal().Kind != fault.KeyReused {
+	if v := f.Resolve("k", "other body", "b"); v.State != ClaimKeyReused || v.Err().Kind != fault.KeyReused {
 		t.Errorf("another body: %+v", v)
 	}
 	f.Expire(time.Unix(1000, 0).Add(KeyRetention + time.Second))
-	if f.Len() != 0 || f.Folded("a") || f.Folded("a loser") {
+	if f.Len() != 0 || f.Applied("a") || f.Applied("a loser") {
 		t.Error("an old key or claim is remembered")
 	}
 }
@@ -171,7 +171,7 @@
 // ever gets to run, as long as nobody who was told to run abandons.
 func TestAtMostOneClaimRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewClaims()
+		f := NewClaimTable()
 		ran := map[string]bool{}
 		var offset uint64
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -182,7 +182,7 @@
 			}
 			f.Apply(offset, rec)
 			offset++
-			if f.Folded(req) && f.Verdict("k", "b", req).Kind == Run {
+			if f.Applied(req) && f.Resolve("k", "b", req).State == ClaimGranted {
 				ran[req] = true
 			}
 			if len(ran) > 1 {
@@ -201,8 +201,8 @@
 // Cause: only the incarnation that remembers its keys may run them.
 func TestMintedKeyRunsInItsIncarnationOnly(t *testing.T) {
 	key := MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(ring())
-	m, err := ParseMinted(ring(), key)
-	if err != nil || !IsMinted(key) {
+	m, err := ParseMintedKey(ring(), key)
+	if err != nil || !IsMintedKey(key) {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -210,12 +210,12 @@
 		incarnation       uint64
 		kind              fault.Kind
 	}{{"w", "d", 7, ""}, {"v", "d", 7, fault.NotEntitled}, {"w", "e", 7, fault.AnswerUnavailable}, {"w", "d", 8, fault.AnswerUnavailable}} {
-		err := m.Admit(c.workspace, c.daemon, c.incarnation)
+		err := m.Authorize(c.workspace, c.daemon, c.incarnation)
 		if c.kind == "" && err != nil || c.kind != "" && !fault.Is(err, c.kind) {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
-	if _, err := ParseMinted(ring(), key+"x"); !fault.Is(err, fault.BadRequest) {
+	if _, err := ParseMintedKey(ring(), key+"x"); !fault.Is(err, fault.BadRequest) {
 		t.Errorf("a forged key: %v", err)
 	}
 }
@@ -224,7 +224,7 @@
 	f.Add(MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(ring()))
 	f.Add("dk1.k1.e30.e30")
 	f.Fuzz(func(t *testing.T, key string) {
-		if m, err := ParseMinted(ring(), key); err == nil && m.Mint(ring()) != key {
+		if m, err := ParseMintedKey(ring(), key); err == nil && m.Mint(ring()) != key {
 			t.Fatalf("%q is accepted and is not what we mint", key)
 		}
 	})
--- a/internal/request/share.go
+++ b/internal/request/share.go
@@ -5,14 +5,14 @@
 // shareBuckets is how finely a window is divided.
 const shareBuckets = 50
 
-// Share is one daemon's part of a limit on repeats that all daemons keep
+// WindowedRetryBudget is one daemon's part of a limit on repeats that all daemons keep
 // together: in any window, repeats for a service stay under ratio times the first
 // sends plus a reserve. Each daemon keeps ratio to its own first sends and an
 // even part of the reserve, so the sum over all daemons keeps the limit without
 // a word between them, also while daemons come and go. Times are readings of a steady
 // clock: when the time of day jumps ahead by some seconds, repeats of the last window
 // would be forgotten and made again.
-type Share struct {
+type WindowedRetryBudget struct {
 	// Window is the span of the limit.
 	Window time.Duration
 	// Ratio is the repeats allowed for one first send.
@@ -33,9 +33,11 @@
 
 // slot numbers the part of a window in which a time lies, from 1 on: 0 marks buckets
 // that were never used.
-func (s *Share) slot(now time.Duration) int64 { return 1 + int64(now/(s.Window/shareBuckets)) }
+func (s *WindowedRetryBudget) slot(now time.Duration) int64 {
+	return 1 + int64(now/(s.Window/shareBuckets))
+}
 
-func (s *Share) bucket(now time.Duration) *struct {
+func (s *WindowedRetryBudget) bucket(now time.Duration) *struct {
 	slot           int64
 	first, repeats float64
 } {
@@ -47,11 +49,11 @@
 	return b
 }
 
-// First records a request's first send.
-func (s *Share) First(now time.Duration) { s.bucket(now).first++ }
+// Deposit records a request's first send.
+func (s *WindowedRetryBudget) Deposit(now time.Duration) { s.bucket(now).first++ }
 
 // Room returns how many repeats may be made now.
-func (s *Share) Room(now time.Duration) float64 {
+func (s *WindowedRetryBudget) Room(now time.Duration) float64 {
 	newest := s.slot(now)
 	first, repeats := 0.0, 0.0
 	for _, b := range s.buckets {
@@ -63,8 +65,8 @@
 	return shareMargin*s.Ratio*first + s.Reserve - repeats
 }
 
-// Take spends one repeat if there is room beyond keep.
-func (s *Share) Take(now time.Duration, keep float64) bool {
+// TryWithdraw spends one repeat if there is room beyond keep.
+func (s *WindowedRetryBudget) TryWithdraw(now time.Duration, keep float64) bool {
 	if s.Room(now) < 1+keep {
 		return false
 	}
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -52,8 +52,8 @@
 	return c.Rated, c.Bad
 }
 
-// Cell is the counts of one version on one server.
-type Cell struct {
+// ServerCounts is the counts of one version on one server.
+type ServerCounts struct {
 	Server        string `cbor:"1,keyasint" json:"server"`
 	FailureDomain string `cbor:"2,keyasint" json:"failure_domain"`
 	// New tells the new version from the running one.
@@ -62,7 +62,7 @@
 }
 
 // Evidence is what is known of one stage of a roll-out.
-type Evidence []Cell
+type Evidence []ServerCounts
 
 // Merge adds another daemon's cells.
 func (e Evidence) Merge(o Evidence) Evidence { return Sum(e, o) }
@@ -89,12 +89,12 @@
 			out = append(out, c)
 		}
 	}
-	slices.SortFunc(out, func(a, b Cell) int { return strings.Compare(a.Server, b.Server) })
+	slices.SortFunc(out, func(a, b ServerCounts) int { return strings.Compare(a.Server, b.Server) })
 	return out
 }
 
 // Totals sums both sides over the cells that keep admits.
-func (e Evidence) Totals(keep func(Cell) bool) (fresh, running Counts) {
+func (e Evidence) Totals(keep func(ServerCounts) bool) (fresh, running Counts) {
 	for _, c := range e {
 		if keep != nil && !keep(c) {
 			continue
@@ -125,7 +125,7 @@
 // The share is taken server by server where a server ran both versions: a server
 // that fails more, and by chance got more of the new version, would otherwise
 // count against it.
-func (e Evidence) LogE(s Signal, keep func(Cell) bool) float64 {
+func (e Evidence) LogE(s Signal, keep func(ServerCounts) bool) float64 {
 	logs := make([]float64, len(oddsRatios))
 	var restNew, restRunning Counts
 	events := int64(0)
@@ -166,7 +166,7 @@
 type pair struct{ fresh, running Counts }
 
 // pairs gathers both versions' counts by server, in the order of the cells.
-func (e Evidence) pairs(keep func(Cell) bool) []pair {
+func (e Evidence) pairs(keep func(ServerCounts) bool) []pair {
 	at := make(map[string]int, len(e))
 	out := make([]pair, 0, len(e))
 	for _, c := range e {
@@ -205,7 +205,7 @@
 	least = e.LogE(s, nil)
 	servers, domains := e.places()
 	for _, name := range servers {
-		if l := e.LogE(s, func(c Cell) bool { return c.Server != name }); l < least {
+		if l := e.LogE(s, func(c ServerCounts) bool { return c.Server != name }); l < least {
 			least, blame = l, "server "+name
 		}
 	}
@@ -213,7 +213,7 @@
 		return least, blame
 	}
 	for _, name := range domains {
-		if l := e.LogE(s, func(c Cell) bool { return c.FailureDomain != name }); l < least {
+		if l := e.LogE(s, func(c ServerCounts) bool { return c.FailureDomain != name }); l < least {
 			least, blame = l, "failure domain "+name
 		}
 	}
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -25,14 +25,14 @@
 // String returns the step's name.
 func (s Step) String() string { return [...]string{"wait", "advance", "hold", "roll_back"}[s] }
 
-// Verdict is a step with its reason.
-type Verdict struct {
+// Decision is a step with its reason.
+type Decision struct {
 	Step   Step
 	Reason string
 }
 
-// Rules are the constants of the judgement; DefaultRules gives the measured ones.
-type Rules struct {
+// StagePolicy are the constants of the judgement; DefaultRules gives the measured ones.
+type StagePolicy struct {
 	// Alarm is the e-value at which the fleet rolls back. The chance of a
 	// false alarm is at most 1/Alarm for each signal.
 	Alarm float64
@@ -47,8 +47,8 @@
 	// failure domain holds the roll-out. Until then the next bad event elsewhere
 	// may still turn it into a roll-back.
 	HoldAlarm float64
-	// MinStage is the shortest time between two stages.
-	MinStage time.Duration
+	// MinStageDuration is the shortest time between two stages.
+	MinStageDuration time.Duration
 	// MinRequests is the evidence a stage needs when its roll-out states none.
 	MinRequests int64
 	// MinRated is the number of rated answers of the new version a stage needs
@@ -60,63 +60,65 @@
 	MaxWait time.Duration
 }
 
-// DefaultRules returns the rules in use; docs/design/rollout.md has the figures.
-func DefaultRules() Rules {
-	return Rules{
-		Alarm:       1000,
-		LocalAlarm:  1000,
-		RobustAlarm: 30,
-		HoldAlarm:   1e9,
-		MinStage:    10 * time.Second,
-		MinRequests: 30,
-		MinRated:    15,
-		Doubt:       10,
-		MaxWait:     30 * time.Minute,
+// DefaultStagePolicy returns the rules in use; docs/design/rollout.md has the figures.
+func DefaultStagePolicy() StagePolicy {
+	return StagePolicy{
+		Alarm:            1000,
+		LocalAlarm:       1000,
+		RobustAlarm:      30,
+		HoldAlarm:        1e9,
+		MinStageDuration: 10 * time.Second,
+		MinRequests:      30,
+		MinRated:         15,
+		Doubt:            10,
+		MaxWait:          30 * time.Minute,
 	}
 }
 
-// Judge decides the next step of a roll-out from the fleet's evidence of its
+// Evaluate decides the next step of a roll-out from the fleet's evidence of its
 // current stage and the time the stage has lasted. A held roll-out still carries
 // traffic, so it can be rolled back, but it does not advance.
-func (r Rules) Judge(ro fleet.Rollout, e Evidence, lasted time.Duration) Verdict {
-	if !Judged(ro) {
-		return Verdict{Wait, "the roll-out is " + string(ro.State)}
+func (r StagePolicy) Evaluate(ro fleet.Rollout, e Evidence, lasted time.Duration) Decision {
+	if !CarriesTraffic(ro) {
+		return Decision{Wait, "the roll-out is " + string(ro.State)}
 	}
 	doubt := 0.0
 	for s := range signalCount {
 		v, level := r.signal(e, s)
-		if v.Step == RollBack || v.Step == Hold && ro.State == fleet.Running {
+		if v.Step == RollBack || v.Step == Hold && ro.State == fleet.RolloutRunning {
 			return v
 		}
 		doubt = math.Max(doubt, level)
 	}
-	if ro.State == fleet.Held {
-		return Verdict{Wait, "held"}
+	if ro.State == fleet.RolloutHeld {
+		return Decision{Wait, "held"}
 	}
 	return r.progress(ro, e, lasted, doubt)
 }
 
-// Judged reports whether a roll-out carries traffic that may speak against it.
-func Judged(ro fleet.Rollout) bool { return ro.State == fleet.Running || ro.State == fleet.Held }
+// CarriesTraffic reports whether a roll-out carries traffic that may speak against it.
+func CarriesTraffic(ro fleet.Rollout) bool {
+	return ro.State == fleet.RolloutRunning || ro.State == fleet.RolloutHeld
+}
 
 // signal judges one signal and returns how far it speaks against the version.
-func (r Rules) signal(e Evidence, s Signal) (Verdict, float64) {
+func (r StagePolicy) signal(e Evidence, s Signal) (Decision, float64) {
 	all := e.LogE(s, nil)
 	alarm := math.Log(r.Alarm)
 	if all < alarm {
-		return Verdict{}, all
+		return Decision{}, all
 	}
 	robust, blame := e.Robust(s)
 	if robust >= math.Log(r.RobustAlarm) {
-		return Verdict{RollBack, fmt.Sprintf("%s: e-value 10^%.1f", s, all/math.Ln10)}, all
+		return Decision{RollBack, fmt.Sprintf("%s: e-value 10^%.1f", s, all/math.Ln10)}, all
 	}
 	if all < math.Log(r.HoldAlarm) {
-		return Verdict{}, all
+		return Decision{}, all
 	}
-	return Verdict{Hold, fmt.Sprintf("%s: e-value 10^%.1f, but 10^%.1f without %s", s, all/math.Ln10, robust/math.Ln10, blame)}, all
+	return Decision{Hold, fmt.Sprintf("%s: e-value 10^%.1f, but 10^%.1f without %s", s, all/math.Ln10, robust/math.Ln10, blame)}, all
 }
 
-func (r Rules) progress(ro fleet.Rollout, e Evidence, lasted time.Duration, doubt float64) Verdict {
+func (r StagePolicy) progress(ro fleet.Rollout, e Evidence, lasted time.Duration, doubt float64) Decision {
 	fresh, running := e.Totals(nil)
 	need := ro.MinRequests
 	if need == 0 {
@@ -124,24 +126,24 @@
 	}
 	switch {
 	case fresh.Requests < need && lasted >= r.MaxWait:
-		return Verdict{Hold, fmt.Sprintf("only %d of %d requests in %s", fresh.Requests, need, lasted)}
+		return Decision{Hold, fmt.Sprintf("only %d of %d requests in %s", fresh.Requests, need, lasted)}
 	case fresh.Requests < need:
-		return Verdict{Wait, fmt.Sprintf("%d of %d requests", fresh.Requests, need)}
+		return Decision{Wait, fmt.Sprintf("%d of %d requests", fresh.Requests, need)}
 	case running.Rated > 0 && fresh.Rated < r.MinRated && lasted < r.MaxWait:
-		return Verdict{Wait, fmt.Sprintf("%d of %d ratings", fresh.Rated, r.MinRated)}
+		return Decision{Wait, fmt.Sprintf("%d of %d ratings", fresh.Rated, r.MinRated)}
 	case doubt > math.Log(r.Doubt) && lasted >= r.MaxWait:
-		return Verdict{Hold, fmt.Sprintf("still in doubt after %s", lasted)}
+		return Decision{Hold, fmt.Sprintf("still in doubt after %s", lasted)}
 	case doubt > math.Log(r.Doubt):
-		return Verdict{Wait, fmt.Sprintf("in doubt: e-value %.1f", math.Exp(doubt))}
-	case lasted < r.MinStage:
-		return Verdict{Wait, "the stage is young"}
+		return Decision{Wait, fmt.Sprintf("in doubt: e-value %.1f", math.Exp(doubt))}
+	case lasted < r.MinStageDuration:
+		return Decision{Wait, "the stage is young"}
 	}
-	return Verdict{Advance, fmt.Sprintf("%d requests, e-value %.2f", fresh.Requests, math.Exp(doubt))}
+	return Decision{Advance, fmt.Sprintf("%d requests, e-value %.2f", fresh.Requests, math.Exp(doubt))}
 }
 
-// Brake reports whether one daemon's own evidence suffices to stop using the new
+// ShouldStopLocally reports whether one daemon's own evidence suffices to stop using the new
 // version for sessions that are not pinned to it, before the fleet decides.
-func (r Rules) Brake(own Evidence) (Signal, bool) {
+func (r StagePolicy) ShouldStopLocally(own Evidence) (Signal, bool) {
 	for s := range signalCount {
 		if own.LogE(s, nil) >= math.Log(r.LocalAlarm) {
 			return s, true
@@ -170,19 +172,19 @@
 	return max(0, (budget-fresh*share)/(1-share))
 }
 
-// Next returns the roll-out after a step, as it goes into a patch.
-func Next(ro fleet.Rollout, s Step) fleet.Rollout {
+// ApplyStep returns the roll-out after a step, as it goes into a patch.
+func ApplyStep(ro fleet.Rollout, s Step) fleet.Rollout {
 	switch s {
 	case Advance:
 		if ro.Stage+1 >= len(ro.Stages) {
-			ro.State = fleet.Done
+			ro.State = fleet.RolloutDone
 			return ro
 		}
 		ro.Stage++
 	case Hold:
-		ro.State = fleet.Held
+		ro.State = fleet.RolloutHeld
 	case RollBack:
-		ro.State = fleet.RolledBack
+		ro.State = fleet.RolloutRolledBack
 	}
 	return ro
 }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -13,9 +13,9 @@
 	Target  string
 	// Duration is the time from the order to its deadline.
 	Duration time.Duration
-	// SessionSpan is how long after each other requests of a session belong
+	// SessionWindow is how long after each other requests of a session belong
 	// together.
-	SessionSpan time.Duration
+	SessionWindow time.Duration
 	// Offset is the place of the order in the operator's log and names it.
 	Offset uint64
 }
@@ -29,8 +29,8 @@
 	Canary Phase = iota
 	// Ramp sends half of them.
 	Ramp
-	// Whole sends all, while the old servers finish.
-	Whole
+	// Full sends all, while the old servers finish.
+	Full
 	// Completed is over: the old servers may be stopped.
 	Completed
 	// RolledBack is over: the new version gets nothing.
@@ -42,8 +42,8 @@
 	return [...]string{"canary", "ramp", "whole", "completed", "rolled_back"}[p]
 }
 
-// Over reports whether nothing more will be decided.
-func (p Phase) Over() bool { return p >= Completed }
+// Final reports whether nothing more will be decided.
+func (p Phase) Final() bool { return p >= Completed }
 
 // Course holds the constants of an order's way, as parts of its duration unless
 // said otherwise.
@@ -73,8 +73,8 @@
 	FewestBad int64
 }
 
-// DefaultCourse returns the course in use.
-func DefaultCourse() Course {
+// DefaultOrderPolicy returns the course in use.
+func DefaultOrderPolicy() Course {
 	return Course{
 		CanaryShare: 0.1, RampShare: 0.4,
 		CanaryUntil: 0.5, RampUntil: 0.58,
@@ -94,17 +94,17 @@
 		return c.CanaryShare
 	case Ramp:
 		return c.RampShare
-	case Whole, Completed:
+	case Full, Completed:
 		return 1
 	}
 	return 0
 }
 
-// Next returns the phase that follows from the evidence of all daemons, the time
+// NextPhase returns the phase that follows from the evidence of all daemons, the time
 // since the order, and how many requests still run on old servers, with the
 // reason. It returns the same phase if nothing changes.
-func (c Course) Next(o Order, p Phase, since time.Duration, e Evidence, oldRunning int) (Phase, string) {
-	if p.Over() {
+func (c Course) NextPhase(o Order, p Phase, since time.Duration, e Evidence, oldRunning int) (Phase, string) {
+	if p.Final() {
 		return p, "over"
 	}
 	if why := c.bad(e); why != "" {
@@ -113,15 +113,15 @@
 	at := float64(since) / float64(o.Duration)
 	fresh, _ := e.Totals(nil)
 	switch {
-	case at >= 1 && p < Whole:
+	case at >= 1 && p < Full:
 		return RolledBack, "the deadline passed without enough evidence"
 	case p == Canary && at >= c.CanaryUntil && fresh.Requests >= c.LeastRequests:
 		return Ramp, fmt.Sprintf("%d requests on the new version without an alarm", fresh.Requests)
 	case p == Ramp && at >= c.RampUntil:
-		return Whole, fmt.Sprintf("%d requests on the new version without an alarm", fresh.Requests)
-	case p == Whole && oldRunning == 0 && at >= c.RampUntil+o.settle():
+		return Full, fmt.Sprintf("%d requests on the new version without an alarm", fresh.Requests)
+	case p == Full && oldRunning == 0 && at >= c.RampUntil+o.settle():
 		return Completed, "nothing runs on old servers"
-	case p == Whole && at >= c.FinishBy:
+	case p == Full && at >= c.FinishBy:
 		return Completed, fmt.Sprintf("%d requests still run on old servers at the latest moment", oldRunning)
 	}
 	return p, ""
@@ -136,7 +136,7 @@
 // request on the old version is out of its span. The next order may come as soon as
 // this one is completed, and would hold a session to the version it was last on.
 func (o Order) settle() float64 {
-	return max(settle, float64(o.SessionSpan)/float64(o.Duration))
+	return max(settle, float64(o.SessionWindow)/float64(o.Duration))
 }
 
 // bad returns why the new version is to be withdrawn, or nothing.
--- a/internal/rollout/order_test.go
+++ b/internal/rollout/order_test.go
@@ -15,7 +15,7 @@
 		} else {
 			c.Errors = bad
 		}
-		e = append(e, Cell{Server: name, FailureDomain: "d" + name[1:], New: isNew, Counts: c})
+		e = append(e, ServerCounts{Server: name, FailureDomain: "d" + name[1:], New: isNew, Counts: c})
 	}
 	for i, name := range []string{"1", "2", "3"} {
 		add("n"+name, true, part(fresh, i), part(freshBad, i))
@@ -48,20 +48,20 @@
 		{"canary without evidence", Canary, 13 * time.Second, nil, 9, Canary},
 		{"deadline without evidence", Canary, 24 * time.Second, nil, 9, RolledBack},
 		{"ramp", Ramp, 13 * time.Second, good, 9, Ramp},
-		{"ramp over", Ramp, 14 * time.Second, good, 9, Whole},
-		{"old servers busy", Whole, 19 * time.Second, good, 9, Whole},
-		{"old servers idle too soon", Whole, 17 * time.Second, good, 0, Whole},
-		{"old servers idle", Whole, 19 * time.Second, good, 0, Completed},
-		{"latest moment", Whole, 22500 * time.Millisecond, good, 9, Completed},
+		{"ramp over", Ramp, 14 * time.Second, good, 9, Full},
+		{"old servers busy", Full, 19 * time.Second, good, 9, Full},
+		{"old servers idle too soon", Full, 17 * time.Second, good, 0, Full},
+		{"old servers idle", Full, 19 * time.Second, good, 0, Completed},
+		{"latest moment", Full, 22500 * time.Millisecond, good, 9, Completed},
 		{"errors", Canary, 3 * time.Second, cells(8, 20, 0, 200, false), 9, RolledBack},
-		{"errors in the whole phase", Whole, 15 * time.Second, cells(30, 90, 3, 600, false), 9, RolledBack},
+		{"errors in the whole phase", Full, 15 * time.Second, cells(30, 90, 3, 600, false), 9, RolledBack},
 		{"few errors", Canary, 3 * time.Second, cells(3, 20, 0, 200, false), 9, Canary},
 		{"errors on both", Canary, 3 * time.Second, cells(8, 20, 80, 200, false), 9, Canary},
 		{"slow", Canary, 3 * time.Second, cells(24, 30, 50, 200, true), 9, RolledBack},
 		{"as slow as the old", Canary, 3 * time.Second, cells(5, 20, 50, 200, true), 9, Canary},
 		{"over", Completed, 30 * time.Second, cells(30, 90, 3, 600, false), 0, Completed},
 	} {
-		if got, why := DefaultCourse().Next(o, tt.at, tt.since, tt.evidence, tt.oldRunning); got != tt.want {
+		if got, why := DefaultOrderPolicy().NextPhase(o, tt.at, tt.since, tt.evidence, tt.oldRunning); got != tt.want {
 			t.Errorf("%s: %s (%s), want %s", tt.name, got, why, tt.want)
 		}
 	}
@@ -75,7 +75,7 @@
 func TestLoadIsNotTakenForASlowVersion(t *testing.T) {
 	o := Order{Duration: 24 * time.Second}
 	e := cells(102, 676, 10, 700, true)
-	if got, why := DefaultCourse().Next(o, Whole, 20*time.Second, e, 3); got != Whole {
+	if got, why := DefaultOrderPolicy().NextPhase(o, Full, 20*time.Second, e, 3); got != Full {
 		t.Fatalf("went to %s: %s", got, why)
 	}
 }
@@ -83,7 +83,7 @@
 func TestOneBadServerDoesNotCondemnAVersion(t *testing.T) {
 	e := cells(0, 60, 0, 600, false)
 	e[0].Counts.Errors = 12
-	if got, why := DefaultCourse().Next(Order{Duration: 24 * time.Second}, Canary, 5*time.Second, e, 3); got != Canary {
+	if got, why := DefaultOrderPolicy().NextPhase(Order{Duration: 24 * time.Second}, Canary, 5*time.Second, e, 3); got != Canary {
 		t.Fatalf("went to %s: %s", got, why)
 	}
 }
@@ -93,12 +93,12 @@
 // request ran before the first order's whole phase sends another.
 // Cause: the first order was completed before all sessions had moved.
 func TestOrderIsNotCompletedBeforeAllSessionsMoved(t *testing.T) {
-	o := Order{Duration: 16 * time.Second, SessionSpan: 5 * time.Second}
+	o := Order{Duration: 16 * time.Second, SessionWindow: 5 * time.Second}
 	good := cells(0, 60, 3, 600, false)
-	if got, _ := DefaultCourse().Next(o, Whole, 13*time.Second, good, 0); got != Whole {
+	if got, _ := DefaultOrderPolicy().NextPhase(o, Full, 13*time.Second, good, 0); got != Full {
 		t.Errorf("%s 3.7 s into the whole phase", got)
 	}
-	if got, _ := DefaultCourse().Next(o, Whole, 14400*time.Millisecond, good, 0); got != Completed {
+	if got, _ := DefaultOrderPolicy().NextPhase(o, Full, 14400*time.Millisecond, good, 0); got != Completed {
 		t.Errorf("%s when all sessions had moved", got)
 	}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -9,14 +9,14 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-var running = fleet.Rollout{Model: "m", To: "v2", Stages: []float64{10, 100}, State: fleet.Running}
+var running = fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: []float64{10, 100}, State: fleet.RolloutRunning}
 
 // spread makes evidence of both versions on n servers in 2 failure domains.
 func spread(n int, fresh, old Counts) Evidence {
 	var e Evidence
 	for i := range n {
 		s, d := fmt.Sprint("s", i), fmt.Sprint("fd", i%2)
-		e = append(e, Cell{s, d, true, fresh}, Cell{s, d, false, old})
+		e = append(e, ServerCounts{s, d, true, fresh}, ServerCounts{s, d, false, old})
 	}
 	return e
 }
@@ -29,7 +29,7 @@
 	both := spread(4, good, old)
 	both[0].Counts.Errors, both[1].Counts.Errors = 25, 225
 	held := running
-	held.State = fleet.Held
+	held.State = fleet.RolloutHeld
 	cases := []struct {
 		name string
 		ro   fleet.Rollout
@@ -50,11 +50,11 @@
 		{"ratings not in yet", running, spread(4, Counts{Requests: 50}, Counts{Requests: 450, Rated: 100, Bad: 4}), Wait},
 	}
 	for _, c := range cases {
-		if v := DefaultRules().Judge(c.ro, c.e, time.Minute); v.Step != c.want {
+		if v := DefaultStagePolicy().Evaluate(c.ro, c.e, time.Minute); v.Step != c.want {
 			t.Errorf("%s: %s (%s), want %s", c.name, v.Step, v.Reason, c.want)
 		}
 	}
-	starved := DefaultRules().Judge(running, spread(4, Counts{Requests: 2}, old), time.Hour)
+	starved := DefaultStagePolicy().Evaluate(running, spread(4, Counts{Requests: 2}, old), time.Hour)
 	if starved.Step != Hold {
 		t.Errorf("a starved stage: %+v", starved)
 	}
@@ -102,14 +102,14 @@
 }
 
 func TestNextAndRatingShare(t *testing.T) {
-	ro := Next(running, Advance)
-	if ro.Stage != 1 || ro.State != fleet.Running {
+	ro := ApplyStep(running, Advance)
+	if ro.Stage != 1 || ro.State != fleet.RolloutRunning {
 		t.Fatalf("%+v", ro)
 	}
-	if ro = Next(ro, Advance); ro.State != fleet.Done || ro.Percent() != 100 {
+	if ro = ApplyStep(ro, Advance); ro.State != fleet.RolloutDone || ro.Percent() != 100 {
 		t.Fatalf("%+v", ro)
 	}
-	if ro = Next(running, RollBack); ro.Percent() != 0 {
+	if ro = ApplyStep(running, RollBack); ro.Percent() != 0 {
 		t.Fatalf("%+v", ro)
 	}
 	for _, percent := range []float64{1, 10, 50, 90} {
--- a/internal/rollout/usual.go
+++ b/internal/rollout/usual.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Usual is how long the answers of a service take, as ratios of the time expected
+// LatencyBaseline is how long the answers of a service take, as ratios of the time expected
 // of each, on the version that carries the traffic.
-type Usual struct {
+type LatencyBaseline struct {
 	ring  [usualSamples]float64
 	count int
 	limit float64
@@ -29,8 +29,8 @@
 	sortEvery = 8
 )
 
-// Add takes a ratio; 0 is none.
-func (u *Usual) Add(ratio float64) {
+// Observe takes a ratio; 0 is none.
+func (u *LatencyBaseline) Observe(ratio float64) {
 	if ratio <= 0 {
 		return
 	}
@@ -43,12 +43,12 @@
 	}
 }
 
-// Slow reports whether a ratio lies among the slowest.
-func (u *Usual) Slow(ratio float64, p Phase) bool {
+// IsSlow reports whether a ratio lies among the slowest.
+func (u *LatencyBaseline) IsSlow(ratio float64, p Phase) bool {
 	if u.limit == 0 {
 		return false
 	}
-	if p >= Whole {
+	if p >= Full {
 		return ratio > wholeFactor*u.limit
 	}
 	return ratio > u.limit
