--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -26,10 +26,10 @@
 
 // Route is one rule of the table.
 type Route struct {
-	Name   string
-	Host   string
-	Prefix string
-	Kind   Kind
+	Name       string
+	Host       string
+	PathPrefix string
+	Kind       Kind
 	// Backends are the services that share the route's requests by weight.
 	Backends []Backend
 	// Timeout is the longest time a caller is kept waiting; zero is unbounded.
@@ -40,8 +40,8 @@
 	GapTarget time.Duration
 	// Priority ranks the route, 0 first.
 	Priority int
-	// Attempts is the most servers that may run one request.
-	Attempts int
+	// MaxAttempts is the most servers that may run one request.
+	MaxAttempts int
 	// Public routes need no API key.
 	Public bool
 	// Resumable streams may continue on another server after the last event.
@@ -62,9 +62,9 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service chooses a service by weight; draw is uniform over all uint64 and the
+// SelectService chooses a service by weight; draw is uniform over all uint64 and the
 // same for every attempt of a request, so that a repeat goes to the same service.
-func (r *Route) Service(draw uint64) string {
+func (r *Route) SelectService(draw uint64) string {
 	total := 0
 	for _, b := range r.Backends {
 		total += b.Weight
@@ -100,20 +100,20 @@
 type Engine struct {
 	// Slots is the number of requests in one batch.
 	Slots int
-	// KVTokens is the memory for prompts, in tokens.
-	KVTokens int
+	// KVCacheTokens is the memory for prompts, in tokens.
+	KVCacheTokens int
 	// EventTokens is the number of tokens in one event of a stream; zero is one.
 	EventTokens int
-	// Cost is the price of 1,000 generated tokens by model.
-	Cost map[string]float64
+	// CostPer1kTokens is the price of 1,000 generated tokens by model.
+	CostPer1kTokens map[string]float64
 }
 
 // Workspace owns API keys.
 type Workspace struct {
 	Name string
 	// Priority goes before the route's when Ranked.
-	Priority int
-	Ranked   bool
+	Priority    int
+	HasPriority bool
 }
 
 // Limits bound what callers may send.
@@ -142,14 +142,14 @@
 	Services []Service
 	// Keys maps API keys to workspaces. Keyed says that the document lists
 	// workspaces at all; without them no key is asked for.
-	Keys  map[string]Workspace
-	Keyed bool
+	Keys        map[string]Workspace
+	KeyRequired bool
 }
 
-// New checks a document and indexes it. An error names the offending part.
-func New(d Document) (*Table, error) {
+// NewTable checks a document and indexes it. An error names the offending part.
+func NewTable(d Document) (*Table, error) {
 	t := &Table{
-		Version: d.Version, Limits: d.Limits, keys: d.Keys, workspaces: d.Keyed,
+		Version: d.Version, Limits: d.Limits, keys: d.Keys, workspaces: d.KeyRequired,
 		Services: make(map[string]Service, len(d.Services)),
 		byHost:   make(map[string][]Route),
 	}
@@ -167,14 +167,14 @@
 		t.byHost[host] = append(t.byHost[host], r)
 	}
 	for _, routes := range t.byHost {
-		slices.SortStableFunc(routes, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+		slices.SortStableFunc(routes, func(a, b Route) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
 	}
 	return t, nil
 }
 
 func (t *Table) check(r *Route) error {
-	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		return fmt.Errorf("prefix %q does not begin and end with a slash", r.Prefix)
+	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
+		return fmt.Errorf("prefix %q does not begin and end with a slash", r.PathPrefix)
 	}
 	if len(r.Backends) == 0 {
 		return fmt.Errorf("no service")
@@ -198,18 +198,18 @@
 	}
 	routes := t.byHost[strings.ToLower(host)]
 	for i := range routes {
-		if strings.HasPrefix(path, routes[i].Prefix) {
+		if strings.HasPrefix(path, routes[i].PathPrefix) {
 			return &routes[i]
 		}
 	}
 	return nil
 }
 
-// Keyed reports whether requests must carry an API key.
-func (t *Table) Keyed() bool { return t.workspaces }
+// KeyRequired reports whether requests must carry an API key.
+func (t *Table) KeyRequired() bool { return t.workspaces }
 
-// Workspace returns the owner of an API key.
-func (t *Table) Workspace(key string) (Workspace, bool) {
+// WorkspaceByKey returns the owner of an API key.
+func (t *Table) WorkspaceByKey(key string) (Workspace, bool) {
 	w, ok := t.keys[key]
 	return w, ok
 }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -8,12 +8,12 @@
 func testTable(t *testing.T) *Table {
 	t.Helper()
 	one := []Backend{{Service: "s", Weight: 1}}
-	table, err := New(Document{
-		Version: 3, Keyed: true, Keys: map[string]Workspace{"k": {Name: "w"}}, Services: []Service{{Name: "s"}, {Name: "t"}},
+	table, err := NewTable(Document{
+		Version: 3, KeyRequired: true, Keys: map[string]Workspace{"k": {Name: "w"}}, Services: []Service{{Name: "s"}, {Name: "t"}},
 		Routes: []Route{
-			{Name: "short", Host: "h.example", Prefix: "/a/", Backends: one},
-			{Name: "long", Host: "H.example", Prefix: "/a/b/", Backends: []Backend{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}},
-			{Name: "other", Host: "o.example", Prefix: "/", Backends: one},
+			{Name: "short", Host: "h.example", PathPrefix: "/a/", Backends: one},
+			{Name: "long", Host: "H.example", PathPrefix: "/a/b/", Backends: []Backend{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}},
+			{Name: "other", Host: "o.example", PathPrefix: "/", Backends: one},
 		},
 	})
 	if err != nil {
@@ -43,7 +43,7 @@
 	r := testTable(t).Match("h.example", "/a/b/")
 	got := map[string]int{}
 	for draw := range uint64(1000) {
-		got[r.Service(draw)]++
+		got[r.SelectService(draw)]++
 	}
 	if got["s"] != 900 || got["t"] != 100 {
 		t.Errorf("got %v", got)
@@ -53,13 +53,13 @@
 func TestBadDocumentsAreRefusedWithTheirPart(t *testing.T) {
 	one := []Backend{{Service: "s", Weight: 1}}
 	for want, d := range map[string]Document{
-		"does not begin and end":  {Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", Prefix: "a/", Backends: one}}},
-		"unknown service":         {Routes: []Route{{Name: "r", Prefix: "/a/", Backends: one}}},
-		"no service":              {Routes: []Route{{Name: "r", Prefix: "/a/"}}},
+		"does not begin and end":  {Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", PathPrefix: "a/", Backends: one}}},
+		"unknown service":         {Routes: []Route{{Name: "r", PathPrefix: "/a/", Backends: one}}},
+		"no service":              {Routes: []Route{{Name: "r", PathPrefix: "/a/"}}},
 		"a service has no name":   {Services: []Service{{}}},
-		"has the negative weight": {Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", Prefix: "/a/", Backends: []Backend{{Service: "s", Weight: -1}}}}},
+		"has the negative weight": {Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", PathPrefix: "/a/", Backends: []Backend{{Service: "s", Weight: -1}}}}},
 	} {
-		if _, err := New(d); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := NewTable(d); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q", err, want)
 		}
 	}
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -17,22 +17,22 @@
 			for i := range members {
 				members[i] = Member{ID: fmt.Sprint("s", i), Address: "a", Slots: 8}
 			}
-			p := NewPicture()
+			p := NewLoadTracker()
 			p.Update(Subset("d1", members, size))
 			blocks := Blocks(nil, "m@v1", strings.Repeat("warrant ", 1024))
 			now := time.Unix(1000, 0)
 			rng := rand.New(rand.NewPCG(1, 1))
 			for _, m := range Subset("d1", members, size)[:size/2] {
-				p.Dispatched(m.ID, blocks, false, now)
-				p.Reported(m.ID, rng.IntN(8), now)
+				p.RecordDispatch(m.ID, blocks, false, now)
+				p.RecordReport(m.ID, rng.IntN(8), now)
 			}
-			pipe := Default()
+			pipe := DefaultPipeline()
 			var room [MaxCandidates]Candidate
 			b.ReportAllocs()
 			for b.Loop() {
 				r := Request{PromptTokens: 2048, Blocks: blocks, BlockTokens: BlockTokens, Budget: time.Minute}
 				candidates := p.Snapshot(room[:0], now)
-				p.Prefix.Fill(&r)
+				p.Prefix.Lookup(&r)
 				if pipe.Pick(&r, candidates, rng).Index < 0 {
 					b.Fatal("nothing picked")
 				}
--- a/internal/routing/distance_test.go
+++ b/internal/routing/distance_test.go
@@ -18,16 +18,16 @@
 		out[5].FailureDomain, out[5].PendingPrefill = "near", nearBacklog
 		return out
 	}
-	r := &Request{PromptTokens: 1000, FailureDomain: "near", Near: 8, BodyBytes: 18000}
+	r := &Request{PromptTokens: 1000, FailureDomain: "near", LocalCandidates: 8, BodyBytes: 18000}
 	for range 50 {
-		if d := Engines().Pick(r, candidates(1000), rng); d.Index != 5 {
+		if d := EnginePipeline().Pick(r, candidates(1000), rng); d.Index != 5 {
 			t.Fatalf("with little work near: %d", d.Index)
 		}
-		if d := Engines().Pick(r, candidates(20000), rng); d.Index == 5 {
+		if d := EnginePipeline().Pick(r, candidates(20000), rng); d.Index == 5 {
 			t.Fatal("near although 0.2 s of work waits there")
 		}
 	}
-	d := Engines().Pick(r, candidates(1000), rng)
+	d := EnginePipeline().Pick(r, candidates(1000), rng)
 	if d.Expected > 30*time.Millisecond {
 		t.Errorf("the distance counts as time: %s", d.Expected)
 	}
@@ -38,7 +38,7 @@
 	s := Distance{PerKB: 10 * time.Millisecond, Halved: 8}
 	far := &Candidate{ID: "a", FailureDomain: "far"}
 	for near, want := range map[int]time.Duration{0: 0, 2: 4 * time.Millisecond, 8: 10 * time.Millisecond, 24: 15 * time.Millisecond} {
-		r := &Request{FailureDomain: "near", Near: near, BodyBytes: 2000}
+		r := &Request{FailureDomain: "near", LocalCandidates: near, BodyBytes: 2000}
 		if got := s.Cost(r, far, 0); got != want {
 			t.Errorf("%d near: %s in place of %s", near, got, want)
 		}
--- a/internal/routing/lanes.go
+++ b/internal/routing/lanes.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Lanes divides the engines of a service between its models. An engine that runs
+// Partition divides the engines of a service between its models. An engine that runs
 // two models makes a step of each in turn, so every token of the fast model waits
 // for a step of the slow one: a small model's stream takes as long as a large
 // one's. Apart, the small model's streams end several times sooner, and the large
 // model's steps serve a larger batch.
 //
 // The division is a preference: see Lane for what it costs to leave it.
-type Lanes struct {
+type Partition struct {
 	work  map[string]float64
 	at    time.Time
 	share map[string]float64
@@ -29,9 +29,9 @@
 	leastShare = 0.01
 )
 
-// NewLanes returns a division that starts with an expected work by model.
-func NewLanes(expected map[string]float64) *Lanes {
-	l := &Lanes{work: map[string]float64{}, share: map[string]float64{}}
+// NewPartition returns a division that starts with an expected work by model.
+func NewPartition(expected map[string]float64) *Partition {
+	l := &Partition{work: map[string]float64{}, share: map[string]float64{}}
 	for m, w := range expected {
 		l.work[m] = w
 	}
@@ -39,8 +39,8 @@
 	return l
 }
 
-// Work books engine time spent for a model.
-func (l *Lanes) Work(model string, spent time.Duration, now time.Time) {
+// RecordWork books engine time spent for a model.
+func (l *Partition) RecordWork(model string, spent time.Duration, now time.Time) {
 	keep := decay(now.Sub(l.at), laneHalfLife)
 	l.at = now
 	for m := range l.work {
@@ -49,7 +49,7 @@
 	l.work[model] += spent.Seconds()
 }
 
-func (l *Lanes) shares() map[string]float64 {
+func (l *Partition) shares() map[string]float64 {
 	sum := 0.0
 	for _, w := range l.work {
 		sum += w
@@ -63,14 +63,14 @@
 	return out
 }
 
-func (l *Lanes) divide(shares map[string]float64) { l.share = shares }
+func (l *Partition) divide(shares map[string]float64) { l.share = shares }
 
-// Foreign marks the candidates that are not in a model's lane. Daemons see like
+// Outside marks the candidates that are not in a model's lane. Daemons see like
 // traffic, so they divide alike without a word; where they differ by an engine,
 // it serves both.
 //
 // Order lists the candidates that there are by their hashes: see Picture.Order.
-func (l *Lanes) Foreign(model string, order []int) (foreign Set) {
+func (l *Partition) Outside(model string, order []int) (foreign Set) {
 	l.adapt(len(order))
 	if len(l.share) < 2 || l.share[model] == 0 || len(order) < len(l.share) {
 		return foreign
@@ -85,7 +85,7 @@
 }
 
 // adapt makes the division anew if a share has changed by much of an engine.
-func (l *Lanes) adapt(engines int) {
+func (l *Partition) adapt(engines int) {
 	now := l.shares()
 	for m := range l.work {
 		if math.Abs(now[m]-l.share[m])*float64(engines) > laneStep {
@@ -97,7 +97,7 @@
 
 // span returns the places of a model's engines among n: at least one each, the
 // rest by share.
-func (l *Lanes) span(model string, n int) (from, to int) {
+func (l *Partition) span(model string, n int) (from, to int) {
 	names := make([]string, 0, len(l.share))
 	for m := range l.share {
 		names = append(names, m)
@@ -131,7 +131,7 @@
 
 // Cost implements Scorer.
 func (l Lane) Cost(r *Request, _ *Candidate, index int) time.Duration {
-	if r.Foreign.Has(index) {
+	if r.OutsidePartition.Has(index) {
 		return l.Leaving
 	}
 	return 0
--- a/internal/routing/lanes_test.go
+++ b/internal/routing/lanes_test.go
@@ -32,9 +32,9 @@
 	}{
 		{9, 1, 4, 2}, {9, 1, 1, 5}, {9, 1, 50, 1}, {2, 1, 9, 1}, {64, 1, 3, 16}, {126, 1, 3, 32},
 	} {
-		l := NewLanes(map[string]float64{"small": tt.small, "large": tt.large})
+		l := NewPartition(map[string]float64{"small": tt.small, "large": tt.large})
 		c := indices(tt.n)
-		notSmall, notLarge := l.Foreign("small", c), l.Foreign("large", c)
+		notSmall, notLarge := l.Outside("small", c), l.Outside("large", c)
 		small, large := tt.n-notSmall.Len(), tt.n-notLarge.Len()
 		if both := notSmall.And(notLarge); small+large != tt.n || !both.Empty() {
 			t.Errorf("%d engines: %d and %d do not divide them", tt.n, small, large)
@@ -46,26 +46,26 @@
 }
 
 func TestLanesOfOneModelOrTooFewEngines(t *testing.T) {
-	if f := NewLanes(map[string]float64{"m": 1}).Foreign("m", indices(5)); !f.Empty() {
+	if f := NewPartition(map[string]float64{"m": 1}).Outside("m", indices(5)); !f.Empty() {
 		t.Errorf("one model: %b", f)
 	}
-	if f := NewLanes(map[string]float64{"a": 1, "b": 1}).Foreign("a", indices(1)); !f.Empty() {
+	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).Outside("a", indices(1)); !f.Empty() {
 		t.Errorf("one engine: %b", f)
 	}
-	if f := NewLanes(map[string]float64{"a": 1, "b": 1}).Foreign("c", indices(5)); !f.Empty() {
+	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).Outside("c", indices(5)); !f.Empty() {
 		t.Errorf("an unknown model: %b", f)
 	}
 }
 
 func TestLanesFollowTheWork(t *testing.T) {
-	l := NewLanes(map[string]float64{"small": 1, "large": 4})
+	l := NewPartition(map[string]float64{"small": 1, "large": 4})
 	now := time.Unix(100, 0)
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		l.Work("small", 100*time.Millisecond, now)
-		l.Work("large", 100*time.Millisecond, now)
+		l.RecordWork("small", 100*time.Millisecond, now)
+		l.RecordWork("large", 100*time.Millisecond, now)
 	}
-	foreign := l.Foreign("small", indices(10))
+	foreign := l.Outside("small", indices(10))
 	if n := 10 - foreign.Len(); n < 4 || n > 6 {
 		t.Errorf("the small model has %d of 10 engines at half of the work", n)
 	}
@@ -75,21 +75,21 @@
 func TestBusyLaneSpillsOver(t *testing.T) {
 	c := engines(2)
 	c[0].PendingPrefill = 2_000_000 // 2 s to read
-	r := &Request{PromptTokens: 1000, Foreign: SetOf(1)}
-	if d := Engines().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
+	r := &Request{PromptTokens: 1000, OutsidePartition: SetOf(1)}
+	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
 		t.Errorf("chose %d", d.Index)
 	}
 	c[0].PendingPrefill = 500_000
-	if d := Engines().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 0 {
+	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 0 {
 		t.Errorf("left the lane for 0.5 s")
 	}
 }
 
 func TestLineLearnsFixedAndPerToken(t *testing.T) {
-	l := NewLine(60*time.Millisecond, 5*time.Microsecond)
+	l := NewFirstTokenFit(60*time.Millisecond, 5*time.Microsecond)
 	for i := range 400 {
 		tokens := 500 + i%10*700
-		l.Sample(tokens, 40*time.Millisecond+time.Duration(tokens)*30*time.Microsecond)
+		l.Observe(tokens, 40*time.Millisecond+time.Duration(tokens)*30*time.Microsecond)
 	}
 	if got := l.PerToken(); got < 29*time.Microsecond || got > 31*time.Microsecond {
 		t.Errorf("per token %s", got)
@@ -103,7 +103,7 @@
 	r := &Request{PromptTokens: 1000, BlockEnds: []int{600, 900}}
 	for cached, want := range map[uint8]int{0: 1000, 1: 400, 2: 100} {
 		r.CachedBlocks[3] = cached
-		if got := r.Uncached(3); got != want {
+		if got := r.UncachedTokens(3); got != want {
 			t.Errorf("%d parts cached: %d tokens left, want %d", cached, got, want)
 		}
 	}
@@ -115,16 +115,16 @@
 // Cause: what it costs others to leave the lane counted as time to the first token.
 func TestPreferencesAreNoTime(t *testing.T) {
 	c := []Candidate{{ID: "a", Slots: 8, PrefillPerToken: time.Millisecond, PendingPrefill: 5000}, {ID: "b", Slots: 8, PrefillPerToken: time.Millisecond}}
-	r := &Request{PromptTokens: 10, Foreign: SetOf(1)}
-	if d := Engines().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 || d.Expected > 50*time.Millisecond {
+	r := &Request{PromptTokens: 10, OutsidePartition: SetOf(1)}
+	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 || d.Expected > 50*time.Millisecond {
 		t.Errorf("got %+v", d)
 	}
 }
 
 func TestServerThatIsTooLateGivesWay(t *testing.T) {
 	c := []Candidate{{ID: "a", Slots: 8, PrefillPerToken: time.Millisecond, PendingPrefill: 300}, {ID: "b", Slots: 8, PrefillPerToken: time.Millisecond}}
-	r := &Request{PromptTokens: 10, Foreign: SetOf(1), Budget: 200 * time.Millisecond}
-	if d := Engines().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
+	r := &Request{PromptTokens: 10, OutsidePartition: SetOf(1), Budget: 200 * time.Millisecond}
+	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
 		t.Errorf("got %+v: the preferred server begins after the deadline", d)
 	}
 }
--- a/internal/routing/line.go
+++ b/internal/routing/line.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Line learns how long a model takes to its first token: a fixed time, and a time
+// FirstTokenFit learns how long a model takes to its first token: a fixed time, and a time
 // for each prompt token that is not cached. It is a least-squares fit that forgets
 // old samples, so that it follows a service whose VMs or versions change.
-type Line struct {
+type FirstTokenFit struct {
 	weight, x, y, xx, xy float64
 	// fixed and perToken are the fit in seconds.
 	fixed, perToken float64
@@ -28,9 +28,9 @@
 	mostFixed = 1.0
 )
 
-// NewLine returns a line that starts with the given values.
-func NewLine(fixed, perToken time.Duration) *Line {
-	l := &Line{}
+// NewFirstTokenFit returns a line that starts with the given values.
+func NewFirstTokenFit(fixed, perToken time.Duration) *FirstTokenFit {
+	l := &FirstTokenFit{}
 	for range linePrior {
 		l.add(0, fixed.Seconds())
 		l.add(priorTokens, fixed.Seconds()+priorTokens*perToken.Seconds())
@@ -39,14 +39,14 @@
 	return l
 }
 
-// Sample takes the time to a first token after some uncached prompt tokens on a
+// Observe takes the time to a first token after some uncached prompt tokens on a
 // server that had nothing else to read.
-func (l *Line) Sample(uncached int, took time.Duration) {
+func (l *FirstTokenFit) Observe(uncached int, took time.Duration) {
 	l.add(float64(uncached), took.Seconds())
 	l.solve()
 }
 
-func (l *Line) add(x, y float64) {
+func (l *FirstTokenFit) add(x, y float64) {
 	l.weight = l.weight*lineKeep + 1
 	l.x = l.x*lineKeep + x
 	l.y = l.y*lineKeep + y
@@ -54,7 +54,7 @@
 	l.xy = l.xy*lineKeep + x*y
 }
 
-func (l *Line) solve() {
+func (l *FirstTokenFit) solve() {
 	spread := l.weight*l.xx - l.x*l.x
 	if spread > 0 {
 		l.perToken = min(max((l.weight*l.xy-l.x*l.y)/spread, leastPerToken), mostPerToken)
@@ -63,12 +63,14 @@
 }
 
 // PerToken returns the time for one uncached prompt token.
-func (l *Line) PerToken() time.Duration { return time.Duration(l.perToken * float64(time.Second)) }
+func (l *FirstTokenFit) PerToken() time.Duration {
+	return time.Duration(l.perToken * float64(time.Second))
+}
 
 // Fixed returns the time to the first token of a prompt that is wholly cached.
-func (l *Line) Fixed() time.Duration { return time.Duration(l.fixed * float64(time.Second)) }
+func (l *FirstTokenFit) Fixed() time.Duration { return time.Duration(l.fixed * float64(time.Second)) }
 
-// At returns the expected time to the first token.
-func (l *Line) At(uncached int) time.Duration {
+// Predict returns the expected time to the first token.
+func (l *FirstTokenFit) Predict(uncached int) time.Duration {
 	return time.Duration((l.fixed + l.perToken*float64(uncached)) * float64(time.Second))
 }
--- a/internal/routing/picture.go
+++ b/internal/routing/picture.go
@@ -53,15 +53,15 @@
 	Slots         int
 }
 
-// Picture is a daemon's knowledge of the servers of one pool. It is owned by
+// LoadTracker is a daemon's knowledge of the servers of one pool. It is owned by
 // one goroutine or guarded by its owner's lock.
-type Picture struct {
+type LoadTracker struct {
 	servers []state
 	index   map[string]int
 	Prefix  *PrefixIndex
-	// Exact says that Peers tells the work of others as it is now, so that
+	// ExactPeerLoad says that Peers tells the work of others as it is now, so that
 	// nothing is added for a surge that lagging reports would miss.
-	Exact bool
+	ExactPeerLoad bool
 	// own is this daemon's work on all servers.
 	own int
 	// order lists the slots in use by the hashes of their servers.
@@ -72,7 +72,7 @@
 // from which the work of the others is estimated. Callers spread over all daemons, so
 // the others have about as much more. The usual spread of a count is taken off, or
 // noise would look like a surge.
-func (p *Picture) surge() float64 {
+func (p *LoadTracker) surge() float64 {
 	then := 0.0
 	for i := range p.servers {
 		then += p.servers[i].ownReported
@@ -101,14 +101,14 @@
 	waitAt      time.Time
 }
 
-// NewPicture returns an empty picture.
-func NewPicture() *Picture {
-	return &Picture{index: map[string]int{}, Prefix: NewPrefixIndex()}
+// NewLoadTracker returns an empty picture.
+func NewLoadTracker() *LoadTracker {
+	return &LoadTracker{index: map[string]int{}, Prefix: NewPrefixIndex()}
 }
 
 // Update sets the members. A server keeps its slot and its averages as long as
 // it stays; one replaced at the same id but another address starts anew.
-func (p *Picture) Update(members []Member) {
+func (p *LoadTracker) Update(members []Member) {
 	wanted := make(map[string]Member, len(members))
 	for _, m := range members {
 		wanted[m.ID] = m
@@ -131,7 +131,7 @@
 
 // sort puts the servers into the order that all daemons agree on. Members change seldom; a
 // choice that sorted them would take most of its time for that.
-func (p *Picture) sort() {
+func (p *LoadTracker) sort() {
 	p.order = p.order[:0]
 	for i := range p.servers {
 		if p.servers[i].used {
@@ -141,9 +141,9 @@
 	slices.SortFunc(p.order, func(a, b int) int { return cmp.Compare(p.servers[a].Hash, p.servers[b].Hash) })
 }
 
-// Order lists the candidates of a snapshot that there are by the hashes of their ids, which
+// IndicesByHash lists the candidates of a snapshot that there are by the hashes of their ids, which
 // have nothing to do with where they are, in an order that all daemons agree on.
-func (p *Picture) Order() []int { return p.order }
+func (p *LoadTracker) IndicesByHash() []int { return p.order }
 
 func slotsOf(m Member) int {
 	if m.Slots > 0 {
@@ -155,14 +155,14 @@
 // defaultSlots is the batch width of a server that states none.
 const defaultSlots = 8
 
-func (p *Picture) remove(id string, i int) {
+func (p *LoadTracker) remove(id string, i int) {
 	delete(p.index, id)
 	p.own = max(0, p.own-p.servers[i].InFlight)
 	p.servers[i] = state{Candidate: Candidate{Leaving: true}}
 	p.Prefix.Forget(i)
 }
 
-func (p *Picture) add(m Member) {
+func (p *LoadTracker) add(m Member) {
 	fresh := state{used: true, Candidate: Candidate{
 		ID: m.ID, Address: m.Address, FailureDomain: m.FailureDomain, Hash: xxhash.Sum64String(m.ID), Slots: slotsOf(m),
 		ServiceTime: initialServiceTime, PrefillPerToken: initialPrefill,
@@ -181,7 +181,7 @@
 }
 
 // Snapshot appends the candidates at a time to dst. Index i is slot i.
-func (p *Picture) Snapshot(dst []Candidate, now time.Time) []Candidate {
+func (p *LoadTracker) Snapshot(dst []Candidate, now time.Time) []Candidate {
 	first := len(dst)
 	others := 0.0
 	for i := range p.servers {
@@ -207,7 +207,7 @@
 }
 
 // EachBusy calls f for each server on which this daemon has unfinished work.
-func (p *Picture) EachBusy(f func(c *Candidate)) {
+func (p *LoadTracker) EachBusy(f func(c *Candidate)) {
 	for i := range p.servers {
 		if p.servers[i].InFlight > 0 {
 			f(&p.servers[i].Candidate)
@@ -218,9 +218,9 @@
 // addSurge adds the work that a surge brought the others, alike to all servers:
 // scaling each server's estimate would scale its noise too, and send the daemons
 // after the servers that look best by chance.
-func (p *Picture) addSurge(candidates []Candidate, others float64) {
+func (p *LoadTracker) addSurge(candidates []Candidate, others float64) {
 	surge := p.surge()
-	if p.Exact || surge <= 1 || len(candidates) == 0 {
+	if p.ExactPeerLoad || surge <= 1 || len(candidates) == 0 {
 		return
 	}
 	more := (surge - 1) * others / float64(len(candidates))
@@ -236,7 +236,7 @@
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-func (p *Picture) find(id string) *state {
+func (p *LoadTracker) find(id string) *state {
 	i, ok := p.index[id]
 	if !ok {
 		return nil
@@ -244,8 +244,8 @@
 	return &p.servers[i]
 }
 
-// Dispatched records an attempt sent to a server.
-func (p *Picture) Dispatched(id string, blocks []uint64, urgent bool, now time.Time) {
+// RecordDispatch records an attempt sent to a server.
+func (p *LoadTracker) RecordDispatch(id string, blocks []uint64, urgent bool, now time.Time) {
 	s := p.find(id)
 	if s == nil {
 		return
@@ -266,10 +266,10 @@
 	s.ownAt = now
 }
 
-// FirstToken records the time to the first token of an attempt whose uncached
+// RecordFirstToken records the time to the first token of an attempt whose uncached
 // prompt was estimated at some tokens, and returns the part of it that was a
 // wait: what exceeds the prefill, which the fastest first tokens tell.
-func (p *Picture) FirstToken(id string, took time.Duration, uncached int, now time.Time) (wait time.Duration) {
+func (p *LoadTracker) RecordFirstToken(id string, took time.Duration, uncached int, now time.Time) (wait time.Duration) {
 	s := p.find(id)
 	if s == nil {
 		return 0
@@ -289,10 +289,10 @@
 // says something about the prefill.
 const minPrefillSample = 64
 
-// Completed records the end of an attempt that held a slot for some time, its
+// RecordCompletion records the end of an attempt that held a slot for some time, its
 // wait not counted: a service time that grew with the queue would make the queue
 // look longer still. Failed attempts raise the error rate.
-func (p *Picture) Completed(id string, held time.Duration, failed, urgent bool, now time.Time) {
+func (p *LoadTracker) RecordCompletion(id string, held time.Duration, failed, urgent bool, now time.Time) {
 	s := p.find(id)
 	if s == nil {
 		return
@@ -313,9 +313,9 @@
 	s.ServiceTime = average(s.ServiceTime, held)
 }
 
-// Silent records an attempt on which nothing came back in time. New connections
+// RecordTimeout records an attempt on which nothing came back in time. New connections
 // often work while old ones hang, so one silence is no verdict on the server.
-func (p *Picture) Silent(id string, now time.Time) {
+func (p *LoadTracker) RecordTimeout(id string, now time.Time) {
 	if s := p.find(id); s != nil {
 		if s.silent++; s.silent >= silenceLimit {
 			s.suspect(now)
@@ -323,10 +323,10 @@
 	}
 }
 
-// Unreachable records that no connection could be made, or that the server lost
+// RecordUnreachable records that no connection could be made, or that the server lost
 // a run: it went away or was restarted. It gets no work for a while at once,
 // since every further attempt there costs a retry.
-func (p *Picture) Unreachable(id string, now time.Time) {
+func (p *LoadTracker) RecordUnreachable(id string, now time.Time) {
 	if s := p.find(id); s != nil {
 		s.silent = max(s.silent+1, silenceLimit)
 		s.suspect(now)
@@ -341,9 +341,9 @@
 // maxDoublings keeps the shift in range; suspectMost is reached before it.
 const maxDoublings = 8
 
-// Reported takes a server's own load report. Work that this daemon had there
+// RecordReport takes a server's own load report. Work that this daemon had there
 // lately is not counted twice.
-func (p *Picture) Reported(id string, inFlight int, now time.Time) {
+func (p *LoadTracker) RecordReport(id string, inFlight int, now time.Time) {
 	s := p.find(id)
 	if s == nil {
 		return
@@ -359,15 +359,15 @@
 	s.othersAt = now
 }
 
-// Cached records prompt blocks that another daemon sent to a server.
-func (p *Picture) Cached(id string, blocks []uint64) {
+// RecordCachedBlocks records prompt blocks that another daemon sent to a server.
+func (p *LoadTracker) RecordCachedBlocks(id string, blocks []uint64) {
 	if i, known := p.index[id]; known {
 		p.Prefix.Sent(i, blocks)
 	}
 }
 
-// Late records how much later than expected a first token came.
-func (p *Picture) Late(id string, excess time.Duration, now time.Time) {
+// RecordLateness records how much later than expected a first token came.
+func (p *LoadTracker) RecordLateness(id string, excess time.Duration, now time.Time) {
 	s := p.find(id)
 	if s == nil {
 		return
@@ -378,31 +378,31 @@
 	s.waitAt = now
 }
 
-// ReadAt sets the time for one prompt token on all servers.
-func (p *Picture) ReadAt(perToken time.Duration) {
+// SetPrefillPerToken sets the time for one prompt token on all servers.
+func (p *LoadTracker) SetPrefillPerToken(perToken time.Duration) {
 	for i := range p.servers {
 		p.servers[i].PrefillPerToken = perToken
 	}
 }
 
-// Pending adds prompt tokens that a server was sent and has not read, or takes
+// AddPendingPrefill adds prompt tokens that a server was sent and has not read, or takes
 // them off.
-func (p *Picture) Pending(id string, tokens float64) {
+func (p *LoadTracker) AddPendingPrefill(id string, tokens float64) {
 	if s := p.find(id); s != nil {
 		s.PendingPrefill = max(0, s.PendingPrefill+tokens)
 	}
 }
 
-// Peers sets the work of all other daemons on a server, as they themselves tell
+// SetPeerLoad sets the work of all other daemons on a server, as they themselves tell
 // it. It replaces the estimate from reports.
-func (p *Picture) Peers(id string, inFlight, pending float64, now time.Time) {
+func (p *LoadTracker) SetPeerLoad(id string, inFlight, pending float64, now time.Time) {
 	if s := p.find(id); s != nil {
 		s.others, s.othersAt, s.OthersPending = inFlight, now, pending
 	}
 }
 
-// Leaving marks a server that gets no new work, or takes the mark back.
-func (p *Picture) Leaving(id string, leaving bool) {
+// SetLeaving marks a server that gets no new work, or takes the mark back.
+func (p *LoadTracker) SetLeaving(id string, leaving bool) {
 	if s := p.find(id); s != nil {
 		s.Candidate.Leaving = leaving
 	}
--- a/internal/routing/pipeline.go
+++ b/internal/routing/pipeline.go
@@ -31,8 +31,8 @@
 	defaultRetryCost = 500 * time.Millisecond
 )
 
-// Default returns the pipeline that the daemon uses.
-func Default() Pipeline {
+// DefaultPipeline returns the pipeline that the daemon uses.
+func DefaultPipeline() Pipeline {
 	return Pipeline{
 		Filters: []Filter{Live{}, Untried{}},
 		Scorers: []Scorer{
@@ -72,10 +72,10 @@
 	laneCost = 1200 * time.Millisecond
 )
 
-// Engines returns the pipeline for model engines whose work all daemons tell
+// EnginePipeline returns the pipeline for model engines whose work all daemons tell
 // each other. Reading prompts takes most of an engine's time, so the prompts that
 // wait to be read are what tells a busy server from an idle one.
-func Engines() Pipeline {
+func EnginePipeline() Pipeline {
 	return Pipeline{
 		Filters: []Filter{Live{}, Untried{}},
 		Scorers: []Scorer{
@@ -114,7 +114,7 @@
 		chosen := pickWithin(costs[:n], best+p.TieWindow, rng)
 		return Decision{Index: chosen, Expected: expected[chosen]}
 	case soonest >= 0:
-		return Decision{Index: -1, Expected: soonest, Refusal: TooLate}
+		return Decision{Index: -1, Expected: soonest, Refusal: BudgetExceeded}
 	}
 	return Decision{Index: -1, Refusal: NoCandidate}
 }
@@ -159,8 +159,8 @@
 	return chosen
 }
 
-// Reason is one rule's word on one candidate.
-type Reason struct {
+// RuleResult is one rule's word on one candidate.
+type RuleResult struct {
 	Server string        `json:"server"`
 	Rule   string        `json:"rule"`
 	Kept   bool          `json:"kept"`
@@ -168,15 +168,15 @@
 }
 
 // Explain returns every rule's word on every candidate.
-func (p Pipeline) Explain(r *Request, candidates []Candidate) []Reason {
-	var out []Reason
+func (p Pipeline) Explain(r *Request, candidates []Candidate) []RuleResult {
+	var out []RuleResult
 	for i := range min(len(candidates), MaxCandidates) {
 		c := &candidates[i]
 		for _, f := range p.Filters {
-			out = append(out, Reason{Server: c.ID, Rule: f.Name(), Kept: f.Keep(r, c, i)})
+			out = append(out, RuleResult{Server: c.ID, Rule: f.Name(), Kept: f.Keep(r, c, i)})
 		}
 		for _, s := range slices.Concat(p.Scorers, p.Preferences) {
-			out = append(out, Reason{Server: c.ID, Rule: s.Name(), Kept: true, Cost: s.Cost(r, c, i)})
+			out = append(out, RuleResult{Server: c.ID, Rule: s.Name(), Kept: true, Cost: s.Cost(r, c, i)})
 		}
 	}
 	return out
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -49,8 +49,8 @@
 // them again.
 const prefixLife = 12 * time.Second
 
-// Age forgets the older generation if its time is over.
-func (p *PrefixIndex) Age(now time.Time) {
+// Expire forgets the older generation if its time is over.
+func (p *PrefixIndex) Expire(now time.Time) {
 	if now.Sub(p.since) >= prefixLife {
 		p.turn()
 		p.since = now
@@ -70,7 +70,7 @@
 // Sent records that a server (by candidate slot) got a prompt.
 func (p *PrefixIndex) Sent(slot int, blocks []uint64) {
 	for _, b := range blocks {
-		held := p.young[b].With(p.old[b])
+		held := p.young[b].Union(p.old[b])
 		held.Add(slot)
 		p.young[b] = held
 	}
@@ -91,11 +91,11 @@
 	}
 }
 
-// Fill sets CachedBlocks of r for every slot.
-func (p *PrefixIndex) Fill(r *Request) {
+// Lookup sets CachedBlocks of r for every slot.
+func (p *PrefixIndex) Lookup(r *Request) {
 	var alive Set
 	for i, b := range r.Blocks {
-		held := p.young[b].With(p.old[b])
+		held := p.young[b].Union(p.old[b])
 		if i > 0 {
 			held = held.And(alive)
 		}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -23,7 +23,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	got := map[int]int{}
 	for range 400 {
-		got[Default().Pick(&r, c, rng).Index]++
+		got[DefaultPipeline().Pick(&r, c, rng).Index]++
 	}
 	return got
 }
@@ -69,17 +69,17 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := idle(2)
 	c[0].Leaving, c[1].Leaving = true, true
-	if d := Default().Pick(&Request{}, c, rng); d.Index != -1 || d.Refusal != NoCandidate {
+	if d := DefaultPipeline().Pick(&Request{}, c, rng); d.Index != -1 || d.Refusal != NoCandidate {
 		t.Errorf("all leaving: %+v", d)
 	}
 	busy := idle(2)
 	busy[0].InFlight, busy[1].InFlight = 40, 40
 	r := Request{Budget: 2 * time.Second}
-	if d := Default().Pick(&r, busy, rng); d.Index != -1 || d.Refusal != TooLate || d.Expected < 4*time.Second {
+	if d := DefaultPipeline().Pick(&r, busy, rng); d.Index != -1 || d.Refusal != BudgetExceeded || d.Expected < 4*time.Second {
 		t.Errorf("late: %+v", d)
 	}
 	r.Urgent = true
-	if d := Default().Pick(&r, busy, rng); d.Index < 0 {
+	if d := DefaultPipeline().Pick(&r, busy, rng); d.Index < 0 {
 		t.Errorf("an urgent request waits behind all others: %+v", d)
 	}
 }
@@ -89,14 +89,14 @@
 // Sequence: a server gets prompts, then a new VM takes its id at another address.
 // Cause: the averages, the prefix knowledge and the slot belong to the old VM.
 func TestReplacedServerStartsAnew(t *testing.T) {
-	p := NewPicture()
+	p := NewLoadTracker()
 	p.Update([]Member{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}})
 	blocks := Blocks(nil, "m@v1", strings.Repeat("x", 4*BlockBytes))
-	p.Dispatched("a", blocks, false, now)
-	p.Unreachable("a", now)
+	p.RecordDispatch("a", blocks, false, now)
+	p.RecordUnreachable("a", now)
 	p.Update([]Member{{ID: "b", Address: "2"}, {ID: "a", Address: "3"}})
 	r := Request{Blocks: blocks}
-	p.Prefix.Fill(&r)
+	p.Prefix.Lookup(&r)
 	for i, c := range p.Snapshot(nil, now) {
 		if c.ID == "a" && (c.InFlight != 0 || c.Suspect || r.CachedBlocks[i] != 0 || c.Address != "3") {
 			t.Errorf("the new server: %+v, cached %d", c, r.CachedBlocks[i])
@@ -108,24 +108,24 @@
 // Sequence: silences and failed connections, then time passes.
 // Cause: suspicion must end, later each time, and a first token must clear it.
 func TestSuspicionEnds(t *testing.T) {
-	p := NewPicture()
+	p := NewLoadTracker()
 	p.Update([]Member{{ID: "a", Address: "1"}})
 	suspect := func(at time.Time) bool { return p.Snapshot(nil, at)[0].Suspect }
-	p.Silent("a", now)
+	p.RecordTimeout("a", now)
 	if suspect(now) {
 		t.Fatal("one silence is a verdict")
 	}
-	p.Silent("a", now)
+	p.RecordTimeout("a", now)
 	if !suspect(now) || suspect(now.Add(suspectFor)) {
 		t.Fatal("two silences")
 	}
 	for range 10 {
-		p.Unreachable("a", now)
+		p.RecordUnreachable("a", now)
 	}
 	if !suspect(now.Add(suspectMost-time.Second)) || suspect(now.Add(suspectMost)) {
 		t.Fatal("the pause does not end at its most")
 	}
-	p.FirstToken("a", time.Millisecond, 0, now)
+	p.RecordFirstToken("a", time.Millisecond, 0, now)
 	if suspect(now) {
 		t.Fatal("a first token does not clear the suspicion")
 	}
@@ -135,15 +135,15 @@
 // Sequence: one lagged report says a server is full, the next that it is idle.
 // Cause: a single report tells of load that has moved on; the mean counts.
 func TestReportsAreSmoothed(t *testing.T) {
-	p := NewPicture()
+	p := NewLoadTracker()
 	p.Update([]Member{{ID: "a", Address: "1"}})
-	p.Reported("a", 0, now)
-	p.Reported("a", 40, now)
+	p.RecordReport("a", 0, now)
+	p.RecordReport("a", 40, now)
 	if got := p.Snapshot(nil, now)[0].OthersInFlight; got > 10 {
 		t.Fatalf("one report moved the estimate to %v", got)
 	}
 	for range 50 {
-		p.Reported("a", 40, now)
+		p.RecordReport("a", 40, now)
 	}
 	if got := p.Snapshot(nil, now)[0].OthersInFlight; got < 35 {
 		t.Fatalf("fifty reports moved the estimate to %v only", got)
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -63,11 +63,11 @@
 
 // Cost implements Scorer.
 func (Prefill) Cost(r *Request, c *Candidate, index int) time.Duration {
-	return time.Duration(float64(r.Uncached(index)) * r.scale() * float64(c.PrefillPerToken))
+	return time.Duration(float64(r.UncachedTokens(index)) * r.scale() * float64(c.PrefillPerToken))
 }
 
-// Uncached returns the prompt tokens that a candidate is believed not to have.
-func (r *Request) Uncached(index int) int {
+// UncachedTokens returns the prompt tokens that a candidate is believed not to have.
+func (r *Request) UncachedTokens(index int) int {
 	n := int(r.CachedBlocks[index])
 	cached := n * r.BlockTokens
 	if len(r.BlockEnds) > 0 {
@@ -117,14 +117,14 @@
 
 // Cost implements Scorer.
 func (h Homing) Cost(r *Request, c *Candidate, index int) time.Duration {
-	place := r.Home[index]
-	unread := r.SharedTokens - (r.PromptTokens - r.Uncached(index))
+	place := r.HomeRank[index]
+	unread := r.SharedPrefixTokens - (r.PromptTokens - r.UncachedTokens(index))
 	reading := float64(max(unread, 0)) * r.scale() * float64(c.PrefillPerToken)
-	return time.Duration(place)*h.Step + time.Duration(h.Belief*reading*float64(place)/FarHome)
+	return time.Duration(place)*h.Step + time.Duration(h.Belief*reading*float64(place)/MaxHomeRank)
 }
 
-// FarHome is the place in the order of homes from which all count as equally far.
-const FarHome = 4
+// MaxHomeRank is the place in the order of homes from which all count as equally far.
+const MaxHomeRank = 4
 
 // Reading is what reading a prompt costs everybody else. Prefill counts that time for
 // the request alone, which would so rather have a prompt read again at an idle engine
@@ -156,10 +156,10 @@
 
 // Cost implements Scorer.
 func (d Distance) Cost(r *Request, c *Candidate, _ int) time.Duration {
-	if r.Near == 0 || c.FailureDomain == r.FailureDomain {
+	if r.LocalCandidates == 0 || c.FailureDomain == r.FailureDomain {
 		return 0
 	}
-	part := float64(r.Near) / float64(r.Near+d.Halved)
+	part := float64(r.LocalCandidates) / float64(r.LocalCandidates+d.Halved)
 	return time.Duration(part * float64(r.BodyBytes) / 1000 * float64(d.PerKB))
 }
 
--- a/internal/routing/set.go
+++ b/internal/routing/set.go
@@ -35,8 +35,8 @@
 	return n
 }
 
-// With returns the indices that are in either set.
-func (s Set) With(o Set) Set {
+// Union returns the indices that are in either set.
+func (s Set) Union(o Set) Set {
 	for i, w := range o {
 		s[i] |= w
 	}
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -65,19 +65,19 @@
 	// PrefillScale is how much longer the model takes over a prompt token than
 	// the one that PrefillPerToken is measured by; zero is 1.
 	PrefillScale float64
-	// Home orders, per candidate index, where a prompt nobody has cached should
+	// HomeRank orders, per candidate index, where a prompt nobody has cached should
 	// go: 0 first. Daemons agree on it without a word.
-	Home [MaxCandidates]uint8
-	// SharedTokens is the length of the beginning that other prompts share.
-	SharedTokens int
+	HomeRank [MaxCandidates]uint8
+	// SharedPrefixTokens is the length of the beginning that other prompts share.
+	SharedPrefixTokens int
 	// FailureDomain is where the daemon runs, and BodyBytes what the request carries to a
 	// server.
 	FailureDomain string
 	BodyBytes     int
-	// Near is the number of candidates in that failure domain.
-	Near int
-	// Foreign marks, by candidate index, the engines in another model's lane.
-	Foreign Set
+	// LocalCandidates is the number of candidates in that failure domain.
+	LocalCandidates int
+	// OutsidePartition marks, by candidate index, the engines in another model's lane.
+	OutsidePartition Set
 	// Tried marks, by candidate index, the servers of earlier attempts.
 	Tried Set
 	// Budget is the time left to the first token; zero is unbounded.
@@ -104,6 +104,6 @@
 	None Refusal = iota
 	// NoCandidate means every server was filtered out.
 	NoCandidate
-	// TooLate means no server can start within the budget.
-	TooLate
+	// BudgetExceeded means no server can start within the budget.
+	BudgetExceeded
 )
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -29,7 +29,7 @@
 	if !slices.IsSorted(each) || SetOf(each...) != s {
 		t.Errorf("%v", each)
 	}
-	if a, b := SetOf(1, 70, 200), SetOf(70, 201); a.And(b) != SetOf(70) || a.With(b) != SetOf(1, 70, 200, 201) {
+	if a, b := SetOf(1, 70, 200), SetOf(70, 201); a.And(b) != SetOf(70) || a.Union(b) != SetOf(1, 70, 200, 201) {
 		t.Errorf("%v and %v", a, b)
 	}
 }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -67,8 +67,8 @@
 // maxOthers bounds Others; a session that uses more models forgets the oldest.
 const maxOthers = 8
 
-// For returns the version the session uses of a model, or "".
-func (p Pin) For(model string) string {
+// VersionOf returns the version the session uses of a model, or "".
+func (p Pin) VersionOf(model string) string {
 	if p.Model == model {
 		return p.Version
 	}
@@ -80,8 +80,8 @@
 	return ""
 }
 
-// With returns the pin after an answer of a model's version.
-func (p Pin) With(model, version string) Pin {
+// WithVersion returns the pin after an answer of a model's version.
+func (p Pin) WithVersion(model, version string) Pin {
 	others := slices.DeleteFunc(strings.Fields(p.Others), func(o string) bool { return strings.HasPrefix(o, model+"@") })
 	if p.Model != "" && p.Model != model {
 		others = slices.Insert(others, 0, p.Model+"@"+p.Version)
@@ -105,15 +105,15 @@
 	return ring.Sign(tokenPurpose, strings.Join([]string{p.Workspace, p.Name, p.Model, p.Version, p.Others}, "\n"))
 }
 
-// Parse verifies a token for a workspace.
-func Parse(ring *Keyring, workspace, token string) (Pin, error) {
+// ParseToken verifies a token for a workspace.
+func ParseToken(ring *Keyring, workspace, token string) (Pin, error) {
 	payload, ok := ring.Verify(tokenPurpose, token)
 	parts := strings.Split(payload, "\n")
 	if !ok || len(parts) != pinParts {
-		return Pin{}, fault.Field(fault.SessionRefused, "X-Session-Id", "the signature is wrong or its key has been retired")
+		return Pin{}, fault.NewField(fault.SessionRefused, "X-Session-Id", "the signature is wrong or its key has been retired")
 	}
 	if parts[0] != workspace {
-		return Pin{}, fault.Field(fault.SessionRefused, "X-Session-Id", "the session belongs to another workspace")
+		return Pin{}, fault.NewField(fault.SessionRefused, "X-Session-Id", "the session belongs to another workspace")
 	}
 	return Pin{parts[0], parts[1], parts[2], parts[3], parts[4]}, nil
 }
@@ -121,27 +121,27 @@
 // maxNameLength bounds a caller's own session name in bytes.
 const maxNameLength = 128
 
-// CheckName validates a caller's own session name.
-func CheckName(name string) error {
+// ValidateName validates a caller's own session name.
+func ValidateName(name string) error {
 	bad := func(r rune) bool { return r <= ' ' || r > '~' }
 	if len(name) > maxNameLength || slices.ContainsFunc([]rune(name), bad) {
-		return fault.Field(fault.BadRequest, "X-Session-Id", "a session name has 1 to %d printable ASCII characters", maxNameLength)
+		return fault.NewField(fault.BadRequest, "X-Session-Id", "a session name has 1 to %d printable ASCII characters", maxNameLength)
 	}
 	return nil
 }
 
-// Resolve chooses the version for a session. A pinned version that is serving
+// ResolveVersion chooses the version for a session. A pinned version that is serving
 // and allowed stays, whatever a roll-out does. A withdrawn one moves to its
 // successor, the same at every daemon of one configuration number. A session
 // without a pin gets the version its name falls to.
-func Resolve(c *fleet.Config, w fleet.Workspace, model string, pin Pin) (string, error) {
-	if pinned := pin.For(model); pinned != "" {
-		if v, ok := c.Successor(w, model, pinned); ok {
+func ResolveVersion(c *fleet.Config, w fleet.Workspace, model string, pin Pin) (string, error) {
+	if pinned := pin.VersionOf(model); pinned != "" {
+		if v, ok := c.ResolveSuccessor(w, model, pinned); ok {
 			return v, nil
 		}
 		return "", fault.New(fault.VersionWithdrawn, "version %s of %s is withdrawn and has no successor for this workspace", pinned, model)
 	}
-	if v, ok := c.VersionFor(w, model, pin.Name); ok {
+	if v, ok := c.SelectVersion(w, model, pin.Name); ok {
 		return v, nil
 	}
 	return "", fault.New(fault.NotEntitled, "no serving version of %s is allowed for this workspace", model)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -23,11 +23,11 @@
 	pin := Pin{Workspace: "w", Name: "s", Model: "m", Version: "v1"}
 	token := pin.Token(ring("k1", "k1"))
 	for _, r := range []*Keyring{ring("k1", "k1", "k2"), ring("k2", "k1", "k2")} {
-		if got, err := Parse(r, "w", token); err != nil || got != pin {
+		if got, err := ParseToken(r, "w", token); err != nil || got != pin {
 			t.Fatalf("%v %v", got, err)
 		}
 	}
-	if _, err := Parse(ring("k2", "k2"), "w", token); !fault.Is(err, fault.SessionRefused) {
+	if _, err := ParseToken(ring("k2", "k2"), "w", token); !fault.Is(err, fault.SessionRefused) {
 		t.Fatalf("a retired key: %v", err)
 	}
 }
@@ -44,7 +44,7 @@
 		"another key's":       Pin{Workspace: "w"}.Token(ring("k9", "k9")),
 		"too few parts":       r.Sign(tokenPurpose, "w\ns"),
 	} {
-		if _, err := Parse(r, "w", token); !fault.Is(err, fault.SessionRefused) {
+		if _, err := ParseToken(r, "w", token); !fault.Is(err, fault.SessionRefused) {
 			t.Errorf("%s token: %v", name, err)
 		}
 	}
@@ -55,17 +55,17 @@
 // under a roll-out of the cheap one.
 // Cause: the pin must hold the version of every model that answered the session.
 func TestPinKeepsEveryModelOfASession(t *testing.T) {
-	p := Pin{Workspace: "w", Name: "s"}.With("cheap", "v1").With("dear", "v7").With("dear", "v8")
-	got, err := Parse(ring("k1", "k1"), "w", p.Token(ring("k1", "k1")))
-	if err != nil || got != p || got.For("cheap") != "v1" || got.For("dear") != "v8" || got.For("none") != "" {
+	p := Pin{Workspace: "w", Name: "s"}.WithVersion("cheap", "v1").WithVersion("dear", "v7").WithVersion("dear", "v8")
+	got, err := ParseToken(ring("k1", "k1"), "w", p.Token(ring("k1", "k1")))
+	if err != nil || got != p || got.VersionOf("cheap") != "v1" || got.VersionOf("dear") != "v8" || got.VersionOf("none") != "" {
 		t.Fatalf("%+v %v", got, err)
 	}
-	p = p.With("cheap", "v2")
-	if p.For("cheap") != "v2" || p.For("dear") != "v8" || p.Others != "dear@v8" {
+	p = p.WithVersion("cheap", "v2")
+	if p.VersionOf("cheap") != "v2" || p.VersionOf("dear") != "v8" || p.Others != "dear@v8" {
 		t.Fatalf("%+v", p)
 	}
 	for i := range 20 {
-		p = p.With(strings.Repeat("m", i+1), "v")
+		p = p.WithVersion(strings.Repeat("m", i+1), "v")
 	}
 	if n := len(strings.Fields(p.Others)); n != maxOthers {
 		t.Fatalf("%d other models are kept", n)
@@ -73,9 +73,9 @@
 }
 
 func TestResolve(t *testing.T) {
-	c := fleet.Empty()
+	c := fleet.NewConfig()
 	c.Models["m"] = fleet.Model{Stable: "v1", Versions: map[string]fleet.Version{"v1": {}, "v2": {}, "v0": {State: fleet.Withdrawn, Successor: "v2"}}}
-	c.Rollouts["m"] = fleet.Rollout{Model: "m", To: "v2", Stages: []float64{100}, State: fleet.Running}
+	c.Rollouts["m"] = fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: []float64{100}, State: fleet.RolloutRunning}
 	all, only := fleet.Workspace{Models: []string{"m"}}, fleet.Workspace{Models: []string{"m@v1"}}
 	cases := []struct {
 		name string
@@ -91,11 +91,11 @@
 		{"nor does a successor", only, Pin{Model: "m", Version: "v0"}, "v1"},
 	}
 	for _, x := range cases {
-		if got, err := Resolve(c, x.w, "m", x.pin); err != nil || got != x.want {
+		if got, err := ResolveVersion(c, x.w, "m", x.pin); err != nil || got != x.want {
 			t.Errorf("%s: %q %v", x.name, got, err)
 		}
 	}
-	if _, err := Resolve(c, fleet.Workspace{}, "m", Pin{}); !fault.Is(err, fault.NotEntitled) {
+	if _, err := ResolveVersion(c, fleet.Workspace{}, "m", Pin{}); !fault.Is(err, fault.NotEntitled) {
 		t.Errorf("no entitlement: %v", err)
 	}
 }
@@ -105,7 +105,7 @@
 	f.Add(Pin{Workspace: "w", Name: "s", Model: "m", Version: "v1"}.Token(r))
 	f.Add("s1.k1.dw.AA")
 	f.Fuzz(func(t *testing.T, token string) {
-		if pin, err := Parse(r, "w", token); err == nil && pin.Token(r) != token {
+		if pin, err := ParseToken(r, "w", token); err == nil && pin.Token(r) != token {
 			t.Fatalf("%q is accepted and is not what we sign", token)
 		}
 	})
--- a/internal/slo/burn.go
+++ b/internal/slo/burn.go
@@ -66,16 +66,16 @@
 	}
 }
 
-// Cell is a key's counts in one window.
-type Cell struct {
+// WindowCounts is a key's counts in one window.
+type WindowCounts struct {
 	Window time.Duration `cbor:"1,keyasint" json:"window_ns"`
 	Key    Key           `cbor:"2,keyasint" json:"key"`
 	Counts Counts        `cbor:"3,keyasint" json:"counts"`
 }
 
-// Cells sums the windows that end at a time, in a fixed order.
-func (c *Counters) Cells(now time.Time) []Cell {
-	var out []Cell
+// Snapshot sums the windows that end at a time, in a fixed order.
+func (c *Counters) Snapshot(now time.Time) []WindowCounts {
+	var out []WindowCounts
 	newest := now.Unix() / 60
 	for _, w := range Windows {
 		sums := map[Key]Counts{}
@@ -87,21 +87,21 @@
 			}
 		}
 		for k, n := range sums {
-			out = append(out, Cell{w, k, n})
+			out = append(out, WindowCounts{w, k, n})
 		}
 	}
-	slices.SortFunc(out, func(a, b Cell) int {
+	slices.SortFunc(out, func(a, b WindowCounts) int {
 		return strings.Compare(a.sortKey(), b.sortKey())
 	})
 	return out
 }
 
-func (c Cell) sortKey() string {
+func (c WindowCounts) sortKey() string {
 	return c.Window.String() + "\x00" + c.Key.Workspace + "\x00" + c.Key.Model + "\x00" + c.Key.Version + "\x00" + c.Key.FailureDomain
 }
 
-// Line is one workspace's burn of one objective in one window.
-type Line struct {
+// ObjectiveBurn is one workspace's burn of one objective in one window.
+type ObjectiveBurn struct {
 	Workspace string        `json:"workspace"`
 	Objective string        `json:"objective"`
 	Window    time.Duration `json:"window_ns"`
@@ -110,18 +110,18 @@
 	Target    float64       `json:"target"`
 	// Burn is the rate of use: 1 uses the allowance exactly, 2 in half the time.
 	Burn float64 `json:"burn"`
-	// Left is the fraction of the window's allowance that is unused; it is
+	// Remaining is the fraction of the window's allowance that is unused; it is
 	// negative when overspent.
-	Left float64 `json:"left"`
-	// Exhausted is when the rest is used up at this rate; zero without burn.
-	Exhausted time.Duration `json:"exhausted_in_ns"`
+	Remaining float64 `json:"left"`
+	// ExhaustedIn is when the rest is used up at this rate; zero without burn.
+	ExhaustedIn time.Duration `json:"exhausted_in_ns"`
 	// Worst is the version and failure domain with the most bad requests.
 	Worst string `json:"worst"`
 }
 
 // Report computes the burn of every objective from cells of all daemons.
-func Report(c *fleet.Config, cells []Cell) []Line {
-	var out []Line
+func Report(c *fleet.Config, cells []WindowCounts) []ObjectiveBurn {
+	var out []ObjectiveBurn
 	names := make([]string, 0, len(c.Workspaces))
 	for n := range c.Workspaces {
 		names = append(names, n)
@@ -141,8 +141,8 @@
 	return out
 }
 
-func line(workspace, objective string, w time.Duration, target float64, cells []Cell, bad func(Counts) int64) Line {
-	l := Line{Workspace: workspace, Objective: objective, Window: w, Target: target, Left: 1}
+func line(workspace, objective string, w time.Duration, target float64, cells []WindowCounts, bad func(Counts) int64) ObjectiveBurn {
+	l := ObjectiveBurn{Workspace: workspace, Objective: objective, Window: w, Target: target, Remaining: 1}
 	byCause := map[string]int64{}
 	for _, c := range cells {
 		if c.Window != w || c.Key.Workspace != workspace {
@@ -156,9 +156,9 @@
 		return l
 	}
 	l.Burn = float64(l.Bad) / float64(l.Requests) / (1 - target)
-	l.Left = 1 - l.Burn
-	if l.Burn > 0 && l.Left > 0 {
-		l.Exhausted = time.Duration(float64(w) * l.Left / l.Burn)
+	l.Remaining = 1 - l.Burn
+	if l.Burn > 0 && l.Remaining > 0 {
+		l.ExhaustedIn = time.Duration(float64(w) * l.Remaining / l.Burn)
 	}
 	l.Worst = worst(byCause)
 	return l
--- a/internal/slo/burn_test.go
+++ b/internal/slo/burn_test.go
@@ -12,7 +12,7 @@
 // In the last five minutes 4 of 200 failed: a burn of 2. In the hour 6 of 1,000
 // failed: a burn of 0.6, 40% left, which lasts 40 minutes at that rate.
 func TestBurnOfAHandWorkedHistory(t *testing.T) {
-	c := fleet.Empty()
+	c := fleet.NewConfig()
 	c.Workspaces["w"] = fleet.Workspace{Objectives: fleet.Objectives{Availability: 0.99, FirstTokenMillis: 1500, FirstTokenFraction: 0.9}}
 	now := time.Unix(100*3600, 0)
 	key := Key{"w", "m", "v1", "fd1"}
@@ -22,15 +22,15 @@
 	a.Observe(now.Add(-time.Minute), key, Counts{Requests: 150, Failed: 1})
 	b.Observe(now, bad, Counts{Requests: 50, Failed: 3, Late: 50})
 	a.Observe(now.Add(-7*time.Hour), key, Counts{Requests: 1e6, Failed: 1e6})
-	cells := append(a.Cells(now), b.Cells(now)...)
-	find := func(objective string, w time.Duration) Line {
+	cells := append(a.Snapshot(now), b.Snapshot(now)...)
+	find := func(objective string, w time.Duration) ObjectiveBurn {
 		for _, l := range Report(c, cells) {
 			if l.Objective == objective && l.Window == w {
 				return l
 			}
 		}
 		t.Fatalf("no line %s %s", objective, w)
-		return Line{}
+		return ObjectiveBurn{}
 	}
 	near := func(name string, got, want float64) {
 		if math.Abs(got-want) > 1e-9 {
@@ -39,12 +39,12 @@
 	}
 	fast, hour := find("availability", 5*time.Minute), find("availability", time.Hour)
 	near("fast burn", fast.Burn, 2)
-	near("fast left", fast.Left, -1)
+	near("fast left", fast.Remaining, -1)
 	near("hour burn", hour.Burn, 0.6)
-	near("hour left", hour.Left, 0.4)
-	near("hour exhausted", hour.Exhausted.Minutes(), 40)
+	near("hour left", hour.Remaining, 0.4)
+	near("hour exhausted", hour.ExhaustedIn.Minutes(), 40)
 	near("late burn", find("first_token", time.Hour).Burn, 1)
-	if fast.Worst != "m@v2 in fd2" || fast.Requests != 200 || hour.Requests != 1000 || fast.Exhausted != 0 {
+	if fast.Worst != "m@v2 in fd2" || fast.Requests != 200 || hour.Requests != 1000 || fast.ExhaustedIn != 0 {
 		t.Errorf("fast %+v, hour %+v", fast, hour)
 	}
 }
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -24,19 +24,19 @@
 
 // Limit is what a warming server bears. The zero value is a server without a limit.
 type Limit struct {
-	// For is how long a server is warming after its start.
-	For time.Duration
+	// WarmupPeriod is how long a server is warming after its start.
+	WarmupPeriod time.Duration
 	// PerSecond is the rate of requests that it serves.
 	PerSecond float64
-	// Excess and Slack bound the requests of any one second: PerSecond*Excess + Slack.
-	Excess, Slack float64
+	// BurstFactor and Slack bound the requests of any one second: PerSecond*Excess + Slack.
+	BurstFactor, BurstSlack float64
 }
 
 // Limited reports whether there is a limit at all.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
 // Bound returns the most requests of any one second.
-func (l Limit) Bound() int { return int(l.PerSecond*l.Excess + l.Slack) }
+func (l Limit) Bound() int { return int(l.PerSecond*l.BurstFactor + l.BurstSlack) }
 
 // Share is one sender's part of a limit.
 type Share struct {
@@ -56,22 +56,22 @@
 
 // View is what a daemon knows of the daemons that share the limits.
 type View struct {
-	// Own and Others are hashes of the daemons' names. Others live and do not leave.
-	Own    uint64
-	Others []uint64
+	// Self and Others are hashes of the daemons' names. Others live and do not leave.
+	Self  uint64
+	Peers []uint64
 	// Trusted says that the daemon reaches at least half of those that it knows of, and has
 	// done so for long enough to know who they are. One that is cut off would else take
 	// itself for one of the few that are left.
 	Trusted bool
 }
 
-// Sends reports whether the daemon is one of some senders to a server.
-func (v View) Sends(server uint64, senders int) bool {
+// IsSender reports whether the daemon is one of some senders to a server.
+func (v View) IsSender(server uint64, senders int) bool {
 	if !v.Trusted {
 		return false
 	}
-	own, before := weight(v.Own, server), 0
-	for _, o := range v.Others {
+	own, before := weight(v.Self, server), 0
+	for _, o := range v.Peers {
 		if weight(o, server) <= own {
 			continue
 		}
@@ -90,14 +90,14 @@
 	return h ^ h>>29
 }
 
-// Meter counts one daemon's sends to one warming server.
-type Meter struct {
+// Pacer counts one daemon's sends to one warming server.
+type Pacer struct {
 	last time.Duration
 	sent bool
 }
 
 // Ready reports whether another send is due.
-func (m *Meter) Ready(s Share, now time.Duration) bool { return !m.sent || now-m.last >= s.Interval }
+func (m *Pacer) Ready(s Share, now time.Duration) bool { return !m.sent || now-m.last >= s.Interval }
 
-// Take records a send.
-func (m *Meter) Take(now time.Duration) { m.last, m.sent = now, true }
+// RecordSend records a send.
+func (m *Pacer) RecordSend(now time.Duration) { m.last, m.sent = now, true }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-var limit = Limit{For: 3 * time.Second, PerSecond: 15, Excess: 1.5, Slack: 5}
+var limit = Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
 
 func hash(i int) uint64 { return uint64(i+1) * 0x9E3779B97F4A7C15 }
 
 // among is the view of daemon i that knows those from one number to another.
 func among(i, from, to int, trusted bool) View {
-	v := View{Own: hash(i), Trusted: trusted}
+	v := View{Self: hash(i), Trusted: trusted}
 	for o := from; o < to; o++ {
 		if o != i {
-			v.Others = append(v.Others, hash(o))
+			v.Peers = append(v.Peers, hash(o))
 		}
 	}
 	return v
@@ -27,12 +27,12 @@
 // mostInASecond has every daemon send whenever it may and returns the most sends in a second.
 func mostInASecond(l Limit, server uint64, views []View) (most int) {
 	const step = 5 * time.Millisecond
-	share, meters := l.Share(), make([]Meter, len(views))
+	share, meters := l.Share(), make([]Pacer, len(views))
 	var sent []time.Duration
 	for now := time.Duration(0); now < 4*time.Second; now += step {
 		for i, v := range views {
-			if v.Sends(server, share.Senders) && meters[i].Ready(share, now) {
-				meters[i].Take(now)
+			if v.IsSender(server, share.Senders) && meters[i].Ready(share, now) {
+				meters[i].RecordSend(now)
 				sent = append(sent, now)
 			}
 		}
@@ -82,8 +82,8 @@
 func TestSharesStayWithinHalfOfTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{
-			PerSecond: rapid.Float64Range(0.01, 500).Draw(t, "per second"),
-			Excess:    rapid.Float64Range(1, 3).Draw(t, "excess"), Slack: rapid.Float64Range(0, 20).Draw(t, "slack"),
+			PerSecond:   rapid.Float64Range(0.01, 500).Draw(t, "per second"),
+			BurstFactor: rapid.Float64Range(1, 3).Draw(t, "excess"), BurstSlack: rapid.Float64Range(0, 20).Draw(t, "slack"),
 		}
 		s := l.Share()
 		inASecond := int(time.Second/s.Interval) + 1
@@ -105,7 +105,7 @@
 	for server := range 50 {
 		senders := 0
 		for i := range n {
-			if among(i, 0, n, true).Sends(hash(1000+server), 4) {
+			if among(i, 0, n, true).IsSender(hash(1000+server), 4) {
 				senders++
 			}
 		}
--- a/lab/experiments/cascade.go
+++ b/lab/experiments/cascade.go
@@ -25,7 +25,7 @@
 	recoveryRequests = 500
 )
 
-var costs = cascade.Costs{Cheap: 1, Dear: 15}
+var costs = cascade.Costs{Cheap: 1, Expensive: 15}
 
 // kind is a class of requests with the mean chance that either model is right.
 type kind struct {
@@ -97,7 +97,7 @@
 			return a
 		}
 	}
-	a.cost += costs.Dear
+	a.cost += costs.Expensive
 	a.dearRan, a.good = true, q.dear
 	return a
 }
@@ -141,14 +141,14 @@
 	for n := range cascadeRequests {
 		if n%cascadeRate == 0 {
 			pending = rate(classes, pending, n/cascadeRate)
-			plan = cascade.Make(classes, costs, target)
+			plan = cascade.NewPlan(classes, costs, target)
 		}
 		q := ask(rng, n)
 		name := kinds[q.kind].name
 		_, known := plan.Accept[name]
-		first := plan.First(name, known, coin.Float64())
+		first := plan.UseCheapFirst(name, known, coin.Float64())
 		if first {
-			classes[name].Saw(q.confidence)
+			classes[name].RecordConfidence(q.confidence)
 		}
 		a := answer(q, first, func() bool { return plan.Accepts(name, q.confidence) })
 		if coin.Float64() < ratingShare {
@@ -159,7 +159,7 @@
 		case n >= driftAt/2 && n < driftAt:
 			ours.add(a)
 			escalate.add(answer(q, true, func() bool { return q.confidence >= naiveConfidence }))
-			oracle.add(answer(q, best.First(name, true, 1), func() bool { return best.Accepts(name, q.confidence) }))
+			oracle.add(answer(q, best.UseCheapFirst(name, true, 1), func() bool { return best.Accepts(name, q.confidence) }))
 			dears.add(answer(q, false, nil))
 		case n >= driftAt:
 			if q.kind == drifted {
@@ -183,10 +183,10 @@
 		pending = pending[1:]
 		c := classes[kinds[p.q.kind].name]
 		if p.a.cheapRan {
-			c.Rated(p.q.confidence, p.q.cheap)
+			c.RecordRating(p.q.confidence, p.q.cheap)
 		}
 		if p.a.dearRan {
-			c.RatedDear(p.q.dear)
+			c.RecordExpensiveRating(p.q.dear)
 		}
 	}
 	return pending
@@ -202,17 +202,17 @@
 		q := ask(rng, 0)
 		c := classes[kinds[q.kind].name]
 		band := cascade.Band(q.confidence)
-		c.Share[band]++
+		c.BandCounts[band]++
 		c.Cheap[band].Total++
-		c.Dear.Total++
+		c.Expensive.Total++
 		if q.cheap {
 			c.Cheap[band].Good++
 		}
 		if q.dear {
-			c.Dear.Good++
+			c.Expensive.Good++
 		}
 	}
-	return cascade.Make(classes, costs, target)
+	return cascade.NewPlan(classes, costs, target)
 }
 
 func cascadeTable(out io.Writer, seeds int) {
--- a/lab/experiments/limits.go
+++ b/lab/experiments/limits.go
@@ -49,7 +49,7 @@
 	rng := rand.New(rand.NewPCG(seed, 9))
 	zipf := skew(rng, n)
 	start := time.Unix(1_000_000, 0)
-	perStep := demand * float64(limit) / tokensPerRequest * limitStep.Seconds() / quota.Span.Seconds()
+	perStep := demand * float64(limit) / tokensPerRequest * limitStep.Seconds() / quota.WindowSpan.Seconds()
 	var spent []int64
 	for at := time.Duration(0); at < limitTime; at += limitStep {
 		sum := int64(0)
@@ -66,7 +66,7 @@
 // judge returns the largest excess of a sliding minute and the shortfall of the
 // mean use after the first minute, both as fractions of the limit.
 func judge(spent []int64, limit int64) (over, under float64) {
-	width := int(quota.Span / limitStep)
+	width := int(quota.WindowSpan / limitStep)
 	sum, total := int64(0), int64(0)
 	for i, s := range spent {
 		sum += s
@@ -83,31 +83,31 @@
 // leased runs the project's limits; the home is lost midway and a new one, which
 // knows nothing, takes over.
 func leased(seed uint64, n int, limit int64) (over, under, asks float64) {
-	shares := make([]*quota.Share, n)
+	shares := make([]*quota.Limiter, n)
 	for i := range shares {
-		shares[i] = quota.NewShare("w/tokens")
+		shares[i] = quota.NewLimiter("w/tokens")
 	}
 	epoch := uint64(1)
-	home := quota.NewHome(epoch)
+	home := quota.NewLessor(epoch)
 	count := 0
-	ask := func(now time.Time, s *quota.Share, need int64) {
+	ask := func(now time.Time, s *quota.Limiter, need int64) {
 		count++
-		s.Granted(now, home.Grant(now, s.Ask(now, need, limit, epoch)))
+		s.ApplyLease(now, home.Grant(now, s.NewLeaseRequest(now, need, limit, epoch)))
 	}
 	spent := spend(seed, n, limit, func(now time.Time, at time.Duration, d int) bool {
 		s := shares[d]
-		if s.TrySpend(now, tokensPerRequest) {
+		if s.TryAcquire(now, tokensPerRequest) {
 			return true
 		}
 		if at >= homeLostAt && at < homeLostAt+homeLostFor {
-			s.HomeLost(now, s.Ask(now, tokensPerRequest, limit, epoch))
-			return s.TrySpend(now, tokensPerRequest)
+			s.LeaseRequestFailed(now, s.NewLeaseRequest(now, tokensPerRequest, limit, epoch))
+			return s.TryAcquire(now, tokensPerRequest)
 		}
 		if at >= homeLostAt && epoch == 1 {
 			epoch = 2
-			home = quota.NewHome(epoch)
+			home = quota.NewLessor(epoch)
 			for _, other := range shares {
-				if other.Owes() {
+				if other.HasUnleasedSpend() {
 					ask(now, other, 0)
 				}
 			}
@@ -116,7 +116,7 @@
 			return false
 		}
 		ask(now, s, tokensPerRequest)
-		return s.TrySpend(now, tokensPerRequest)
+		return s.TryAcquire(now, tokensPerRequest)
 	})
 	over, under = judge(spent, limit)
 	return over, under, float64(count) / limitTime.Seconds()
@@ -148,7 +148,7 @@
 			window.Add(now, running[0].tokens)
 			running = running[1:]
 		}
-		if window.Sum(now, quota.Span)+tokensPerRequest > limit {
+		if window.Sum(now, quota.WindowSpan)+tokensPerRequest > limit {
 			return false
 		}
 		running = append(running, end{at + takes, tokensPerRequest})
--- a/lab/experiments/rollout.go
+++ b/lab/experiments/rollout.go
@@ -166,7 +166,7 @@
 // ours steers by the project's rules: evidence by server, judged every second at
 // the home, with a brake in each daemon.
 type ours struct {
-	rules  rollout.Rules
+	rules  rollout.StagePolicy
 	ro     fleet.Rollout
 	since  int
 	own    [daemons]rollout.Evidence
@@ -174,13 +174,13 @@
 }
 
 func newOurs() *ours {
-	o := &ours{rules: rollout.DefaultRules(), ro: fleet.Rollout{Model: "m", To: "v2", Stages: stages, State: fleet.Running}}
-	o.rules.MinStage = stageTime
+	o := &ours{rules: rollout.DefaultStagePolicy(), ro: fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: stages, State: fleet.RolloutRunning}}
+	o.rules.MinStageDuration = stageTime
 	for d := range o.own {
 		for s := range engines {
 			domain := fmt.Sprint("fd", s%5)
 			id := fmt.Sprintf("s%02d", s)
-			o.own[d] = append(o.own[d], rollout.Cell{Server: id, FailureDomain: domain}, rollout.Cell{Server: id, FailureDomain: domain, New: true})
+			o.own[d] = append(o.own[d], rollout.ServerCounts{Server: id, FailureDomain: domain}, rollout.ServerCounts{Server: id, FailureDomain: domain, New: true})
 		}
 	}
 	return o
@@ -217,24 +217,24 @@
 }
 
 func (o *ours) tick(second int) (stop, done, held bool) {
-	if rollout.Judged(o.ro) {
+	if rollout.CarriesTraffic(o.ro) {
 		o.judge(second)
 	}
-	return o.ro.State == fleet.RolledBack, o.ro.Percent() == 100, o.ro.State == fleet.Held
+	return o.ro.State == fleet.RolloutRolledBack, o.ro.Percent() == 100, o.ro.State == fleet.RolloutHeld
 }
 
 func (o *ours) judge(second int) {
 	var all rollout.Evidence
 	for d := range o.own {
-		_, stop := o.rules.Brake(o.own[d])
+		_, stop := o.rules.ShouldStopLocally(o.own[d])
 		o.braked[d] = o.braked[d] || stop
 		all = all.Merge(o.own[d])
 	}
-	v := o.rules.Judge(o.ro, all, time.Duration(second-o.since)*time.Second)
+	v := o.rules.Evaluate(o.ro, all, time.Duration(second-o.since)*time.Second)
 	if v.Step == rollout.Wait {
 		return
 	}
-	o.ro = rollout.Next(o.ro, v.Step)
+	o.ro = rollout.ApplyStep(o.ro, v.Step)
 	o.since = second
 	if v.Step != rollout.Advance {
 		return
--- a/lab/experiments/routing.go
+++ b/lab/experiments/routing.go
@@ -60,7 +60,7 @@
 // kept busy, with our routing, in requests a second.
 func capacity(seed uint64, work sim.Workload) float64 {
 	work.Deadline = 0
-	c := trial{seed: seed, load: 200, work: work}.run(sim.NewOurs(routing.Default()))
+	c := trial{seed: seed, load: 200, work: work}.run(sim.NewOurs(routing.DefaultPipeline()))
 	done := 0
 	for _, r := range c.Results {
 		if at := r.Sent + r.First; r.First > 0 && at > warmUp && at < trialTime {
@@ -88,7 +88,7 @@
 }
 
 func routingTrial(seed uint64) []float64 {
-	ours := sim.NewOurs(routing.Default())
+	ours := sim.NewOurs(routing.DefaultPipeline())
 	full := capacity(seed, desk)
 	slow := trial{seed: seed, load: 0.8 * full, work: desk, setup: func(c *sim.Cluster) { c.Engines[3].Slow = 3 }}
 	p99 := func(p policy) float64 {
--- a/lab/experiments/slowstart.go
+++ b/lab/experiments/slowstart.go
@@ -11,7 +11,7 @@
 )
 
 // warming is the limit of the servers in these trials.
-var warming = slowstart.Limit{For: 3 * time.Second, PerSecond: 15, Excess: 1.5, Slack: 5}
+var warming = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
 
 const (
 	// wanted is what a server would be sent in a second if nothing held it back: it looks
@@ -40,13 +40,13 @@
 	}},
 	{"a sixth cut off, each alone", func(_ *rand.Rand, i, n int) slowstart.View {
 		if i < n/6 {
-			return slowstart.View{Own: daemonHash(i)}
+			return slowstart.View{Self: daemonHash(i)}
 		}
 		return among(i, n/6, n, true)
 	}},
 	{"each misses a third, another one", func(rng *rand.Rand, i, n int) slowstart.View {
 		v := among(i, 0, n, true)
-		v.Others = slices.DeleteFunc(v.Others, func(uint64) bool { return rng.IntN(3) == 0 })
+		v.Peers = slices.DeleteFunc(v.Peers, func(uint64) bool { return rng.IntN(3) == 0 })
 		return v
 	}},
 	{"half just started", func(_ *rand.Rand, i, n int) slowstart.View { return among(i, 0, n, i%2 == 0) }},
@@ -56,10 +56,10 @@
 
 // among is the view of daemon i that knows those from one number to another.
 func among(i, from, to int, trusted bool) slowstart.View {
-	v := slowstart.View{Own: daemonHash(i), Trusted: trusted}
+	v := slowstart.View{Self: daemonHash(i), Trusted: trusted}
 	for o := from; o < to; o++ {
 		if o != i {
-			v.Others = append(v.Others, daemonHash(o))
+			v.Peers = append(v.Peers, daemonHash(o))
 		}
 	}
 	return v
@@ -73,13 +73,13 @@
 
 // chosen is the product's way: few daemons with a fixed part each.
 type chosen struct {
-	slowstart.Meter
+	slowstart.Pacer
 	share slowstart.Share
 	sends bool
 }
 
 func (c *chosen) may(now time.Duration) bool { return c.sends && c.Ready(c.share, now) }
-func (c *chosen) took(now time.Duration)     { c.Take(now) }
+func (c *chosen) took(now time.Duration)     { c.RecordSend(now) }
 
 // divided gives each daemon the rate divided by the number that it knows of.
 type divided struct {
@@ -101,10 +101,10 @@
 }{
 	{"few chosen daemons, a fixed part each", func(_ *rand.Rand, v slowstart.View, server uint64) sender {
 		s := warming.Share()
-		return &chosen{share: s, sends: v.Sends(server, s.Senders)}
+		return &chosen{share: s, sends: v.IsSender(server, s.Senders)}
 	}},
 	{"rate divided by the daemons known", func(rng *rand.Rand, v slowstart.View, _ uint64) sender {
-		every := time.Duration(float64(len(v.Others)+1) / warming.PerSecond * float64(time.Second))
+		every := time.Duration(float64(len(v.Peers)+1) / warming.PerSecond * float64(time.Second))
 		return &divided{every: every, next: time.Duration(rng.Int64N(int64(every)))}
 	}},
 	{"no limit", func(*rand.Rand, slowstart.View, uint64) sender { return unlimited{} }},
@@ -140,7 +140,7 @@
 // part that is used of what it bears.
 func warmServer(rng *rand.Rand, senders []sender) (most int, used float64) {
 	var arrivals []time.Duration
-	for now := time.Duration(0); now < warming.For; now += sendStep {
+	for now := time.Duration(0); now < warming.WarmupPeriod; now += sendStep {
 		for range int(wanted*sendStep.Seconds() + rng.Float64()) {
 			s := senders[rng.IntN(len(senders))]
 			if s.may(now) {
@@ -157,5 +157,5 @@
 		}
 		most = max(most, i-first+1)
 	}
-	return most, float64(len(arrivals)) / (warming.PerSecond * warming.For.Seconds())
+	return most, float64(len(arrivals)) / (warming.PerSecond * warming.WarmupPeriod.Seconds())
 }
--- a/lab/history/callers.go
+++ b/lab/history/callers.go
@@ -57,7 +57,7 @@
 		switch {
 		case answered:
 			w.stats.Answered++
-		case err != nil && err.State() == fault.NotRun:
+		case err != nil && err.ExecutionState() == fault.NotRun:
 			w.stats.RefusedNotRun++
 			w.event(invariant.Event{Kind: invariant.RefusedNotRun, Request: id})
 		case err != nil:
--- a/lab/history/serve.go
+++ b/lab/history/serve.go
@@ -20,7 +20,7 @@
 	id, key string
 	session string
 	pin     session.Pin
-	life    *request.Life
+	life    *request.RetryState
 	tried   map[int]bool
 	text    string
 	// waits tells whether the caller is still there.
@@ -34,7 +34,7 @@
 		return
 	}
 	c.over = true
-	if err != nil && c.key != "" && err.State() == fault.NotRun {
+	if err != nil && c.key != "" && err.ExecutionState() == fault.NotRun {
 		c.release()
 	}
 	c.done(answered, err, c.pin)
@@ -43,11 +43,11 @@
 // serve runs a request at a daemon: claim, choose, check, dispatch, bill.
 func (d *node) serve(c *call) {
 	c.d = d
-	c.life = &request.Life{Repeatable: c.key == "", Deadline: d.now().Add(15 * time.Second)}
+	c.life = &request.RetryState{Repeatable: c.key == "", Deadline: d.now().Add(15 * time.Second)}
 	c.tried = map[int]bool{}
-	d.budget.Earn()
+	d.budget.Deposit()
 	switch {
-	case !d.sight.Serve(d.now()):
+	case !d.sight.CanServe(d.now()):
 		c.finish(false, fault.New(fault.ConfigurationStale, ""))
 	case d.buffer.Reserve() != nil:
 		c.finish(false, fault.New(fault.UsageUnprotected, ""))
@@ -60,8 +60,8 @@
 
 func (c *call) owner() string { return fmt.Sprintf("d%d/%d", c.d.id, c.d.incarnation) }
 
-func (c *call) claimRecord(k request.ClaimKind) []byte {
-	data, _ := json.Marshal(request.ClaimRecord{Kind: k, Key: c.key, Body: "b", Request: c.id, Owner: c.owner(), At: c.d.now().Unix(), Status: 200, Answer: []byte(c.text)})
+func (c *call) claimRecord(k request.ClaimRecordKind) []byte {
+	data, _ := json.Marshal(request.ClaimRecord{Kind: k, Key: c.key, BodyHash: "b", RequestID: c.id, Owner: c.owner(), UnixSeconds: c.d.now().Unix(), Status: 200, Response: []byte(c.text)})
 	return data
 }
 
@@ -72,7 +72,7 @@
 
 func (c *call) awaitClaim(until time.Time) {
 	d := c.d
-	d.w.log.read(d, "claims", int(d.claims.Next()), func(first int, records [][]byte) {
+	d.w.log.read(d, "claims", int(d.claims.NextOffset()), func(first int, records [][]byte) {
 		for i, r := range records {
 			var rec request.ClaimRecord
 			if json.Unmarshal(r, &rec) == nil {
@@ -81,22 +81,22 @@
 		}
 	})
 	d.after(readEvery/5, func() {
-		v := d.claims.Verdict(c.key, "b", c.id)
-		known := v.Kind == request.Replay || d.claims.Folded(c.id)
+		v := d.claims.Resolve(c.key, "b", c.id)
+		known := v.State == request.ClaimReplay || d.claims.Applied(c.id)
 		switch {
-		case v.Kind == request.Run && known:
+		case v.State == request.ClaimGranted && known:
 			c.dispatch()
-		case v.Kind == request.Replay:
+		case v.State == request.ClaimReplay:
 			d.w.stats.Replayed++
 			d.buffer.Release()
 			c.finish(false, nil)
-		case v.Kind == request.InProgress && known:
+		case v.State == request.ClaimInProgress && known:
 			d.w.stats.ClaimsLost++
 			d.buffer.Release()
-			c.finish(false, v.Refusal())
+			c.finish(false, v.Err())
 		case !d.now().Before(until):
 			d.buffer.Release()
-			c.finish(false, request.Verdict{}.Refusal())
+			c.finish(false, request.ClaimResult{}.Err())
 		default:
 			c.claim(until)
 		}
@@ -117,27 +117,27 @@
 	d := c.d
 	cfg := d.fold.Config()
 	w := cfg.Workspaces[workspace]
-	version, err := session.Resolve(cfg, w, "m", c.pin)
+	version, err := session.ResolveVersion(cfg, w, "m", c.pin)
 	if err != nil {
 		d.buffer.Release()
-		c.finish(false, fault.From(err).With(c.life.State()))
+		c.finish(false, fault.FromError(err).WithExecution(c.life.ExecutionState()))
 		return
 	}
 	server, ok := c.pick()
 	if !ok {
 		d.buffer.Release()
-		c.finish(false, fault.New(fault.NoServer, "").With(c.life.State()))
+		c.finish(false, fault.New(fault.NoServer, "").WithExecution(c.life.ExecutionState()))
 		return
 	}
 	// The last check before the request leaves.
-	if !d.fold.Config().MayDispatch(workspace, "m", version) || !d.sight.Serve(d.now()) {
+	if !d.fold.Config().MayDispatch(workspace, "m", version) || !d.sight.CanServe(d.now()) {
 		d.buffer.Release()
-		c.finish(false, fault.New(fault.VersionWithdrawn, "").With(c.life.State()))
+		c.finish(false, fault.New(fault.VersionWithdrawn, "").WithExecution(c.life.ExecutionState()))
 		return
 	}
 	d.w.event(invariant.Event{Kind: invariant.InForce, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation), Number: cfg.Number})
-	c.pin = c.pin.With("m", version)
-	c.life.Began()
+	c.pin = c.pin.WithVersion("m", version)
+	c.life.RecordAttempt()
 	if c.life.Attempts() > 1 {
 		d.w.stats.Retried++
 	}
@@ -166,22 +166,22 @@
 		Model: "m", Version: version, Allowed: version != "v3",
 	}
 	e.start(fmt.Sprintf("%s-%d", c.id, c.life.Attempts()), ev,
-		func() { d.resume(incarnation, func() { c.after(e, asm, request.Refused) }) },
-		func(r *run) { d.resume(incarnation, func() { c.life.Started(); c.read(e, r, asm) }) })
+		func() { d.resume(incarnation, func() { c.after(e, asm, request.AttemptRefused) }) },
+		func(r *run) { d.resume(incarnation, func() { c.life.RecordExecution(); c.read(e, r, asm) }) })
 }
 
 func (c *call) read(e *engine, r *run, asm *request.Assembler) {
 	closed := false
-	e.stream(c.d, r, asm.Last(), func(f request.Frame) bool {
+	e.stream(c.d, r, asm.LastOffset(), func(f request.Frame) bool {
 		if closed || c.over {
 			return false
 		}
 		switch asm.Accept(f) {
 		case request.Deliver:
 			c.text += f.Delta
-		case request.Gap:
+		case request.SequenceGap:
 			closed = true
-			c.after(e, asm, request.Broken)
+			c.after(e, asm, request.ConnectionLost)
 			return false
 		}
 		if asm.Done() {
@@ -193,14 +193,14 @@
 	}, func() {
 		if !closed && !c.over {
 			closed = true
-			c.after(e, asm, request.Broken)
+			c.after(e, asm, request.ConnectionLost)
 		}
 	})
 }
 
-func (c *call) after(e *engine, asm *request.Assembler, ev request.Event) {
+func (c *call) after(e *engine, asm *request.Assembler, ev request.AttemptEvent) {
 	d := c.d
-	dec := c.life.After(ev, d.now(), d.budget)
+	dec := c.life.Next(ev, d.now(), d.budget)
 	switch dec.Action {
 	case request.Resume:
 		d.w.stats.Resumed++
@@ -210,9 +210,9 @@
 				c.read(e, r, asm)
 				return
 			}
-			c.after(e, asm, request.RunGone)
+			c.after(e, asm, request.RunNotFound)
 		})
-	case request.TryAnother:
+	case request.Retry:
 		c.dispatch()
 	default:
 		d.buffer.Release()
@@ -223,7 +223,7 @@
 // bill stores the usage record where it survives this daemon, then answers.
 func (c *call) bill() {
 	d := c.d
-	u := billing.Usage{RequestID: c.id, Workspace: workspace, Model: "m", Version: c.pin.Version, Outcome: billing.Complete, AnswerTokens: frames}
+	u := billing.UsageRecord{RequestID: c.id, Workspace: workspace, Model: "m", Version: c.pin.Version, Outcome: billing.Complete, CompletionTokens: frames}
 	place := d.buffer.Add(u)
 	answer := func() {
 		if c.key == "" {
@@ -256,13 +256,13 @@
 	c.d.waiting = append(c.d.waiting, waitingBill{place, answer})
 	c.d.after(logWait, func() {
 		if !c.d.buffer.Confirmed(place) {
-			c.d.buffer.Exposed(true)
+			c.d.buffer.SetUnprotected(true)
 		}
 	})
 	c.d.after(protectTimeout, func() {
 		if !c.over {
 			c.d.w.stats.Withheld++
-			c.finish(false, fault.New(fault.UsageUnprotected, "").With(fault.Ran))
+			c.finish(false, fault.New(fault.UsageUnprotected, "").WithExecution(fault.Ran))
 		}
 	})
 }
@@ -279,17 +279,17 @@
 }
 
 func (d *node) flush() {
-	batch := d.buffer.Batch(200)
+	batch := d.buffer.NextBatch(200)
 	if len(batch) == 0 {
 		return
 	}
 	data, _ := json.Marshal(batch)
 	d.append("usage", data, func(err error) {
 		if err != nil {
-			d.buffer.Retry()
+			d.buffer.RetryBatch()
 			return
 		}
-		d.buffer.Confirm()
+		d.buffer.ConfirmBatch()
 		d.confirmed()
 	})
 }
@@ -313,7 +313,7 @@
 			continue
 		}
 		for id, c := range k.kept {
-			if c.owner == d && c.run == d.incarnation && c.place <= d.buffer.Through() {
+			if c.owner == d && c.run == d.incarnation && c.place <= d.buffer.LastConfirmed() {
 				delete(k.kept, id)
 			}
 		}
@@ -322,7 +322,7 @@
 
 // adopt appends the copies whose owner is gone or silent for long.
 func (d *node) adopt() {
-	var batch []billing.Usage
+	var batch []billing.UsageRecord
 	for _, id := range slices.Sorted(maps.Keys(d.kept)) {
 		c := d.kept[id]
 		gone := !c.owner.alive || c.owner.incarnation != c.run
--- a/lab/history/world.go
+++ b/lab/history/world.go
@@ -55,7 +55,7 @@
 	withdrawn bool
 	// truth folds the configuration as the log has it, and takenAt is when the
 	// log took the record that led to a number.
-	truth   *fleet.Fold
+	truth   *fleet.StateMachine
 	takenAt map[uint64]time.Duration
 	events  []invariant.Event
 	next    int
@@ -74,7 +74,7 @@
 
 // Run makes the history of a seed under some faults and returns it.
 func Run(seed uint64, faults ...Fault) ([]invariant.Event, Stats) {
-	w := &World{clock: &sim.Clock{}, rng: rand.New(rand.NewPCG(seed, 77)), takenAt: map[uint64]time.Duration{}, truth: fleet.NewFold(), leaving: map[int]time.Duration{}}
+	w := &World{clock: &sim.Clock{}, rng: rand.New(rand.NewPCG(seed, 77)), takenAt: map[uint64]time.Duration{}, truth: fleet.NewStateMachine(), leaving: map[int]time.Duration{}}
 	w.log = &eventLog{w: w, streams: map[string][][]byte{}}
 	for i := range engineCount {
 		w.engines = append(w.engines, &engine{w: w, id: i, runs: map[string]*run{}})
@@ -176,7 +176,7 @@
 func (w *World) bills() {
 	ledger := billing.NewLedger()
 	for _, data := range w.log.streams["usage"] {
-		var batch []billing.Usage
+		var batch []billing.UsageRecord
 		if json.Unmarshal(data, &batch) != nil {
 			continue
 		}
@@ -185,7 +185,7 @@
 		}
 	}
 	w.stats.Duplicates = ledger.Duplicates
-	for _, id := range slices.Sorted(maps.Keys(ledger.All())) {
+	for _, id := range slices.Sorted(maps.Keys(ledger.Records())) {
 		w.event(invariant.Event{Kind: invariant.Billed, Request: id})
 	}
 }
@@ -200,9 +200,9 @@
 	// cutFromLog and cutFromPeers are partitions.
 	cutFromLog, cutFromPeers bool
 
-	fold   *fleet.Fold
-	claims *request.Claims
-	sight  membership.Sight
+	fold   *fleet.StateMachine
+	claims *request.ClaimTable
+	sight  membership.Readiness
 	buffer *billing.Buffer
 	kept   map[string]copyOf
 	// waiting are answers that await the log's word on their bill.
@@ -212,7 +212,7 @@
 }
 
 type copyOf struct {
-	usage billing.Usage
+	usage billing.UsageRecord
 	owner *node
 	run   int
 	place uint64
@@ -236,8 +236,8 @@
 func (d *node) reset() {
 	d.incarnation++
 	d.alive = true
-	d.fold, d.claims = fleet.NewFold(), request.NewClaims()
-	d.sight = membership.Sight{}
+	d.fold, d.claims = fleet.NewStateMachine(), request.NewClaimTable()
+	d.sight = membership.Readiness{}
 	d.buffer, d.kept, d.waiting = billing.NewBuffer(bufferLimit), map[string]copyOf{}, nil
 	d.leaving, d.budget = map[int]bool{}, request.NewRetryBudget()
 }
@@ -288,8 +288,8 @@
 func (d *node) now() time.Time { return d.w.clock.Now() }
 
 func (d *node) readConfig() {
-	d.w.log.read(d, "config", int(d.fold.Next()), func(first int, records [][]byte) {
-		d.sight.LogHeard, d.sight.Loaded = d.now(), true
+	d.w.log.read(d, "config", int(d.fold.NextOffset()), func(first int, records [][]byte) {
+		d.sight.LogReadAt, d.sight.ConfigLoaded = d.now(), true
 		before := d.fold.Config().Number
 		for i, r := range records {
 			d.fold.Apply(uint64(first+i), r)
@@ -310,19 +310,19 @@
 			continue
 		}
 		heard++
-		if o.fold.Next() > d.fold.Next() {
+		if o.fold.NextOffset() > d.fold.NextOffset() {
 			before := d.fold.Config().Number
-			d.fold.Adopt(o.fold.Checkpoint())
+			d.fold.InstallCheckpoint(o.fold.Checkpoint())
 			d.reached(before)
 		}
 	}
 	if 2*heard >= daemonCount-1 {
-		d.sight.PeersHeard = d.now()
+		d.sight.MajorityAt = d.now()
 	}
 }
 
 func (d *node) readList() {
-	d.sight.ServersHeard = d.now()
+	d.sight.ServersUpdatedAt = d.now()
 	for s, at := range d.w.leaving {
 		if at <= d.w.clock.Elapsed() {
 			d.leaving[s] = true
--- a/lab/naive/quota.go
+++ b/lab/naive/quota.go
@@ -19,7 +19,7 @@
 
 // TrySpend takes n from the share if it is there.
 func (e *EqualShare) TrySpend(now time.Time, n int64) bool {
-	if e.window.Sum(now, quota.Span)+n > e.limit {
+	if e.window.Sum(now, quota.WindowSpan)+n > e.limit {
 		return false
 	}
 	e.window.Add(now, n)
--- a/lab/sim/router.go
+++ b/lab/sim/router.go
@@ -94,15 +94,15 @@
 	res := &Result{Sent: c.Clock.now, Priority: r.Priority, Server: -1}
 	c.Results = append(c.Results, res)
 	daemon := c.rng.IntN(len(c.Daemons))
-	c.budgets[daemon].Earn()
-	life := &request.Life{Repeatable: true}
+	c.budgets[daemon].Deposit()
+	life := &request.RetryState{Repeatable: true}
 	if r.Deadline > 0 {
 		life.Deadline = c.Clock.Now().Add(r.Deadline)
 	}
 	c.attempt(daemon, r, res, life, nil)
 }
 
-func (c *Cluster) attempt(daemon int, r *Request, res *Result, life *request.Life, tried []int) {
+func (c *Cluster) attempt(daemon int, r *Request, res *Result, life *request.RetryState, tried []int) {
 	p := c.Daemons[daemon]
 	left := *r
 	if r.Deadline > 0 {
@@ -114,7 +114,7 @@
 		return
 	}
 	tried = append(slices.Clone(tried), server)
-	life.Began()
+	life.RecordAttempt()
 	res.Attempts++
 	p.Began(server, r)
 	began := c.Clock.now
@@ -126,7 +126,7 @@
 				return
 			}
 			res.First, res.Server = c.Clock.now-res.Sent, server
-			life.Delivered()
+			life.RecordDelivery()
 			wait = p.First(server, r, c.Clock.now-began)
 		})
 	}
@@ -139,7 +139,7 @@
 		}
 		p.Ended(server, r, c.Clock.now-began-wait, true)
 		p.Unreachable(server)
-		if life.After(request.RunGone, c.Clock.Now(), c.budgets[daemon]).Action == request.TryAnother {
+		if life.Next(request.RunNotFound, c.Clock.Now(), c.budgets[daemon]).Action == request.Retry {
 			c.attempt(daemon, r, res, life, tried)
 			return
 		}
@@ -165,7 +165,7 @@
 // Ours is the project's routing in one daemon.
 type Ours struct {
 	cluster *Cluster
-	picture *routing.Picture
+	picture *routing.LoadTracker
 	pipe    routing.Pipeline
 	rng     *rand.Rand
 	room    []routing.Candidate
@@ -174,7 +174,7 @@
 // NewOurs returns the policy with a pipeline.
 func NewOurs(pipe routing.Pipeline) func(*Cluster, int, *rand.Rand) Policy {
 	return func(c *Cluster, _ int, rng *rand.Rand) Policy {
-		o := &Ours{cluster: c, picture: routing.NewPicture(), pipe: pipe, rng: rng}
+		o := &Ours{cluster: c, picture: routing.NewLoadTracker(), pipe: pipe, rng: rng}
 		var members []routing.Member
 		for i, e := range c.Engines {
 			members = append(members, routing.Member{ID: serverID(i), Address: serverID(i), Slots: e.Slots})
@@ -197,35 +197,35 @@
 	for _, t := range tried {
 		q.Tried.Add(t)
 	}
-	o.picture.Prefix.Fill(&q)
+	o.picture.Prefix.Lookup(&q)
 	return o.pipe.Pick(&q, o.room, o.rng).Index
 }
 
 // Began implements Policy.
 func (o *Ours) Began(server int, r *Request) {
-	o.picture.Dispatched(serverID(server), r.Blocks, r.Priority == 0, o.cluster.Clock.Now())
+	o.picture.RecordDispatch(serverID(server), r.Blocks, r.Priority == 0, o.cluster.Clock.Now())
 }
 
 // First implements Policy.
 func (o *Ours) First(server int, r *Request, took time.Duration) time.Duration {
 	q := o.request(r)
-	o.picture.Prefix.Fill(&q)
-	return o.picture.FirstToken(serverID(server), took, max(0, r.Prompt-int(q.CachedBlocks[server])*routing.BlockTokens), o.cluster.Clock.Now())
+	o.picture.Prefix.Lookup(&q)
+	return o.picture.RecordFirstToken(serverID(server), took, max(0, r.Prompt-int(q.CachedBlocks[server])*routing.BlockTokens), o.cluster.Clock.Now())
 }
 
 // Ended implements Policy.
 func (o *Ours) Ended(server int, r *Request, held time.Duration, failed bool) {
-	o.picture.Completed(serverID(server), held, failed, r.Priority == 0, o.cluster.Clock.Now())
+	o.picture.RecordCompletion(serverID(server), held, failed, r.Priority == 0, o.cluster.Clock.Now())
 }
 
 // Unreachable implements Policy.
 func (o *Ours) Unreachable(server int) {
-	o.picture.Unreachable(serverID(server), o.cluster.Clock.Now())
+	o.picture.RecordUnreachable(serverID(server), o.cluster.Clock.Now())
 }
 
 // Report implements Policy.
 func (o *Ours) Report(server, load int) {
-	o.picture.Reported(serverID(server), load, o.cluster.Clock.Now())
+	o.picture.RecordReport(serverID(server), load, o.cluster.Clock.Now())
 }
 
 // Naive wraps one of the plain rules.
--- a/lab/slopes/fleet.go
+++ b/lab/slopes/fleet.go
@@ -130,7 +130,7 @@
 		set.Listen, set.PeerListen = l.Addr().String(), l.Addr().String()
 		set.Peers = []string{listeners[0].Addr().String(), listeners[len(listeners)/2].Addr().String()}
 		scope := tally.NewTestScope("", nil)
-		d := daemon.New(set, demo.Secrets, daemon.Ports{Log: r.log, Logger: log.New(io.Discard), Metrics: scope})
+		d := daemon.New(set, demo.Secrets, daemon.Dependencies{Log: r.log, Logger: log.New(io.Discard), Metrics: scope})
 		r.daemons, r.scopes = append(r.daemons, d), append(r.scopes, scope)
 		srv := &http.Server{Handler: d.PeerServer()}
 		go func() { _ = srv.Serve(l) }()
@@ -151,7 +151,7 @@
 	}
 	ws := map[string]any{}
 	for i := range s.workspaces {
-		ws[fmt.Sprintf("w%04d", i)] = fleet.Workspace{KeyHashes: []string{fleet.HashKey(fmt.Sprint(i))}, Models: []string{"m"}, TokensPerMinute: 100_000_000}
+		ws[fmt.Sprintf("w%04d", i)] = fleet.Workspace{KeyHashes: []string{fleet.HashAPIKey(fmt.Sprint(i))}, Models: []string{"m"}, TokensPerMinute: 100_000_000}
 	}
 	p["workspaces"] = ws
 	return r.patch("first", 0, p)
@@ -181,7 +181,7 @@
 		go r.tick(ctx, time.Second/time.Duration(s.requests), func(n int) {
 			go func() {
 				d := r.daemons[n%len(r.daemons)]
-				_, _ = d.Chat(ctx, daemon.NewRequestID(), daemon.Chat{Workspace: fmt.Sprintf("w%04d", n%s.workspaces), Model: "m", Prompt: loadRequest,
+				_, _ = d.Chat(ctx, daemon.NewRequestID(), daemon.ChatRequest{Workspace: fmt.Sprintf("w%04d", n%s.workspaces), Model: "m", Prompt: loadRequest,
 					Body: map[string]json.RawMessage{"messages": json.RawMessage(`[{"role":"user","content":"` + loadRequest + `"}]`)}})
 			}()
 		})
--- a/lab/slopes/spread.go
+++ b/lab/slopes/spread.go
@@ -16,19 +16,19 @@
 	for i := range daemons {
 		id := fmt.Sprintf("d%03d", i)
 		index[id] = i
-		rows[i].Beat = membership.Beat{ID: id, PeerAddress: id, Incarnation: 1, Serving: true}
-		tables[i] = membership.NewTable(rows[i].Beat, rand.New(rand.NewPCG(seed, uint64(i))))
+		rows[i].Info = membership.DaemonInfo{ID: id, PeerAddress: id, Incarnation: 1, Serving: true}
+		tables[i] = membership.NewTable(rows[i].Info, rand.New(rand.NewPCG(seed, uint64(i))))
 	}
 	knows := make([]bool, daemons)
 	for i := range daemons {
-		tables[i].Adopt(rows, now)
+		tables[i].Merge(rows, now)
 		knows[i] = i < readers
 	}
 	for round := 1; ; round++ {
 		learned := append([]bool(nil), knows...)
 		all := true
 		for i, t := range tables {
-			for _, m := range t.Targets() {
+			for _, m := range t.ProbeTargets() {
 				j := index[m.ID]
 				either := knows[i] || knows[j]
 				learned[i], learned[j] = learned[i] || either, learned[j] || either
