--- a/cmd/damaskrudder/main_test.go
+++ b/cmd/damaskrudder/main_test.go
@@ -31,16 +31,16 @@
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
 
-// TestProcesses runs daemons as processes of their own, against stand-ins in the
+// TestDaemonProcesses runs daemons as processes of their own, against stand-ins in the
 // test.
-func TestProcesses(t *testing.T) {
+func TestDaemonProcesses(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata/processes",
 		Setup: setup,
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"ready":   ready,
-			"inforce": inforce,
-			"chat":    chat,
+			"ready":   waitReady,
+			"inforce": waitConfiguration,
+			"chat":    sendChat,
 		},
 	})
 }
@@ -58,23 +58,23 @@
 		return err
 	}
 	env.Defer(engine.Close)
-	var free []string
+	var addresses []string
 	for range 4 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		defer l.Close()
-		free = append(free, l.Addr().String())
+		addresses = append(addresses, l.Addr().String())
 	}
-	env.Setenv("A", free[0])
-	env.Setenv("B", free[1])
-	env.Setenv("RUDDERCTL_ADDRESS", free[1]+","+free[0])
+	env.Setenv("A", addresses[0])
+	env.Setenv("B", addresses[1])
+	env.Setenv("RUDDERCTL_ADDRESS", addresses[1]+","+addresses[0])
 	env.Setenv("RUDDERCTL_KEY", "operator-key-0123456789")
 	env.Setenv("DAMASKRUDDER_SECRETS", `{"peer_key":"peer-key-0123456789","operator_key":"operator-key-0123456789","session_current":"k","session_keys":{"k":"session-key-0123456789"}}`)
 	for i, id := range []string{"a", "b"} {
 		s := fmt.Sprintf(`{"id":%q,"region":"r","failure_domain":"hall-%s","listen":%q,"peer_listen":%q,"peers":[%q,%q],"log":%q,"endpoint_ttl":"200ms","drain_grace":"2s"}`,
-			id, id, free[i], free[i+2], free[2], free[3], log.URL)
+			id, id, addresses[i], addresses[i+2], addresses[2], addresses[3], log.URL)
 		if err := os.WriteFile(filepath.Join(env.WorkDir, id+".jsonc"), []byte(s), 0o600); err != nil {
 			return err
 		}
@@ -88,8 +88,8 @@
 	return os.WriteFile(filepath.Join(env.WorkDir, "fleet", "all.jsonc"), []byte(config), 0o600)
 }
 
-// ready waits until a daemon serves.
-func ready(ts *testscript.TestScript, _ bool, args []string) {
+// waitReady waits until a daemon serves.
+func waitReady(ts *testscript.TestScript, _ bool, args []string) {
 	for range 600 {
 		resp, err := http.Get("http://" + args[0] + "/healthz")
 		if err == nil {
@@ -103,12 +103,12 @@
 	ts.Fatalf("%s never got ready", args[0])
 }
 
-// inforce waits until a configuration number is in force at a daemon. rudderctl
+// waitConfiguration waits until a configuration number is in force at a daemon. rudderctl
 // apply returns when the daemon that took the patch has it; the others have it some
 // hundred milliseconds later, and know no workspace until then.
-func inforce(ts *testscript.TestScript, _ bool, args []string) {
+func waitConfiguration(ts *testscript.TestScript, _ bool, args []string) {
 	for range 600 {
-		if configuration(ts, args[0]) == args[1] {
+		if configNumber(ts, args[0]) == args[1] {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -116,8 +116,8 @@
 	ts.Fatalf("configuration %s never was in force at %s", args[1], args[0])
 }
 
-// configuration returns the number in force at a daemon.
-func configuration(ts *testscript.TestScript, address string) string {
+// configNumber returns the number in force at a daemon.
+func configNumber(ts *testscript.TestScript, address string) string {
 	req, err := http.NewRequest(http.MethodGet, "http://"+address+"/operator/v1/config", nil)
 	ts.Check(err)
 	req.Header.Set("Authorization", "Bearer "+ts.Getenv("RUDDERCTL_KEY"))
@@ -131,8 +131,8 @@
 	return strconv.FormatInt(c.Number, 10)
 }
 
-// chat sends one request to a daemon and fails unless it is answered.
-func chat(ts *testscript.TestScript, _ bool, args []string) {
+// sendChat sends one request to a daemon and fails unless it is answered.
+func sendChat(ts *testscript.TestScript, _ bool, args []string) {
 	body := `{"model":"m","messages":[{"role":"user","content":"status of bib 7"}]}`
 	req, err := http.NewRequest(http.MethodPost, "http://"+args[0]+"/v1/chat/completions", strings.NewReader(body))
 	ts.Check(err)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -23,16 +23,16 @@
 const (
 	// HeaderRequestID carries the request id on every answer.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderRan says on a refusal whether the request was executed.
-	HeaderRan = "X-Request-Ran"
-	// HeaderSession carries the session token or the caller's session name.
-	HeaderSession = "X-Session-Id"
-	// HeaderClass names the request class.
-	HeaderClass = "X-Request-Class"
-	// HeaderKey is the idempotency key.
-	HeaderKey = "Idempotency-Key"
-	// HeaderReplayed marks the stored answer of an earlier request.
-	HeaderReplayed = "Idempotency-Replayed"
+	// HeaderExecutionState says on a refusal whether the request was executed.
+	HeaderExecutionState = "X-Request-Ran"
+	// HeaderSessionID carries the session token or the caller's session name.
+	HeaderSessionID = "X-Session-Id"
+	// HeaderRequestClass names the request class.
+	HeaderRequestClass = "X-Request-Class"
+	// HeaderIdempotencyKey is the idempotency key.
+	HeaderIdempotencyKey = "Idempotency-Key"
+	// HeaderIdempotencyReplayed marks the stored answer of an earlier request.
+	HeaderIdempotencyReplayed = "Idempotency-Replayed"
 	// headerShouldRetry stops the official client libraries from repeating a
 	// request that may have run.
 	headerShouldRetry = "X-Should-Retry"
@@ -40,103 +40,103 @@
 
 // API is the HTTP side of one daemon.
 type API struct {
-	d   *daemon.Daemon
-	log *log.Logger
+	daemon *daemon.Daemon
+	logger *log.Logger
 }
 
 // New returns the handler for callers and operators. Metrics serves /metrics.
-func New(d *daemon.Daemon, l *log.Logger, metrics http.Handler) http.Handler {
-	a := &API{d: d, log: l}
+func New(d *daemon.Daemon, logger *log.Logger, metrics http.Handler) http.Handler {
+	a := &API{daemon: d, logger: logger}
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.HTTPErrorHandler = a.fail
-	e.Use(a.identify)
-	e.POST("/v1/chat/completions", a.chat)
-	e.GET("/v1/models", a.models)
-	e.GET("/v1/endpoints", a.endpoints)
-	e.POST("/v1/services/:name", a.service)
-	e.POST("/v1/keys", a.mintKey)
-	e.GET("/healthz", a.health)
+	e.HTTPErrorHandler = a.handleError
+	e.Use(a.assignRequestID)
+	e.POST("/v1/chat/completions", a.completeChat)
+	e.GET("/v1/models", a.listModels)
+	e.GET("/v1/endpoints", a.listEndpoints)
+	e.POST("/v1/services/:name", a.callService)
+	e.POST("/v1/keys", a.mintIdempotencyKey)
+	e.GET("/healthz", a.checkHealth)
 	e.GET("/metrics", echo.WrapHandler(metrics))
-	a.operators(e.Group("/operator/v1", a.operatorOnly))
+	a.registerOperatorRoutes(e.Group("/operator/v1", a.requireOperatorKey))
 	return e
 }
 
-const requestIDKey = "request_id"
+const requestIDContextKey = "request_id"
 
-func (a *API) identify(next echo.HandlerFunc) echo.HandlerFunc {
+func (a *API) assignRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		id := daemon.NewRequestID()
-		c.Set(requestIDKey, id)
+		c.Set(requestIDContextKey, id)
 		c.Response().Header().Set(HeaderRequestID, id)
 		return next(c)
 	}
 }
 
-func requestID(c echo.Context) string { return c.Get(requestIDKey).(string) }
+func requestID(c echo.Context) string { return c.Get(requestIDContextKey).(string) }
 
-// refusalBody has OpenAI's error form with the execution state beside it.
-type refusalBody struct {
-	Error refusal `json:"error"`
+// errorResponse has OpenAI's error form with the execution state beside it.
+type errorResponse struct {
+	Error errorDetail `json:"error"`
 }
 
-type refusal struct {
-	Message   string               `json:"message"`
-	Type      fault.Kind           `json:"type"`
-	Code      fault.Kind           `json:"code"`
-	Param     string               `json:"param,omitempty"`
-	Ran       fault.ExecutionState `json:"ran"`
-	RequestID string               `json:"request_id"`
+type errorDetail struct {
+	Message        string               `json:"message"`
+	Type           fault.Kind           `json:"type"`
+	Code           fault.Kind           `json:"code"`
+	Param          string               `json:"param,omitempty"`
+	ExecutionState fault.ExecutionState `json:"ran"`
+	RequestID      string               `json:"request_id"`
 }
 
-func refuse(id string, f *fault.Error) refusalBody {
-	return refusalBody{refusal{f.Detail, f.Kind, f.Kind, f.Field, f.ExecutionState(), id}}
+func newErrorResponse(id string, f *fault.Error) errorResponse {
+	return errorResponse{errorDetail{f.Detail, f.Kind, f.Kind, f.Field, f.ExecutionState(), id}}
 }
 
-// fail is the one place where an error becomes an HTTP answer.
-func (a *API) fail(err error, c echo.Context) {
-	var he *echo.HTTPError
-	if errors.As(err, &he) {
-		err = fault.New(fault.NotFound, "%s %s: %v", c.Request().Method, c.Request().URL.Path, he.Message)
-		if he.Code == http.StatusRequestEntityTooLarge {
+// handleError is the one place where an error becomes an HTTP answer.
+func (a *API) handleError(err error, c echo.Context) {
+	var httpErr *echo.HTTPError
+	if errors.As(err, &httpErr) {
+		err = fault.New(fault.NotFound, "%s %s: %v", c.Request().Method, c.Request().URL.Path, httpErr.Message)
+		if httpErr.Code == http.StatusRequestEntityTooLarge {
 			err = fault.New(fault.TooLarge, "the body is too large")
 		}
 	}
 	f := fault.FromError(err)
-	a.d.RecordRefusal(string(f.Kind))
+	a.daemon.RecordRefusal(string(f.Kind))
 	if f.Kind == fault.Internal {
-		a.log.Error("internal error", "request", requestID(c), "err", err)
+		a.logger.Error("internal error", "request", requestID(c), "err", err)
 	}
 	if c.Response().Committed {
 		return
 	}
 	h := c.Response().Header()
-	h.Set(HeaderRan, string(f.ExecutionState()))
+	h.Set(HeaderExecutionState, string(f.ExecutionState()))
 	if f.ExecutionState() != fault.NotRun {
 		h.Set(headerShouldRetry, "false")
 	}
-	if after := f.RetryDelay(); after > 0 {
-		h.Set("Retry-After", strconv.Itoa(int((after+time.Second-1)/time.Second)))
+	if retryDelay := f.RetryDelay(); retryDelay > 0 {
+		h.Set("Retry-After", strconv.Itoa(int((retryDelay+time.Second-1)/time.Second)))
 	}
-	_ = c.JSON(fault.Lookup(f.Kind).Status, refuse(requestID(c), f))
+	_ = c.JSON(fault.Lookup(f.Kind).Status, newErrorResponse(requestID(c), f))
 }
 
-// workspace finds the caller's workspace by its API key.
-func (a *API) workspace(c echo.Context) (string, error) {
+// authenticate finds the caller's workspace by its API key.
+func (a *API) authenticate(c echo.Context) (string, error) {
 	key, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		return "", fault.New(fault.Unauthorized, "send the API key as a bearer token")
 	}
-	name, _, ok := a.d.Config().WorkspaceByKey(key)
+	name, _, ok := a.daemon.Config().WorkspaceByKey(key)
 	if !ok {
 		return "", fault.New(fault.Unauthorized, "no workspace has this API key")
 	}
 	return name, nil
 }
 
-// body reads the request's body up to the limit in the settings.
-func (a *API) body(c echo.Context) ([]byte, error) {
-	limit := a.d.Settings().MaxBodyBytes
+// readBody reads the request's body up to the limit in the settings.
+func (a *API) readBody(c echo.Context) ([]byte, error) {
+	limit := a.daemon.Settings().MaxBodyBytes
 	data, err := io.ReadAll(io.LimitReader(c.Request().Body, limit+1))
 	if err != nil {
 		return nil, fault.New(fault.BadRequest, "the body could not be read").WithCause(err)
@@ -147,24 +147,24 @@
 	return data, nil
 }
 
-// maxKeyLength bounds an idempotency key in bytes.
-const maxKeyLength = 256
+// maxIdempotencyKeyLength bounds an idempotency key in bytes.
+const maxIdempotencyKeyLength = 256
 
 func idempotencyKey(c echo.Context) (string, error) {
-	key := c.Request().Header.Get(HeaderKey)
+	key := c.Request().Header.Get(HeaderIdempotencyKey)
 	for _, r := range key {
 		if r <= ' ' || r > '~' {
-			return "", fault.NewField(fault.BadRequest, HeaderKey, "a key has 1 to %d printable ASCII characters", maxKeyLength)
+			return "", fault.NewField(fault.BadRequest, HeaderIdempotencyKey, "a key has 1 to %d printable ASCII characters", maxIdempotencyKeyLength)
 		}
 	}
-	if len(key) > maxKeyLength {
-		return "", fault.NewField(fault.BadRequest, HeaderKey, "a key has 1 to %d printable ASCII characters", maxKeyLength)
+	if len(key) > maxIdempotencyKeyLength {
+		return "", fault.NewField(fault.BadRequest, HeaderIdempotencyKey, "a key has 1 to %d printable ASCII characters", maxIdempotencyKeyLength)
 	}
 	return key, nil
 }
 
-func (a *API) models(c echo.Context) error {
-	name, err := a.workspace(c)
+func (a *API) listModels(c echo.Context) error {
+	workspace, err := a.authenticate(c)
 	if err != nil {
 		return err
 	}
@@ -175,33 +175,33 @@
 		OwnedBy string `json:"owned_by"`
 	}
 	list := []model{}
-	for _, id := range a.d.Config().UsableNames(name) {
+	for _, id := range a.daemon.Config().UsableNames(workspace) {
 		list = append(list, model{id, "model", 0, "damaskrudder"})
 	}
 	return c.JSON(http.StatusOK, map[string]any{"object": "list", "data": list})
 }
 
-// endpointsReply tells which addresses to use and for how long.
-type endpointsReply struct {
+// endpointsResponse tells which addresses to use and for how long.
+type endpointsResponse struct {
 	Endpoints  []string `json:"endpoints"`
 	TTLSeconds float64  `json:"ttl_seconds"`
 }
 
-func (a *API) endpoints(c echo.Context) error {
-	addresses, ttl := a.d.Endpoints()
+func (a *API) listEndpoints(c echo.Context) error {
+	addresses, ttl := a.daemon.Endpoints()
 	if len(addresses) == 0 {
 		return fault.New(fault.ShuttingDown, "no daemon is known to stay")
 	}
 	c.Response().Header().Set("Cache-Control", fmt.Sprintf("max-age=%d", int(ttl.Seconds())))
-	return c.JSON(http.StatusOK, endpointsReply{addresses, ttl.Seconds()})
+	return c.JSON(http.StatusOK, endpointsResponse{addresses, ttl.Seconds()})
 }
 
-func (a *API) service(c echo.Context) error {
-	ws, err := a.workspace(c)
+func (a *API) callService(c echo.Context) error {
+	workspace, err := a.authenticate(c)
 	if err != nil {
 		return err
 	}
-	body, err := a.body(c)
+	body, err := a.readBody(c)
 	if err != nil {
 		return err
 	}
@@ -212,29 +212,29 @@
 	if err != nil {
 		return err
 	}
-	r, err := a.d.CallService(c.Request().Context(), requestID(c), daemon.ServiceRequest{Workspace: ws, Service: c.Param("name"), Body: body, IdempotencyKey: key})
+	resp, err := a.daemon.CallService(c.Request().Context(), requestID(c), daemon.ServiceRequest{Workspace: workspace, Service: c.Param("name"), Body: body, IdempotencyKey: key})
 	if err != nil {
 		return err
 	}
-	if r.Replayed {
-		c.Response().Header().Set(HeaderReplayed, "true")
+	if resp.Replayed {
+		c.Response().Header().Set(HeaderIdempotencyReplayed, "true")
 	}
-	return c.Blob(r.Status, echo.MIMEApplicationJSON, r.Body)
+	return c.Blob(resp.Status, echo.MIMEApplicationJSON, resp.Body)
 }
 
-func (a *API) mintKey(c echo.Context) error {
-	ws, err := a.workspace(c)
+func (a *API) mintIdempotencyKey(c echo.Context) error {
+	workspace, err := a.authenticate(c)
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusCreated, map[string]string{"key": a.d.MintIdempotencyKey(ws), "endpoint": a.d.Settings().Listen})
+	return c.JSON(http.StatusCreated, map[string]string{"key": a.daemon.MintIdempotencyKey(workspace), "endpoint": a.daemon.Settings().Listen})
 }
 
-func (a *API) health(c echo.Context) error {
-	if !a.d.Ready() {
+func (a *API) checkHealth(c echo.Context) error {
+	if !a.daemon.Ready() {
 		return fault.New(fault.ConfigurationStale, "neither the log nor most daemons were heard lately")
 	}
-	if a.d.Leaving() {
+	if a.daemon.Leaving() {
 		return fault.New(fault.ShuttingDown, "the daemon is draining")
 	}
 	return c.NoContent(http.StatusNoContent)
--- a/internal/api/chat.go
+++ b/internal/api/chat.go
@@ -13,12 +13,12 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// maxTokensLimit bounds max_tokens.
-const maxTokensLimit = 1 << 20
+// maxTokensBound bounds max_tokens.
+const maxTokensBound = 1 << 20
 
-// chatBody is the part of a chat request the router reads; the rest is passed
+// chatRequestBody is the part of a chat request the router reads; the rest is passed
 // on to the engine as it came.
-type chatBody struct {
+type chatRequestBody struct {
 	Model               string    `json:"model"`
 	Messages            []message `json:"messages"`
 	Stream              bool      `json:"stream"`
@@ -58,81 +58,81 @@
 }
 
 // ParseChat checks the body of a chat request.
-func ParseChat(data []byte) (daemon.ChatRequest, chatBody, error) {
-	var b chatBody
-	q := daemon.ChatRequest{RawBody: data}
-	if err := json.Unmarshal(data, &b); err != nil {
-		return q, b, fault.NewField(fault.BadRequest, "body", "not a chat request: %v", err)
+func ParseChat(data []byte) (daemon.ChatRequest, chatRequestBody, error) {
+	var body chatRequestBody
+	req := daemon.ChatRequest{RawBody: data}
+	if err := json.Unmarshal(data, &body); err != nil {
+		return req, body, fault.NewField(fault.BadRequest, "body", "not a chat request: %v", err)
 	}
-	if err := json.Unmarshal(data, &q.Body); err != nil {
-		return q, b, fault.NewField(fault.BadRequest, "body", "not a JSON object")
+	if err := json.Unmarshal(data, &req.Body); err != nil {
+		return req, body, fault.NewField(fault.BadRequest, "body", "not a JSON object")
 	}
-	if b.Model == "" {
-		return q, b, fault.NewField(fault.BadRequest, "model", "must not be empty")
+	if body.Model == "" {
+		return req, body, fault.NewField(fault.BadRequest, "model", "must not be empty")
 	}
-	if len(b.Messages) == 0 {
-		return q, b, fault.NewField(fault.BadRequest, "messages", "must not be empty")
+	if len(body.Messages) == 0 {
+		return req, body, fault.NewField(fault.BadRequest, "messages", "must not be empty")
 	}
-	if b.N != nil && *b.N != 1 {
-		return q, b, fault.NewField(fault.BadRequest, "n", "only one choice is supported, not %d", *b.N)
+	if body.N != nil && *body.N != 1 {
+		return req, body, fault.NewField(fault.BadRequest, "n", "only one choice is supported, not %d", *body.N)
 	}
-	for _, f := range []struct {
+	for _, limit := range []struct {
 		name  string
 		value *int64
-	}{{"max_tokens", b.MaxTokens}, {"max_completion_tokens", b.MaxCompletionTokens}} {
-		if f.value == nil {
+	}{{"max_tokens", body.MaxTokens}, {"max_completion_tokens", body.MaxCompletionTokens}} {
+		if limit.value == nil {
 			continue
 		}
-		if *f.value < 1 || *f.value > maxTokensLimit {
-			return q, b, fault.NewField(fault.BadRequest, f.name, "%d is out of 1..%d", *f.value, maxTokensLimit)
+		if *limit.value < 1 || *limit.value > maxTokensBound {
+			return req, body, fault.NewField(fault.BadRequest, limit.name, "%d is out of 1..%d", *limit.value, maxTokensBound)
 		}
-		q.MaxTokens = *f.value
+		req.MaxTokens = *limit.value
 	}
-	q.Model = b.Model
+	req.Model = body.Model
 	var prompt strings.Builder
-	for _, m := range b.Messages {
+	for _, m := range body.Messages {
 		prompt.WriteString(string(m.Content))
 	}
-	q.Prompt = prompt.String()
-	return q, b, nil
+	req.Prompt = prompt.String()
+	return req, body, nil
 }
 
-func (a *API) chat(c echo.Context) error {
-	ws, err := a.workspace(c)
+func (a *API) completeChat(c echo.Context) error {
+	workspace, err := a.authenticate(c)
 	if err != nil {
 		return err
 	}
-	data, err := a.body(c)
+	data, err := a.readBody(c)
 	if err != nil {
 		return err
 	}
-	q, b, err := ParseChat(data)
+	req, body, err := ParseChat(data)
 	if err != nil {
 		return err
 	}
-	if q.IdempotencyKey, err = idempotencyKey(c); err != nil {
+	if req.IdempotencyKey, err = idempotencyKey(c); err != nil {
 		return err
 	}
-	q.Workspace = ws
-	q.Session = c.Request().Header.Get(HeaderSession)
-	q.Class = c.Request().Header.Get(HeaderClass)
-	if b.Stream {
-		return a.stream(c, q, b)
+	req.Workspace = workspace
+	req.Session = c.Request().Header.Get(HeaderSessionID)
+	req.Class = c.Request().Header.Get(HeaderRequestClass)
+	if body.Stream {
+		return a.streamChat(c, req, body)
 	}
-	ans, err := a.d.Chat(c.Request().Context(), requestID(c), q)
+	resp, err := a.daemon.Chat(c.Request().Context(), requestID(c), req)
 	if err != nil {
 		return err
 	}
-	a.answerHeaders(c, ans)
-	return c.JSON(http.StatusOK, completion(requestID(c), b.Model, ans))
+	a.setResponseHeaders(c, resp)
+	return c.JSON(http.StatusOK, newCompletion(requestID(c), body.Model, resp))
 }
 
-func (a *API) answerHeaders(c echo.Context, ans *daemon.ChatResponse) {
+func (a *API) setResponseHeaders(c echo.Context, resp *daemon.ChatResponse) {
 	h := c.Response().Header()
-	h.Set(HeaderSession, ans.Session)
-	h.Set("X-Model-Version", ans.Model+"@"+ans.Version)
-	if ans.Replayed {
-		h.Set(HeaderReplayed, "true")
+	h.Set(HeaderSessionID, resp.Session)
+	h.Set("X-Model-Version", resp.Model+"@"+resp.Version)
+	if resp.Replayed {
+		h.Set(HeaderIdempotencyReplayed, "true")
 	}
 }
 
@@ -142,32 +142,32 @@
 	TotalTokens      int64 `json:"total_tokens"`
 }
 
-func usageOf(ans *daemon.ChatResponse) usageBody {
-	return usageBody{ans.PromptTokens, ans.CompletionTokens, ans.PromptTokens + ans.CompletionTokens}
+func newUsageBody(resp *daemon.ChatResponse) usageBody {
+	return usageBody{resp.PromptTokens, resp.CompletionTokens, resp.PromptTokens + resp.CompletionTokens}
 }
 
-func completion(id, model string, ans *daemon.ChatResponse) map[string]any {
+func newCompletion(id, model string, resp *daemon.ChatResponse) map[string]any {
 	return map[string]any{
 		"id": "chatcmpl-" + id, "object": "chat.completion", "created": time.Now().Unix(), "model": model,
 		"choices": []any{map[string]any{
-			"index": 0, "finish_reason": ans.FinishReason, "logprobs": nil,
-			"message": map[string]any{"role": "assistant", "content": ans.Text, "refusal": nil},
+			"index": 0, "finish_reason": resp.FinishReason, "logprobs": nil,
+			"message": map[string]any{"role": "assistant", "content": resp.Text, "refusal": nil},
 		}},
-		"usage":              usageOf(ans),
-		"system_fingerprint": ans.Model + "@" + ans.Version,
+		"usage":              newUsageBody(resp),
+		"system_fingerprint": resp.Model + "@" + resp.Version,
 	}
 }
 
-// sse writes a chat answer as server-sent events.
-type sse struct {
+// sseWriter writes a chat answer as server-sent events.
+type sseWriter struct {
 	c       echo.Context
 	id      string
 	model   string
 	created int64
-	began   bool
+	started bool
 }
 
-func (s *sse) write(v any) error {
+func (s *sseWriter) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -178,61 +178,61 @@
 	return http.NewResponseController(s.c.Response()).Flush()
 }
 
-func (s *sse) chunk(delta map[string]any, finish any) map[string]any {
+func (s *sseWriter) newChunk(delta map[string]any, finish any) map[string]any {
 	return map[string]any{
 		"id": "chatcmpl-" + s.id, "object": "chat.completion.chunk", "created": s.created, "model": s.model,
 		"choices": []any{map[string]any{"index": 0, "delta": delta, "finish_reason": finish}},
 	}
 }
 
-func (s *sse) begin() error {
-	s.began = true
+func (s *sseWriter) start() error {
+	s.started = true
 	h := s.c.Response().Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	s.c.Response().WriteHeader(http.StatusOK)
-	return s.write(s.chunk(map[string]any{"role": "assistant", "content": ""}, nil))
+	return s.writeEvent(s.newChunk(map[string]any{"role": "assistant", "content": ""}, nil))
 }
 
-func (s *sse) deliver(text string) error {
-	if !s.began {
-		if err := s.begin(); err != nil {
+func (s *sseWriter) writeText(text string) error {
+	if !s.started {
+		if err := s.start(); err != nil {
 			return err
 		}
 	}
-	return s.write(s.chunk(map[string]any{"content": text}, nil))
+	return s.writeEvent(s.newChunk(map[string]any{"content": text}, nil))
 }
 
-// stream answers with server-sent events. Headers go out with the first piece,
+// streamChat answers with server-sent events. Headers go out with the first piece,
 // so that a refusal before it is still an ordinary HTTP error. After it, an
 // error is an event of its own and the [DONE] mark is left out: a caller that
 // sees no mark knows that the answer is not whole.
-func (a *API) stream(c echo.Context, q daemon.ChatRequest, b chatBody) error {
-	s := &sse{c: c, id: requestID(c), model: b.Model, created: time.Now().Unix()}
-	q.OnText = s.deliver
-	q.OnStart = func(head *daemon.ChatResponse) { a.answerHeaders(c, head) }
-	ans, err := a.d.Chat(c.Request().Context(), s.id, q)
+func (a *API) streamChat(c echo.Context, req daemon.ChatRequest, body chatRequestBody) error {
+	s := &sseWriter{c: c, id: requestID(c), model: body.Model, created: time.Now().Unix()}
+	req.OnText = s.writeText
+	req.OnStart = func(head *daemon.ChatResponse) { a.setResponseHeaders(c, head) }
+	resp, err := a.daemon.Chat(c.Request().Context(), s.id, req)
 	if err != nil {
-		if s.began {
-			a.d.RecordRefusal(string(fault.FromError(err).Kind))
-			return s.write(refuse(s.id, fault.FromError(err)))
+		if s.started {
+			a.daemon.RecordRefusal(string(fault.FromError(err).Kind))
+			return s.writeEvent(newErrorResponse(s.id, fault.FromError(err)))
 		}
 		return err
 	}
-	if !s.began {
-		a.answerHeaders(c, ans)
-		if err := s.begin(); err != nil {
+	if !s.started {
+		a.setResponseHeaders(c, resp)
+		if err := s.start(); err != nil {
 			return nil
 		}
 	}
-	last := s.chunk(map[string]any{}, ans.FinishReason)
-	if s.write(last) != nil {
+	last := s.newChunk(map[string]any{}, resp.FinishReason)
+	if s.writeEvent(last) != nil {
 		return nil
 	}
-	if b.StreamOptions.IncludeUsage {
-		u := s.chunk(nil, nil)
-		u["choices"], u["usage"] = []any{}, usageOf(ans)
-		if s.write(u) != nil {
+	if body.StreamOptions.IncludeUsage {
+		usageChunk := s.newChunk(nil, nil)
+		usageChunk["choices"], usageChunk["usage"] = []any{}, newUsageBody(resp)
+		if s.writeEvent(usageChunk) != nil {
 			return nil
 		}
 	}
--- a/internal/api/chat_test.go
+++ b/internal/api/chat_test.go
@@ -17,15 +17,15 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		q, _, err := ParseChat(data)
+		req, _, err := ParseChat(data)
 		if err != nil {
 			if !fault.Is(err, fault.BadRequest) {
 				t.Fatalf("%v", err)
 			}
 			return
 		}
-		if q.Model == "" || q.MaxTokens < 0 || q.Body == nil {
-			t.Fatalf("%+v", q)
+		if req.Model == "" || req.MaxTokens < 0 || req.Body == nil {
+			t.Fatalf("%+v", req)
 		}
 	})
 }
--- a/internal/api/holds.go
+++ b/internal/api/holds.go
@@ -15,42 +15,42 @@
 	// Fingerprint is its name on the daemons' lines.
 	Fingerprint string `json:"fingerprint"`
 	// AgeSeconds is for how long it has been held, and LeftSeconds for how long it still is.
-	AgeSeconds  float64 `json:"age_seconds"`
-	LeftSeconds float64 `json:"left_seconds"`
+	AgeSeconds       float64 `json:"age_seconds"`
+	RemainingSeconds float64 `json:"left_seconds"`
 }
 
-func (a *API) holds(c echo.Context) error {
+func (a *API) listHolds(c echo.Context) error {
 	out := []HeldRequest{}
-	for _, h := range a.d.Holds() {
-		out = append(out, HeldRequest{h.Fingerprint.String(), seconds(h.AgeMs), seconds(h.RemainingMs)})
+	for _, h := range a.daemon.Holds() {
+		out = append(out, HeldRequest{h.Fingerprint.String(), millisToSeconds(h.AgeMs), millisToSeconds(h.RemainingMs)})
 	}
 	return c.JSON(http.StatusOK, out)
 }
 
-func seconds(ms int64) float64 { return (time.Duration(ms) * time.Millisecond).Seconds() }
+func millisToSeconds(ms int64) float64 { return (time.Duration(ms) * time.Millisecond).Seconds() }
 
-// holdRequest keeps a request from servers by hand, for as long as the daemon's own holds
+// addHold keeps a request from servers by hand, for as long as the daemon's own holds
 // last, and answers with all that are held.
-func (a *API) holdRequest(c echo.Context) error {
-	f, err := fingerprintOf(c)
+func (a *API) addHold(c echo.Context) error {
+	f, err := parseFingerprint(c)
 	if err != nil {
 		return err
 	}
-	a.d.AddHold(f)
-	return a.holds(c)
+	a.daemon.AddHold(f)
+	return a.listHolds(c)
 }
 
-// releaseRequest ends a hold by hand, and answers with those that are left.
-func (a *API) releaseRequest(c echo.Context) error {
-	f, err := fingerprintOf(c)
+// releaseHold ends a hold by hand, and answers with those that are left.
+func (a *API) releaseHold(c echo.Context) error {
+	f, err := parseFingerprint(c)
 	if err != nil {
 		return err
 	}
-	a.d.ReleaseHold(f)
-	return a.holds(c)
+	a.daemon.ReleaseHold(f)
+	return a.listHolds(c)
 }
 
-func fingerprintOf(c echo.Context) (quarantine.Fingerprint, error) {
+func parseFingerprint(c echo.Context) (quarantine.Fingerprint, error) {
 	f, err := quarantine.ParseFingerprint(c.Param("fingerprint"))
 	if err != nil {
 		return 0, fault.NewField(fault.BadRequest, "fingerprint", "%v", err)
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -12,23 +12,23 @@
 	"github.com/damaskrudder/damaskrudder/internal/membership"
 )
 
-func (a *API) operators(g *echo.Group) {
-	g.GET("/config", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.Config()) })
-	g.GET("/history", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.PatchHistory()) })
-	g.POST("/patches", a.patch)
-	g.GET("/status", a.status)
-	g.GET("/servers", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.Servers()) })
-	g.GET("/rollouts", func(c echo.Context) error { return c.JSON(http.StatusOK, a.d.Rollouts()) })
-	g.GET("/holds", a.holds)
-	g.PUT("/holds/:fingerprint", a.holdRequest)
-	g.DELETE("/holds/:fingerprint", a.releaseRequest)
-	g.GET("/burn", a.burn)
-	g.GET("/usage", a.usage)
-	g.POST("/explain", a.explain)
+func (a *API) registerOperatorRoutes(g *echo.Group) {
+	g.GET("/config", func(c echo.Context) error { return c.JSON(http.StatusOK, a.daemon.Config()) })
+	g.GET("/history", func(c echo.Context) error { return c.JSON(http.StatusOK, a.daemon.PatchHistory()) })
+	g.POST("/patches", a.submitPatch)
+	g.GET("/status", a.showStatus)
+	g.GET("/servers", func(c echo.Context) error { return c.JSON(http.StatusOK, a.daemon.Servers()) })
+	g.GET("/rollouts", func(c echo.Context) error { return c.JSON(http.StatusOK, a.daemon.Rollouts()) })
+	g.GET("/holds", a.listHolds)
+	g.PUT("/holds/:fingerprint", a.addHold)
+	g.DELETE("/holds/:fingerprint", a.releaseHold)
+	g.GET("/burn", a.reportBurn)
+	g.GET("/usage", a.reportUsage)
+	g.POST("/explain", a.explainRouting)
 }
 
-func (a *API) operatorOnly(next echo.HandlerFunc) echo.HandlerFunc {
-	want := []byte("Bearer " + a.d.OperatorKey())
+func (a *API) requireOperatorKey(next echo.HandlerFunc) echo.HandlerFunc {
+	want := []byte("Bearer " + a.daemon.OperatorKey())
 	return func(c echo.Context) error {
 		if subtle.ConstantTimeCompare([]byte(c.Request().Header.Get("Authorization")), want) != 1 {
 			return fault.New(fault.Unauthorized, "send the operator key as a bearer token")
@@ -37,44 +37,44 @@
 	}
 }
 
-// PatchRefusal tells an operator what moved under a stale patch.
-type PatchRefusal struct {
-	refusalBody
-	// InForce is the number in force.
-	InForce uint64 `json:"in_force"`
-	// Moved lists what patches after the base changed.
-	Moved []fleet.PatchOutcome `json:"moved"`
+// PatchErrorResponse tells an operator what moved under a stale patch.
+type PatchErrorResponse struct {
+	errorResponse
+	// CurrentNumber is the number in force.
+	CurrentNumber uint64 `json:"in_force"`
+	// NewerPatches lists what patches after the base changed.
+	NewerPatches []fleet.PatchOutcome `json:"moved"`
 }
 
-func (a *API) patch(c echo.Context) error {
-	data, err := a.body(c)
+func (a *API) submitPatch(c echo.Context) error {
+	data, err := a.readBody(c)
 	if err != nil {
 		return err
 	}
-	var r fleet.Record
-	if err := fleet.DecodeStrict(data, &r); err != nil {
+	var record fleet.Record
+	if err := fleet.DecodeStrict(data, &record); err != nil {
 		return fault.NewField(fault.BadRequest, "body", "%v", err)
 	}
-	if r.Checkpoint != nil {
+	if record.Checkpoint != nil {
 		return fault.NewField(fault.BadRequest, "checkpoint", "operators send patches only")
 	}
-	o, err := a.d.SubmitPatch(c.Request().Context(), r)
+	outcome, err := a.daemon.SubmitPatch(c.Request().Context(), record)
 	if err != nil {
 		return err
 	}
-	if o.Accepted {
-		return c.JSON(http.StatusOK, o)
+	if outcome.Accepted {
+		return c.JSON(http.StatusOK, outcome)
 	}
-	f := fault.New(o.Kind, "%s", o.Detail)
-	a.d.RecordRefusal(string(o.Kind))
-	var moved []fleet.PatchOutcome
-	for _, h := range a.d.PatchHistory() {
-		if h.Accepted && h.Number > r.Base {
-			moved = append(moved, h)
+	faultErr := fault.New(outcome.Kind, "%s", outcome.Detail)
+	a.daemon.RecordRefusal(string(outcome.Kind))
+	var newer []fleet.PatchOutcome
+	for _, prior := range a.daemon.PatchHistory() {
+		if prior.Accepted && prior.Number > record.Base {
+			newer = append(newer, prior)
 		}
 	}
-	c.Response().Header().Set(HeaderRan, string(fault.NotRun))
-	return c.JSON(fault.Lookup(o.Kind).Status, PatchRefusal{refuse(requestID(c), f), a.d.Config().Number, moved})
+	c.Response().Header().Set(HeaderExecutionState, string(fault.NotRun))
+	return c.JSON(fault.Lookup(outcome.Kind).Status, PatchErrorResponse{newErrorResponse(requestID(c), faultErr), a.daemon.Config().Number, newer})
 }
 
 // Status is a daemon's view of itself and the others.
@@ -86,28 +86,28 @@
 	Members []membership.Member `json:"members"`
 }
 
-func (a *API) status(c echo.Context) error {
+func (a *API) showStatus(c echo.Context) error {
 	return c.JSON(http.StatusOK, Status{
-		ID: a.d.Settings().ID, Number: a.d.Config().Number, Ready: a.d.Ready(),
-		Leaving: a.d.Leaving(), Members: a.d.Members(),
+		ID: a.daemon.Settings().ID, Number: a.daemon.Config().Number, Ready: a.daemon.Ready(),
+		Leaving: a.daemon.Leaving(), Members: a.daemon.Members(),
 	})
 }
 
-func (a *API) burn(c echo.Context) error {
-	lines, missing := a.d.BurnReport(c.Request().Context())
+func (a *API) reportBurn(c echo.Context) error {
+	lines, missing := a.daemon.BurnReport(c.Request().Context())
 	return c.JSON(http.StatusOK, map[string]any{"lines": lines, "missing": missing})
 }
 
-func (a *API) usage(c echo.Context) error {
-	l, err := a.d.UsageLedger(c.Request().Context())
+func (a *API) reportUsage(c echo.Context) error {
+	ledger, err := a.daemon.UsageLedger(c.Request().Context())
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, map[string]any{"bills": l.Len(), "duplicates": l.Duplicates, "doubtful": l.Conflicting, "lines": l.LineItems()})
+	return c.JSON(http.StatusOK, map[string]any{"bills": ledger.Len(), "duplicates": ledger.Duplicates, "doubtful": ledger.Conflicting, "lines": ledger.LineItems()})
 }
 
-func (a *API) explain(c echo.Context) error {
-	data, err := a.body(c)
+func (a *API) explainRouting(c echo.Context) error {
+	data, err := a.readBody(c)
 	if err != nil {
 		return err
 	}
@@ -120,9 +120,9 @@
 	if err := json.Unmarshal(data, &in); err != nil {
 		return fault.NewField(fault.BadRequest, "body", "%v", err)
 	}
-	e, err := a.d.Explain(in.Workspace, in.Model, in.Session, in.Prompt)
+	explanation, err := a.daemon.Explain(in.Workspace, in.Model, in.Session, in.Prompt)
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, e)
+	return c.JSON(http.StatusOK, explanation)
 }
--- a/internal/app/bench_test.go
+++ b/internal/app/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// exchange sends one plain chat request and reads the whole answer.
-func exchange(b *testing.B, c *http.Client, url, key string, header http.Header, body []byte) {
+// sendChat sends one plain chat request and reads the whole answer.
+func sendChat(b *testing.B, c *http.Client, url, key string, header http.Header, body []byte) {
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		b.Fatal(err)
@@ -34,38 +34,38 @@
 	}
 }
 
-func report(b *testing.B, h *hdrhistogram.Histogram, unit string) {
-	b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50-us-"+unit)
-	b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99-us-"+unit)
+func reportLatency(b *testing.B, latencies *hdrhistogram.Histogram, path string) {
+	b.ReportMetric(float64(latencies.ValueAtQuantile(50)), "p50-us-"+path)
+	b.ReportMetric(float64(latencies.ValueAtQuantile(99)), "p99-us-"+path)
 }
 
 // BenchmarkAddedLatency alternates requests to an engine alone with requests
 // through one daemon to engines of the same kind, and reports both.
 func BenchmarkAddedLatency(b *testing.B) {
-	alone := standin.NewEngine(demo.EngineModel, "bib-lookup@v1")
-	s, err := standin.Serve(alone)
+	engine := standin.NewEngine(demo.EngineModel, "bib-lookup@v1")
+	s, err := standin.Serve(engine)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer s.Close()
-	w, err := demo.NewWorld(2, startForDemo)
+	w, err := demo.NewWorld(2, startDemoNode)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer w.Close()
-	direct, through := hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
+	direct, routed := hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
 	c := &http.Client{}
-	toEngine := bytes.Replace([]byte(lookup), []byte("bib-lookup"), []byte("bib-lookup@v1"), 1)
+	engineBody := bytes.Replace([]byte(lookupBody), []byte("bib-lookup"), []byte("bib-lookup@v1"), 1)
 	for i := 0; b.Loop(); i++ {
-		began := time.Now()
-		exchange(b, c, s.URL, "", http.Header{"X-Run-Id": {time.Now().String()}}, toEngine)
-		_ = direct.RecordValue(time.Since(began).Microseconds())
-		began = time.Now()
-		exchange(b, c, "http://"+w.Addresses[0], demo.Key(demo.Largada), nil, []byte(lookup))
-		_ = through.RecordValue(time.Since(began).Microseconds())
+		start := time.Now()
+		sendChat(b, c, s.URL, "", http.Header{"X-Run-Id": {time.Now().String()}}, engineBody)
+		_ = direct.RecordValue(time.Since(start).Microseconds())
+		start = time.Now()
+		sendChat(b, c, "http://"+w.Addresses[0], demo.Key(demo.Largada), nil, []byte(lookupBody))
+		_ = routed.RecordValue(time.Since(start).Microseconds())
 	}
-	report(b, direct, "alone")
-	report(b, through, "through")
+	reportLatency(b, direct, "alone")
+	reportLatency(b, routed, "through")
 }
 
 // BenchmarkRequests sends requests through one daemon of two, from many callers,
@@ -74,8 +74,8 @@
 func BenchmarkRequests(b *testing.B) {
 	model := demo.EngineModel
 	defer func() { demo.EngineModel = model }()
-	demo.EngineModel.AnswerTokens, demo.EngineModel.PerToken, demo.EngineModel.Prefill = 1, 0, 0
-	w, err := demo.NewWorld(2, startForDemo)
+	demo.EngineModel.AnswerTokens, demo.EngineModel.DecodePerToken, demo.EngineModel.PrefillPerToken = 1, 0, 0
+	w, err := demo.NewWorld(2, startDemoNode)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			exchange(b, c, "http://"+w.Addresses[0], demo.Key(demo.Largada), nil, []byte(lookup))
+			sendChat(b, c, "http://"+w.Addresses[0], demo.Key(demo.Largada), nil, []byte(lookupBody))
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
--- a/internal/app/path_test.go
+++ b/internal/app/end_to_end_test.go
@@ -22,10 +22,10 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// world starts daemons and stand-ins on loopback and ends them with the test.
-func world(t *testing.T, daemons int) *demo.World {
+// newWorld starts daemons and stand-ins on loopback and ends them with the test.
+func newWorld(t *testing.T, daemons int) *demo.World {
 	t.Helper()
-	w, err := demo.NewWorld(daemons, startForDemo)
+	w, err := demo.NewWorld(daemons, startDemoNode)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,11 +33,11 @@
 	return w
 }
 
-// until polls a condition that other goroutines bring about.
-func until(t *testing.T, what string, f func() bool) {
+// waitUntil polls a condition that other goroutines bring about.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 6000 {
-		if f() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -68,10 +68,10 @@
 	return resp.StatusCode, resp.Header, string(data)
 }
 
-const lookup = `{"model":"bib-lookup","messages":[{"role":"user","content":"status of bib 7"}]}`
+const lookupBody = `{"model":"bib-lookup","messages":[{"role":"user","content":"status of bib 7"}]}`
 
-func TestOfficialClient(t *testing.T) {
-	w := world(t, 1)
+func TestOpenAIClient(t *testing.T) {
+	w := newWorld(t, 1)
 	c := openai.NewClient(option.WithBaseURL("http://"+w.Addresses[0]+"/v1/"), option.WithAPIKey(demo.Key(demo.Largada)))
 	params := openai.ChatCompletionNewParams{
 		Model:    "bib-lookup",
@@ -104,24 +104,24 @@
 // Symptom: an operator's change vanished although it had been accepted.
 // Sequence: two operators write against number 1; both send.
 // Cause: a patch against a stale number must lose, and say what moved.
-func TestStalePatchIsRefused(t *testing.T) {
-	w := world(t, 2)
-	send := func(address, id, body string) (int, api.PatchRefusal, fleet.PatchOutcome) {
+func TestStalePatchIsRejected(t *testing.T) {
+	w := newWorld(t, 2)
+	submit := func(address, id, body string) (int, api.PatchErrorResponse, fleet.PatchOutcome) {
 		status, _, data := post(t, address, "/operator/v1/patches", demo.Secrets.OperatorKey, nil, `{"patch_id":"`+id+`","base":1,"author":"`+id+`","patch":`+body+`}`)
-		var r api.PatchRefusal
+		var r api.PatchErrorResponse
 		var o fleet.PatchOutcome
 		_ = json.Unmarshal([]byte(data), &r)
 		_ = json.Unmarshal([]byte(data), &o)
 		return status, r, o
 	}
-	if status, _, o := send(w.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || o.Number != 2 {
+	if status, _, o := submit(w.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || o.Number != 2 {
 		t.Fatalf("first patch: %d %+v", status, o)
 	}
-	status, r, _ := send(w.Addresses[1], "bea", `{"workspaces":{"largada-sul":{"priority":5}}}`)
-	if status != http.StatusConflict || r.Error.Code != fault.BaseStale || r.InForce != 2 || len(r.Moved) != 1 || r.Moved[0].Author != "ana" {
+	status, r, _ := submit(w.Addresses[1], "bea", `{"workspaces":{"largada-sul":{"priority":5}}}`)
+	if status != http.StatusConflict || r.Error.Code != fault.BaseStale || r.CurrentNumber != 2 || len(r.NewerPatches) != 1 || r.NewerPatches[0].Author != "ana" {
 		t.Fatalf("stale patch: %d %+v", status, r)
 	}
-	if status, _, o := send(w.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || o.Number != 2 {
+	if status, _, o := submit(w.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || o.Number != 2 {
 		t.Fatalf("the same patch again: %d %+v", status, o)
 	}
 }
@@ -129,13 +129,13 @@
 // Symptom: engines stay busy with answers nobody reads.
 // Sequence: a caller starts a stream, reads one piece and closes.
 // Cause: the run must be cancelled on its engine when its caller leaves.
-func TestCallerLeavingCancelsTheRun(t *testing.T) {
-	w := world(t, 1)
+func TestCallerDisconnectCancelsRun(t *testing.T) {
+	w := newWorld(t, 1)
 	for _, e := range w.Engines {
-		e.SetBehaviour("bib-lookup@v1", standin.Behaviour{Slow: 100})
+		e.SetBehaviour("bib-lookup@v1", standin.Behaviour{SlowFactor: 100})
 	}
-	ctx, leave := context.WithCancel(t.Context())
-	body := strings.Replace(lookup, "{", `{"stream":true,`, 1)
+	ctx, disconnect := context.WithCancel(t.Context())
+	body := strings.Replace(lookupBody, "{", `{"stream":true,`, 1)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.Addresses[0]+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
@@ -148,12 +148,12 @@
 	if _, err := resp.Body.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	leave()
+	disconnect()
 	_ = resp.Body.Close()
-	until(t, "the run is cancelled", func() bool {
+	waitUntil(t, "the run is cancelled", func() bool {
 		n := 0
 		for _, e := range w.Engines {
-			n += e.Canceled()
+			n += e.CanceledRuns()
 		}
 		return n == 1
 	})
@@ -163,39 +163,39 @@
 // Sequence: a session is pinned to v1; v1 is withdrawn with successor v2; the
 // session asks again through another daemon.
 // Cause: the pin must yield to the withdrawal, at every daemon the same way.
-func TestWithdrawnVersionGetsNoNewWork(t *testing.T) {
-	w := world(t, 2)
+func TestWithdrawnVersionGetsNoNewRequests(t *testing.T) {
+	w := newWorld(t, 2)
 	key := demo.Key(demo.Goldfields)
-	status, h, _ := post(t, w.Addresses[0], "/v1/chat/completions", key, nil, lookup)
+	status, h, _ := post(t, w.Addresses[0], "/v1/chat/completions", key, nil, lookupBody)
 	if status != http.StatusOK || h.Get("X-Model-Version") != "bib-lookup@v1" {
 		t.Fatalf("before: %d %v", status, h)
 	}
-	pin := http.Header{api.HeaderSession: {h.Get(api.HeaderSession)}}
+	pin := http.Header{api.HeaderSessionID: {h.Get(api.HeaderSessionID)}}
 	err := w.Apply(fleet.Patch{Models: map[string]json.RawMessage{
 		"bib-lookup": json.RawMessage(`{"stable":"v2","versions":{"v1":{"state":"withdrawn","successor":"v2"}}}`),
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := startedOn(w, "bib-lookup@v1")
-	status, h, _ = post(t, w.Addresses[1], "/v1/chat/completions", key, pin, lookup)
+	before := countRuns(w, "bib-lookup@v1")
+	status, h, _ = post(t, w.Addresses[1], "/v1/chat/completions", key, pin, lookupBody)
 	if status != http.StatusOK || h.Get("X-Model-Version") != "bib-lookup@v2" {
 		t.Fatalf("after: %d %v", status, h)
 	}
-	explicit := strings.Replace(lookup, "bib-lookup", "bib-lookup@v1", 1)
+	explicit := strings.Replace(lookupBody, "bib-lookup", "bib-lookup@v1", 1)
 	status, h, _ = post(t, w.Addresses[1], "/v1/chat/completions", key, nil, explicit)
-	if status != http.StatusGone || h.Get(api.HeaderRan) != "not_run" {
+	if status != http.StatusGone || h.Get(api.HeaderExecutionState) != "not_run" {
 		t.Fatalf("explicit: %d %v", status, h)
 	}
-	if after := startedOn(w, "bib-lookup@v1"); after != before {
+	if after := countRuns(w, "bib-lookup@v1"); after != before {
 		t.Fatalf("%d runs started on the withdrawn version", after-before)
 	}
 }
 
-func startedOn(w *demo.World, version string) int {
+func countRuns(w *demo.World, version string) int {
 	n := 0
 	for _, e := range w.Engines {
-		for _, v := range e.Runs() {
+		for _, v := range e.RunVersions() {
 			if v == version {
 				n++
 			}
@@ -204,8 +204,8 @@
 	return n
 }
 
-func TestBadInputIsRefusedAndChangesNothing(t *testing.T) {
-	w := world(t, 1)
+func TestInvalidInputIsRejected(t *testing.T) {
+	w := newWorld(t, 1)
 	key, operator := demo.Key(demo.Largada), demo.Secrets.OperatorKey
 	chat, patches := "/v1/chat/completions", "/operator/v1/patches"
 	cases := []struct {
@@ -217,15 +217,15 @@
 	}{
 		{"broken JSON", chat, key, nil, `{"model":`, 400, fault.BadRequest},
 		{"no messages", chat, key, nil, `{"model":"bib-lookup"}`, 400, fault.BadRequest},
-		{"unknown model", chat, key, nil, strings.Replace(lookup, "bib-lookup", "no-such", 1), 404, fault.UnknownModel},
-		{"unknown version", chat, key, nil, strings.Replace(lookup, "bib-lookup", "bib-lookup@v9", 1), 404, fault.UnknownModel},
-		{"negative tokens", chat, key, nil, strings.Replace(lookup, "{", `{"max_tokens":-5,`, 1), 400, fault.BadRequest},
-		{"two choices", chat, key, nil, strings.Replace(lookup, "{", `{"n":2,`, 1), 400, fault.BadRequest},
-		{"wrong key", chat, "no-such-key", nil, lookup, 401, fault.Unauthorized},
+		{"unknown model", chat, key, nil, strings.Replace(lookupBody, "bib-lookup", "no-such", 1), 404, fault.UnknownModel},
+		{"unknown version", chat, key, nil, strings.Replace(lookupBody, "bib-lookup", "bib-lookup@v9", 1), 404, fault.UnknownModel},
+		{"negative tokens", chat, key, nil, strings.Replace(lookupBody, "{", `{"max_tokens":-5,`, 1), 400, fault.BadRequest},
+		{"two choices", chat, key, nil, strings.Replace(lookupBody, "{", `{"n":2,`, 1), 400, fault.BadRequest},
+		{"wrong key", chat, "no-such-key", nil, lookupBody, 401, fault.Unauthorized},
 		{"oversize body", chat, key, nil, `{"model":"` + strings.Repeat("x", 1<<20) + `"}`, 413, fault.TooLarge},
-		{"session with blanks", chat, key, http.Header{"X-Session-Id": {"a b"}}, lookup, 400, fault.BadRequest},
-		{"forged session", chat, key, http.Header{"X-Session-Id": {"s1.k1.abc.def"}}, lookup, 403, fault.SessionRefused},
-		{"forged minted key", chat, key, http.Header{"Idempotency-Key": {"dk1.k1.abc.def"}}, lookup, 400, fault.BadRequest},
+		{"session with blanks", chat, key, http.Header{"X-Session-Id": {"a b"}}, lookupBody, 400, fault.BadRequest},
+		{"forged session", chat, key, http.Header{"X-Session-Id": {"s1.k1.abc.def"}}, lookupBody, 403, fault.SessionRefused},
+		{"forged minted key", chat, key, http.Header{"Idempotency-Key": {"dk1.k1.abc.def"}}, lookupBody, 400, fault.BadRequest},
 		{"service without key", "/v1/services/confirm", key, nil, `{}`, 400, fault.BadRequest},
 		{"unknown service", "/v1/services/none", key, nil, `{}`, 404, fault.UnknownModel},
 		{"service body", "/v1/services/confirm", key, http.Header{"Idempotency-Key": {"k"}}, `{`, 400, fault.BadRequest},
@@ -240,11 +240,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			status, h, data := post(t, w.Addresses[0], c.path, c.key, c.header, c.body)
-			var r api.PatchRefusal
+			var r api.PatchErrorResponse
 			if err := json.Unmarshal([]byte(data), &r); err != nil {
 				t.Fatalf("%d %q: %v", status, data, err)
 			}
-			if status != c.status || r.Error.Code != c.kind || r.Error.Ran != fault.NotRun || r.Error.RequestID == "" || h.Get(api.HeaderRequestID) != r.Error.RequestID {
+			if status != c.status || r.Error.Code != c.kind || r.Error.ExecutionState != fault.NotRun || r.Error.RequestID == "" || h.Get(api.HeaderRequestID) != r.Error.RequestID {
 				t.Fatalf("got %d %s", status, data)
 			}
 		})
@@ -253,7 +253,7 @@
 	if err := w.Operator(http.MethodGet, "/config", nil, &cfg); err != nil || cfg.Number != 1 {
 		t.Fatalf("configuration %d, %v", cfg.Number, err)
 	}
-	if n := startedOn(w, "bib-lookup@v1"); n != 0 {
+	if n := countRuns(w, "bib-lookup@v1"); n != 0 {
 		t.Fatalf("%d runs were started", n)
 	}
 }
@@ -261,8 +261,8 @@
 // Symptom: a caller smuggles a second header, or a second request, into ours.
 // Sequence: raw bytes with a bare carriage return, a NUL, or two lengths arrive.
 // Cause: such a request must be refused as a whole, before it is routed.
-func TestHeaderInjectionIsRefused(t *testing.T) {
-	w := world(t, 1)
+func TestMalformedHeadersAreRejected(t *testing.T) {
+	w := newWorld(t, 1)
 	for name, header := range map[string]string{
 		"a bare carriage return": "X-Session-Id: a\rX-Evil: b",
 		"a NUL":                  "X-Session-Id: a\x00b",
@@ -273,7 +273,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer %s\r\nConnection: close\r\n%s\r\n\r\n%s", demo.Key(demo.Largada), header, lookup)
+		_, err = fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer %s\r\nConnection: close\r\n%s\r\n\r\n%s", demo.Key(demo.Largada), header, lookupBody)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -283,7 +283,7 @@
 		}
 		_ = c.Close()
 	}
-	if n := startedOn(w, "bib-lookup@v1"); n != 0 {
+	if n := countRuns(w, "bib-lookup@v1"); n != 0 {
 		t.Fatalf("%d runs were started", n)
 	}
 }
@@ -293,13 +293,13 @@
 // address while callers, who hold endpoint answers for their whole time, go on.
 // Cause: a stopping daemon must leave the endpoint answers first and serve on
 // until the last of them has run out.
-func TestRollingRestartCutsNothing(t *testing.T) {
-	w := world(t, 3)
+func TestRollingRestartLosesNoRequests(t *testing.T) {
+	w := newWorld(t, 3)
 	traffic := demo.NewTraffic(w)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); traffic.Run(ctx, 6, 1) }()
-	until(t, "traffic flows", func() bool { return traffic.Answered() > 20 })
+	waitUntil(t, "traffic flows", func() bool { return traffic.Answered() > 20 })
 	for i := range w.Nodes {
 		if err := w.Restart(t.Context(), i); err != nil {
 			t.Errorf("daemon %d: %v", i, err)
@@ -312,12 +312,12 @@
 	}
 }
 
-func TestMetricsAreReadable(t *testing.T) {
-	w := world(t, 1)
-	if status, _, _ := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookup); status != http.StatusOK {
+func TestMetricsEndpoint(t *testing.T) {
+	w := newWorld(t, 1)
+	if status, _, _ := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	until(t, "the request is counted", func() bool {
+	waitUntil(t, "the request is counted", func() bool {
 		resp, err := http.Get("http://" + w.Addresses[0] + "/metrics")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/app/failure_test.go
+++ b/internal/app/failure_test.go
@@ -20,17 +20,17 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// confirm sends a confirmation with a key and returns status, headers and body.
-func confirm(t *testing.T, address, key, body string) (int, http.Header, string) {
+// postConfirmation sends a confirmation with a key and returns status, headers and body.
+func postConfirmation(t *testing.T, address, key, body string) (int, http.Header, string) {
 	t.Helper()
-	return post(t, address, "/v1/services/confirm", demo.Key(demo.Goldfields), http.Header{api.HeaderKey: {key}}, body)
+	return post(t, address, "/v1/services/confirm", demo.Key(demo.Goldfields), http.Header{api.HeaderIdempotencyKey: {key}}, body)
 }
 
-// executions counts what the plain services really ran.
-func executions(w *demo.World) int {
+// countServiceRuns counts what the plain services really ran.
+func countServiceRuns(w *demo.World) int {
 	n := 0
 	for _, s := range w.Services {
-		for _, k := range s.Runs() {
+		for _, k := range s.RunCounts() {
 			n += k
 		}
 	}
@@ -42,39 +42,39 @@
 // loses the replies of the first appends after acting.
 // Cause: the claim's place in the log decides who runs; everybody else waits for
 // the outcome or is told that the key is taken.
-func TestOneKeyRunsOnceAtAllDaemons(t *testing.T) {
-	w := world(t, 3)
+func TestIdempotencyKeyRunsOnceAcrossDaemons(t *testing.T) {
+	w := newWorld(t, 3)
 	w.Log.LoseReplies(4)
 	var mu sync.Mutex
 	answers := map[string]bool{}
 	var wg sync.WaitGroup
 	for i := range 9 {
 		wg.Go(func() {
-			status, h, body := confirm(t, w.Addresses[i%3], "lot-1", `{"lot":1}`)
+			status, h, body := postConfirmation(t, w.Addresses[i%3], "lot-1", `{"lot":1}`)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case status == http.StatusOK:
 				answers[body] = true
-			case status == http.StatusConflict && h.Get(api.HeaderRan) == "unknown":
+			case status == http.StatusConflict && h.Get(api.HeaderExecutionState) == "unknown":
 			default:
-				t.Errorf("%d %s %s", status, h.Get(api.HeaderRan), body)
+				t.Errorf("%d %s %s", status, h.Get(api.HeaderExecutionState), body)
 			}
 		})
 	}
 	wg.Wait()
-	if executions(w) != 1 || len(answers) != 1 {
-		t.Fatalf("%d executions, answers %v", executions(w), answers)
+	if countServiceRuns(w) != 1 || len(answers) != 1 {
+		t.Fatalf("%d executions, answers %v", countServiceRuns(w), answers)
 	}
-	status, h, body := confirm(t, w.Addresses[2], "lot-1", `{"lot":1}`)
-	if status != http.StatusOK || !answers[body] || h.Get(api.HeaderReplayed) != "true" {
+	status, h, body := postConfirmation(t, w.Addresses[2], "lot-1", `{"lot":1}`)
+	if status != http.StatusOK || !answers[body] || h.Get(api.HeaderIdempotencyReplayed) != "true" {
 		t.Fatalf("a repeat: %d %v %s", status, h, body)
 	}
-	if status, h, _ := confirm(t, w.Addresses[1], "lot-1", `{"lot":2}`); status != http.StatusUnprocessableEntity || h.Get(api.HeaderRan) != "not_run" {
+	if status, h, _ := postConfirmation(t, w.Addresses[1], "lot-1", `{"lot":2}`); status != http.StatusUnprocessableEntity || h.Get(api.HeaderExecutionState) != "not_run" {
 		t.Fatalf("another body: %d", status)
 	}
-	if executions(w) != 1 {
-		t.Fatalf("%d executions", executions(w))
+	if countServiceRuns(w) != 1 {
+		t.Fatalf("%d executions", countServiceRuns(w))
 	}
 }
 
@@ -83,33 +83,33 @@
 // Sequence: the log goes down; a key is sent; a key that a daemon minted is sent
 // twice; the log comes back and the first key is sent again.
 // Cause: without a claim nothing may run but what one incarnation alone may run.
-func TestPaymentsWhileTheLogIsDown(t *testing.T) {
-	w := world(t, 2)
+func TestIdempotencyKeysDuringLogOutage(t *testing.T) {
+	w := newWorld(t, 2)
 	w.Log.SetDown(true)
-	status, h, _ := confirm(t, w.Addresses[0], "lot-2", `{}`)
-	if status != http.StatusServiceUnavailable || h.Get(api.HeaderRan) != "not_run" || h.Get("Retry-After") == "" || executions(w) != 0 {
-		t.Fatalf("without the log: %d %v, %d executions", status, h, executions(w))
+	status, h, _ := postConfirmation(t, w.Addresses[0], "lot-2", `{}`)
+	if status != http.StatusServiceUnavailable || h.Get(api.HeaderExecutionState) != "not_run" || h.Get("Retry-After") == "" || countServiceRuns(w) != 0 {
+		t.Fatalf("without the log: %d %v, %d executions", status, h, countServiceRuns(w))
 	}
 	status, _, body := post(t, w.Addresses[1], "/v1/keys", demo.Key(demo.Goldfields), nil, "")
 	var minted struct{ Key, Endpoint string }
 	if json.Unmarshal([]byte(body), &minted); status != http.StatusCreated || minted.Endpoint != w.Addresses[1] {
 		t.Fatalf("mint: %d %s", status, body)
 	}
-	first, _, answer := confirm(t, w.Addresses[1], minted.Key, `{}`)
-	again, h, repeat := confirm(t, w.Addresses[1], minted.Key, `{}`)
-	if first != http.StatusOK || again != http.StatusOK || answer != repeat || h.Get(api.HeaderReplayed) != "true" || executions(w) != 1 {
-		t.Fatalf("minted key: %d %d, %d executions", first, again, executions(w))
+	first, _, answer := postConfirmation(t, w.Addresses[1], minted.Key, `{}`)
+	second, h, replayed := postConfirmation(t, w.Addresses[1], minted.Key, `{}`)
+	if first != http.StatusOK || second != http.StatusOK || answer != replayed || h.Get(api.HeaderIdempotencyReplayed) != "true" || countServiceRuns(w) != 1 {
+		t.Fatalf("minted key: %d %d, %d executions", first, second, countServiceRuns(w))
 	}
-	if status, h, _ := confirm(t, w.Addresses[0], minted.Key, `{}`); status != http.StatusConflict || h.Get(api.HeaderRan) != "unknown" {
+	if status, h, _ := postConfirmation(t, w.Addresses[0], minted.Key, `{}`); status != http.StatusConflict || h.Get(api.HeaderExecutionState) != "unknown" {
 		t.Fatalf("minted key elsewhere: %d %v", status, h)
 	}
 	w.Log.SetDown(false)
-	until(t, "the abandoned claim is void and the key runs", func() bool {
-		status, _, _ := confirm(t, w.Addresses[0], "lot-2", `{}`)
+	waitUntil(t, "the abandoned claim is void and the key runs", func() bool {
+		status, _, _ := postConfirmation(t, w.Addresses[0], "lot-2", `{}`)
 		return status == http.StatusOK
 	})
-	if executions(w) != 2 {
-		t.Fatalf("%d executions", executions(w))
+	if countServiceRuns(w) != 2 {
+		t.Fatalf("%d executions", countServiceRuns(w))
 	}
 }
 
@@ -119,30 +119,30 @@
 // connections work.
 // Cause: the stream must be resumed on a new connection from the last event, as
 // the same run.
-func TestSilentStreamsAreResumed(t *testing.T) {
-	w := world(t, 1)
+func TestStalledStreamsAreResumed(t *testing.T) {
+	w := newWorld(t, 1)
 	for _, e := range w.Engines {
-		e.SetSilent(true)
+		e.SetStalled(true)
 	}
-	status, _, body := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookup)
+	status, _, body := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody)
 	if status != http.StatusOK {
 		t.Fatalf("%d %s", status, body)
 	}
 	whole := ""
 	for _, e := range w.Engines {
-		for _, text := range e.Texts() {
+		for _, text := range e.Answers() {
 			whole += text
 		}
 	}
-	if !strings.Contains(body, strings.TrimSpace(whole)) || startedOn(w, "bib-lookup@v1") != 1 {
-		t.Fatalf("%d runs; %s", startedOn(w, "bib-lookup@v1"), body)
+	if !strings.Contains(body, strings.TrimSpace(whole)) || countRuns(w, "bib-lookup@v1") != 1 {
+		t.Fatalf("%d runs; %s", countRuns(w, "bib-lookup@v1"), body)
 	}
 }
 
-// bills reads the usage stream as the ledger does.
-func bills(w *demo.World) *billing.Ledger {
+// readLedger reads the usage stream as the ledger does.
+func readLedger(w *demo.World) *billing.Ledger {
 	l := billing.NewLedger()
-	for _, data := range w.Log.All(daemon.UsageStream) {
+	for _, data := range w.Log.Records(daemon.UsageStream) {
 		var batch []billing.UsageRecord
 		if cbor.Unmarshal(data, &batch) == nil {
 			for _, u := range batch {
@@ -158,23 +158,23 @@
 // Sequence: the log goes down; chats are answered; their daemon is killed; the
 // log comes back.
 // Cause: the keeper in another failure domain must append its copies.
-func TestKeeperBillsForALostDaemon(t *testing.T) {
-	w := world(t, 3)
+func TestReplicatedUsageIsBilledAfterDaemonLoss(t *testing.T) {
+	w := newWorld(t, 3)
 	w.Log.SetDown(true)
 	const chats = 5
 	for i := range chats {
-		body := strings.Replace(lookup, "bib 7", fmt.Sprint("bib ", i), 1)
+		body := strings.Replace(lookupBody, "bib 7", fmt.Sprint("bib ", i), 1)
 		if status, _, data := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, body); status != http.StatusOK {
 			t.Fatalf("%d %s", status, data)
 		}
 	}
-	if bills(w).Len() != 0 {
+	if readLedger(w).Len() != 0 {
 		t.Fatal("the log took bills while it was down")
 	}
 	w.Kill(0)
 	w.Log.SetDown(false)
-	until(t, "the keeper's copies are billed", func() bool { return bills(w).Len() == chats })
-	if l := bills(w); len(l.Conflicting) > 0 {
+	waitUntil(t, "the keeper's copies are billed", func() bool { return readLedger(w).Len() == chats })
+	if l := readLedger(w); len(l.Conflicting) > 0 {
 		t.Fatalf("doubtful: %v", l.Conflicting)
 	}
 }
@@ -184,8 +184,8 @@
 // Sequence: the log goes down; a daemon's VM is replaced by a fresh one.
 // Cause: it must take the highest number that daemons of several failure domains
 // have, and refuse until then.
-func TestFreshDaemonLearnsFromPeers(t *testing.T) {
-	w := world(t, 4)
+func TestNewDaemonLoadsConfigurationFromPeers(t *testing.T) {
+	w := newWorld(t, 4)
 	if err := w.Apply(fleet.Patch{Workspaces: map[string]json.RawMessage{demo.Largada: json.RawMessage(`{"priority":4}`)}}); err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 	if err := w.Revive(3); err != nil {
 		t.Fatal(err)
 	}
-	status, _, body := post(t, w.Addresses[3], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookup)
+	status, _, body := post(t, w.Addresses[3], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody)
 	if status != http.StatusOK {
 		t.Fatalf("%d %s", status, body)
 	}
@@ -207,14 +207,14 @@
 // Symptom: requests are cut because they were sent to a server that goes away.
 // Sequence: the platform lists a server as leaving.
 // Cause: it must get no new work from any daemon after the list's word.
-func TestLeavingServerGetsNoNewWork(t *testing.T) {
-	w := world(t, 2)
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
+	w := newWorld(t, 2)
 	for id := range w.Engines {
 		if id != "lm-desk-0" {
 			w.VMs.Set(platform.VM{ID: id, State: platform.Leaving})
 		}
 	}
-	shown := func(i int) int {
+	countLeaving := func(i int) int {
 		var servers []daemon.ServerView
 		if err := w.OperatorAt(i, http.MethodGet, "/servers", nil, &servers); err != nil {
 			t.Fatal(err)
@@ -227,15 +227,15 @@
 		}
 		return n
 	}
-	until(t, "both daemons know", func() bool { return shown(0) == len(w.Engines)-1 && shown(1) == len(w.Engines)-1 })
+	waitUntil(t, "both daemons know", func() bool { return countLeaving(0) == len(w.Engines)-1 && countLeaving(1) == len(w.Engines)-1 })
 	for i := range 10 {
-		if status, _, body := post(t, w.Addresses[i%2], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookup); status != http.StatusOK {
+		if status, _, body := post(t, w.Addresses[i%2], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody); status != http.StatusOK {
 			t.Fatalf("%d %s", status, body)
 		}
 	}
 	for id, e := range w.Engines {
-		if id != "lm-desk-0" && e.Started() > 0 {
-			t.Errorf("%s started %d runs", id, e.Started())
+		if id != "lm-desk-0" && e.StartedRuns() > 0 {
+			t.Errorf("%s started %d runs", id, e.StartedRuns())
 		}
 	}
 }
@@ -244,23 +244,23 @@
 // Sequence: a version is withdrawn; an engine that ignores fencing loads it by an
 // old holder's order.
 // Cause: the holder must read back what servers hold and correct it.
-func TestHolderCorrectsServers(t *testing.T) {
-	w := world(t, 1)
+func TestLeaseHolderUnloadsWithdrawnVersion(t *testing.T) {
+	w := newWorld(t, 1)
 	err := w.Apply(fleet.Patch{Models: map[string]json.RawMessage{"bib-lookup": json.RawMessage(`{"versions":{"v2":{"state":"withdrawn"}}}`)}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := func() bool {
+	unloaded := func() bool {
 		for _, e := range w.Engines {
-			if e.Holds("bib-lookup@v2") {
+			if e.HasVersion("bib-lookup@v2") {
 				return false
 			}
 		}
 		return true
 	}
-	until(t, "every engine has unloaded it", gone)
+	waitUntil(t, "every engine has unloaded it", unloaded)
 	w.Engines["lm-desk-3"].SetBehaviour("bib-lookup@v2", standin.Behaviour{})
-	until(t, "the late order is corrected", gone)
+	waitUntil(t, "the late order is corrected", unloaded)
 }
 
 // Symptom: one engine after the other ends, and everybody's requests fail.
@@ -268,20 +268,20 @@
 // its caller sends it again, to another daemon.
 // Cause: nothing knew the request again.
 func TestRequestThatEndsItsEnginesIsKeptFromThem(t *testing.T) {
-	w := world(t, 3)
-	deadly := strings.Replace(lookup, "status of", standin.DeadlyMark, 1)
-	ask := func(i int, body string) (int, string) {
+	w := newWorld(t, 3)
+	crashBody := strings.Replace(lookupBody, "status of", standin.CrashMarker, 1)
+	send := func(i int, body string) (int, string) {
 		status, _, answer := post(t, w.Addresses[i%3], "/v1/chat/completions", demo.Key(demo.Largada), nil, body)
 		return status, answer
 	}
-	if status, answer := ask(0, deadly); status != http.StatusBadGateway || strings.Contains(answer, string(fault.NotRun)) {
+	if status, answer := send(0, crashBody); status != http.StatusBadGateway || strings.Contains(answer, string(fault.NotRun)) {
 		t.Errorf("the first caller got %d %s", status, answer)
 	}
 	for i := range 3 {
-		until(t, "held at all daemons", func() bool { return len(holds(t, w, i)) == 1 })
+		waitUntil(t, "held at all daemons", func() bool { return len(listHolds(t, w, i)) == 1 })
 	}
 	for i := range 9 {
-		if status, answer := ask(i, deadly); status != http.StatusServiceUnavailable || !strings.Contains(answer, string(fault.Quarantined)) || !strings.Contains(answer, string(fault.NotRun)) {
+		if status, answer := send(i, crashBody); status != http.StatusServiceUnavailable || !strings.Contains(answer, string(fault.Quarantined)) || !strings.Contains(answer, string(fault.NotRun)) {
 			t.Errorf("a later caller got %d %s", status, answer)
 		}
 	}
@@ -289,21 +289,21 @@
 		t.Errorf("%d engines ended", n)
 	}
 	for i := range 3 {
-		if status, answer := ask(i, lookup); status != http.StatusOK {
+		if status, answer := send(i, lookupBody); status != http.StatusOK {
 			t.Errorf("another request got %d %s", status, answer)
 		}
 	}
-	held := holds(t, w, 1)[0].Fingerprint
+	held := listHolds(t, w, 1)[0].Fingerprint
 	if err := w.OperatorAt(1, http.MethodDelete, "/holds/"+held, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		until(t, "released at all daemons", func() bool { return len(holds(t, w, i)) == 0 })
+		waitUntil(t, "released at all daemons", func() bool { return len(listHolds(t, w, i)) == 0 })
 	}
 }
 
-// holds returns the requests that a daemon keeps from servers.
-func holds(t *testing.T, w *demo.World, daemon int) (out []api.HeldRequest) {
+// listHolds returns the requests that a daemon keeps from servers.
+func listHolds(t *testing.T, w *demo.World, daemon int) (out []api.HeldRequest) {
 	t.Helper()
 	if err := w.OperatorAt(daemon, http.MethodGet, "/holds", nil, &out); err != nil {
 		t.Fatal(err)
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -40,70 +40,70 @@
 
 // Node is a daemon with its listeners.
 type Node struct {
-	Daemon  *daemon.Daemon
-	log     *log.Logger
-	callers *http.Server
-	peers   *http.Server
-	peering *peer.Server
-	stop    context.CancelFunc
-	done    chan struct{}
-	closers []io.Closer
-	kill    sync.Once
+	Daemon         *daemon.Daemon
+	logger         *log.Logger
+	callerServer   *http.Server
+	peerHTTPServer *http.Server
+	peerServer     *peer.Server
+	cancel         context.CancelFunc
+	done           chan struct{}
+	closers        []io.Closer
+	killOnce       sync.Once
 }
 
 // NewLogger returns the logger of a daemon.
 func NewLogger(w io.Writer, id, level string) *log.Logger {
-	l := log.NewWithOptions(w, log.Options{ReportTimestamp: true, Prefix: id})
-	if parsed, err := log.ParseLevel(level); err == nil {
-		l.SetLevel(parsed)
+	logger := log.NewWithOptions(w, log.Options{ReportTimestamp: true, Prefix: id})
+	if parsedLevel, err := log.ParseLevel(level); err == nil {
+		logger.SetLevel(parsedLevel)
 	}
-	return l
+	return logger
 }
 
 // Start opens the listeners and starts the daemon.
-func Start(s settings.Settings, secrets settings.Secrets, l *log.Logger) (*Node, error) {
-	callers, err := net.Listen("tcp", s.Listen)
+func Start(s settings.Settings, secrets settings.Secrets, logger *log.Logger) (*Node, error) {
+	callerListener, err := net.Listen("tcp", s.Listen)
 	if err != nil {
 		return nil, oops.In("app").Wrapf(err, "listen: %s", s.Listen)
 	}
-	peers, err := net.Listen("tcp", s.PeerListen)
+	peerListener, err := net.Listen("tcp", s.PeerListen)
 	if err != nil {
-		_ = callers.Close()
+		_ = callerListener.Close()
 		return nil, oops.In("app").Wrapf(err, "peer_listen: %s", s.PeerListen)
 	}
-	return StartOn(s, secrets, l, callers, peers)
+	return StartWithListeners(s, secrets, logger, callerListener, peerListener)
 }
 
-// StartOn starts a daemon on open listeners; the settings' addresses follow them.
-func StartOn(s settings.Settings, secrets settings.Secrets, l *log.Logger, callers, peers net.Listener) (*Node, error) {
-	s.Listen, s.PeerListen = callers.Addr().String(), peers.Addr().String()
-	scope, handler, closer := newMetrics()
-	ports := daemon.Dependencies{Log: platform.NewClient(s.Log, platformTimeout), Logger: l, Metrics: scope}
+// StartWithListeners starts a daemon on open listeners; the settings' addresses follow them.
+func StartWithListeners(s settings.Settings, secrets settings.Secrets, logger *log.Logger, callerListener, peerListener net.Listener) (*Node, error) {
+	s.Listen, s.PeerListen = callerListener.Addr().String(), peerListener.Addr().String()
+	scope, handler, closer := newMetricsScope()
+	deps := daemon.Dependencies{Log: platform.NewClient(s.Log, platformTimeout), Logger: logger, Metrics: scope}
 	if s.VMList != "" {
-		ports.VMs = platform.NewClient(s.VMList, platformTimeout)
+		deps.VMs = platform.NewClient(s.VMList, platformTimeout)
 	}
 	if s.Rating != "" {
-		ports.Rater = platform.NewClient(s.Rating, platformTimeout)
+		deps.Rater = platform.NewClient(s.Rating, platformTimeout)
 	}
 	if s.Weights != "" {
-		ports.Weights = platform.NewClient(s.Weights, platformTimeout)
+		deps.Weights = platform.NewClient(s.Weights, platformTimeout)
 	}
-	n := &Node{log: l, done: make(chan struct{}), closers: []io.Closer{closer}}
+	n := &Node{logger: logger, done: make(chan struct{}), closers: []io.Closer{closer}}
 	if s.TLS != nil {
-		t, err := newTLS(*s.TLS)
+		certs, err := newCertReloader(*s.TLS)
 		if err != nil {
 			return nil, err
 		}
-		ports.PeerTLS = t.client()
-		callers, peers = t.callers(callers), t.peers(peers)
+		deps.PeerTLS = certs.peerClientConfig()
+		callerListener, peerListener = certs.callerListener(callerListener), certs.peerListener(peerListener)
 	}
-	n.Daemon = daemon.New(s, secrets, ports)
-	panics := n.Daemon.PanicCounter()
-	n.callers = serve(callers, recovery.Handler(api.New(n.Daemon, l, handler), panics, l))
-	n.peering = n.Daemon.PeerServer()
-	n.peers = serve(peers, recovery.Handler(n.peering, panics, l))
+	n.Daemon = daemon.New(s, secrets, deps)
+	panicCounter := n.Daemon.PanicCounter()
+	n.callerServer = serve(callerListener, recovery.Handler(api.New(n.Daemon, logger, handler), panicCounter, logger))
+	n.peerServer = n.Daemon.PeerServer()
+	n.peerHTTPServer = serve(peerListener, recovery.Handler(n.peerServer, panicCounter, logger))
 	ctx, cancel := context.WithCancel(context.Background())
-	n.stop = cancel
+	n.cancel = cancel
 	go func() {
 		defer close(n.done)
 		n.Daemon.Run(ctx)
@@ -117,7 +117,7 @@
 	return s
 }
 
-func newMetrics() (tally.Scope, http.Handler, io.Closer) {
+func newMetricsScope() (tally.Scope, http.Handler, io.Closer) {
 	registry := prometheus.NewRegistry()
 	reporter := promreporter.NewReporter(promreporter.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -133,7 +133,7 @@
 	running, unconfirmed := n.Daemon.Drain(ctx)
 	closeCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	_ = n.callers.Shutdown(closeCtx)
+	_ = n.callerServer.Shutdown(closeCtx)
 	n.Kill()
 	if running > 0 || unconfirmed > 0 {
 		return oops.In("app").Errorf("cut %d running requests; %d usage records are unconfirmed", running, unconfirmed)
@@ -143,17 +143,17 @@
 
 // Kill ends the daemon at once, as the loss of its VM does. A second call does
 // nothing.
-func (n *Node) Kill() { n.kill.Do(n.end) }
+func (n *Node) Kill() { n.killOnce.Do(n.shutDown) }
 
-func (n *Node) end() {
-	_ = n.callers.Close()
-	_ = n.peers.Close()
-	n.peering.Close()
-	n.stop()
+func (n *Node) shutDown() {
+	_ = n.callerServer.Close()
+	_ = n.peerHTTPServer.Close()
+	n.peerServer.Close()
+	n.cancel()
 	<-n.done
 	for _, c := range n.closers {
 		_ = c.Close()
 	}
 }
 
-var errSignal = errors.New("stopped by a second signal")
+var errSecondSignal = errors.New("stopped by a second signal")
--- a/internal/app/tls.go
+++ b/internal/app/tls.go
@@ -13,66 +13,66 @@
 	"github.com/damaskrudder/damaskrudder/internal/settings"
 )
 
-// reloadEvery is how often certificate files are looked at again.
-const reloadEvery = 2 * time.Second
+// reloadInterval is how often certificate files are looked at again.
+const reloadInterval = 2 * time.Second
 
-// certificates serves a certificate that is read again when its file changes,
+// certReloader serves a certificate that is read again when its file changes,
 // so that keys rotate without a restart. A file that cannot be read keeps the
 // last good one.
-type certificates struct {
-	files   settings.TLS
-	mu      sync.Mutex
-	cert    *tls.Certificate
-	pool    *x509.CertPool
-	changed time.Time
-	looked  time.Time
+type certReloader struct {
+	files     settings.TLS
+	mu        sync.Mutex
+	cert      *tls.Certificate
+	caPool    *x509.CertPool
+	modTime   time.Time
+	lastCheck time.Time
 }
 
-func newTLS(files settings.TLS) (*certificates, error) {
-	c := &certificates{files: files}
+func newCertReloader(files settings.TLS) (*certReloader, error) {
+	c := &certReloader{files: files}
 	return c, c.load()
 }
 
-func (c *certificates) load() error {
+func (c *certReloader) load() error {
 	cert, err := tls.LoadX509KeyPair(c.files.CertFile, c.files.KeyFile)
 	if err != nil {
 		return oops.In("tls").Wrapf(err, "tls: cert_file and key_file")
 	}
-	ca, err := os.ReadFile(c.files.CAFile)
+	caPEM, err := os.ReadFile(c.files.CAFile)
 	if err != nil {
 		return oops.In("tls").Wrapf(err, "tls: ca_file")
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(ca) {
+	if !pool.AppendCertsFromPEM(caPEM) {
 		return oops.In("tls").Errorf("tls: ca_file: %s holds no certificate", c.files.CAFile)
 	}
-	c.cert, c.pool, c.changed = &cert, pool, c.modified()
+	c.cert, c.caPool, c.modTime = &cert, pool, c.newestModTime()
 	return nil
 }
 
-func (c *certificates) modified() time.Time {
+func (c *certReloader) newestModTime() time.Time {
 	var newest time.Time
-	for _, f := range []string{c.files.CertFile, c.files.KeyFile, c.files.CAFile} {
-		if info, err := os.Stat(f); err == nil && info.ModTime().After(newest) {
+	for _, file := range []string{c.files.CertFile, c.files.KeyFile, c.files.CAFile} {
+		if info, err := os.Stat(file); err == nil && info.ModTime().After(newest) {
 			newest = info.ModTime()
 		}
 	}
 	return newest
 }
 
-func (c *certificates) current() (*tls.Certificate, *x509.CertPool) {
+func (c *certReloader) current() (*tls.Certificate, *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := time.Now(); now.Sub(c.looked) >= reloadEvery {
-		c.looked = now
-		if c.modified() != c.changed {
+	if now := time.Now(); now.Sub(c.lastCheck) >= reloadInterval {
+		c.lastCheck = now
+		if c.newestModTime() != c.modTime {
 			_ = c.load()
 		}
 	}
-	return c.cert, c.pool
+	return c.cert, c.caPool
 }
 
-func (c *certificates) callers(l net.Listener) net.Listener {
+func (c *certReloader) callerListener(l net.Listener) net.Listener {
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -82,7 +82,7 @@
 	})
 }
 
-func (c *certificates) peers(l net.Listener) net.Listener {
+func (c *certReloader) peerListener(l net.Listener) net.Listener {
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -92,10 +92,10 @@
 	})
 }
 
-// client verifies the peer's chain against the current authorities itself,
+// peerClientConfig verifies the peer's chain against the current authorities itself,
 // because a static RootCAs would outlive a rotation. Names are not compared:
 // peers are reached by IP number, and the peer key proves that they are ours.
-func (c *certificates) client() *tls.Config {
+func (c *certReloader) peerClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -103,14 +103,14 @@
 			return cert, nil
 		},
 		InsecureSkipVerify: true, // VerifyConnection below replaces it.
-		VerifyConnection: func(s tls.ConnectionState) error {
+		VerifyConnection: func(state tls.ConnectionState) error {
 			_, pool := c.current()
-			rest := x509.NewCertPool()
-			for _, cert := range s.PeerCertificates[1:] {
-				rest.AddCert(cert)
+			intermediates := x509.NewCertPool()
+			for _, cert := range state.PeerCertificates[1:] {
+				intermediates.AddCert(cert)
 			}
-			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{
-				Roots: pool, Intermediates: rest, CurrentTime: time.Now(),
+			_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
+				Roots: pool, Intermediates: intermediates, CurrentTime: time.Now(),
 			})
 			return err
 		},
--- a/internal/app/tls_test.go
+++ b/internal/app/tls_test.go
@@ -20,34 +20,34 @@
 	"github.com/damaskrudder/damaskrudder/internal/settings"
 )
 
-// authority signs certificates for tests.
-type authority struct {
+// testCA signs certificates for tests.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &authority{key: key, cert: &x509.Certificate{
+	ca := &testCA{key: key, cert: &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "ca"}, NotAfter: time.Now().Add(time.Hour),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}}
-	return a
+	return ca
 }
 
-func write(t *testing.T, file, kind string, der []byte) {
+func writePEM(t *testing.T, file, kind string, der []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// issue writes a certificate with a serial number and the authority's own.
-func (a *authority) issue(t *testing.T, dir string, serial int64) settings.TLS {
+// issueFiles writes a certificate with a serial number and the authority's own.
+func (a *testCA) issueFiles(t *testing.T, dir string, serial int64) settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -57,7 +57,7 @@
 		SerialNumber: big.NewInt(serial), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	ca, err := x509.CreateCertificate(rand.Reader, a.cert, a.cert, &a.key.PublicKey, a.key)
+	caDER, err := x509.CreateCertificate(rand.Reader, a.cert, a.cert, &a.key.PublicKey, a.key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,14 +65,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	private, err := x509.MarshalECPrivateKey(key)
+	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := settings.TLS{CertFile: filepath.Join(dir, "cert.pem"), KeyFile: filepath.Join(dir, "key.pem"), CAFile: filepath.Join(dir, "ca.pem")}
-	write(t, f.CertFile, "CERTIFICATE", der)
-	write(t, f.KeyFile, "EC PRIVATE KEY", private)
-	write(t, f.CAFile, "CERTIFICATE", ca)
+	writePEM(t, f.CertFile, "CERTIFICATE", der)
+	writePEM(t, f.KeyFile, "EC PRIVATE KEY", keyDER)
+	writePEM(t, f.CAFile, "CERTIFICATE", caDER)
 	return f
 }
 
@@ -82,8 +82,8 @@
 // and one without a certificate; the certificate's files are replaced.
 // Cause: both sides must verify, against the files as they are now.
 func TestPeerTLS(t *testing.T) {
-	ours, dir := newAuthority(t), t.TempDir()
-	server, err := newTLS(ours.issue(t, dir, 7))
+	trustedCA, dir := newTestCA(t), t.TempDir()
+	server, err := newCertReloader(trustedCA.issueFiles(t, dir, 7))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "in") })}
-	go func() { _ = srv.Serve(server.peers(l)) }()
+	go func() { _ = srv.Serve(server.peerListener(l)) }()
 	defer srv.Close()
 	get := func(c *tls.Config) (serial int64, err error) {
 		tr := &http.Transport{TLSClientConfig: c}
@@ -104,41 +104,41 @@
 		defer resp.Body.Close()
 		return resp.TLS.PeerCertificates[0].SerialNumber.Int64(), nil
 	}
-	friend, err := newTLS(ours.issue(t, t.TempDir(), 8))
+	trustedPeer, err := newCertReloader(trustedCA.issueFiles(t, t.TempDir(), 8))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if serial, err := get(friend.client()); err != nil || serial != 7 {
+	if serial, err := get(trustedPeer.peerClientConfig()); err != nil || serial != 7 {
 		t.Fatalf("a peer of ours: %d %v", serial, err)
 	}
-	stranger, err := newTLS(newAuthority(t).issue(t, t.TempDir(), 9))
+	untrustedPeer, err := newCertReloader(newTestCA(t).issueFiles(t, t.TempDir(), 9))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := get(stranger.client()); err == nil {
+	if _, err := get(untrustedPeer.peerClientConfig()); err == nil {
 		t.Fatal("a peer of another authority got in")
 	}
 	if _, err := get(&tls.Config{InsecureSkipVerify: true}); err == nil {
 		t.Fatal("a peer without a certificate got in")
 	}
-	ours.issue(t, dir, 10)
+	trustedCA.issueFiles(t, dir, 10)
 	later := time.Now().Add(time.Minute)
 	if err := os.Chtimes(filepath.Join(dir, "cert.pem"), later, later); err != nil {
 		t.Fatal(err)
 	}
 	server.mu.Lock()
-	server.looked = time.Time{}
+	server.lastCheck = time.Time{}
 	server.mu.Unlock()
-	if serial, err := get(friend.client()); err != nil || serial != 10 {
+	if serial, err := get(trustedPeer.peerClientConfig()); err != nil || serial != 10 {
 		t.Fatalf("after the renewal: %d %v", serial, err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "key.pem"), []byte("broken"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	server.mu.Lock()
-	server.looked = time.Time{}
+	server.lastCheck = time.Time{}
 	server.mu.Unlock()
-	if serial, err := get(friend.client()); err != nil || serial != 10 {
+	if serial, err := get(trustedPeer.peerClientConfig()); err != nil || serial != 10 {
 		t.Fatalf("with a broken file: %d %v", serial, err)
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,8 +17,8 @@
 const (
 	// ExitOK is success.
 	ExitOK = 0
-	// ExitFailed is an error while working.
-	ExitFailed = 1
+	// ExitFailure is an error while working.
+	ExitFailure = 1
 	// ExitUsage is a wrong command line, wrong settings or wrong input files.
 	ExitUsage = 2
 	// ExitConflict is a patch written against a stale configuration number.
@@ -27,47 +27,47 @@
 	ExitUnreachable = 4
 )
 
-// Error is an error with an exit code of its own.
-type Error struct {
+// ExitError is an error with an exit code of its own.
+type ExitError struct {
 	Code int
 	Err  error
 }
 
 // Error implements error.
-func (e *Error) Error() string { return e.Err.Error() }
+func (e *ExitError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the error itself.
-func (e *Error) Unwrap() error { return e.Err }
+func (e *ExitError) Unwrap() error { return e.Err }
 
-// Usage returns an error that exits with ExitUsage.
-func Usage(err error) error {
+// UsageError returns an error that exits with ExitUsage.
+func UsageError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return &Error{ExitUsage, err}
+	return &ExitError{ExitUsage, err}
 }
 
-// Flags returns a flag set under a parent. Define adds the flags.
-func Flags(name string, parent *ff.FlagSet, define func(*flag.FlagSet)) *ff.FlagSet {
-	std := flag.NewFlagSet(name, flag.ContinueOnError)
-	define(std)
-	set := ff.NewFlagSetFrom(name, std)
+// NewFlagSet returns a flag set under a parent. Define adds the flags.
+func NewFlagSet(name string, parent *ff.FlagSet, define func(*flag.FlagSet)) *ff.FlagSet {
+	stdFlags := flag.NewFlagSet(name, flag.ContinueOnError)
+	define(stdFlags)
+	flags := ff.NewFlagSetFrom(name, stdFlags)
 	if parent != nil {
-		set.SetParent(parent)
+		flags.SetParent(parent)
 	}
-	return set
+	return flags
 }
 
 // Main parses and runs a command line and returns the exit code. Every flag may
 // also be set by an environment variable with the prefix.
-func Main(root *ff.Command, envPrefix string, args []string, out, errw io.Writer) int {
+func Main(root *ff.Command, envPrefix string, args []string, stdout, stderr io.Writer) int {
 	err := root.Parse(args, ff.WithEnvVarPrefix(envPrefix))
 	if errors.Is(err, ff.ErrHelp) {
-		fmt.Fprint(out, ffhelp.Command(root.GetSelected()))
+		fmt.Fprint(stdout, ffhelp.Command(root.GetSelected()))
 		return ExitOK
 	}
 	if err != nil {
-		fmt.Fprintf(errw, "%s; see %s -help\n", err, root.Name)
+		fmt.Fprintf(stderr, "%s; see %s -help\n", err, root.Name)
 		return ExitUsage
 	}
 	err = root.Run(context.Background())
@@ -75,13 +75,13 @@
 		return ExitOK
 	}
 	if errors.Is(err, ff.ErrNoExec) {
-		fmt.Fprint(errw, ffhelp.Command(root.GetSelected()))
+		fmt.Fprint(stderr, ffhelp.Command(root.GetSelected()))
 		return ExitUsage
 	}
-	fmt.Fprintf(errw, "%s: %v\n", root.Name, err)
-	var coded *Error
-	if errors.As(err, &coded) {
-		return coded.Code
+	fmt.Fprintf(stderr, "%s: %v\n", root.Name, err)
+	var exitErr *ExitError
+	if errors.As(err, &exitErr) {
+		return exitErr.Code
 	}
-	return ExitFailed
+	return ExitFailure
 }
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -21,66 +21,66 @@
 
 // client talks to the first daemon that answers.
 type client struct {
-	addresses []string
-	key       string
-	http      *http.Client
+	addresses  []string
+	key        string
+	httpClient *http.Client
 }
 
-const callTimeout = 15 * time.Second
+const requestTimeout = 15 * time.Second
 
 // newClient returns a client. A ca file names the authorities of https addresses
 // beside the system's own.
-func newClient(addresses, key, ca string) (*client, error) {
+func newClient(addresses, key, caFile string) (*client, error) {
 	if addresses == "" {
-		return nil, cli.Usage(errors.New("-address is needed, or RUDDERCTL_ADDRESS"))
+		return nil, cli.UsageError(errors.New("-address is needed, or RUDDERCTL_ADDRESS"))
 	}
 	if key == "" {
-		return nil, cli.Usage(errors.New("-key is needed, or RUDDERCTL_KEY"))
+		return nil, cli.UsageError(errors.New("-key is needed, or RUDDERCTL_KEY"))
 	}
-	c := &client{strings.Split(addresses, ","), key, &http.Client{Timeout: callTimeout}}
-	if ca == "" {
+	c := &client{strings.Split(addresses, ","), key, &http.Client{Timeout: requestTimeout}}
+	if caFile == "" {
 		return c, nil
 	}
-	data, err := os.ReadFile(ca)
+	data, err := os.ReadFile(caFile)
 	if err != nil {
-		return nil, cli.Usage(err)
+		return nil, cli.UsageError(err)
 	}
 	pool, err := x509.SystemCertPool()
 	if err != nil {
 		pool = x509.NewCertPool()
 	}
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, cli.Usage(fmt.Errorf("-ca: %s holds no certificate", ca))
+		return nil, cli.UsageError(fmt.Errorf("-ca: %s holds no certificate", caFile))
 	}
-	c.http.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
+	c.httpClient.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
 	return c, nil
 }
 
-func (c *client) base(address string) string {
+func (c *client) baseURL(address string) string {
 	if strings.Contains(address, "://") {
 		return address
 	}
 	return "http://" + address
 }
 
-// do calls the first daemon that can be reached.
-func (c *client) do(ctx context.Context, method, path string, in, out any) error {
-	var last error
+// doJSON calls the first daemon that can be reached.
+func (c *client) doJSON(ctx context.Context, method, path string, in, out any) error {
+	var lastErr error
 	for _, a := range c.addresses {
-		status, data, err := c.once(ctx, a, method, path, in)
+		status, data, err := c.doOnce(ctx, a, method, path, in)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		if status >= http.StatusBadRequest {
-			return refusal(status, data)
+			return responseError(status, data)
 		}
 		return json.Unmarshal(data, out)
 	}
-	return &cli.Error{Code: cli.ExitUnreachable, Err: fmt.Errorf("no daemon answered: %w", last)}
+	return &cli.ExitError{Code: cli.ExitUnreachable, Err: fmt.Errorf("no daemon answered: %w", lastErr)}
 }
 
-func (c *client) once(ctx context.Context, address, method, path string, in any) (int, []byte, error) {
+func (c *client) doOnce(ctx context.Context, address, method, path string, in any) (int, []byte, error) {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -89,12 +89,12 @@
 		}
 		body = bytes.NewReader(data)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base(address)+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL(address)+path, body)
 	if err != nil {
 		return 0, nil, err
 	}
 	req.Header.Set("Authorization", "Bearer "+c.key)
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -103,26 +103,26 @@
 	return resp.StatusCode, data, err
 }
 
-// refusal turns a daemon's refusal into an error with its exit code.
-func refusal(status int, data []byte) error {
-	var r api.PatchRefusal
+// responseError turns a daemon's refusal into an error with its exit code.
+func responseError(status int, data []byte) error {
+	var r api.PatchErrorResponse
 	_ = json.Unmarshal(data, &r)
 	if r.Error.Message == "" {
 		return fmt.Errorf("the daemon answered %d: %s", status, bytes.TrimSpace(data))
 	}
-	err := fmt.Errorf("%s: %s (%s, request %s)", r.Error.Code, r.Error.Message, r.Error.Ran, r.Error.RequestID)
+	err := fmt.Errorf("%s: %s (%s, request %s)", r.Error.Code, r.Error.Message, r.Error.ExecutionState, r.Error.RequestID)
 	if status != http.StatusConflict {
 		return err
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%v\nin force: %d; changed since your base:", err, r.InForce)
-	for _, m := range r.Moved {
-		fmt.Fprintf(&b, "\n  %d by %s: %s", m.Number, orDash(m.Author), strings.Join(m.Changed, " "))
+	fmt.Fprintf(&b, "%v\nin force: %d; changed since your base:", err, r.CurrentNumber)
+	for _, m := range r.NewerPatches {
+		fmt.Fprintf(&b, "\n  %d by %s: %s", m.Number, valueOrDash(m.Author), strings.Join(m.Changed, " "))
 	}
-	return &cli.Error{Code: cli.ExitConflict, Err: errors.New(b.String())}
+	return &cli.ExitError{Code: cli.ExitConflict, Err: errors.New(b.String())}
 }
 
-func orDash(s string) string {
+func valueOrDash(s string) string {
 	if s == "" {
 		return "-"
 	}
@@ -131,12 +131,12 @@
 
 func (c *client) config(ctx context.Context) (*fleet.Config, error) {
 	cfg := fleet.NewConfig()
-	err := c.do(ctx, http.MethodGet, "/operator/v1/config", nil, cfg)
+	err := c.doJSON(ctx, http.MethodGet, "/operator/v1/config", nil, cfg)
 	return cfg, err
 }
 
 func (c *client) patch(ctx context.Context, r fleet.Record) (fleet.PatchOutcome, error) {
 	var o fleet.PatchOutcome
-	err := c.do(ctx, http.MethodPost, "/operator/v1/patches", r, &o)
+	err := c.doJSON(ctx, http.MethodPost, "/operator/v1/patches", r, &o)
 	return o, err
 }
--- a/internal/ctl/declare.go
+++ b/internal/ctl/declare.go
@@ -24,32 +24,32 @@
 		return nil, fmt.Errorf("%s holds no .json or .jsonc file", dir)
 	}
 	slices.Sort(files)
-	wanted := fleet.NewConfig()
+	desired := fleet.NewConfig()
 	for _, f := range files {
-		if err := addFile(wanted, f); err != nil {
+		if err := mergeFile(desired, f); err != nil {
 			return nil, fmt.Errorf("%s: %w", f, err)
 		}
 	}
-	return wanted, wanted.Validate()
+	return desired, desired.Validate()
 }
 
-func addFile(wanted *fleet.Config, file string) error {
+func mergeFile(desired *fleet.Config, file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	plain, err := hujson.Standardize(data)
+	standard, err := hujson.Standardize(data)
 	if err != nil {
 		return err
 	}
 	var part fleet.Config
-	if err := fleet.DecodeStrict(plain, &part); err != nil {
+	if err := fleet.DecodeStrict(standard, &part); err != nil {
 		return err
 	}
 	if part.Number != 0 {
 		return fmt.Errorf("number: is the system's to set")
 	}
-	return wanted.Merge(&part)
+	return desired.Merge(&part)
 }
 
 // printChanges shows each changed entity, and what it means for whom.
@@ -63,14 +63,14 @@
 			mark = "-"
 		}
 		fmt.Fprintf(out, "%s %s %s\n", mark, ch.Path, ch.Patch)
-		if touched := touches(c, ch.Path); len(touched) > 0 {
-			fmt.Fprintf(out, "    touches workspaces: %s\n", strings.Join(touched, " "))
+		if workspaces := affectedWorkspaces(c, ch.Path); len(workspaces) > 0 {
+			fmt.Fprintf(out, "    touches workspaces: %s\n", strings.Join(workspaces, " "))
 		}
 	}
 }
 
-// touches lists the workspaces in force that use an entity.
-func touches(c *fleet.Config, path string) []string {
+// affectedWorkspaces lists the workspaces in force that use an entity.
+func affectedWorkspaces(c *fleet.Config, path string) []string {
 	section, name, _ := strings.Cut(path, "/")
 	var out []string
 	for ws, w := range c.Workspaces {
@@ -101,9 +101,9 @@
 			return true
 		}
 	}
-	for mn, m := range c.Models {
-		for vn, v := range m.Versions {
-			if v.Pool == pool && w.Allows(mn, vn) {
+	for model, m := range c.Models {
+		for version, v := range m.Versions {
+			if v.Pool == pool && w.Allows(model, version) {
 				return true
 			}
 		}
--- a/internal/ctl/holds.go
+++ b/internal/ctl/holds.go
@@ -11,32 +11,32 @@
 	"github.com/damaskrudder/damaskrudder/internal/cli"
 )
 
-// holdMethods are what is done to one held request.
-var holdMethods = map[string]string{"add": http.MethodPut, "release": http.MethodDelete}
+// holdHTTPMethods are what is done to one held request.
+var holdHTTPMethods = map[string]string{"add": http.MethodPut, "release": http.MethodDelete}
 
-func (t *tool) holds(ctx context.Context, c *client, args []string) error {
+func (cmds *commands) holds(ctx context.Context, c *client, args []string) error {
 	if len(args) == 0 {
-		return t.listHolds(ctx, c)
+		return cmds.listHolds(ctx, c)
 	}
-	method, known := holdMethods[args[0]]
-	if !known || len(args) != 2 {
-		return cli.Usage(errors.New("holds needs nothing, or add or release and a fingerprint"))
+	method, ok := holdHTTPMethods[args[0]]
+	if !ok || len(args) != 2 {
+		return cli.UsageError(errors.New("holds needs nothing, or add or release and a fingerprint"))
 	}
 	var left []api.HeldRequest
-	return c.do(ctx, method, "/operator/v1/holds/"+url.PathEscape(args[1]), nil, &left)
+	return c.doJSON(ctx, method, "/operator/v1/holds/"+url.PathEscape(args[1]), nil, &left)
 }
 
-func (t *tool) listHolds(ctx context.Context, c *client) error {
+func (cmds *commands) listHolds(ctx context.Context, c *client) error {
 	var all []api.HeldRequest
-	if err := c.do(ctx, http.MethodGet, "/operator/v1/holds", nil, &all); err != nil {
+	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/holds", nil, &all); err != nil {
 		return err
 	}
-	if t.json {
-		return t.printJSON(all)
+	if cmds.json {
+		return cmds.printJSON(all)
 	}
 	var rows []string
 	for _, h := range all {
-		rows = append(rows, fmt.Sprintf("%s\t%.0fs\t%.0fs", h.Fingerprint, h.AgeSeconds, h.LeftSeconds))
+		rows = append(rows, fmt.Sprintf("%s\t%.0fs\t%.0fs", h.Fingerprint, h.AgeSeconds, h.RemainingSeconds))
 	}
-	return t.table("FINGERPRINT\tHELD FOR\tLEFT", rows)
+	return cmds.printTable("FINGERPRINT\tHELD FOR\tLEFT", rows)
 }
--- a/internal/ctl/trace.go
+++ b/internal/ctl/trace.go
@@ -22,9 +22,9 @@
 // maxLogLine bounds one line of a log in bytes.
 const maxLogLine = 1 << 20
 
-// nearby is how long before a request's first line what a daemon came to believe is
+// stateLookback is how long before a request's first line what a daemon came to believe is
 // shown: roll-outs and outages last that long.
-const nearby = 30 * time.Second
+const stateLookback = 30 * time.Second
 
 // logLine is one line of a daemon's log.
 type logLine struct {
@@ -36,8 +36,8 @@
 	values map[string]string
 }
 
-// beliefs are the messages that tell what a daemon came to believe.
-var beliefs = map[string]bool{
+// stateMessages are the messages that tell what a daemon came to believe.
+var stateMessages = map[string]bool{
 	"configuration in force": true, "roll-out ordered": true, "roll-out phase": true, "new version not used any more": true,
 	"server entry": true, "server entry gone": true, "server silent": true, "request stuck, moved": true,
 	"store lost": true, "store answers": true, "behind another reader, reading anew": true,
@@ -46,18 +46,18 @@
 
 // traceCommand is the command that folds logs into the history of one request. It
 // talks to no daemon.
-func (t *tool) traceCommand() *ff.Command {
+func (cmds *commands) traceCommand() *ff.Command {
 	return &ff.Command{
 		Name: "trace", Usage: "rudderctl trace ID [LOG...]", ShortHelp: "fold daemons' logs into the history of one request",
 		LongHelp: "Reads the logs of any number of daemons, or standard input, and prints the lines of\none request in order, after what its daemons had come to believe shortly before.\n\nExample:\n  rudderctl trace e5c4d1cf325b91f5 logs/*.log\n\nExit codes: 0 done, 1 no line of the request, 2 wrong use.",
-		Flags:    t.flags("trace", nil),
-		Exec:     func(_ context.Context, args []string) error { return t.trace(args) },
+		Flags:    cmds.newFlags("trace", nil),
+		Exec:     func(_ context.Context, args []string) error { return cmds.trace(args) },
 	}
 }
 
-func (t *tool) trace(args []string) error {
+func (cmds *commands) trace(args []string) error {
 	if len(args) == 0 {
-		return cli.Usage(errors.New("trace needs a request's id"))
+		return cli.UsageError(errors.New("trace needs a request's id"))
 	}
 	var lines []logLine
 	if len(args) == 1 {
@@ -70,19 +70,19 @@
 	for _, name := range args[1:] {
 		read, err := readLogFile(name)
 		if err != nil {
-			return cli.Usage(err)
+			return cli.UsageError(err)
 		}
 		lines = append(lines, read...)
 	}
-	found := history(lines, args[0])
-	if len(found) == 0 {
+	timeline := requestTimeline(lines, args[0])
+	if len(timeline) == 0 {
 		return fmt.Errorf("no line of request %s in %d lines", args[0], len(lines))
 	}
-	rows := make([]string, 0, len(found))
-	for _, l := range found {
+	rows := make([]string, 0, len(timeline))
+	for _, l := range timeline {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s", l.at.Format("15:04:05.000"), l.source, l.message, strings.Join(l.fields, " ")))
 	}
-	return t.table("TIME\tLOG\tWHAT\tINPUTS", rows)
+	return cmds.printTable("TIME\tLOG\tWHAT\tINPUTS", rows)
 }
 
 func readLogFile(name string) ([]logLine, error) {
@@ -136,35 +136,35 @@
 	return l, d.Err() == nil && !l.at.IsZero() && l.message != ""
 }
 
-// history returns a request's lines, and what the daemons that served it came to
+// requestTimeline returns a request's lines, and what the daemons that served it came to
 // believe about its servers, the store and versions shortly before and meanwhile.
-func history(lines []logLine, id string) []logLine {
-	var own []logLine
+func requestTimeline(lines []logLine, id string) []logLine {
+	var requestLines []logLine
 	sources, servers := map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.values["request"] == id {
-			own = append(own, l)
+			requestLines = append(requestLines, l)
 			sources[l.source] = true
 			servers[l.values["server"]] = true
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(own, byTime)
-	first, last := own[0].at, own[len(own)-1].at
-	out := own
+	slices.SortStableFunc(requestLines, compareTime)
+	first, last := requestLines[0].at, requestLines[len(requestLines)-1].at
+	timeline := requestLines
 	for _, l := range lines {
-		server, about := l.values["server"]
+		server, hasServer := l.values["server"]
 		switch {
-		case !beliefs[l.message] || !sources[l.source], about && !servers[server]:
-		case l.at.Before(first.Add(-nearby)), l.at.After(last):
+		case !stateMessages[l.message] || !sources[l.source], hasServer && !servers[server]:
+		case l.at.Before(first.Add(-stateLookback)), l.at.After(last):
 		default:
-			out = append(out, l)
+			timeline = append(timeline, l)
 		}
 	}
-	slices.SortStableFunc(out, byTime)
-	return out
+	slices.SortStableFunc(timeline, compareTime)
+	return timeline
 }
 
-func byTime(a, b logLine) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) }
+func compareTime(a, b logLine) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) }
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -16,184 +16,184 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-func (t *tool) status(ctx context.Context, c *client, _ []string) error {
+func (cmds *commands) status(ctx context.Context, c *client, _ []string) error {
 	var s api.Status
-	if err := c.do(ctx, http.MethodGet, "/operator/v1/status", nil, &s); err != nil {
+	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/status", nil, &s); err != nil {
 		return err
 	}
-	if t.json {
-		return t.printJSON(s)
+	if cmds.json {
+		return cmds.printJSON(s)
 	}
-	fmt.Fprintf(t.out, "as %s sees it: configuration %d, ready %v\n", s.ID, s.Number, s.Ready)
+	fmt.Fprintf(cmds.out, "as %s sees it: configuration %d, ready %v\n", s.ID, s.Number, s.Ready)
 	var rows []string
 	for _, m := range s.Members {
-		age := "never"
+		logAge := "never"
 		if m.LogAgeMillis != membership.LogAgeUnknown {
-			age = (time.Duration(m.LogAgeMillis) * time.Millisecond).String()
+			logAge = (time.Duration(m.LogAgeMillis) * time.Millisecond).String()
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%v\t%d\t%d\t%v\t%s", m.ID, m.Address, m.FailureDomain, m.State, m.Serving, m.ConfigNumber, m.InFlight, m.Leaving, age))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%v\t%d\t%d\t%v\t%s", m.ID, m.Address, m.FailureDomain, m.State, m.Serving, m.ConfigNumber, m.InFlight, m.Leaving, logAge))
 	}
-	return t.table("DAEMON\tADDRESS\tFAILURE DOMAIN\tSTATE\tSERVING\tNUMBER\tIN FLIGHT\tLEAVING\tLOG AGE", rows)
+	return cmds.printTable("DAEMON\tADDRESS\tFAILURE DOMAIN\tSTATE\tSERVING\tNUMBER\tIN FLIGHT\tLEAVING\tLOG AGE", rows)
 }
 
-func (t *tool) servers(ctx context.Context, c *client, _ []string) error {
+func (cmds *commands) servers(ctx context.Context, c *client, _ []string) error {
 	var all []daemon.ServerView
-	if err := c.do(ctx, http.MethodGet, "/operator/v1/servers", nil, &all); err != nil {
+	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/servers", nil, &all); err != nil {
 		return err
 	}
-	if t.json {
-		return t.printJSON(all)
+	if cmds.json {
+		return cmds.printJSON(all)
 	}
 	var rows []string
 	for _, s := range all {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%.1f\t%.3f\t%v\t%v\t%v", s.Pool, s.ID, s.FailureDomain, s.InFlight, s.OthersInFlight, s.ErrorRate, s.Leaving, s.Suspect, s.Versions))
 	}
-	return t.table("POOL\tSERVER\tFAILURE DOMAIN\tOWN\tOTHERS\tERRORS\tLEAVING\tSUSPECT\tVERSIONS", rows)
+	return cmds.printTable("POOL\tSERVER\tFAILURE DOMAIN\tOWN\tOTHERS\tERRORS\tLEAVING\tSUSPECT\tVERSIONS", rows)
 }
 
-func (t *tool) rollout(ctx context.Context, c *client, args []string) error {
+func (cmds *commands) rollout(ctx context.Context, c *client, args []string) error {
 	if len(args) == 0 || args[0] == "show" {
-		return t.showRollouts(ctx, c)
+		return cmds.showRollouts(ctx, c)
 	}
 	if len(args) != 2 {
-		return cli.Usage(errors.New("rollout needs show, or hold, resume or withdraw and a model"))
+		return cli.UsageError(errors.New("rollout needs show, or hold, resume or withdraw and a model"))
 	}
 	cfg, err := c.config(ctx)
 	if err != nil {
 		return err
 	}
-	ro, ok := cfg.Rollouts[args[1]]
+	rollout, ok := cfg.Rollouts[args[1]]
 	if !ok {
-		return cli.Usage(fmt.Errorf("model %q has no roll-out", args[1]))
+		return cli.UsageError(fmt.Errorf("model %q has no roll-out", args[1]))
 	}
-	if t.base < 0 {
-		t.base = int64(cfg.Number)
+	if cmds.baseNumber < 0 {
+		cmds.baseNumber = int64(cfg.Number)
 	}
 	change := map[string]any{}
 	switch args[0] {
 	case "hold":
-		change["rollouts"] = map[string]any{ro.Model: map[string]any{"state": fleet.RolloutHeld}}
+		change["rollouts"] = map[string]any{rollout.Model: map[string]any{"state": fleet.RolloutHeld}}
 	case "resume":
-		change["rollouts"] = map[string]any{ro.Model: map[string]any{"state": fleet.RolloutRunning}}
+		change["rollouts"] = map[string]any{rollout.Model: map[string]any{"state": fleet.RolloutRunning}}
 	case "withdraw":
-		gone := map[string]any{"state": fleet.Withdrawn, "successor": cfg.Models[ro.Model].Stable}
-		change["rollouts"] = map[string]any{ro.Model: map[string]any{"state": fleet.RolloutRolledBack}}
-		change["models"] = map[string]any{ro.Model: map[string]any{"versions": map[string]any{ro.TargetVersion: gone}}}
+		withdrawn := map[string]any{"state": fleet.Withdrawn, "successor": cfg.Models[rollout.Model].Stable}
+		change["rollouts"] = map[string]any{rollout.Model: map[string]any{"state": fleet.RolloutRolledBack}}
+		change["models"] = map[string]any{rollout.Model: map[string]any{"versions": map[string]any{rollout.TargetVersion: withdrawn}}}
 	default:
-		return cli.Usage(fmt.Errorf("rollout knows show, hold, resume and withdraw, not %q", args[0]))
+		return cli.UsageError(fmt.Errorf("rollout knows show, hold, resume and withdraw, not %q", args[0]))
 	}
-	return t.send(ctx, c, change)
+	return cmds.submitPatch(ctx, c, change)
 }
 
-func (t *tool) showRollouts(ctx context.Context, c *client) error {
+func (cmds *commands) showRollouts(ctx context.Context, c *client) error {
 	var all []daemon.RolloutView
-	if err := c.do(ctx, http.MethodGet, "/operator/v1/rollouts", nil, &all); err != nil {
+	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/rollouts", nil, &all); err != nil {
 		return err
 	}
-	if t.json {
-		return t.printJSON(all)
+	if cmds.json {
+		return cmds.printJSON(all)
 	}
 	var rows []string
 	for _, r := range all {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%.1f%%\t%d/%d\t%d/%d\t%s\t%s", r.Model, r.TargetVersion, r.State, r.Percent,
-			r.NewVersion.Errors, r.NewVersion.Requests, r.RunningVersion.Errors, r.RunningVersion.Requests, orDash(r.Owner), orDash(r.Reason)))
+			r.NewVersion.Errors, r.NewVersion.Requests, r.RunningVersion.Errors, r.RunningVersion.Requests, valueOrDash(r.Owner), valueOrDash(r.Reason)))
 	}
-	return t.table("MODEL\tTO\tSTATE\tSHARE\tNEW ERRORS\tRUNNING ERRORS\tHOME\tREASON", rows)
+	return cmds.printTable("MODEL\tTO\tSTATE\tSHARE\tNEW ERRORS\tRUNNING ERRORS\tHOME\tREASON", rows)
 }
 
-func (t *tool) endpoints(ctx context.Context, c *client, _ []string) error {
+func (cmds *commands) endpoints(ctx context.Context, c *client, _ []string) error {
 	var r struct {
 		Endpoints  []string `json:"endpoints"`
 		TTLSeconds float64  `json:"ttl_seconds"`
 	}
-	if err := c.do(ctx, http.MethodGet, "/v1/endpoints", nil, &r); err != nil {
+	if err := c.doJSON(ctx, http.MethodGet, "/v1/endpoints", nil, &r); err != nil {
 		return err
 	}
-	if t.json {
-		return t.printJSON(r)
+	if cmds.json {
+		return cmds.printJSON(r)
 	}
-	fmt.Fprintf(t.out, "for %gs: %v\n", r.TTLSeconds, r.Endpoints)
+	fmt.Fprintf(cmds.out, "for %gs: %v\n", r.TTLSeconds, r.Endpoints)
 	return nil
 }
 
-func (t *tool) usage(ctx context.Context, c *client, _ []string) error {
+func (cmds *commands) usage(ctx context.Context, c *client, _ []string) error {
 	var r struct {
 		Bills      int                `json:"bills"`
 		Duplicates int                `json:"duplicates"`
 		Doubtful   []string           `json:"doubtful"`
 		Lines      []billing.LineItem `json:"lines"`
 	}
-	if err := c.do(ctx, http.MethodGet, "/operator/v1/usage", nil, &r); err != nil {
+	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/usage", nil, &r); err != nil {
 		return err
 	}
-	if t.json {
-		return t.printJSON(r)
+	if cmds.json {
+		return cmds.printJSON(r)
 	}
 	var rows []string
 	for _, l := range r.Lines {
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%d\t%.6f", l.Workspace, l.Model, orDash(l.Version), l.Requests, l.Truncated, l.Tokens, float64(l.Micros)/1e6))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%d\t%.6f", l.Workspace, l.Model, valueOrDash(l.Version), l.Requests, l.Truncated, l.Tokens, float64(l.Micros)/1e6))
 	}
-	if err := t.table("WORKSPACE\tMODEL\tVERSION\tREQUESTS\tCUT\tTOKENS\tPRICE", rows); err != nil {
+	if err := cmds.printTable("WORKSPACE\tMODEL\tVERSION\tREQUESTS\tCUT\tTOKENS\tPRICE", rows); err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "%d bills, %d duplicate records folded, %d doubtful\n", r.Bills, r.Duplicates, len(r.Doubtful))
+	fmt.Fprintf(cmds.out, "%d bills, %d duplicate records folded, %d doubtful\n", r.Bills, r.Duplicates, len(r.Doubtful))
 	for _, id := range r.Doubtful {
-		fmt.Fprintln(t.out, "doubtful:", id)
+		fmt.Fprintln(cmds.out, "doubtful:", id)
 	}
 	return nil
 }
 
-func (t *tool) burn(ctx context.Context, c *client, _ []string) error {
+func (cmds *commands) burn(ctx context.Context, c *client, _ []string) error {
 	var r struct {
 		Lines   []slo.ObjectiveBurn `json:"lines"`
 		Missing []string            `json:"missing"`
 	}
-	if err := c.do(ctx, http.MethodGet, "/operator/v1/burn", nil, &r); err != nil {
+	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/burn", nil, &r); err != nil {
 		return err
 	}
-	if t.json {
-		return t.printJSON(r)
+	if cmds.json {
+		return cmds.printJSON(r)
 	}
 	var rows []string
 	for _, l := range r.Lines {
-		end := "-"
+		exhaustedIn := "-"
 		if l.ExhaustedIn > 0 {
-			end = l.ExhaustedIn.Round(time.Minute).String()
+			exhaustedIn = l.ExhaustedIn.Round(time.Minute).String()
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%.2f\t%.0f%%\t%s\t%s", l.Workspace, l.Objective, l.Window, l.Requests, l.Bad, l.Burn, 100*l.Remaining, end, orDash(l.Worst)))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%.2f\t%.0f%%\t%s\t%s", l.Workspace, l.Objective, l.Window, l.Requests, l.Bad, l.Burn, 100*l.Remaining, exhaustedIn, valueOrDash(l.Worst)))
 	}
-	if err := t.table("WORKSPACE\tOBJECTIVE\tWINDOW\tREQUESTS\tBAD\tBURN\tLEFT\tEXHAUSTED IN\tMOST FROM", rows); err != nil {
+	if err := cmds.printTable("WORKSPACE\tOBJECTIVE\tWINDOW\tREQUESTS\tBAD\tBURN\tLEFT\tEXHAUSTED IN\tMOST FROM", rows); err != nil {
 		return err
 	}
 	if len(r.Missing) > 0 {
-		fmt.Fprintf(t.out, "without the counters of %v\n", r.Missing)
+		fmt.Fprintf(cmds.out, "without the counters of %v\n", r.Missing)
 	}
 	return nil
 }
 
-func (t *tool) explain(ctx context.Context, c *client, args []string) error {
+func (cmds *commands) explain(ctx context.Context, c *client, args []string) error {
 	if len(args) < 2 || len(args) > 3 {
-		return cli.Usage(errors.New("explain needs a workspace and a model, and takes a session"))
+		return cli.UsageError(errors.New("explain needs a workspace and a model, and takes a session"))
 	}
 	in := map[string]string{"workspace": args[0], "model": args[1]}
 	if len(args) == 3 {
 		in["session"] = args[2]
 	}
-	var e daemon.Explanation
-	if err := c.do(ctx, http.MethodPost, "/operator/v1/explain", in, &e); err != nil {
+	var explanation daemon.Explanation
+	if err := c.doJSON(ctx, http.MethodPost, "/operator/v1/explain", in, &explanation); err != nil {
 		return err
 	}
-	if t.json {
-		return t.printJSON(e)
+	if cmds.json {
+		return cmds.printJSON(explanation)
 	}
-	fmt.Fprintf(t.out, "configuration %d: %s@%s (%s), pool %s, server %s\n", e.Number, e.Model, e.Version, e.VersionReason, e.Pool, orDash(e.Chosen))
+	fmt.Fprintf(cmds.out, "configuration %d: %s@%s (%s), pool %s, server %s\n", explanation.Number, explanation.Model, explanation.Version, explanation.VersionReason, explanation.Pool, valueOrDash(explanation.Chosen))
 	var rows []string
-	for _, r := range e.RuleResults {
-		word := r.Cost.String()
+	for _, r := range explanation.RuleResults {
+		result := r.Cost.String()
 		if !r.Kept {
-			word = "out"
+			result = "out"
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s", r.Server, r.Rule, word))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s", r.Server, r.Rule, result))
 	}
-	return t.table("SERVER\tRULE\tWORD", rows)
+	return cmds.printTable("SERVER\tRULE\tWORD", rows)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -115,7 +115,7 @@
 // completeHistory adds what the backend servers and the ledger know.
 func (w *World) completeHistory(t *Traffic) (history []invariant.Event, ledger *billing.Ledger, badRuns int) {
 	ledger = billing.NewLedger()
-	for _, data := range w.Log.All(daemon.UsageStream) {
+	for _, data := range w.Log.Records(daemon.UsageStream) {
 		var batch []billing.UsageRecord
 		if cbor.Unmarshal(data, &batch) == nil {
 			for _, u := range batch {
@@ -126,8 +126,8 @@
 	history = t.history
 	add := func(e invariant.Event) { history = append(history, e) }
 	for _, e := range w.Engines {
-		texts := e.Texts()
-		for run, mv := range e.Runs() {
+		texts := e.Answers()
+		for run, mv := range e.RunVersions() {
 			model, version, _ := strings.Cut(mv, "@")
 			add(invariant.Event{Kind: invariant.Started, Request: requestOf(run), Model: model, Version: version, Allowed: true})
 			if version == "v2" {
@@ -139,12 +139,12 @@
 		}
 	}
 	for _, s := range w.Services {
-		for run, n := range s.Runs() {
+		for run, n := range s.RunCounts() {
 			for range n {
 				add(invariant.Event{Kind: invariant.Started, Request: run, NonRepeatable: true, Key: run, Allowed: true})
 			}
 		}
-		for run, text := range s.Texts() {
+		for run, text := range s.Replies() {
 			add(invariant.Event{Kind: invariant.Produced, Request: run, Text: text})
 		}
 	}
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -169,7 +169,7 @@
 func (t *Traffic) chat(ws, model, session, prompt string) {
 	body := raw(map[string]any{"model": model, "stream": true, "messages": []any{map[string]string{"role": "user", "content": prompt}}})
 	sent := time.Now()
-	resp, id, ok := t.send(ws, "/v1/chat/completions", http.Header{api.HeaderSession: {session}}, body)
+	resp, id, ok := t.send(ws, "/v1/chat/completions", http.Header{api.HeaderSessionID: {session}}, body)
 	if !ok {
 		return
 	}
@@ -224,7 +224,7 @@
 }
 
 func (t *Traffic) confirm(ws, key string) {
-	header := http.Header{api.HeaderKey: {key}}
+	header := http.Header{api.HeaderIdempotencyKey: {key}}
 	resp, id, ok := t.send(ws, "/v1/services/confirm", header, raw(map[string]string{"lot": key}))
 	if !ok {
 		return
--- a/internal/demo/world.go
+++ b/internal/demo/world.go
@@ -43,7 +43,7 @@
 	Log      *standin.Log
 	VMs      *standin.VMList
 	Engines  map[string]*standin.Engine
-	Services map[string]*standin.Plain
+	Services map[string]*standin.Service
 	// Ended counts engines that a run has ended; they stay away.
 	Ended     atomic.Int64
 	Nodes     []Node
@@ -62,7 +62,7 @@
 func NewWorld(count int, start StartFunc) (*World, error) {
 	w := &World{
 		Log: standin.NewLog(0), VMs: standin.NewVMList(0), Engines: map[string]*standin.Engine{},
-		Services: map[string]*standin.Plain{}, start: start, http: &http.Client{Timeout: 30 * time.Second},
+		Services: map[string]*standin.Service{}, start: start, http: &http.Client{Timeout: 30 * time.Second},
 	}
 	if err := w.begin(count); err != nil {
 		w.Close()
@@ -100,8 +100,8 @@
 
 // EngineModel is the service-time model of the demo's engines.
 var EngineModel = standin.EngineConfig{
-	Slots: 8, Prefill: 40 * time.Microsecond, PerToken: 2 * time.Millisecond,
-	AnswerTokens: 24, ChecksFencing: true, Lag: 500 * time.Millisecond, CacheBlocks: 512,
+	Slots: 8, PrefillPerToken: 40 * time.Microsecond, DecodePerToken: 2 * time.Millisecond,
+	AnswerTokens: 24, ChecksFencing: true, LoadReportLag: 500 * time.Millisecond, CacheBlocks: 512,
 }
 
 const (
@@ -123,7 +123,7 @@
 		if err != nil {
 			return fleet.Patch{}, err
 		}
-		w.Engines[id].OnDeadly(func() {
+		w.Engines[id].OnCrash(func() {
 			w.Ended.Add(1)
 			s.Close()
 		})
@@ -131,7 +131,7 @@
 	}
 	for i := range serviceCount {
 		id := fmt.Sprintf("%s-%d", servicePool, i)
-		w.Services[id] = standin.NewPlain()
+		w.Services[id] = standin.NewService()
 		s, err := w.serve(w.Services[id])
 		if err != nil {
 			return fleet.Patch{}, err
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -14,60 +14,62 @@
 // blockCache is a prefix cache with first-in-first-out eviction. Every tenth
 // event is dropped, as the published feed has gaps.
 type blockCache struct {
-	size   int
-	held   map[uint64]bool
-	order  []uint64
-	events []CacheEvent
-	count  int
+	capacity       int
+	cached         map[uint64]bool
+	insertionOrder []uint64
+	events         []CacheEvent
+	eventCount     int
 }
 
-// eventGap drops every n-th cache event.
-const eventGap = 10
+// eventDropInterval drops every n-th cache event.
+const eventDropInterval = 10
 
-func newBlockCache(size int) *blockCache { return &blockCache{size: size, held: map[uint64]bool{}} }
+func newBlockCache(capacity int) *blockCache {
+	return &blockCache{capacity: capacity, cached: map[uint64]bool{}}
+}
 
-// touch stores a prompt's blocks and returns how many bytes were not cached.
-func (c *blockCache) touch(model, prompt string) int {
-	missing := len(prompt)
+// lookupAndStore stores a prompt's blocks and returns how many bytes were not cached.
+func (c *blockCache) lookupAndStore(model, prompt string) int {
+	uncachedBytes := len(prompt)
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(model))
 	hit := true
 	for len(prompt) >= blockBytes {
 		_, _ = h.Write([]byte(prompt[:blockBytes]))
 		key := h.Sum64()
-		if hit && c.held[key] {
-			missing -= blockBytes
+		if hit && c.cached[key] {
+			uncachedBytes -= blockBytes
 		} else {
 			hit = false
 			c.store(key)
 		}
 		prompt = prompt[blockBytes:]
 	}
-	return missing
+	return uncachedBytes
 }
 
 func (c *blockCache) store(key uint64) {
-	if c.size <= 0 || c.held[key] {
+	if c.capacity <= 0 || c.cached[key] {
 		return
 	}
-	c.held[key] = true
-	c.order = append(c.order, key)
-	c.event(CacheEvent{key, true})
-	if len(c.order) > c.size {
-		delete(c.held, c.order[0])
-		c.event(CacheEvent{c.order[0], false})
-		c.order = c.order[1:]
+	c.cached[key] = true
+	c.insertionOrder = append(c.insertionOrder, key)
+	c.recordEvent(CacheEvent{key, true})
+	if len(c.insertionOrder) > c.capacity {
+		delete(c.cached, c.insertionOrder[0])
+		c.recordEvent(CacheEvent{c.insertionOrder[0], false})
+		c.insertionOrder = c.insertionOrder[1:]
 	}
 }
 
-func (c *blockCache) event(e CacheEvent) {
-	c.count++
-	if c.count%eventGap != 0 {
+func (c *blockCache) recordEvent(e CacheEvent) {
+	c.eventCount++
+	if c.eventCount%eventDropInterval != 0 {
 		c.events = append(c.events, e)
 	}
 }
 
-func (c *blockCache) takeEvents() []CacheEvent {
+func (c *blockCache) drainEvents() []CacheEvent {
 	out := c.events
 	c.events = nil
 	return out
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,25 +18,25 @@
 type Behaviour struct {
 	// ErrorRate is the fraction of runs that end in an error, 0 to 1.
 	ErrorRate float64
-	// WrongRate is the fraction of answers that carry WrongMark, 0 to 1.
-	WrongRate float64
-	// Slow multiplies service times; 0 means 1.
-	Slow float64
+	// BadAnswerRate is the fraction of answers that carry WrongMark, 0 to 1.
+	BadAnswerRate float64
+	// SlowFactor multiplies service times; 0 means 1.
+	SlowFactor float64
 }
 
 // EngineConfig sets the service-time model.
 type EngineConfig struct {
 	Slots int
-	// Prefill is the time per uncached prompt token.
-	Prefill time.Duration
-	// PerToken is the time between answer tokens.
-	PerToken time.Duration
+	// PrefillPerToken is the time per uncached prompt token.
+	PrefillPerToken time.Duration
+	// DecodePerToken is the time between answer tokens.
+	DecodePerToken time.Duration
 	// AnswerTokens is the answer length when max_tokens does not cut it.
 	AnswerTokens int
 	// ChecksFencing refuses orders with an old fencing number.
 	ChecksFencing bool
-	// Lag delays load reports.
-	Lag time.Duration
+	// LoadReportLag delays load reports.
+	LoadReportLag time.Duration
 	// CacheBlocks bounds the prefix cache.
 	CacheBlocks int
 }
@@ -47,36 +47,36 @@
 type Engine struct {
 	cfg EngineConfig
 
-	mu       sync.Mutex
-	versions map[string]Behaviour
-	runs     map[string]*run
-	queue    []*run
-	running  int
-	cache    *blockCache
-	fence    uint64
-	loads    []loadReport
-	silent   bool
-	started  int
-	canceled int
-	// ended is called when a run ends the engine; see DeadlyMark.
-	ended func()
+	mu           sync.Mutex
+	versions     map[string]Behaviour
+	runs         map[string]*run
+	queue        []*run
+	running      int
+	cache        *blockCache
+	fence        uint64
+	loadReports  []loadReport
+	stalled      bool
+	startedRuns  int
+	canceledRuns int
+	// onCrash is called when a run ends the engine; see DeadlyMark.
+	onCrash func()
 }
 
-// DeadlyMark is the text in a prompt that ends an engine which begins to run it.
-const DeadlyMark = "deadly"
+// CrashMarker is the text in a prompt that ends an engine which begins to run it.
+const CrashMarker = "deadly"
 
-// OnDeadly sets what happens when a run begins whose prompt holds DeadlyMark.
-func (e *Engine) OnDeadly(f func()) { e.mu.Lock(); e.ended = f; e.mu.Unlock() }
+// OnCrash sets what happens when a run begins whose prompt holds DeadlyMark.
+func (e *Engine) OnCrash(onCrash func()) { e.mu.Lock(); e.onCrash = onCrash; e.mu.Unlock() }
 
-// dies ends the engine if a run's prompt does, and reports whether it did.
-func (e *Engine) dies(ru *run) bool {
+// crashIfMarked ends the engine if a run's prompt does, and reports whether it did.
+func (e *Engine) crashIfMarked(ru *run) bool {
 	e.mu.Lock()
-	end := e.ended
+	onCrash := e.onCrash
 	e.mu.Unlock()
-	if end == nil || !strings.Contains(ru.prompt, DeadlyMark) {
+	if onCrash == nil || !strings.Contains(ru.prompt, CrashMarker) {
 		return false
 	}
-	end()
+	onCrash()
 	return true
 }
 
@@ -86,17 +86,17 @@
 }
 
 type run struct {
-	id, model string
-	priority  int
-	prompt    string
-	want      int
-	tokens    []string
-	done      bool
-	failed    bool
-	start     chan struct{}
-	changed   chan struct{}
-	cancel    context.CancelFunc
-	ctx       context.Context
+	id, model    string
+	priority     int
+	prompt       string
+	targetTokens int
+	tokens       []string
+	done         bool
+	failed       bool
+	scheduled    chan struct{}
+	updated      chan struct{}
+	cancel       context.CancelFunc
+	ctx          context.Context
 	// confidence is the mean token probability that the end of the answer states.
 	confidence float64
 }
@@ -117,25 +117,25 @@
 	e.mu.Unlock()
 }
 
-// SetSilent makes open streams hang while new connections work.
-func (e *Engine) SetSilent(s bool) { e.mu.Lock(); e.silent = s; e.mu.Unlock() }
+// SetStalled makes open streams hang while new connections work.
+func (e *Engine) SetStalled(stalled bool) { e.mu.Lock(); e.stalled = stalled; e.mu.Unlock() }
 
-// Holds reports whether a version is loaded.
-func (e *Engine) Holds(version string) bool {
+// HasVersion reports whether a version is loaded.
+func (e *Engine) HasVersion(version string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, ok := e.versions[version]
 	return ok
 }
 
-// Started returns how many runs were started.
-func (e *Engine) Started() int { e.mu.Lock(); defer e.mu.Unlock(); return e.started }
+// StartedRuns returns how many runs were started.
+func (e *Engine) StartedRuns() int { e.mu.Lock(); defer e.mu.Unlock(); return e.startedRuns }
 
-// Canceled returns how many runs were cancelled by order.
-func (e *Engine) Canceled() int { e.mu.Lock(); defer e.mu.Unlock(); return e.canceled }
+// CanceledRuns returns how many runs were cancelled by order.
+func (e *Engine) CanceledRuns() int { e.mu.Lock(); defer e.mu.Unlock(); return e.canceledRuns }
 
-// Runs returns "model@version" by run id of every run started.
-func (e *Engine) Runs() map[string]string {
+// RunVersions returns "model@version" by run id of every run started.
+func (e *Engine) RunVersions() map[string]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make(map[string]string, len(e.runs))
@@ -145,8 +145,8 @@
 	return out
 }
 
-// Texts returns the whole answer by run id of every run that ended well.
-func (e *Engine) Texts() map[string]string {
+// Answers returns the whole answer by run id of every run that ended well.
+func (e *Engine) Answers() map[string]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make(map[string]string, len(e.runs))
@@ -161,12 +161,12 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	mux.HandleFunc("GET /v1/runs/{id}/events", e.resume)
-	mux.HandleFunc("DELETE /v1/runs/{id}", e.drop)
-	mux.HandleFunc("GET /load", e.load)
-	mux.HandleFunc("GET /cache/events", e.cacheEvents)
-	mux.HandleFunc("POST /orders", e.order)
+	mux.HandleFunc("POST /v1/chat/completions", e.handleCompletion)
+	mux.HandleFunc("GET /v1/runs/{id}/events", e.handleResume)
+	mux.HandleFunc("DELETE /v1/runs/{id}", e.handleCancel)
+	mux.HandleFunc("GET /load", e.handleLoad)
+	mux.HandleFunc("GET /cache/events", e.handleCacheEvents)
+	mux.HandleFunc("POST /orders", e.handleOrder)
 	mux.ServeHTTP(w, r)
 }
 
@@ -178,10 +178,10 @@
 	} `json:"messages"`
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var in completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		rejectNotStarted(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	e.mu.Lock()
@@ -191,35 +191,35 @@
 		b, loaded := e.versions[in.Model]
 		if !loaded {
 			e.mu.Unlock()
-			refuse(w, http.StatusConflict, "version is not loaded")
+			rejectNotStarted(w, http.StatusConflict, "version is not loaded")
 			return
 		}
-		ru = e.admit(id, in, r.Header.Get("X-Priority"), b)
+		ru = e.enqueue(id, in, r.Header.Get("X-Priority"), b)
 	}
 	e.mu.Unlock()
-	e.stream(w, r, ru, 0)
+	e.streamRun(w, r, ru, 0)
 }
 
-// refuse answers with the proof that nothing was started.
-func refuse(w http.ResponseWriter, status int, why string) {
+// rejectNotStarted answers with the proof that nothing was started.
+func rejectNotStarted(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("X-Started", "false")
-	http.Error(w, why, status)
+	http.Error(w, message, status)
 }
 
-func (e *Engine) admit(id string, in completionRequest, priority string, b Behaviour) *run {
+func (e *Engine) enqueue(id string, in completionRequest, priority string, b Behaviour) *run {
 	var prompt strings.Builder
 	for _, m := range in.Messages {
 		prompt.WriteString(m.Content)
 	}
 	p, _ := strconv.Atoi(priority)
 	ctx, cancel := context.WithCancel(context.Background())
-	ru := &run{id: id, model: in.Model, priority: p, prompt: prompt.String(), start: make(chan struct{}), changed: make(chan struct{}), ctx: ctx, cancel: cancel}
-	ru.want = e.cfg.AnswerTokens
+	ru := &run{id: id, model: in.Model, priority: p, prompt: prompt.String(), scheduled: make(chan struct{}), updated: make(chan struct{}), ctx: ctx, cancel: cancel}
+	ru.targetTokens = e.cfg.AnswerTokens
 	if in.MaxTokens > 0 {
-		ru.want = min(ru.want, in.MaxTokens)
+		ru.targetTokens = min(ru.targetTokens, in.MaxTokens)
 	}
 	e.runs[id] = ru
-	e.started++
+	e.startedRuns++
 	e.queue = append(e.queue, ru)
 	e.schedule()
 	go e.execute(ru, b)
@@ -238,11 +238,11 @@
 		next := e.queue[best]
 		e.queue = append(e.queue[:best], e.queue[best+1:]...)
 		e.running++
-		close(next.start)
+		close(next.scheduled)
 	}
-	e.loads = append(e.loads, loadReport{time.Now(), e.running, len(e.queue)})
-	if len(e.loads) > maxLoadReports {
-		e.loads = e.loads[len(e.loads)/2:]
+	e.loadReports = append(e.loadReports, loadReport{time.Now(), e.running, len(e.queue)})
+	if len(e.loadReports) > maxLoadReports {
+		e.loadReports = e.loadReports[len(e.loadReports)/2:]
 	}
 }
 
@@ -251,36 +251,36 @@
 
 func (e *Engine) execute(ru *run, b Behaviour) {
 	select {
-	case <-ru.start:
+	case <-ru.scheduled:
 	case <-ru.ctx.Done():
 		e.finish(ru, true)
 		return
 	}
-	defer e.release()
-	if e.dies(ru) {
+	defer e.releaseSlot()
+	if e.crashIfMarked(ru) {
 		e.finish(ru, true)
 		return
 	}
-	slow := max(b.Slow, 1)
+	slow := max(b.SlowFactor, 1)
 	e.mu.Lock()
-	uncached := e.cache.touch(ru.model, ru.prompt)
+	uncached := e.cache.lookupAndStore(ru.model, ru.prompt)
 	e.mu.Unlock()
-	if !loop.Pause(ru.ctx, time.Duration(slow*float64(uncached/4)*float64(e.cfg.Prefill))) {
+	if !loop.Pause(ru.ctx, time.Duration(slow*float64(uncached/4)*float64(e.cfg.PrefillPerToken))) {
 		e.finish(ru, true)
 		return
 	}
-	if chance(ru.id, "error") < b.ErrorRate {
+	if hashFraction(ru.id, "error") < b.ErrorRate {
 		e.finish(ru, true)
 		return
 	}
 	word := "tok"
-	ru.confidence = confidentAnswer + (1-confidentAnswer)*chance(ru.id, "confidence")
-	if chance(ru.id, "wrong") < b.WrongRate {
-		word = WrongMark
-		ru.confidence *= chance(ru.id, "confidence")
+	ru.confidence = minGoodConfidence + (1-minGoodConfidence)*hashFraction(ru.id, "confidence")
+	if hashFraction(ru.id, "wrong") < b.BadAnswerRate {
+		word = BadAnswerMarker
+		ru.confidence *= hashFraction(ru.id, "confidence")
 	}
-	for i := range ru.want {
-		if i > 0 && !loop.Pause(ru.ctx, time.Duration(slow*float64(e.cfg.PerToken))) {
+	for i := range ru.targetTokens {
+		if i > 0 && !loop.Pause(ru.ctx, time.Duration(slow*float64(e.cfg.DecodePerToken))) {
 			e.finish(ru, true)
 			return
 		}
@@ -289,18 +289,18 @@
 	e.finish(ru, false)
 }
 
-// confidentAnswer is the least confidence of a good answer.
-const confidentAnswer = 0.6
+// minGoodConfidence is the least confidence of a good answer.
+const minGoodConfidence = 0.6
 
-func (e *Engine) release() {
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	e.running--
 	e.schedule()
 	e.mu.Unlock()
 }
 
-// chance maps a run and a purpose to a fixed number in [0, 1).
-func chance(id, purpose string) float64 {
+// hashFraction maps a run and a purpose to a fixed number in [0, 1).
+func hashFraction(id, purpose string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(purpose + id))
 	x := h.Sum64()
@@ -313,20 +313,20 @@
 func (e *Engine) emit(ru *run, token string) {
 	e.mu.Lock()
 	ru.tokens = append(ru.tokens, token)
-	close(ru.changed)
-	ru.changed = make(chan struct{})
+	close(ru.updated)
+	ru.updated = make(chan struct{})
 	e.mu.Unlock()
 }
 
 func (e *Engine) finish(ru *run, failed bool) {
 	e.mu.Lock()
 	ru.done, ru.failed = true, failed
-	close(ru.changed)
-	ru.changed = make(chan struct{})
+	close(ru.updated)
+	ru.updated = make(chan struct{})
 	e.mu.Unlock()
 }
 
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	ru := e.runs[r.PathValue("id")]
 	e.mu.Unlock()
@@ -335,15 +335,15 @@
 		return
 	}
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-ID"))
-	e.stream(w, r, ru, from)
+	e.streamRun(w, r, ru, from)
 }
 
-func (e *Engine) drop(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ru := e.runs[r.PathValue("id")]
 	if ru != nil && !ru.done {
-		e.canceled++
+		e.canceledRuns++
 		ru.cancel()
 		for i, q := range e.queue {
 			if q == ru {
@@ -355,20 +355,20 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// stream sends the tokens after an event id and keeps sending until the end.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, ru *run, from int) {
+// streamRun sends the tokens after an event id and keeps sending until the end.
+func (e *Engine) streamRun(w http.ResponseWriter, r *http.Request, ru *run, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	rc := http.NewResponseController(w)
 	_ = rc.Flush()
 	e.mu.Lock()
-	hangs := e.silent && from == 0
+	stalls := e.stalled && from == 0
 	e.mu.Unlock()
 	for {
 		e.mu.Lock()
-		tokens, done, failed, changed := ru.tokens, ru.done, ru.failed, ru.changed
+		tokens, done, failed, changed := ru.tokens, ru.done, ru.failed, ru.updated
 		e.mu.Unlock()
-		if hangs && len(tokens) > silentAfter {
+		if stalls && len(tokens) > tokensBeforeStall {
 			<-r.Context().Done()
 			return
 		}
@@ -389,8 +389,8 @@
 	}
 }
 
-// silentAfter is how many tokens a connection carries before it goes silent.
-const silentAfter = 2
+// tokensBeforeStall is how many tokens a connection carries before it goes silent.
+const tokensBeforeStall = 2
 
 func (e *Engine) writeEnd(w http.ResponseWriter, ru *run, from int, failed bool) {
 	if failed {
@@ -407,31 +407,31 @@
 	fmt.Fprintf(w, "id: %d\ndata: %s\n\n", id, data)
 }
 
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var shown loadReport
-	cut := time.Now().Add(-e.cfg.Lag)
-	for _, l := range e.loads {
-		if l.at.After(cut) {
+	var latest loadReport
+	cutoff := time.Now().Add(-e.cfg.LoadReportLag)
+	for _, l := range e.loadReports {
+		if l.at.After(cutoff) {
 			break
 		}
-		shown = l
+		latest = l
 	}
 	versions := make([]string, 0, len(e.versions))
 	for v := range e.versions {
 		versions = append(versions, v)
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"running": shown.running, "waiting": shown.waiting, "versions": versions, "fence": e.fence})
+	writeJSON(w, http.StatusOK, map[string]any{"running": latest.running, "waiting": latest.waiting, "versions": versions, "fence": e.fence})
 }
 
-func (e *Engine) cacheEvents(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleCacheEvents(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	writeJSON(w, http.StatusOK, e.cache.takeEvents())
+	writeJSON(w, http.StatusOK, e.cache.drainEvents())
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Fence   uint64 `json:"fence"`
 		Action  string `json:"action"`
@@ -450,7 +450,7 @@
 	e.fence = max(e.fence, in.Fence)
 	switch in.Action {
 	case "load":
-		if _, held := e.versions[in.Version]; !held {
+		if _, loaded := e.versions[in.Version]; !loaded {
 			e.versions[in.Version] = Behaviour{}
 		}
 	case "unload":
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -12,14 +12,14 @@
 
 // Log is the append-only log service. Its faults are switched while it runs.
 type Log struct {
-	mu      sync.Mutex
-	streams map[string]*logStream
-	changed chan struct{}
-	keep    int
-	down    bool
-	delay   time.Duration
-	lose    int
-	appends int
+	mu            sync.Mutex
+	streams       map[string]*logStream
+	changed       chan struct{}
+	maxRecords    int
+	down          bool
+	delay         time.Duration
+	repliesToLose int
+	appendCount   int
 }
 
 type logStream struct {
@@ -28,8 +28,8 @@
 }
 
 // NewLog returns a log that keeps the newest keep records of each stream; 0 keeps all.
-func NewLog(keep int) *Log {
-	return &Log{streams: map[string]*logStream{}, changed: make(chan struct{}), keep: keep}
+func NewLog(maxRecords int) *Log {
+	return &Log{streams: map[string]*logStream{}, changed: make(chan struct{}), maxRecords: maxRecords}
 }
 
 // SetDown makes every call fail before it acts, or mends that.
@@ -39,13 +39,13 @@
 func (l *Log) SetDelay(d time.Duration) { l.mu.Lock(); l.delay = d; l.mu.Unlock() }
 
 // LoseReplies makes the next n appends act and then answer with an error.
-func (l *Log) LoseReplies(n int) { l.mu.Lock(); l.lose = n; l.mu.Unlock() }
+func (l *Log) LoseReplies(n int) { l.mu.Lock(); l.repliesToLose = n; l.mu.Unlock() }
 
-// Appends returns how many append calls acted.
-func (l *Log) Appends() int { l.mu.Lock(); defer l.mu.Unlock(); return l.appends }
+// AppendCount returns how many append calls acted.
+func (l *Log) AppendCount() int { l.mu.Lock(); defer l.mu.Unlock(); return l.appendCount }
 
-// All returns the kept records of a stream.
-func (l *Log) All(stream string) [][]byte {
+// Records returns the kept records of a stream.
+func (l *Log) Records(stream string) [][]byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([][]byte(nil), l.stream(stream).records...)
@@ -63,8 +63,8 @@
 // ServeHTTP implements http.Handler.
 func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /streams/{name}", l.append)
-	mux.HandleFunc("GET /streams/{name}", l.read)
+	mux.HandleFunc("POST /streams/{name}", l.handleAppend)
+	mux.HandleFunc("GET /streams/{name}", l.handleRead)
 	l.mu.Lock()
 	down, delay := l.down, l.delay
 	l.mu.Unlock()
@@ -76,7 +76,7 @@
 	mux.ServeHTTP(w, r)
 }
 
-func (l *Log) append(w http.ResponseWriter, r *http.Request) {
+func (l *Log) handleAppend(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Records [][]byte `json:"records"`
 	}
@@ -84,7 +84,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	first, lost := l.add(r.PathValue("name"), in.Records)
+	first, lost := l.appendRecords(r.PathValue("name"), in.Records)
 	if lost {
 		http.Error(w, "reply lost", http.StatusGatewayTimeout)
 		return
@@ -92,34 +92,34 @@
 	writeJSON(w, http.StatusOK, map[string]uint64{"first": first})
 }
 
-func (l *Log) add(name string, records [][]byte) (first uint64, lost bool) {
+func (l *Log) appendRecords(name string, records [][]byte) (first uint64, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
 	first = s.oldest + uint64(len(s.records))
 	s.records = append(s.records, records...)
-	if over := len(s.records) - l.keep; l.keep > 0 && over > 0 {
-		s.records = append([][]byte(nil), s.records[over:]...)
-		s.oldest += uint64(over)
+	if excess := len(s.records) - l.maxRecords; l.maxRecords > 0 && excess > 0 {
+		s.records = append([][]byte(nil), s.records[excess:]...)
+		s.oldest += uint64(excess)
 	}
-	l.appends++
+	l.appendCount++
 	close(l.changed)
 	l.changed = make(chan struct{})
-	if l.lose > 0 {
-		l.lose--
+	if l.repliesToLose > 0 {
+		l.repliesToLose--
 		lost = true
 	}
 	return first, lost
 }
 
-func (l *Log) read(w http.ResponseWriter, r *http.Request) {
+func (l *Log) handleRead(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseUint(r.FormValue("from"), 10, 64)
 	limit, _ := strconv.Atoi(r.FormValue("limit"))
 	wait, _ := strconv.ParseInt(r.FormValue("wait_ms"), 10, 64)
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		batch, changed := l.slice(r.PathValue("name"), from, limit)
+		batch, changed := l.readBatch(r.PathValue("name"), from, limit)
 		if len(batch.Records) > 0 {
 			writeJSON(w, http.StatusOK, batch)
 			return
@@ -135,13 +135,13 @@
 	}
 }
 
-func (l *Log) slice(name string, from uint64, limit int) (platform.Batch, <-chan struct{}) {
+func (l *Log) readBatch(name string, from uint64, limit int) (platform.Batch, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	b := platform.Batch{Oldest: s.oldest, Next: s.oldest + uint64(len(s.records))}
-	for o := max(from, s.oldest); o < b.Next && len(b.Records) < limit; o++ {
-		b.Records = append(b.Records, platform.Record{Offset: o, Data: s.records[o-s.oldest]})
+	batch := platform.Batch{Oldest: s.oldest, Next: s.oldest + uint64(len(s.records))}
+	for offset := max(from, s.oldest); offset < batch.Next && len(batch.Records) < limit; offset++ {
+		batch.Records = append(batch.Records, platform.Record{Offset: offset, Data: s.records[offset-s.oldest]})
 	}
-	return b, l.changed
+	return batch, l.changed
 }
--- a/internal/standin/metadata.go
+++ b/internal/standin/metadata.go
@@ -13,51 +13,51 @@
 	"time"
 )
 
-// Metadata is the platform's metadata store: keyed topics of one partition, with
+// MetadataStore is the platform's metadata store: keyed topics of one partition, with
 // conditional appends and reads that wait. Its faults are switched while it runs.
-type Metadata struct {
-	mu      sync.Mutex
-	topics  map[string]*keyedTopic
-	changed chan struct{}
-	refuse  map[string]int
-	lose    int
-	calls   int
+type MetadataStore struct {
+	mu            sync.Mutex
+	topics        map[string]*keyedTopic
+	changed       chan struct{}
+	failures      map[string]int
+	repliesToLose int
+	requestCount  int
 	// era rises by one with each return from a copy; every answer states it.
 	era uint64
 }
 
-// MetadataCopy is a store's content at a moment.
-type MetadataCopy struct{ topics map[string]*keyedTopic }
+// MetadataSnapshot is a store's content at a moment.
+type MetadataSnapshot struct{ topics map[string]*keyedTopic }
 
-// Copy copies the store's content.
-func (m *Metadata) Copy() *MetadataCopy {
+// Snapshot copies the store's content.
+func (m *MetadataStore) Snapshot() *MetadataSnapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return &MetadataCopy{cloneTopics(m.topics)}
+	return &MetadataSnapshot{cloneTopics(m.topics)}
 }
 
-// Return has the store come back from a copy: what was written since is gone, and its offsets
+// Restore has the store come back from a copy: what was written since is gone, and its offsets
 // are given out again. Connections stay open.
-func (m *Metadata) Return(c *MetadataCopy) {
+func (m *MetadataStore) Restore(snapshot *MetadataSnapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.topics = cloneTopics(c.topics)
+	m.topics = cloneTopics(snapshot.topics)
 	m.era++
-	m.wake()
+	m.notifyReaders()
 }
 
 func cloneTopics(topics map[string]*keyedTopic) map[string]*keyedTopic {
 	out := make(map[string]*keyedTopic, len(topics))
 	for name, t := range topics {
-		out[name] = &keyedTopic{first: t.first, records: slices.Clone(t.records), newest: maps.Clone(t.newest)}
+		out[name] = &keyedTopic{firstOffset: t.firstOffset, records: slices.Clone(t.records), latest: maps.Clone(t.latest)}
 	}
 	return out
 }
 
 type keyedTopic struct {
-	first   uint64
-	records []keyedRecord
-	newest  map[string]keyedRecord
+	firstOffset uint64
+	records     []keyedRecord
+	latest      map[string]keyedRecord
 }
 
 type keyedRecord struct {
@@ -66,138 +66,138 @@
 	value  []byte
 }
 
-// NewMetadata returns an empty store.
-func NewMetadata() *Metadata {
-	return &Metadata{topics: map[string]*keyedTopic{}, changed: make(chan struct{}), refuse: map[string]int{}}
+// NewMetadataStore returns an empty store.
+func NewMetadataStore() *MetadataStore {
+	return &MetadataStore{topics: map[string]*keyedTopic{}, changed: make(chan struct{}), failures: map[string]int{}}
 }
 
-// Refuse answers every call with a status, or none if it is 0. Caller limits it to
+// SetFailure answers every call with a status, or none if it is 0. Caller limits it to
 // one caller's address without port; empty is all.
-func (m *Metadata) Refuse(caller string, status int) {
+func (m *MetadataStore) SetFailure(host string, status int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.refuse[caller] = status
-	m.wake()
+	m.failures[host] = status
+	m.notifyReaders()
 }
 
-// LoseAnswers makes the next n appends act and then break the connection.
-func (m *Metadata) LoseAnswers(n int) { m.mu.Lock(); m.lose = n; m.mu.Unlock() }
+// LoseReplies makes the next n appends act and then break the connection.
+func (m *MetadataStore) LoseReplies(n int) { m.mu.Lock(); m.repliesToLose = n; m.mu.Unlock() }
 
-// Calls returns how many calls came.
-func (m *Metadata) Calls() int { m.mu.Lock(); defer m.mu.Unlock(); return m.calls }
+// RequestCount returns how many calls came.
+func (m *MetadataStore) RequestCount() int { m.mu.Lock(); defer m.mu.Unlock(); return m.requestCount }
 
 // Compact drops the records of a topic; the newest of each key stay.
-func (m *Metadata) Compact(topic string) {
+func (m *MetadataStore) Compact(topic string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t := m.topic(topic)
-	t.first += uint64(len(t.records))
+	t.firstOffset += uint64(len(t.records))
 	t.records = nil
-	m.wake()
+	m.notifyReaders()
 }
 
 // Put appends a record as the operator or a backend server does; a nil value
 // removes the key.
-func (m *Metadata) Put(topic, key string, value []byte) {
+func (m *MetadataStore) Put(topic, key string, value []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.append(topic, key, value)
 }
 
-// Value returns the newest value of a key.
-func (m *Metadata) Value(topic, key string) ([]byte, bool) {
+// Latest returns the newest value of a key.
+func (m *MetadataStore) Latest(topic, key string) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r, known := m.topic(topic).newest[key]
-	return r.value, known
+	r, ok := m.topic(topic).latest[key]
+	return r.value, ok
 }
 
-func (m *Metadata) topic(name string) *keyedTopic {
+func (m *MetadataStore) topic(name string) *keyedTopic {
 	t := m.topics[name]
 	if t == nil {
-		t = &keyedTopic{newest: map[string]keyedRecord{}}
+		t = &keyedTopic{latest: map[string]keyedRecord{}}
 		m.topics[name] = t
 	}
 	return t
 }
 
-func (t *keyedTopic) end() uint64 { return t.first + uint64(len(t.records)) }
+func (t *keyedTopic) endOffset() uint64 { return t.firstOffset + uint64(len(t.records)) }
 
-func (m *Metadata) wake() {
+func (m *MetadataStore) notifyReaders() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-func (m *Metadata) append(topic, key string, value []byte) uint64 {
+func (m *MetadataStore) append(topic, key string, value []byte) uint64 {
 	t := m.topic(topic)
-	r := keyedRecord{t.end(), key, value}
+	r := keyedRecord{t.endOffset(), key, value}
 	t.records = append(t.records, r)
 	if len(value) == 0 {
-		delete(t.newest, key)
+		delete(t.latest, key)
 	} else {
-		t.newest[key] = r
+		t.latest[key] = r
 	}
-	m.wake()
+	m.notifyReaders()
 	return r.offset
 }
 
 // ServeHTTP implements http.Handler.
-func (m *Metadata) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (m *MetadataStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
-	m.calls++
-	m.stateEra(w)
+	m.requestCount++
+	m.writeEra(w)
 	m.mu.Unlock()
-	if status := m.refused(r); status != 0 {
+	if status := m.failureStatus(r); status != 0 {
 		w.WriteHeader(status)
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
 	case "GET /-/log-newest":
-		m.serveNewest(w, r)
+		m.handleNewest(w, r)
 	case "GET /-/log-read":
-		m.serveRead(w, r)
+		m.handleRead(w, r)
 	case "POST /-/log-append":
-		m.serveAppend(w, r)
+		m.handleAppend(w, r)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-// stateEra states the era in an answer. Callers hold mu.
-func (m *Metadata) stateEra(w http.ResponseWriter) {
+// writeEra states the era in an answer. Callers hold mu.
+func (m *MetadataStore) writeEra(w http.ResponseWriter) {
 	w.Header().Set("Store-Era", strconv.FormatUint(m.era, 10))
 }
 
-func (m *Metadata) refused(r *http.Request) int {
+func (m *MetadataStore) failureStatus(r *http.Request) int {
 	host, _, _ := strings.Cut(r.RemoteAddr, ":")
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(m.refuse[""], m.refuse[host])
+	return max(m.failures[""], m.failures[host])
 }
 
-func (m *Metadata) serveNewest(w http.ResponseWriter, r *http.Request) {
+func (m *MetadataStore) handleNewest(w http.ResponseWriter, r *http.Request) {
 	type item struct {
 		Key    string `json:"key"`
 		Value  string `json:"value"`
 		Offset uint64 `json:"offset"`
 	}
 	m.mu.Lock()
-	m.stateEra(w)
+	m.writeEra(w)
 	t := m.topic(r.FormValue("topic"))
 	items := []item{}
-	for _, rec := range t.newest {
+	for _, rec := range t.latest {
 		if rec.key <= r.FormValue("after") {
 			continue
 		}
 		items = append(items, item{rec.key, base64.StdEncoding.EncodeToString(rec.value), rec.offset})
 	}
-	end := t.end()
+	end := t.endOffset()
 	m.mu.Unlock()
 	slices.SortFunc(items, func(a, b item) int { return strings.Compare(a.Key, b.Key) })
 	writeJSON(w, http.StatusOK, map[string]any{"items": items, "has_more": false, "end": end})
 }
 
-func (m *Metadata) serveRead(w http.ResponseWriter, r *http.Request) {
+func (m *MetadataStore) handleRead(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseUint(r.FormValue("from"), 10, 64)
 	wait, _ := strconv.ParseInt(r.FormValue("wait_ms"), 10, 64)
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
@@ -205,14 +205,14 @@
 	for {
 		m.mu.Lock()
 		t := m.topic(r.FormValue("topic"))
-		first, end, changed := t.first, t.end(), m.changed
-		m.stateEra(w)
+		first, end, changed := t.firstOffset, t.endOffset(), m.changed
+		m.writeEra(w)
 		var records []keyedRecord
 		if from >= first && from < end {
 			records = slices.Clone(t.records[from-first:])
 		}
 		m.mu.Unlock()
-		if status := m.refused(r); status != 0 {
+		if status := m.failureStatus(r); status != 0 {
 			w.WriteHeader(status)
 			return
 		}
@@ -246,26 +246,26 @@
 	_, _ = w.Write(out) // a reader that left gets nothing
 }
 
-func (m *Metadata) serveAppend(w http.ResponseWriter, r *http.Request) {
+func (m *MetadataStore) handleAppend(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil || len(body) < 5 || len(body) < 5+int(body[4]) {
 		http.Error(w, "not a record", http.StatusBadRequest)
 		return
 	}
-	n := 5 + int(body[4])
+	keyEnd := 5 + int(body[4])
 	topic := r.FormValue("topic")
 	m.mu.Lock()
-	m.stateEra(w)
-	end := m.topic(topic).end()
+	m.writeEra(w)
+	end := m.topic(topic).endOffset()
 	if at := r.FormValue("at"); at != "" && at != strconv.FormatUint(end, 10) {
 		m.mu.Unlock()
 		writeJSON(w, http.StatusPreconditionFailed, map[string]uint64{"end": end})
 		return
 	}
-	offset := m.append(topic, string(body[5:n]), body[n:])
-	lost := m.lose > 0
+	offset := m.append(topic, string(body[5:keyEnd]), body[keyEnd:])
+	lost := m.repliesToLose > 0
 	if lost {
-		m.lose--
+		m.repliesToLose--
 	}
 	m.mu.Unlock()
 	if lost {
--- a/internal/standin/services.go
+++ b/internal/standin/services.go
@@ -17,9 +17,9 @@
 	"github.com/damaskrudder/damaskrudder/internal/platform"
 )
 
-// WrongMark is the word in a model stand-in's answer that the rating stand-in
+// BadAnswerMarker is the word in a model stand-in's answer that the rating stand-in
 // takes for a bad one.
-const WrongMark = "wrong"
+const BadAnswerMarker = "wrong"
 
 // VMList is the platform's list of VMs; changes show after a lag.
 type VMList struct {
@@ -69,8 +69,8 @@
 }
 
 type timedRating struct {
-	at     time.Time
-	rating platform.Rating
+	availableAt time.Time
+	rating      platform.Rating
 }
 
 // NewRater returns a rating service that answers after delay.
@@ -88,21 +88,21 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		good := !strings.Contains(in.Answer, WrongMark)
+		good := !strings.Contains(in.Answer, BadAnswerMarker)
 		in.Answer = ""
 		s.ratings[in.Daemon] = append(s.ratings[in.Daemon], timedRating{time.Now().Add(s.delay), platform.Rating{Sample: in, Good: good}})
 		w.WriteHeader(http.StatusAccepted)
 		return
 	}
-	s.collect(w, r)
+	s.handleRatings(w, r)
 }
 
-func (s *Rater) collect(w http.ResponseWriter, r *http.Request) {
+func (s *Rater) handleRatings(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.Atoi(r.FormValue("from"))
 	all := s.ratings[r.FormValue("daemon")]
 	due := []platform.Rating{}
 	next := min(max(from, 0), len(all))
-	for next < len(all) && !time.Now().Before(all[next].at) {
+	for next < len(all) && !time.Now().Before(all[next].availableAt) {
 		due = append(due, all[next].rating)
 		next++
 	}
@@ -110,69 +110,71 @@
 }
 
 // WeightStore grants loads at a limited rate.
-type WeightStore struct{ limit *rate.Limiter }
+type WeightStore struct{ limiter *rate.Limiter }
 
 // NewWeightStore allows perSecond loads a second.
 func NewWeightStore(perSecond float64) *WeightStore {
-	return &WeightStore{limit: rate.NewLimiter(rate.Limit(perSecond), 1)}
+	return &WeightStore{limiter: rate.NewLimiter(rate.Limit(perSecond), 1)}
 }
 
 // ServeHTTP implements http.Handler.
 func (s *WeightStore) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, s.limit.Allow())
+	writeJSON(w, http.StatusOK, s.limiter.Allow())
 }
 
-// Plain is a plain service. It counts what it really ran, by run id.
-type Plain struct {
-	mu    sync.Mutex
-	runs  map[string]int
-	texts map[string]string
+// Service is a plain service. It counts what it really ran, by run id.
+type Service struct {
+	mu        sync.Mutex
+	runCounts map[string]int
+	replies   map[string]string
 	// Delay is the service time.
 	Delay time.Duration
 }
 
-// NewPlain returns a service that answers at once.
-func NewPlain() *Plain { return &Plain{runs: map[string]int{}, texts: map[string]string{}} }
+// NewService returns a service that answers at once.
+func NewService() *Service {
+	return &Service{runCounts: map[string]int{}, replies: map[string]string{}}
+}
 
-// Runs returns how often each run id was executed.
-func (s *Plain) Runs() map[string]int {
+// RunCounts returns how often each run id was executed.
+func (s *Service) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.runs)
+	return maps.Clone(s.runCounts)
 }
 
-// Texts returns the reply by run id.
-func (s *Plain) Texts() map[string]string {
+// Replies returns the reply by run id.
+func (s *Service) Replies() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.texts)
+	return maps.Clone(s.replies)
 }
 
-// maxPlainBody bounds a call's body in bytes.
-const maxPlainBody = 1 << 20
+// maxServiceBodyBytes bounds a call's body in bytes.
+const maxServiceBodyBytes = 1 << 20
 
 // ServeHTTP implements http.Handler.
-func (s *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost || r.URL.Path != "/call" {
 		http.NotFound(w, r)
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxPlainBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxServiceBodyBytes))
 	if err != nil {
 		return
 	}
-	run := r.Header.Get("X-Run-Id")
+	runID := r.Header.Get("X-Run-Id")
 	s.mu.Lock()
-	s.runs[run]++
-	n := s.runs[run]
+	s.runCounts[runID]++
+	runCount := s.runCounts[runID]
 	s.mu.Unlock()
 	time.Sleep(s.Delay)
 	h := fnv.New32a()
 	_, _ = h.Write(body)
-	text := fmt.Sprintf(`{"confirmation":"%s-%08x-%d"}`, run, h.Sum32(), n)
+	reply := fmt.Sprintf(`{"confirmation":"%s-%08x-%d"}`, runID, h.Sum32(), runCount)
 	s.mu.Lock()
-	s.texts[run] = text
+	s.replies[runID] = reply
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = io.WriteString(w, text)
+	_, _ = io.WriteString(w, reply)
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -15,8 +15,8 @@
 	// Address is ip:port.
 	Address string
 	// URL is http://Address.
-	URL  string
-	http *http.Server
+	URL        string
+	httpServer *http.Server
 }
 
 // headerTimeout bounds how long a client may take over its header.
@@ -31,14 +31,14 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{Address: l.Addr().String(), http: &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}}
+	s := &Server{Address: l.Addr().String(), httpServer: &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}}
 	s.URL = "http://" + s.Address
-	go func() { _ = s.http.Serve(l) }()
+	go func() { _ = s.httpServer.Serve(l) }()
 	return s, nil
 }
 
 // Close ends the listener and every connection at once, as a lost VM does.
-func (s *Server) Close() { _ = s.http.Close() }
+func (s *Server) Close() { _ = s.httpServer.Close() }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -83,7 +83,7 @@
 	var all sync.WaitGroup
 	for ctx.Err() == nil {
 		front, known := c.fronts[rng.IntN(len(c.fronts))], keys()
-		all.Go(func() { c.send(client, front, talk, known[len(known)-1], standin.DeadlyMark) })
+		all.Go(func() { c.send(client, front, talk, known[len(known)-1], standin.CrashMarker) })
 		time.Sleep(time.Duration(50+rng.IntN(200)) * time.Millisecond)
 	}
 	all.Wait()
--- a/lab/soak/deadly.go
+++ b/lab/soak/deadly.go
@@ -32,7 +32,7 @@
 	s := w.servers[i]
 	w.paths[i].down(awayFor, func() {
 		s.Restart()
-		w.register(i, s.Born())
+		w.register(i, s.StartMillis())
 	})
 }
 
@@ -84,7 +84,7 @@
 		deadly[c.id] = c.deadly
 	}
 	for _, s := range w.servers {
-		for _, r := range s.History() {
+		for _, r := range s.RunHistory() {
 			if deadly[r.ID] {
 				out = append(out, r.At)
 			}
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -30,8 +30,8 @@
 // world is everything that one seed runs against.
 type world struct {
 	rng     *rand.Rand
-	store   *standin.Metadata
-	servers []*standin.Opaque
+	store   *standin.MetadataStore
+	servers []*standin.BackendServer
 	// paths lead to servers, and stores to the store, one for each daemon.
 	paths, stores []*proxy
 	daemons       []*process
@@ -89,7 +89,7 @@
 
 // play runs one seed.
 func play(ctx context.Context, seed uint64, o options, binary, dir string) (*result, error) {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 77)), store: standin.NewMetadata(), keys: []string{"k0", "k1", "k2"}, revoked: map[string]time.Time{}, away: map[int]bool{}}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 77)), store: standin.NewMetadataStore(), keys: []string{"k0", "k1", "k2"}, revoked: map[string]time.Time{}, away: map[int]bool{}}
 	defer w.close()
 	if err := w.build(o.daemons, binary, dir); err != nil {
 		return nil, err
@@ -150,9 +150,9 @@
 	w.configure()
 	for i := range w.warmings {
 		service := []string{"lm", "app"}[i%2]
-		s := standin.NewOpaque(fmt.Sprintf("%s%d", service, i), events)
-		s.Confidence["small"] = 30 + 12*i
-		s.OnDeadly(func() { w.deadlyEnd(i) })
+		s := standin.NewBackendServer(fmt.Sprintf("%s%d", service, i), events)
+		s.ConfidenceByModel["small"] = 30 + 12*i
+		s.OnCrash(func() { w.deadlyEnd(i) })
 		server := httptest.NewServer(s)
 		p, err := newProxy(strings.TrimPrefix(server.URL, "http://"))
 		if err != nil {
@@ -161,7 +161,7 @@
 		w.closers = append(w.closers, p.close, server.Close)
 		w.servers, w.paths = append(w.servers, s), append(w.paths, p)
 		w.entries = append(w.entries, fmt.Sprintf(`{"service":%q,"addr":%q,"zone":"z%d","version":"v1","slots":32,"state":"ready","sequence":1`, service, p.address(), i%3))
-		w.register(i, s.Born())
+		w.register(i, s.StartMillis())
 	}
 	seed := ""
 	for n := range daemons {
@@ -246,7 +246,7 @@
 func (w *world) runs(id string) int {
 	n := 0
 	for _, s := range w.servers {
-		n += s.Runs(id)
+		n += s.RunCount(id)
 	}
 	return n
 }
@@ -286,13 +286,13 @@
 		{"hup", func() { d.signal(syscall.SIGHUP) }},
 		{"path", func() { path.set(m); after(func() { path.set(passing) }) }},
 		{"store-path", func() { store.set(m); after(func() { store.set(passing) }) }},
-		{"store-refuses", func() { w.store.Refuse("", 503); after(func() { w.store.Refuse("", 0) }) }},
-		{"store-loses", func() { w.store.LoseAnswers(3) }},
+		{"store-refuses", func() { w.store.SetFailure("", 503); after(func() { w.store.SetFailure("", 0) }) }},
+		{"store-loses", func() { w.store.LoseReplies(3) }},
 		{"store-compacts", func() { w.store.Compact("keyed.op"); w.store.Compact("keyed.servers") }},
-		{"shed", func() { server.Shed(true); after(func() { server.Shed(false) }) }},
-		{"errors", func() { server.Fail(500); after(func() { server.Fail(0) }) }},
-		{"answers-lost", func() { server.LoseHeads(true); after(func() { server.LoseHeads(false) }) }},
-		{"break", func() { server.BreakAt(2 + w.rng.IntN(events-2)) }},
+		{"shed", func() { server.SetShedding(true); after(func() { server.SetShedding(false) }) }},
+		{"errors", func() { server.SetFailureStatus(500); after(func() { server.SetFailureStatus(0) }) }},
+		{"answers-lost", func() { server.SetLoseResponses(true); after(func() { server.SetLoseResponses(false) }) }},
+		{"break", func() { server.BreakNextStreamAt(2 + w.rng.IntN(events-2)) }},
 		{"rotate", w.rotate},
 	}
 	f := faults[w.rng.IntN(len(faults))]
@@ -309,11 +309,11 @@
 	for _, d := range w.daemons {
 		d.signal(syscall.SIGCONT)
 	}
-	w.store.Refuse("", 0)
+	w.store.SetFailure("", 0)
 	for _, s := range w.servers {
-		s.Shed(false)
-		s.Fail(0)
-		s.LoseHeads(false)
+		s.SetShedding(false)
+		s.SetFailureStatus(0)
+		s.SetLoseResponses(false)
 	}
 }
 
--- a/lab/soak/restart.go
+++ b/lab/soak/restart.go
@@ -46,10 +46,10 @@
 		name  string
 		start func()
 	}{
-		{"server-restarts", func() { s.Restart(); w.reregister(i, s.Born()) }},
-		{"server-restarts-twice", func() { s.Restart(); s.Restart(); w.reregister(i, s.Born()) }},
+		{"server-restarts", func() { s.Restart(); w.reregister(i, s.StartMillis()) }},
+		{"server-restarts-twice", func() { s.Restart(); s.Restart(); w.reregister(i, s.StartMillis()) }},
 		// The store may carry out a write of an earlier run late.
-		{"older-entry", func() { w.reregister(i, s.Born()-1) }},
+		{"older-entry", func() { w.reregister(i, s.StartMillis()-1) }},
 		{"entry-bad", func() { w.bar(i) }},
 		{"kill", func() { d.signal(syscall.SIGKILL) }},
 		{"term", func() { d.signal(syscall.SIGTERM) }},
@@ -83,15 +83,15 @@
 	for n := range w.barred {
 		b := &w.barred[n]
 		b.to = time.Now()
-		w.register(b.server, w.servers[b.server].Born())
+		w.register(b.server, w.servers[b.server].StartMillis())
 	}
 }
 
 // checkBarred returns the requests that reached a server whose entry named none.
-func checkBarred(bars []bar, servers []*standin.Opaque) []string {
+func checkBarred(bars []bar, servers []*standin.BackendServer) []string {
 	var broken []string
 	for _, b := range bars {
-		for _, r := range servers[b.server].History() {
+		for _, r := range servers[b.server].RunHistory() {
 			if r.At.After(b.from.Add(barWithin)) && r.At.Before(b.to) {
 				broken = append(broken, fmt.Sprintf("request %s: ran at %s, whose entry had named no server for %s", r.ID, servers[b.server].ID, r.At.Sub(b.from).Round(time.Millisecond)))
 			}
--- a/lab/soak/returns.go
+++ b/lab/soak/returns.go
@@ -27,7 +27,7 @@
 	ended := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
-		copies := []*standin.MetadataCopy{w.store.Copy()}
+		copies := []*standin.MetadataSnapshot{w.store.Snapshot()}
 		copying, returning := time.NewTicker(copyEvery), time.NewTicker(returnEvery)
 		defer copying.Stop()
 		defer returning.Stop()
@@ -36,7 +36,7 @@
 			case <-ended:
 				return
 			case <-copying.C:
-				copies = append(copies, w.store.Copy())
+				copies = append(copies, w.store.Snapshot())
 				copies = copies[max(0, len(copies)-copiesKept):]
 			case <-returning.C:
 				w.comeBack(copies[turn%len(copies)])
@@ -47,17 +47,17 @@
 	return func() { close(ended); all.Wait() }
 }
 
-func (w *world) comeBack(c *standin.MetadataCopy) {
-	w.store.Refuse("", 503)
+func (w *world) comeBack(c *standin.MetadataSnapshot) {
+	w.store.SetFailure("", 503)
 	time.Sleep(silentFor)
-	w.store.Return(c)
-	w.store.Refuse("", 0)
+	w.store.Restore(c)
+	w.store.SetFailure("", 0)
 	time.Sleep(againAfter)
 	w.mu.Lock()
 	w.store.Put("keyed.op", "config", w.config)
 	w.returned++
 	w.mu.Unlock()
 	for i, s := range w.servers {
-		w.reregister(i, s.Born())
+		w.reregister(i, s.StartMillis())
 	}
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -101,19 +101,19 @@
 
 // A daemon that goes on sending to a server whose entry names none is seen.
 func TestCheckFindsRequestsAtABarredServer(t *testing.T) {
-	s := standin.NewOpaque("a", events)
+	s := standin.NewBackendServer("a", events)
 	reach := func() {
 		r := httptest.NewRequest(http.MethodPost, "/pay/1", nil)
 		r.Header.Set("X-Damaskrudder-Expect-Instance", "a")
 		s.ServeHTTP(httptest.NewRecorder(), r)
 	}
 	reach()
-	at := s.History()[0].At
+	at := s.RunHistory()[0].At
 	for _, c := range []struct {
 		from, to time.Duration
 		want     int
 	}{{-barWithin - time.Second, time.Second, 1}, {-barWithin / 2, time.Second, 0}, {-barWithin - 2*time.Second, -time.Second, 0}} {
-		if got := checkBarred([]bar{{0, at.Add(c.from), at.Add(c.to)}}, []*standin.Opaque{s}); len(got) != c.want {
+		if got := checkBarred([]bar{{0, at.Add(c.from), at.Add(c.to)}}, []*standin.BackendServer{s}); len(got) != c.want {
 			t.Errorf("barred from %s to %s: %v", c.from, c.to, got)
 		}
 	}
--- a/lab/soak/warming.go
+++ b/lab/soak/warming.go
@@ -67,7 +67,7 @@
 // registerWarming has a server write that it warms up, and then that it is warm unless it has
 // begun to warm up again.
 func (w *world) registerWarming(i int) {
-	born := w.servers[i].Born()
+	born := w.servers[i].StartMillis()
 	w.warmings[i].Add(1)
 	turn := w.warmings[i].Load()
 	w.store.Put("keyed.servers", w.servers[i].ID, fmt.Appendf(nil, `%s,"cold_ms":%d,"born":%d}`, w.entries[i], warmFor.Milliseconds(), born))
@@ -124,7 +124,7 @@
 func (w *world) checkGate() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	arrivals := func(server int) []standin.Run { return w.servers[server].History() }
+	arrivals := func(server int) []standin.Run { return w.servers[server].RunHistory() }
 	return append(checkWarming(w.warm, arrivals), checkEvacuated(w.evacuated, arrivals, len(w.servers))...)
 }
 
