--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api serves callers and operators over HTTP: an OpenAI-compatible API,
-// plain service calls, endpoint discovery, and the operators' resources.
+// Package api implements the HTTP API of the daemon: OpenAI-compatible chat
+// completions, service calls, endpoint discovery and the operator resources.
 package api
 
 import (
@@ -19,32 +19,34 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// Headers of the protocol beyond OpenAI's.
+// HTTP headers of the API that the OpenAI API does not define.
 const (
-	// HeaderRequestID carries the request id on every answer.
+	// HeaderRequestID carries the request ID on every response.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderExecutionState says on a refusal whether the request was executed.
+	// HeaderExecutionState states on an error response whether the request was executed.
 	HeaderExecutionState = "X-Request-Ran"
-	// HeaderSessionID carries the session token or the caller's session name.
+	// HeaderSessionID carries a session token or a session name chosen by the caller.
 	HeaderSessionID = "X-Session-Id"
-	// HeaderRequestClass names the request class.
+	// HeaderRequestClass carries the name of the request class.
 	HeaderRequestClass = "X-Request-Class"
-	// HeaderIdempotencyKey is the idempotency key.
+	// HeaderIdempotencyKey carries the idempotency key of a request.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderIdempotencyReplayed marks the stored answer of an earlier request.
+	// HeaderIdempotencyReplayed marks a response that was stored for an earlier request
+	// with the same idempotency key.
 	HeaderIdempotencyReplayed = "Idempotency-Replayed"
-	// headerShouldRetry stops the official client libraries from repeating a
-	// request that may have run.
+	// headerShouldRetry stops the OpenAI client libraries from retrying a request that
+	// may have been executed.
 	headerShouldRetry = "X-Should-Retry"
 )
 
-// API is the HTTP side of one daemon.
+// API holds the HTTP handlers of one daemon.
 type API struct {
 	daemon *daemon.Daemon
 	logger *log.Logger
 }
 
-// New returns the handler for callers and operators. Metrics serves /metrics.
+// New returns the handler of the caller and operator endpoints. The metrics handler
+// serves /metrics.
 func New(d *daemon.Daemon, logger *log.Logger, metrics http.Handler) http.Handler {
 	a := &API{daemon: d, logger: logger}
 	e := echo.New()
@@ -75,7 +77,7 @@
 
 func requestID(c echo.Context) string { return c.Get(requestIDContextKey).(string) }
 
-// errorResponse has OpenAI's error form with the execution state beside it.
+// errorResponse is an error body in OpenAI's format, extended by the execution state.
 type errorResponse struct {
 	Error errorDetail `json:"error"`
 }
@@ -93,7 +95,8 @@
 	return errorResponse{errorDetail{f.Detail, f.Kind, f.Kind, f.Field, f.ExecutionState(), id}}
 }
 
-// handleError is the one place where an error becomes an HTTP answer.
+// handleError writes an error as an HTTP response. It maps errors of the echo framework to
+// not_found or too_large, and every other error without a fault kind to internal.
 func (a *API) handleError(err error, c echo.Context) {
 	var httpErr *echo.HTTPError
 	if errors.As(err, &httpErr) {
@@ -121,7 +124,7 @@
 	_ = c.JSON(fault.Lookup(f.Kind).Status, newErrorResponse(requestID(c), f))
 }
 
-// authenticate finds the caller's workspace by its API key.
+// authenticate returns the name of the workspace that owns the request's API key.
 func (a *API) authenticate(c echo.Context) (string, error) {
 	key, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
@@ -134,7 +137,7 @@
 	return name, nil
 }
 
-// readBody reads the request's body up to the limit in the settings.
+// readBody reads the request body, which may have at most max_body_bytes.
 func (a *API) readBody(c echo.Context) ([]byte, error) {
 	limit := a.daemon.Settings().MaxBodyBytes
 	data, err := io.ReadAll(io.LimitReader(c.Request().Body, limit+1))
@@ -147,7 +150,7 @@
 	return data, nil
 }
 
-// maxIdempotencyKeyLength bounds an idempotency key in bytes.
+// maxIdempotencyKeyLength is the maximum length of an idempotency key in bytes.
 const maxIdempotencyKeyLength = 256
 
 func idempotencyKey(c echo.Context) (string, error) {
@@ -181,7 +184,8 @@
 	return c.JSON(http.StatusOK, map[string]any{"object": "list", "data": list})
 }
 
-// endpointsResponse tells which addresses to use and for how long.
+// endpointsResponse lists the addresses of serving daemons and how long callers may
+// cache them.
 type endpointsResponse struct {
 	Endpoints  []string `json:"endpoints"`
 	TTLSeconds float64  `json:"ttl_seconds"`
--- a/internal/api/chat.go
+++ b/internal/api/chat.go
@@ -13,11 +13,11 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// maxTokensBound bounds max_tokens.
+// maxTokensBound is the largest accepted value of max_tokens and max_completion_tokens.
 const maxTokensBound = 1 << 20
 
-// chatRequestBody is the part of a chat request the router reads; the rest is passed
-// on to the engine as it came.
+// chatRequestBody is the part of a chat request that the router interprets. All other
+// fields are forwarded to the engine unchanged.
 type chatRequestBody struct {
 	Model               string    `json:"model"`
 	Messages            []message `json:"messages"`
@@ -35,7 +35,8 @@
 	Content contentText `json:"content"`
 }
 
-// contentText is a message's content: a string, or parts of which the text ones count.
+// contentText is the text of a message, decoded from either a string or a list of
+// content parts. Parts without text are ignored.
 type contentText string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// ParseChat checks the body of a chat request.
+// ParseChat decodes and validates the body of a chat request. Errors are of kind
+// fault.BadRequest.
 func ParseChat(data []byte) (daemon.ChatRequest, chatRequestBody, error) {
 	var body chatRequestBody
 	req := daemon.ChatRequest{RawBody: data}
@@ -158,7 +160,7 @@
 	}
 }
 
-// sseWriter writes a chat answer as server-sent events.
+// sseWriter writes a chat completion as server-sent events.
 type sseWriter struct {
 	c       echo.Context
 	id      string
@@ -203,10 +205,10 @@
 	return s.writeEvent(s.newChunk(map[string]any{"content": text}, nil))
 }
 
-// streamChat answers with server-sent events. Headers go out with the first piece,
-// so that a refusal before it is still an ordinary HTTP error. After it, an
-// error is an event of its own and the [DONE] mark is left out: a caller that
-// sees no mark knows that the answer is not whole.
+// streamChat responds with server-sent events. The response header is sent with the
+// first chunk, so that an error before it is still an ordinary HTTP error. A later error
+// is sent as an event, and the final [DONE] event is omitted to mark the completion as
+// truncated.
 func (a *API) streamChat(c echo.Context, req daemon.ChatRequest, body chatRequestBody) error {
 	s := &sseWriter{c: c, id: requestID(c), model: body.Model, created: time.Now().Unix()}
 	req.OnText = s.writeText
--- a/internal/api/chat_test.go
+++ b/internal/api/chat_test.go
@@ -20,12 +20,12 @@
 		req, _, err := ParseChat(data)
 		if err != nil {
 			if !fault.Is(err, fault.BadRequest) {
-				t.Fatalf("%v", err)
+				t.Fatalf("error is not of kind bad_request: %v", err)
 			}
 			return
 		}
 		if req.Model == "" || req.MaxTokens < 0 || req.Body == nil {
-			t.Fatalf("%+v", req)
+			t.Fatalf("accepted an invalid request: %+v", req)
 		}
 	})
 }
--- a/internal/api/holds.go
+++ b/internal/api/holds.go
@@ -10,11 +10,12 @@
 	"github.com/damaskrudder/damaskrudder/internal/quarantine"
 )
 
-// HeldRequest is a request that is kept from backend servers, as operators see it.
+// HeldRequest describes a quarantined request, which is not sent to backend servers.
 type HeldRequest struct {
-	// Fingerprint is its name on the daemons' lines.
+	// Fingerprint identifies the request in log lines and operator commands.
 	Fingerprint string `json:"fingerprint"`
-	// AgeSeconds is for how long it has been held, and LeftSeconds for how long it still is.
+	// AgeSeconds is the time since the hold began, RemainingSeconds the time until it
+	// expires.
 	AgeSeconds       float64 `json:"age_seconds"`
 	RemainingSeconds float64 `json:"left_seconds"`
 }
@@ -29,8 +30,8 @@
 
 func millisToSeconds(ms int64) float64 { return (time.Duration(ms) * time.Millisecond).Seconds() }
 
-// addHold keeps a request from servers by hand, for as long as the daemon's own holds
-// last, and answers with all that are held.
+// addHold quarantines a request on behalf of an operator, for the same duration as an
+// automatic hold, and responds with all holds.
 func (a *API) addHold(c echo.Context) error {
 	f, err := parseFingerprint(c)
 	if err != nil {
@@ -40,7 +41,7 @@
 	return a.listHolds(c)
 }
 
-// releaseHold ends a hold by hand, and answers with those that are left.
+// releaseHold ends a hold and responds with the remaining ones.
 func (a *API) releaseHold(c echo.Context) error {
 	f, err := parseFingerprint(c)
 	if err != nil {
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -37,12 +37,13 @@
 	}
 }
 
-// PatchErrorResponse tells an operator what moved under a stale patch.
+// PatchErrorResponse is the response to a rejected patch. It lists the accepted patches
+// that are newer than the base of the rejected one.
 type PatchErrorResponse struct {
 	errorResponse
-	// CurrentNumber is the number in force.
+	// CurrentNumber is the number of the configuration in force.
 	CurrentNumber uint64 `json:"in_force"`
-	// NewerPatches lists what patches after the base changed.
+	// NewerPatches are the patches accepted after the base.
 	NewerPatches []fleet.PatchOutcome `json:"moved"`
 }
 
@@ -77,7 +78,7 @@
 	return c.JSON(fault.Lookup(outcome.Kind).Status, PatchErrorResponse{newErrorResponse(requestID(c), faultErr), a.daemon.Config().Number, newer})
 }
 
-// Status is a daemon's view of itself and the others.
+// Status is the state of a daemon and of the cluster members as that daemon knows them.
 type Status struct {
 	ID      string              `json:"id"`
 	Number  uint64              `json:"number"`
