--- a/internal/app/bench_test.go
+++ b/internal/app/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// sendChat sends one plain chat request and reads the whole answer.
+// sendChat sends a chat request without streaming and reads the response.
 func sendChat(b *testing.B, c *http.Client, url, key string, header http.Header, body []byte) {
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -30,7 +30,7 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		b.Fatalf("%s %s %v", resp.Status, data, err)
+		b.Fatalf("status %s, body %s, error %v", resp.Status, data, err)
 	}
 }
 
@@ -39,8 +39,8 @@
 	b.ReportMetric(float64(latencies.ValueAtQuantile(99)), "p99-us-"+path)
 }
 
-// BenchmarkAddedLatency alternates requests to an engine alone with requests
-// through one daemon to engines of the same kind, and reports both.
+// BenchmarkAddedLatency compares the latency of requests sent directly to an engine with
+// that of requests routed through a daemon.
 func BenchmarkAddedLatency(b *testing.B) {
 	engine := standin.NewEngine(demo.EngineModel, "bib-lookup@v1")
 	s, err := standin.Serve(engine)
@@ -68,9 +68,9 @@
 	reportLatency(b, routed, "through")
 }
 
-// BenchmarkRequests sends requests through one daemon of two, from many callers,
-// to engines that answer one token at once. Allocations include the callers',
-// the engines' and both daemons', all of which share this process.
+// BenchmarkRequests measures the throughput of one of two daemons for concurrent callers
+// and engines that return one token without delay. Callers, engines and daemons share the
+// process, so that allocations include all of them.
 func BenchmarkRequests(b *testing.B) {
 	model := demo.EngineModel
 	defer func() { demo.EngineModel = model }()
--- a/internal/app/command.go
+++ b/internal/app/command.go
@@ -141,7 +141,8 @@
 	return node.Shutdown(ctx)
 }
 
-// reloadSecrets takes new session keys after SIGHUP. Bad ones change nothing.
+// reloadSecrets applies the current secrets. If they cannot be loaded, the old ones stay
+// in effect.
 func (n *Node) reloadSecrets(s settings.Settings) {
 	secrets, err := settings.LoadSecrets(s)
 	if err != nil {
--- a/internal/app/end_to_end_test.go
+++ b/internal/app/end_to_end_test.go
@@ -22,7 +22,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// newWorld starts daemons and stand-ins on loopback and ends them with the test.
+// newWorld starts daemons and stand-ins on loopback and stops them when the test ends.
 func newWorld(t *testing.T, daemons int) *demo.World {
 	t.Helper()
 	w, err := demo.NewWorld(daemons, startDemoNode)
@@ -33,7 +33,7 @@
 	return w
 }
 
-// waitUntil polls a condition that other goroutines bring about.
+// waitUntil polls a condition and fails the test if it does not hold within a minute.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 6000 {
@@ -45,7 +45,8 @@
 	t.Fatalf("never: %s", what)
 }
 
-// post sends a request as a workspace and returns the status, headers and body.
+// post sends a request with an API key and returns the status, header and body of the
+// response.
 func post(t *testing.T, address, path, key string, header http.Header, body string) (int, http.Header, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(body))
@@ -97,13 +98,12 @@
 	}
 	models, err := c.Models.List(t.Context())
 	if err != nil || len(models.Data) != 3 {
-		t.Fatalf("models: %v, %v", models, err)
+		t.Fatalf("models: %v, error %v", models, err)
 	}
 }
 
-// Symptom: an operator's change vanished although it had been accepted.
-// Sequence: two operators write against number 1; both send.
-// Cause: a patch against a stale number must lose, and say what moved.
+// TestStalePatchIsRejected checks that a patch with a stale base is rejected, with a list
+// of the newer patches, and that resubmitting an accepted patch is idempotent.
 func TestStalePatchIsRejected(t *testing.T) {
 	w := newWorld(t, 2)
 	submit := func(address, id, body string) (int, api.PatchErrorResponse, fleet.PatchOutcome) {
@@ -115,20 +115,19 @@
 		return status, r, o
 	}
 	if status, _, o := submit(w.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || o.Number != 2 {
-		t.Fatalf("first patch: %d %+v", status, o)
+		t.Fatalf("first patch: status %d, %+v", status, o)
 	}
 	status, r, _ := submit(w.Addresses[1], "bea", `{"workspaces":{"largada-sul":{"priority":5}}}`)
 	if status != http.StatusConflict || r.Error.Code != fault.BaseStale || r.CurrentNumber != 2 || len(r.NewerPatches) != 1 || r.NewerPatches[0].Author != "ana" {
-		t.Fatalf("stale patch: %d %+v", status, r)
+		t.Fatalf("stale patch: status %d, %+v", status, r)
 	}
 	if status, _, o := submit(w.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || o.Number != 2 {
-		t.Fatalf("the same patch again: %d %+v", status, o)
+		t.Fatalf("resubmitted patch: status %d, %+v", status, o)
 	}
 }
 
-// Symptom: engines stay busy with answers nobody reads.
-// Sequence: a caller starts a stream, reads one piece and closes.
-// Cause: the run must be cancelled on its engine when its caller leaves.
+// TestCallerDisconnectCancelsRun checks that the engine's run is cancelled when the caller
+// closes a stream before its end.
 func TestCallerDisconnectCancelsRun(t *testing.T) {
 	w := newWorld(t, 1)
 	for _, e := range w.Engines {
@@ -159,16 +158,14 @@
 	})
 }
 
-// Symptom: callers get answers of a version that operators have withdrawn.
-// Sequence: a session is pinned to v1; v1 is withdrawn with successor v2; the
-// session asks again through another daemon.
-// Cause: the pin must yield to the withdrawal, at every daemon the same way.
+// TestWithdrawnVersionGetsNoNewRequests checks that a session pinned to a withdrawn version
+// moves to its successor on every daemon, and that explicit requests for it are rejected.
 func TestWithdrawnVersionGetsNoNewRequests(t *testing.T) {
 	w := newWorld(t, 2)
 	key := demo.Key(demo.Goldfields)
 	status, h, _ := post(t, w.Addresses[0], "/v1/chat/completions", key, nil, lookupBody)
 	if status != http.StatusOK || h.Get("X-Model-Version") != "bib-lookup@v1" {
-		t.Fatalf("before: %d %v", status, h)
+		t.Fatalf("before the withdrawal: status %d, header %v", status, h)
 	}
 	pin := http.Header{api.HeaderSessionID: {h.Get(api.HeaderSessionID)}}
 	err := w.Apply(fleet.Patch{Models: map[string]json.RawMessage{
@@ -180,12 +177,12 @@
 	before := countRuns(w, "bib-lookup@v1")
 	status, h, _ = post(t, w.Addresses[1], "/v1/chat/completions", key, pin, lookupBody)
 	if status != http.StatusOK || h.Get("X-Model-Version") != "bib-lookup@v2" {
-		t.Fatalf("after: %d %v", status, h)
+		t.Fatalf("after the withdrawal: status %d, header %v", status, h)
 	}
 	explicit := strings.Replace(lookupBody, "bib-lookup", "bib-lookup@v1", 1)
 	status, h, _ = post(t, w.Addresses[1], "/v1/chat/completions", key, nil, explicit)
 	if status != http.StatusGone || h.Get(api.HeaderExecutionState) != "not_run" {
-		t.Fatalf("explicit: %d %v", status, h)
+		t.Fatalf("explicit request for the withdrawn version: status %d, header %v", status, h)
 	}
 	if after := countRuns(w, "bib-lookup@v1"); after != before {
 		t.Fatalf("%d runs started on the withdrawn version", after-before)
@@ -242,25 +239,24 @@
 			status, h, data := post(t, w.Addresses[0], c.path, c.key, c.header, c.body)
 			var r api.PatchErrorResponse
 			if err := json.Unmarshal([]byte(data), &r); err != nil {
-				t.Fatalf("%d %q: %v", status, data, err)
+				t.Fatalf("status %d, body %q: %v", status, data, err)
 			}
 			if status != c.status || r.Error.Code != c.kind || r.Error.ExecutionState != fault.NotRun || r.Error.RequestID == "" || h.Get(api.HeaderRequestID) != r.Error.RequestID {
-				t.Fatalf("got %d %s", status, data)
+				t.Fatalf("status %d: %s", status, data)
 			}
 		})
 	}
 	var cfg fleet.Config
 	if err := w.Operator(http.MethodGet, "/config", nil, &cfg); err != nil || cfg.Number != 1 {
-		t.Fatalf("configuration %d, %v", cfg.Number, err)
+		t.Fatalf("configuration %d, error %v", cfg.Number, err)
 	}
 	if n := countRuns(w, "bib-lookup@v1"); n != 0 {
 		t.Fatalf("%d runs were started", n)
 	}
 }
 
-// Symptom: a caller smuggles a second header, or a second request, into ours.
-// Sequence: raw bytes with a bare carriage return, a NUL, or two lengths arrive.
-// Cause: such a request must be refused as a whole, before it is routed.
+// TestMalformedHeadersAreRejected guards against header injection and request smuggling:
+// a malformed request must be rejected before it is routed.
 func TestMalformedHeadersAreRejected(t *testing.T) {
 	w := newWorld(t, 1)
 	for name, header := range map[string]string{
@@ -279,7 +275,7 @@
 		}
 		answer, err := io.ReadAll(c)
 		if err != nil || !bytes.HasPrefix(answer, []byte("HTTP/1.1 400 ")) {
-			t.Errorf("%s: %q %v", name, answer, err)
+			t.Errorf("%s: response %q, error %v", name, answer, err)
 		}
 		_ = c.Close()
 	}
@@ -288,11 +284,8 @@
 	}
 }
 
-// Symptom: callers lose requests whenever daemons are replaced.
-// Sequence: all daemons stop one after the other and start anew at the same
-// address while callers, who hold endpoint answers for their whole time, go on.
-// Cause: a stopping daemon must leave the endpoint answers first and serve on
-// until the last of them has run out.
+// TestRollingRestartLosesNoRequests checks that a draining daemon is removed from endpoint
+// responses and keeps serving until the cached responses have expired.
 func TestRollingRestartLosesNoRequests(t *testing.T) {
 	w := newWorld(t, 3)
 	traffic := demo.NewTraffic(w)
@@ -308,7 +301,7 @@
 	stop()
 	<-done
 	if refused := traffic.Refused(); len(refused) > 0 {
-		t.Fatalf("not answered: %v", refused)
+		t.Fatalf("refused requests: %v", refused)
 	}
 }
 
--- a/internal/app/failure_test.go
+++ b/internal/app/failure_test.go
@@ -20,13 +20,14 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// postConfirmation sends a confirmation with a key and returns status, headers and body.
+// postConfirmation calls the confirm service with an idempotency key and returns the
+// status, header and body of the response.
 func postConfirmation(t *testing.T, address, key, body string) (int, http.Header, string) {
 	t.Helper()
 	return post(t, address, "/v1/services/confirm", demo.Key(demo.Goldfields), http.Header{api.HeaderIdempotencyKey: {key}}, body)
 }
 
-// countServiceRuns counts what the plain services really ran.
+// countServiceRuns returns how many calls the service stand-ins executed.
 func countServiceRuns(w *demo.World) int {
 	n := 0
 	for _, s := range w.Services {
@@ -37,11 +38,8 @@
 	return n
 }
 
-// Symptom: a confirmation is given twice.
-// Sequence: the caller sends one key to all daemons at once, then again; the log
-// loses the replies of the first appends after acting.
-// Cause: the claim's place in the log decides who runs; everybody else waits for
-// the outcome or is told that the key is taken.
+// TestIdempotencyKeyRunsOnceAcrossDaemons checks that concurrent requests with the same
+// idempotency key are executed once, also when the log loses the replies to appends.
 func TestIdempotencyKeyRunsOnceAcrossDaemons(t *testing.T) {
 	w := newWorld(t, 3)
 	w.Log.LoseReplies(4)
@@ -58,7 +56,7 @@
 				answers[body] = true
 			case status == http.StatusConflict && h.Get(api.HeaderExecutionState) == "unknown":
 			default:
-				t.Errorf("%d %s %s", status, h.Get(api.HeaderExecutionState), body)
+				t.Errorf("status %d, execution state %s: %s", status, h.Get(api.HeaderExecutionState), body)
 			}
 		})
 	}
@@ -68,43 +66,40 @@
 	}
 	status, h, body := postConfirmation(t, w.Addresses[2], "lot-1", `{"lot":1}`)
 	if status != http.StatusOK || !answers[body] || h.Get(api.HeaderIdempotencyReplayed) != "true" {
-		t.Fatalf("a repeat: %d %v %s", status, h, body)
+		t.Fatalf("repeated request: status %d, header %v, body %s", status, h, body)
 	}
 	if status, h, _ := postConfirmation(t, w.Addresses[1], "lot-1", `{"lot":2}`); status != http.StatusUnprocessableEntity || h.Get(api.HeaderExecutionState) != "not_run" {
-		t.Fatalf("another body: %d", status)
+		t.Fatalf("same key with another body: status %d", status)
 	}
 	if countServiceRuns(w) != 1 {
 		t.Fatalf("%d executions", countServiceRuns(w))
 	}
 }
 
-// Symptom: payments run twice, or are wrongly said not to have run, while the log
-// is down.
-// Sequence: the log goes down; a key is sent; a key that a daemon minted is sent
-// twice; the log comes back and the first key is sent again.
-// Cause: without a claim nothing may run but what one incarnation alone may run.
+// TestIdempotencyKeysDuringLogOutage checks that without the log only keys minted by the
+// same daemon incarnation are executed, because all others need a claim in the log.
 func TestIdempotencyKeysDuringLogOutage(t *testing.T) {
 	w := newWorld(t, 2)
 	w.Log.SetDown(true)
 	status, h, _ := postConfirmation(t, w.Addresses[0], "lot-2", `{}`)
 	if status != http.StatusServiceUnavailable || h.Get(api.HeaderExecutionState) != "not_run" || h.Get("Retry-After") == "" || countServiceRuns(w) != 0 {
-		t.Fatalf("without the log: %d %v, %d executions", status, h, countServiceRuns(w))
+		t.Fatalf("without the log: status %d, header %v, %d executions", status, h, countServiceRuns(w))
 	}
 	status, _, body := post(t, w.Addresses[1], "/v1/keys", demo.Key(demo.Goldfields), nil, "")
 	var minted struct{ Key, Endpoint string }
 	if json.Unmarshal([]byte(body), &minted); status != http.StatusCreated || minted.Endpoint != w.Addresses[1] {
-		t.Fatalf("mint: %d %s", status, body)
+		t.Fatalf("minting a key: status %d, body %s", status, body)
 	}
 	first, _, answer := postConfirmation(t, w.Addresses[1], minted.Key, `{}`)
 	second, h, replayed := postConfirmation(t, w.Addresses[1], minted.Key, `{}`)
 	if first != http.StatusOK || second != http.StatusOK || answer != replayed || h.Get(api.HeaderIdempotencyReplayed) != "true" || countServiceRuns(w) != 1 {
-		t.Fatalf("minted key: %d %d, %d executions", first, second, countServiceRuns(w))
+		t.Fatalf("minted key: status %d and %d, %d executions", first, second, countServiceRuns(w))
 	}
 	if status, h, _ := postConfirmation(t, w.Addresses[0], minted.Key, `{}`); status != http.StatusConflict || h.Get(api.HeaderExecutionState) != "unknown" {
-		t.Fatalf("minted key elsewhere: %d %v", status, h)
+		t.Fatalf("minted key at another daemon: status %d, header %v", status, h)
 	}
 	w.Log.SetDown(false)
-	waitUntil(t, "the abandoned claim is void and the key runs", func() bool {
+	waitUntil(t, "the key is executed after the abandoned claim", func() bool {
 		status, _, _ := postConfirmation(t, w.Addresses[0], "lot-2", `{}`)
 		return status == http.StatusOK
 	})
@@ -113,12 +108,8 @@
 	}
 }
 
-// Symptom: answers hang for ever, or have doubled words, behind a middlebox that
-// forgets connections.
-// Sequence: every engine's open streams go silent after two tokens; new
-// connections work.
-// Cause: the stream must be resumed on a new connection from the last event, as
-// the same run.
+// TestStalledStreamsAreResumed checks that a stream whose connection stalls is resumed on a
+// new connection after the last received event, without starting a second run.
 func TestStalledStreamsAreResumed(t *testing.T) {
 	w := newWorld(t, 1)
 	for _, e := range w.Engines {
@@ -126,7 +117,7 @@
 	}
 	status, _, body := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody)
 	if status != http.StatusOK {
-		t.Fatalf("%d %s", status, body)
+		t.Fatalf("status %d: %s", status, body)
 	}
 	whole := ""
 	for _, e := range w.Engines {
@@ -135,11 +126,11 @@
 		}
 	}
 	if !strings.Contains(body, strings.TrimSpace(whole)) || countRuns(w, "bib-lookup@v1") != 1 {
-		t.Fatalf("%d runs; %s", countRuns(w, "bib-lookup@v1"), body)
+		t.Fatalf("%d runs, response %s", countRuns(w, "bib-lookup@v1"), body)
 	}
 }
 
-// readLedger reads the usage stream as the ledger does.
+// readLedger builds a ledger from the usage stream of the log.
 func readLedger(w *demo.World) *billing.Ledger {
 	l := billing.NewLedger()
 	for _, data := range w.Log.Records(daemon.UsageStream) {
@@ -153,11 +144,8 @@
 	return l
 }
 
-// Symptom: answers are never billed after an outage of the log in which their
-// daemon was lost.
-// Sequence: the log goes down; chats are answered; their daemon is killed; the
-// log comes back.
-// Cause: the keeper in another failure domain must append its copies.
+// TestReplicatedUsageIsBilledAfterDaemonLoss checks that usage recorded during a log outage
+// is billed from the replica in another failure domain if its daemon is lost.
 func TestReplicatedUsageIsBilledAfterDaemonLoss(t *testing.T) {
 	w := newWorld(t, 3)
 	w.Log.SetDown(true)
@@ -165,25 +153,22 @@
 	for i := range chats {
 		body := strings.Replace(lookupBody, "bib 7", fmt.Sprint("bib ", i), 1)
 		if status, _, data := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, body); status != http.StatusOK {
-			t.Fatalf("%d %s", status, data)
+			t.Fatalf("status %d: %s", status, data)
 		}
 	}
 	if readLedger(w).Len() != 0 {
-		t.Fatal("the log took bills while it was down")
+		t.Fatal("the log accepted usage records while it was down")
 	}
 	w.Kill(0)
 	w.Log.SetDown(false)
-	waitUntil(t, "the keeper's copies are billed", func() bool { return readLedger(w).Len() == chats })
+	waitUntil(t, "the replicated usage records are billed", func() bool { return readLedger(w).Len() == chats })
 	if l := readLedger(w); len(l.Conflicting) > 0 {
-		t.Fatalf("doubtful: %v", l.Conflicting)
+		t.Fatalf("conflicting usage records: %v", l.Conflicting)
 	}
 }
 
-// Symptom: a replaced VM serves by an empty or old configuration, or never serves,
-// while the log is down.
-// Sequence: the log goes down; a daemon's VM is replaced by a fresh one.
-// Cause: it must take the highest number that daemons of several failure domains
-// have, and refuse until then.
+// TestNewDaemonLoadsConfigurationFromPeers checks that a daemon started during a log outage
+// serves with the newest configuration known to daemons of several failure domains.
 func TestNewDaemonLoadsConfigurationFromPeers(t *testing.T) {
 	w := newWorld(t, 4)
 	if err := w.Apply(fleet.Patch{Workspaces: map[string]json.RawMessage{demo.Largada: json.RawMessage(`{"priority":4}`)}}); err != nil {
@@ -196,17 +181,16 @@
 	}
 	status, _, body := post(t, w.Addresses[3], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody)
 	if status != http.StatusOK {
-		t.Fatalf("%d %s", status, body)
+		t.Fatalf("status %d: %s", status, body)
 	}
 	var c fleet.Config
 	if err := w.OperatorAt(3, http.MethodGet, "/config", nil, &c); err != nil || c.Number != 2 {
-		t.Fatalf("number %d, %v", c.Number, err)
+		t.Fatalf("configuration %d, error %v", c.Number, err)
 	}
 }
 
-// Symptom: requests are cut because they were sent to a server that goes away.
-// Sequence: the platform lists a server as leaving.
-// Cause: it must get no new work from any daemon after the list's word.
+// TestLeavingServerGetsNoNewRequests checks that no daemon sends requests to a server that
+// the VM list reports as leaving.
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	w := newWorld(t, 2)
 	for id := range w.Engines {
@@ -227,10 +211,10 @@
 		}
 		return n
 	}
-	waitUntil(t, "both daemons know", func() bool { return countLeaving(0) == len(w.Engines)-1 && countLeaving(1) == len(w.Engines)-1 })
+	waitUntil(t, "both daemons see the leaving servers", func() bool { return countLeaving(0) == len(w.Engines)-1 && countLeaving(1) == len(w.Engines)-1 })
 	for i := range 10 {
 		if status, _, body := post(t, w.Addresses[i%2], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody); status != http.StatusOK {
-			t.Fatalf("%d %s", status, body)
+			t.Fatalf("status %d: %s", status, body)
 		}
 	}
 	for id, e := range w.Engines {
@@ -240,10 +224,8 @@
 	}
 }
 
-// Symptom: an engine keeps a withdrawn version that a late order loaded again.
-// Sequence: a version is withdrawn; an engine that ignores fencing loads it by an
-// old holder's order.
-// Cause: the holder must read back what servers hold and correct it.
+// TestLeaseHolderUnloadsWithdrawnVersion checks that the lease holder unloads a withdrawn
+// version again after an order from a previous holder has loaded it.
 func TestLeaseHolderUnloadsWithdrawnVersion(t *testing.T) {
 	w := newWorld(t, 1)
 	err := w.Apply(fleet.Patch{Models: map[string]json.RawMessage{"bib-lookup": json.RawMessage(`{"versions":{"v2":{"state":"withdrawn"}}}`)}})
@@ -258,15 +240,13 @@
 		}
 		return true
 	}
-	waitUntil(t, "every engine has unloaded it", unloaded)
+	waitUntil(t, "every engine has unloaded the version", unloaded)
 	w.Engines["lm-desk-3"].SetBehaviour("bib-lookup@v2", standin.Behaviour{})
-	waitUntil(t, "the late order is corrected", unloaded)
+	waitUntil(t, "the engine has unloaded the version again", unloaded)
 }
 
-// Symptom: one engine after the other ends, and everybody's requests fail.
-// Sequence: a request ends the engine that runs it; the daemon sends it to another one, and
-// its caller sends it again, to another daemon.
-// Cause: nothing knew the request again.
+// TestRequestThatEndsItsEnginesIsKeptFromThem checks that a request that crashes engines is
+// quarantined at all daemons, and that retries of it crash no further engine.
 func TestRequestThatEndsItsEnginesIsKeptFromThem(t *testing.T) {
 	w := newWorld(t, 3)
 	crashBody := strings.Replace(lookupBody, "status of", standin.CrashMarker, 1)
@@ -302,7 +282,7 @@
 	}
 }
 
-// listHolds returns the requests that a daemon keeps from servers.
+// listHolds returns the quarantined requests of a daemon.
 func listHolds(t *testing.T, w *demo.World, daemon int) (out []api.HeldRequest) {
 	t.Helper()
 	if err := w.OperatorAt(daemon, http.MethodGet, "/holds", nil, &out); err != nil {
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -1,4 +1,4 @@
-// Package app turns settings into a running daemon and holds the commands of the
+// Package app starts a daemon from its settings and implements the commands of the
 // damaskrudder binary.
 package app
 
@@ -28,17 +28,17 @@
 )
 
 const (
-	// platformTimeout bounds a call of a platform service, long reads included.
+	// platformTimeout is the timeout of calls to platform services, including long polls.
 	platformTimeout = 5 * time.Second
-	// headerTimeout bounds how long a client may take over its header.
+	// headerTimeout is the time a client has to send a request header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout closes unused connections of callers.
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 2 * time.Minute
-	// metricsInterval is how often counters are reported.
+	// metricsInterval is the period between updates of the exported metrics.
 	metricsInterval = time.Second
 )
 
-// Node is a daemon with its listeners.
+// Node is a running daemon with its caller and peer servers.
 type Node struct {
 	Daemon         *daemon.Daemon
 	logger         *log.Logger
@@ -51,7 +51,8 @@
 	killOnce       sync.Once
 }
 
-// NewLogger returns the logger of a daemon.
+// NewLogger returns a logger that prefixes lines with the daemon ID. An invalid level is
+// ignored.
 func NewLogger(w io.Writer, id, level string) *log.Logger {
 	logger := log.NewWithOptions(w, log.Options{ReportTimestamp: true, Prefix: id})
 	if parsedLevel, err := log.ParseLevel(level); err == nil {
@@ -60,7 +61,7 @@
 	return logger
 }
 
-// Start opens the listeners and starts the daemon.
+// Start listens on the addresses in the settings and starts a daemon.
 func Start(s settings.Settings, secrets settings.Secrets, logger *log.Logger) (*Node, error) {
 	callerListener, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -74,7 +75,8 @@
 	return StartWithListeners(s, secrets, logger, callerListener, peerListener)
 }
 
-// StartWithListeners starts a daemon on open listeners; the settings' addresses follow them.
+// StartWithListeners starts a daemon on open listeners. Their addresses replace those in
+// the settings.
 func StartWithListeners(s settings.Settings, secrets settings.Secrets, logger *log.Logger, callerListener, peerListener net.Listener) (*Node, error) {
 	s.Listen, s.PeerListen = callerListener.Addr().String(), peerListener.Addr().String()
 	scope, handler, closer := newMetricsScope()
@@ -127,8 +129,8 @@
 	return scope, promhttp.HandlerFor(registry, promhttp.HandlerOpts{}), closer
 }
 
-// Shutdown drains the daemon and closes it. Cancelling the context cuts what
-// still runs. The error says what was cut.
+// Shutdown drains the daemon and stops it. Cancelling the context aborts the requests that
+// are still running. The error reports aborted requests and unconfirmed usage records.
 func (n *Node) Shutdown(ctx context.Context) error {
 	running, unconfirmed := n.Daemon.Drain(ctx)
 	closeCtx, cancel := context.WithTimeout(ctx, time.Second)
@@ -141,8 +143,7 @@
 	return nil
 }
 
-// Kill ends the daemon at once, as the loss of its VM does. A second call does
-// nothing.
+// Kill stops the daemon without draining it. Further calls have no effect.
 func (n *Node) Kill() { n.killOnce.Do(n.shutDown) }
 
 func (n *Node) shutDown() {
--- a/internal/app/tls.go
+++ b/internal/app/tls.go
@@ -13,12 +13,11 @@
 	"github.com/damaskrudder/damaskrudder/internal/settings"
 )
 
-// reloadInterval is how often certificate files are looked at again.
+// reloadInterval is the minimum time between checks for changed certificate files.
 const reloadInterval = 2 * time.Second
 
-// certReloader serves a certificate that is read again when its file changes,
-// so that keys rotate without a restart. A file that cannot be read keeps the
-// last good one.
+// certReloader provides a certificate and a CA pool and reloads them when their files
+// change. If reloading fails, the previous ones stay in use.
 type certReloader struct {
 	files     settings.TLS
 	mu        sync.Mutex
@@ -92,9 +91,9 @@
 	})
 }
 
-// peerClientConfig verifies the peer's chain against the current authorities itself,
-// because a static RootCAs would outlive a rotation. Names are not compared:
-// peers are reached by IP number, and the peer key proves that they are ours.
+// peerClientConfig returns a client configuration that verifies peer certificates against
+// the current CA pool, because RootCAs cannot change after a reload. Host names are not
+// verified: peers are addressed by IP address and authenticated by the peer key.
 func (c *certReloader) peerClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -102,7 +101,7 @@
 			cert, _ := c.current()
 			return cert, nil
 		},
-		InsecureSkipVerify: true, // VerifyConnection below replaces it.
+		InsecureSkipVerify: true, // VerifyConnection verifies the chain instead.
 		VerifyConnection: func(state tls.ConnectionState) error {
 			_, pool := c.current()
 			intermediates := x509.NewCertPool()
--- a/internal/app/tls_test.go
+++ b/internal/app/tls_test.go
@@ -20,7 +20,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/settings"
 )
 
-// testCA signs certificates for tests.
+// testCA is a certificate authority for tests.
 type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -46,7 +46,8 @@
 	}
 }
 
-// issueFiles writes a certificate with a serial number and the authority's own.
+// issueFiles writes a new certificate with the given serial number, its key and the CA
+// certificate to dir.
 func (a *testCA) issueFiles(t *testing.T, dir string, serial int64) settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -76,11 +77,8 @@
 	return f
 }
 
-// Symptom: strangers reach the daemons' own port, or a renewed certificate needs
-// a restart.
-// Sequence: a peer of the same authority connects, then one of another authority
-// and one without a certificate; the certificate's files are replaced.
-// Cause: both sides must verify, against the files as they are now.
+// TestPeerTLS checks that the peer port requires a certificate of the same CA and that
+// renewed certificate files take effect without a restart.
 func TestPeerTLS(t *testing.T) {
 	trustedCA, dir := newTestCA(t), t.TempDir()
 	server, err := newCertReloader(trustedCA.issueFiles(t, dir, 7))
@@ -109,17 +107,17 @@
 		t.Fatal(err)
 	}
 	if serial, err := get(trustedPeer.peerClientConfig()); err != nil || serial != 7 {
-		t.Fatalf("a peer of ours: %d %v", serial, err)
+		t.Fatalf("peer with a certificate of the same CA: serial %d, error %v", serial, err)
 	}
 	untrustedPeer, err := newCertReloader(newTestCA(t).issueFiles(t, t.TempDir(), 9))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := get(untrustedPeer.peerClientConfig()); err == nil {
-		t.Fatal("a peer of another authority got in")
+		t.Fatal("accepted a peer with a certificate of another CA")
 	}
 	if _, err := get(&tls.Config{InsecureSkipVerify: true}); err == nil {
-		t.Fatal("a peer without a certificate got in")
+		t.Fatal("accepted a peer without a certificate")
 	}
 	trustedCA.issueFiles(t, dir, 10)
 	later := time.Now().Add(time.Minute)
@@ -130,7 +128,7 @@
 	server.lastCheck = time.Time{}
 	server.mu.Unlock()
 	if serial, err := get(trustedPeer.peerClientConfig()); err != nil || serial != 10 {
-		t.Fatalf("after the renewal: %d %v", serial, err)
+		t.Fatalf("after the renewal: serial %d, error %v", serial, err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "key.pem"), []byte("broken"), 0o600); err != nil {
 		t.Fatal(err)
@@ -139,6 +137,6 @@
 	server.lastCheck = time.Time{}
 	server.mu.Unlock()
 	if serial, err := get(trustedPeer.peerClientConfig()); err != nil || serial != 10 {
-		t.Fatalf("with a broken file: %d %v", serial, err)
+		t.Fatalf("with an invalid key file: serial %d, error %v", serial, err)
 	}
 }
