--- a/internal/app/end_to_end_test.go
+++ b/internal/app/end_to_end_test.go
@@ -22,7 +22,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// newWorld starts daemons and stand-ins on loopback and stops them when the test ends.
+// newWorld starts daemons and fake services on loopback and stops them when the test ends.
 func newWorld(t *testing.T, daemons int) *demo.World {
 	t.Helper()
 	w, err := demo.NewWorld(daemons, startDemoNode)
--- a/internal/app/failure_test.go
+++ b/internal/app/failure_test.go
@@ -27,12 +27,12 @@
 	return post(t, address, "/v1/services/confirm", demo.Key(demo.Goldfields), http.Header{api.HeaderIdempotencyKey: {key}}, body)
 }
 
-// countServiceRuns returns how many calls the service stand-ins executed.
+// countServiceRuns returns how many calls the fake services executed.
 func countServiceRuns(w *demo.World) int {
 	n := 0
 	for _, s := range w.Services {
-		for _, k := range s.RunCounts() {
-			n += k
+		for _, runs := range s.RunCounts() {
+			n += runs
 		}
 	}
 	return n
@@ -119,29 +119,29 @@
 	if status != http.StatusOK {
 		t.Fatalf("status %d: %s", status, body)
 	}
-	whole := ""
+	answers := ""
 	for _, e := range w.Engines {
 		for _, text := range e.Answers() {
-			whole += text
+			answers += text
 		}
 	}
-	if !strings.Contains(body, strings.TrimSpace(whole)) || countRuns(w, "bib-lookup@v1") != 1 {
+	if !strings.Contains(body, strings.TrimSpace(answers)) || countRuns(w, "bib-lookup@v1") != 1 {
 		t.Fatalf("%d runs, response %s", countRuns(w, "bib-lookup@v1"), body)
 	}
 }
 
 // readLedger builds a ledger from the usage stream of the log.
 func readLedger(w *demo.World) *billing.Ledger {
-	l := billing.NewLedger()
+	ledger := billing.NewLedger()
 	for _, data := range w.Log.Records(daemon.UsageStream) {
 		var batch []billing.UsageRecord
 		if cbor.Unmarshal(data, &batch) == nil {
 			for _, u := range batch {
-				l.Apply(u)
+				ledger.Apply(u)
 			}
 		}
 	}
-	return l
+	return ledger
 }
 
 // TestReplicatedUsageIsBilledAfterDaemonLoss checks that usage recorded during a log outage
@@ -162,8 +162,8 @@
 	w.Kill(0)
 	w.Log.SetDown(false)
 	waitUntil(t, "the replicated usage records are billed", func() bool { return readLedger(w).Len() == chats })
-	if l := readLedger(w); len(l.Conflicting) > 0 {
-		t.Fatalf("conflicting usage records: %v", l.Conflicting)
+	if ledger := readLedger(w); len(ledger.Conflicting) > 0 {
+		t.Fatalf("conflicting usage records: %v", ledger.Conflicting)
 	}
 }
 
@@ -183,9 +183,9 @@
 	if status != http.StatusOK {
 		t.Fatalf("status %d: %s", status, body)
 	}
-	var c fleet.Config
-	if err := w.OperatorAt(3, http.MethodGet, "/config", nil, &c); err != nil || c.Number != 2 {
-		t.Fatalf("configuration %d, error %v", c.Number, err)
+	var config fleet.Config
+	if err := w.OperatorAt(3, http.MethodGet, "/config", nil, &config); err != nil || config.Number != 2 {
+		t.Fatalf("configuration %d, error %v", config.Number, err)
 	}
 }
 
@@ -273,8 +273,8 @@
 			t.Errorf("another request got %d %s", status, answer)
 		}
 	}
-	held := listHolds(t, w, 1)[0].Fingerprint
-	if err := w.OperatorAt(1, http.MethodDelete, "/holds/"+held, nil, nil); err != nil {
+	fingerprint := listHolds(t, w, 1)[0].Fingerprint
+	if err := w.OperatorAt(1, http.MethodDelete, "/holds/"+fingerprint, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
