--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -19,7 +19,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// client talks to the first daemon that answers.
+// client calls the operator API of the first reachable daemon.
 type client struct {
 	addresses  []string
 	key        string
@@ -28,8 +28,8 @@
 
 const requestTimeout = 15 * time.Second
 
-// newClient returns a client. A ca file names the authorities of https addresses
-// beside the system's own.
+// newClient returns a client for a comma-separated list of daemon addresses. The CA
+// certificates in caFile, if set, are trusted in addition to those of the system.
 func newClient(addresses, key, caFile string) (*client, error) {
 	if addresses == "" {
 		return nil, cli.UsageError(errors.New("-address is needed, or RUDDERCTL_ADDRESS"))
@@ -63,7 +63,7 @@
 	return "http://" + address
 }
 
-// doJSON calls the first daemon that can be reached.
+// doJSON sends in as JSON to the first reachable daemon and decodes the response into out.
 func (c *client) doJSON(ctx context.Context, method, path string, in, out any) error {
 	var lastErr error
 	for _, a := range c.addresses {
@@ -103,21 +103,21 @@
 	return resp.StatusCode, data, err
 }
 
-// responseError turns a daemon's refusal into an error with its exit code.
+// responseError returns an error response as an error with the matching exit code.
 func responseError(status int, data []byte) error {
-	var r api.PatchErrorResponse
-	_ = json.Unmarshal(data, &r)
-	if r.Error.Message == "" {
+	var resp api.PatchErrorResponse
+	_ = json.Unmarshal(data, &resp)
+	if resp.Error.Message == "" {
 		return fmt.Errorf("the daemon answered %d: %s", status, bytes.TrimSpace(data))
 	}
-	err := fmt.Errorf("%s: %s (%s, request %s)", r.Error.Code, r.Error.Message, r.Error.ExecutionState, r.Error.RequestID)
+	err := fmt.Errorf("%s: %s (%s, request %s)", resp.Error.Code, resp.Error.Message, resp.Error.ExecutionState, resp.Error.RequestID)
 	if status != http.StatusConflict {
 		return err
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%v\nin force: %d; changed since your base:", err, r.CurrentNumber)
-	for _, m := range r.NewerPatches {
-		fmt.Fprintf(&b, "\n  %d by %s: %s", m.Number, valueOrDash(m.Author), strings.Join(m.Changed, " "))
+	fmt.Fprintf(&b, "%v\nin force: %d; changed since your base:", err, resp.CurrentNumber)
+	for _, newer := range resp.NewerPatches {
+		fmt.Fprintf(&b, "\n  %d by %s: %s", newer.Number, valueOrDash(newer.Author), strings.Join(newer.Changed, " "))
 	}
 	return &cli.ExitError{Code: cli.ExitConflict, Err: errors.New(b.String())}
 }
@@ -135,8 +135,8 @@
 	return cfg, err
 }
 
-func (c *client) patch(ctx context.Context, r fleet.Record) (fleet.PatchOutcome, error) {
-	var o fleet.PatchOutcome
-	err := c.doJSON(ctx, http.MethodPost, "/operator/v1/patches", r, &o)
-	return o, err
+func (c *client) patch(ctx context.Context, record fleet.Record) (fleet.PatchOutcome, error) {
+	var outcome fleet.PatchOutcome
+	err := c.doJSON(ctx, http.MethodPost, "/operator/v1/patches", record, &outcome)
+	return outcome, err
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl holds the commands of the rudderctl binary, which operators use.
+// Package ctl implements the commands of the rudderctl binary.
 package ctl
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// commands is what all commands share.
+// commands holds the output and the flag values of all commands.
 type commands struct {
 	out            io.Writer
 	address        string
@@ -31,7 +31,7 @@
 	author         string
 	patchID        string
 	allowReinstate bool
-	// revertEvacuation takes an evacuation back, and reason is shown with one.
+	// revertEvacuation ends an evacuation instead of starting one.
 	revertEvacuation bool
 	evacuationReason string
 }
@@ -112,7 +112,7 @@
 	return e.Encode(v)
 }
 
-// printTable prints rows under a head; cells are separated by tabs.
+// printTable prints rows of tab-separated cells under a header.
 func (cmds *commands) printTable(header string, rows []string) error {
 	w := tabwriter.NewWriter(cmds.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, header)
@@ -193,7 +193,7 @@
 	return cmds.submitPatch(ctx, c, p)
 }
 
-// submitPatch appends a patch against -base and prints what became of it.
+// submitPatch submits a patch with the base number of -base and prints the outcome.
 func (cmds *commands) submitPatch(ctx context.Context, c *client, p any) error {
 	if cmds.baseNumber < 0 {
 		return cli.UsageError(errors.New("-base is needed: the configuration number the change is written against"))
--- a/internal/ctl/declare.go
+++ b/internal/ctl/declare.go
@@ -13,8 +13,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// loadDeclarations reads the wanted configuration from a directory: every .json
-// and .jsonc file holds sections of it.
+// loadDeclarations merges the .json and .jsonc files of a directory into the desired
+// configuration and validates it.
 func loadDeclarations(dir string) (*fleet.Config, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json*"))
 	if err != nil {
@@ -52,7 +52,7 @@
 	return desired.Merge(&part)
 }
 
-// printChanges shows each changed entity, and what it means for whom.
+// printChanges prints each changed entity and the workspaces that the change affects.
 func printChanges(out io.Writer, c *fleet.Config, changes []fleet.Change) {
 	for _, ch := range changes {
 		mark := "~"
@@ -69,7 +69,7 @@
 	}
 }
 
-// affectedWorkspaces lists the workspaces in force that use an entity.
+// affectedWorkspaces returns the sorted names of the workspaces that use an entity.
 func affectedWorkspaces(c *fleet.Config, path string) []string {
 	section, name, _ := strings.Cut(path, "/")
 	var out []string
--- a/internal/ctl/evacuate.go
+++ b/internal/ctl/evacuate.go
@@ -14,11 +14,12 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// maxEvacuateAttempts bounds how often an order is written anew because the configuration has
-// changed meanwhile: it concerns nothing else in it.
+// maxEvacuateAttempts is the number of attempts to submit an evacuation when other patches
+// change the base. Retrying is safe because the patch touches no other entity.
 const maxEvacuateAttempts = 5
 
-// evacuate orders that the servers of a failure domain get nothing new, or takes that back.
+// evacuate starts or, with -back, ends the evacuation of a failure domain. Servers in an
+// evacuated domain get no new requests.
 func (cmds *commands) evacuate(ctx context.Context, c *client, args []string) error {
 	if len(args) != 1 {
 		return cli.UsageError(errors.New("evacuate needs one failure domain"))
@@ -41,7 +42,8 @@
 	return &cli.ExitError{Code: cli.ExitConflict, Err: errors.New("the configuration changed with every try")}
 }
 
-// patchEvacuation writes the order against the configuration in force, unless it says so already.
+// patchEvacuation submits the change against the configuration in force. It does nothing if
+// the configuration already has the wanted state.
 func (cmds *commands) patchEvacuation(ctx context.Context, c *client, domain string, value json.RawMessage) (done bool, err error) {
 	cfg, err := c.config(ctx)
 	if err != nil {
@@ -58,11 +60,11 @@
 	if err != nil {
 		return false, err
 	}
-	o, err := c.patch(ctx, fleet.Record{PatchID: ulid.Make().String(), Base: cfg.Number, Author: cmds.author, Patch: patch})
+	outcome, err := c.patch(ctx, fleet.Record{PatchID: ulid.Make().String(), Base: cfg.Number, Author: cmds.author, Patch: patch})
 	if err != nil {
 		return false, err
 	}
-	fmt.Fprintf(cmds.out, "accepted as configuration %d\n", o.Number)
+	fmt.Fprintf(cmds.out, "accepted as configuration %d\n", outcome.Number)
 	return true, nil
 }
 
@@ -82,7 +84,7 @@
 	return cmds.printTable("FAILURE DOMAIN\tSERVERS\tPOOLS WITHOUT ANY LEFT\tREASON", rows)
 }
 
-// countServers counts the servers in a failure domain.
+// countServers returns the number of servers in a failure domain.
 func countServers(c *fleet.Config, domain string) (n int) {
 	for _, p := range c.Pools {
 		for _, s := range p.Servers {
@@ -94,7 +96,8 @@
 	return n
 }
 
-// evacuatedPools lists the pools that have servers in a domain, and none in a domain that is open.
+// evacuatedPools returns the pools with servers in the given domain and none in a domain
+// that is not evacuated.
 func evacuatedPools(c *fleet.Config, domain string) (pools []string) {
 	for name, p := range c.Pools {
 		open := func(s fleet.Server) bool { _, evacuated := c.Evacuations[s.FailureDomain]; return !evacuated }
--- a/internal/ctl/trace.go
+++ b/internal/ctl/trace.go
@@ -19,24 +19,23 @@
 	"github.com/damaskrudder/damaskrudder/internal/cli"
 )
 
-// maxLogLine bounds one line of a log in bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// stateLookback is how long before a request's first line what a daemon came to believe is
-// shown: roll-outs and outages last that long.
+// stateLookback is how long before the first line of a request state changes are included.
 const stateLookback = 30 * time.Second
 
-// logLine is one line of a daemon's log.
+// logLine is a parsed line of a daemon's log.
 type logLine struct {
 	source  string
 	at      time.Time
 	message string
-	// fields are the others, in their order, as key=value.
+	// fields holds the remaining fields as key=value, in the order of the line.
 	fields []string
 	values map[string]string
 }
 
-// stateMessages are the messages that tell what a daemon came to believe.
+// stateMessages are the log messages that report a change of the daemon's state.
 var stateMessages = map[string]bool{
 	"configuration in force": true, "roll-out ordered": true, "roll-out phase": true, "new version not used any more": true,
 	"server entry": true, "server entry gone": true, "server silent": true, "request stuck, moved": true,
@@ -44,8 +43,8 @@
 	"started": true, "stopping": true, "daemon lost": true, "daemon leaves": true,
 }
 
-// traceCommand is the command that folds logs into the history of one request. It
-// talks to no daemon.
+// traceCommand returns the command that merges daemon logs into the timeline of one request.
+// It needs no connection to a daemon.
 func (cmds *commands) traceCommand() *ff.Command {
 	return &ff.Command{
 		Name: "trace", Usage: "rudderctl trace ID [LOG...]", ShortHelp: "fold daemons' logs into the history of one request",
@@ -90,12 +89,12 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // read only
+	defer func() { _ = f.Close() }() // opened for reading only
 	return readLog(strings.TrimSuffix(filepath.Base(name), filepath.Ext(name)), f)
 }
 
-// readLog reads a log in logfmt. Lines that are something else are passed over: the
-// end of a crashed process's log holds them.
+// readLog parses a log in logfmt. Other lines, such as the stack trace of a panic, are
+// skipped.
 func readLog(source string, r io.Reader) ([]logLine, error) {
 	var out []logLine
 	s := bufio.NewScanner(r)
@@ -136,8 +135,9 @@
 	return l, d.Err() == nil && !l.at.IsZero() && l.message != ""
 }
 
-// requestTimeline returns a request's lines, and what the daemons that served it came to
-// believe about its servers, the store and versions shortly before and meanwhile.
+// requestTimeline returns the lines of a request and the state changes that its daemons
+// logged from stateLookback before its first line until its last one, sorted by time. State
+// changes of servers that the request was not sent to are left out.
 func requestTimeline(lines []logLine, id string) []logLine {
 	var requestLines []logLine
 	sources, servers := map[string]bool{}, map[string]bool{}
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -17,35 +17,35 @@
 )
 
 func (cmds *commands) status(ctx context.Context, c *client, _ []string) error {
-	var s api.Status
-	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/status", nil, &s); err != nil {
+	var status api.Status
+	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/status", nil, &status); err != nil {
 		return err
 	}
 	if cmds.json {
-		return cmds.printJSON(s)
+		return cmds.printJSON(status)
 	}
-	fmt.Fprintf(cmds.out, "as %s sees it: configuration %d, ready %v\n", s.ID, s.Number, s.Ready)
+	fmt.Fprintf(cmds.out, "as %s sees it: configuration %d, ready %v\n", status.ID, status.Number, status.Ready)
 	var rows []string
-	for _, m := range s.Members {
+	for _, member := range status.Members {
 		logAge := "never"
-		if m.LogAgeMillis != membership.LogAgeUnknown {
-			logAge = (time.Duration(m.LogAgeMillis) * time.Millisecond).String()
+		if member.LogAgeMillis != membership.LogAgeUnknown {
+			logAge = (time.Duration(member.LogAgeMillis) * time.Millisecond).String()
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%v\t%d\t%d\t%v\t%s", m.ID, m.Address, m.FailureDomain, m.State, m.Serving, m.ConfigNumber, m.InFlight, m.Leaving, logAge))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%v\t%d\t%d\t%v\t%s", member.ID, member.Address, member.FailureDomain, member.State, member.Serving, member.ConfigNumber, member.InFlight, member.Leaving, logAge))
 	}
 	return cmds.printTable("DAEMON\tADDRESS\tFAILURE DOMAIN\tSTATE\tSERVING\tNUMBER\tIN FLIGHT\tLEAVING\tLOG AGE", rows)
 }
 
 func (cmds *commands) servers(ctx context.Context, c *client, _ []string) error {
-	var all []daemon.ServerView
-	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/servers", nil, &all); err != nil {
+	var servers []daemon.ServerView
+	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/servers", nil, &servers); err != nil {
 		return err
 	}
 	if cmds.json {
-		return cmds.printJSON(all)
+		return cmds.printJSON(servers)
 	}
 	var rows []string
-	for _, s := range all {
+	for _, s := range servers {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%.1f\t%.3f\t%v\t%v\t%v", s.Pool, s.ID, s.FailureDomain, s.InFlight, s.OthersInFlight, s.ErrorRate, s.Leaving, s.Suspect, s.Versions))
 	}
 	return cmds.printTable("POOL\tSERVER\tFAILURE DOMAIN\tOWN\tOTHERS\tERRORS\tLEAVING\tSUSPECT\tVERSIONS", rows)
@@ -86,15 +86,15 @@
 }
 
 func (cmds *commands) showRollouts(ctx context.Context, c *client) error {
-	var all []daemon.RolloutView
-	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/rollouts", nil, &all); err != nil {
+	var rollouts []daemon.RolloutView
+	if err := c.doJSON(ctx, http.MethodGet, "/operator/v1/rollouts", nil, &rollouts); err != nil {
 		return err
 	}
 	if cmds.json {
-		return cmds.printJSON(all)
+		return cmds.printJSON(rollouts)
 	}
 	var rows []string
-	for _, r := range all {
+	for _, r := range rollouts {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%.1f%%\t%d/%d\t%d/%d\t%s\t%s", r.Model, r.TargetVersion, r.State, r.Percent,
 			r.NewVersion.Errors, r.NewVersion.Requests, r.RunningVersion.Errors, r.RunningVersion.Requests, valueOrDash(r.Owner), valueOrDash(r.Reason)))
 	}
