--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli runs a command tree the same way for both binaries: flags with one
-// or two dashes, help on the standard output, and documented exit codes.
+// Package cli runs the command lines of the damaskrudder and rudderctl binaries with common
+// flag parsing, help output and exit codes.
 package cli
 
 import (
@@ -15,19 +15,19 @@
 
 // Exit codes of both binaries.
 const (
-	// ExitOK is success.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailure is an error while working.
+	// ExitFailure means that the command failed.
 	ExitFailure = 1
-	// ExitUsage is a wrong command line, wrong settings or wrong input files.
+	// ExitUsage means that the command line, the settings or an input file is invalid.
 	ExitUsage = 2
-	// ExitConflict is a patch written against a stale configuration number.
+	// ExitConflict means that the base number of a patch is stale.
 	ExitConflict = 3
 	// ExitUnreachable means that no daemon answered.
 	ExitUnreachable = 4
 )
 
-// ExitError is an error with an exit code of its own.
+// ExitError is an error that determines the exit code.
 type ExitError struct {
 	Code int
 	Err  error
@@ -36,10 +36,10 @@
 // Error implements error.
 func (e *ExitError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error itself.
+// Unwrap returns the wrapped error.
 func (e *ExitError) Unwrap() error { return e.Err }
 
-// UsageError returns an error that exits with ExitUsage.
+// UsageError wraps err so that Main returns ExitUsage. It returns nil if err is nil.
 func UsageError(err error) error {
 	if err == nil {
 		return nil
@@ -47,7 +47,8 @@
 	return &ExitError{ExitUsage, err}
 }
 
-// NewFlagSet returns a flag set under a parent. Define adds the flags.
+// NewFlagSet returns a flag set with the flags that define adds and those of the parent,
+// which may be nil.
 func NewFlagSet(name string, parent *ff.FlagSet, define func(*flag.FlagSet)) *ff.FlagSet {
 	stdFlags := flag.NewFlagSet(name, flag.ContinueOnError)
 	define(stdFlags)
@@ -58,8 +59,8 @@
 	return flags
 }
 
-// Main parses and runs a command line and returns the exit code. Every flag may
-// also be set by an environment variable with the prefix.
+// Main parses and runs a command line and returns the exit code. Flags that are not given
+// are read from environment variables with the prefix envPrefix.
 func Main(root *ff.Command, envPrefix string, args []string, stdout, stderr io.Writer) int {
 	err := root.Parse(args, ff.WithEnvVarPrefix(envPrefix))
 	if errors.Is(err, ff.ErrHelp) {
