--- a/cmd/damaskrudder/main.go
+++ b/cmd/damaskrudder/main.go
@@ -1,4 +1,4 @@
-// Command damaskrudder is the router daemon.
+// Command damaskrudder runs the router daemon.
 package main
 
 import (
--- a/cmd/damaskrudder/main_test.go
+++ b/cmd/damaskrudder/main_test.go
@@ -31,8 +31,8 @@
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
 
-// TestDaemonProcesses runs daemons as processes of their own, against stand-ins in the
-// test.
+// TestDaemonProcesses runs daemons as separate processes against fake services in the test
+// process.
 func TestDaemonProcesses(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata/processes",
@@ -88,7 +88,7 @@
 	return os.WriteFile(filepath.Join(env.WorkDir, "fleet", "all.jsonc"), []byte(config), 0o600)
 }
 
-// waitReady waits until a daemon serves.
+// waitReady waits until the health check of a daemon succeeds.
 func waitReady(ts *testscript.TestScript, _ bool, args []string) {
 	for range 600 {
 		resp, err := http.Get("http://" + args[0] + "/healthz")
@@ -100,12 +100,11 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	ts.Fatalf("%s never got ready", args[0])
+	ts.Fatalf("daemon at %s is not ready", args[0])
 }
 
-// waitConfiguration waits until a configuration number is in force at a daemon. rudderctl
-// apply returns when the daemon that took the patch has it; the others have it some
-// hundred milliseconds later, and know no workspace until then.
+// waitConfiguration waits until a configuration number is in force at a daemon. It is needed
+// after rudderctl apply, which waits only for the daemon that accepted the patch.
 func waitConfiguration(ts *testscript.TestScript, _ bool, args []string) {
 	for range 600 {
 		if configNumber(ts, args[0]) == args[1] {
@@ -113,10 +112,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	ts.Fatalf("configuration %s never was in force at %s", args[1], args[0])
+	ts.Fatalf("configuration %s is not in force at %s", args[1], args[0])
 }
 
-// configNumber returns the number in force at a daemon.
+// configNumber returns the configuration number in force at a daemon.
 func configNumber(ts *testscript.TestScript, address string) string {
 	req, err := http.NewRequest(http.MethodGet, "http://"+address+"/operator/v1/config", nil)
 	ts.Check(err)
@@ -131,7 +130,7 @@
 	return strconv.FormatInt(c.Number, 10)
 }
 
-// sendChat sends one request to a daemon and fails unless it is answered.
+// sendChat sends a chat request to a daemon and fails unless the response is 200 OK.
 func sendChat(ts *testscript.TestScript, _ bool, args []string) {
 	body := `{"model":"m","messages":[{"role":"user","content":"status of bib 7"}]}`
 	req, err := http.NewRequest(http.MethodPost, "http://"+args[0]+"/v1/chat/completions", strings.NewReader(body))
@@ -141,6 +140,6 @@
 	ts.Check(err)
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		ts.Fatalf("%s answered %s", args[0], resp.Status)
+		ts.Fatalf("daemon at %s responded with %s", args[0], resp.Status)
 	}
 }
