--- a/cmd/rudderctl/main.go
+++ b/cmd/rudderctl/main.go
@@ -1,4 +1,4 @@
-// Command rudderctl is the operators' command.
+// Command rudderctl operates a fleet of damaskrudder daemons.
 package main
 
 import (
--- a/cmd/rudderctl/main_test.go
+++ b/cmd/rudderctl/main_test.go
@@ -21,7 +21,7 @@
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
 
-// TestFleetScripts runs the scripts that need daemons, each against its own.
+// TestFleetScripts runs the scripts that need daemons, each with daemons of its own.
 func TestFleetScripts(t *testing.T) {
 	start := func(s settings.Settings, secrets settings.Secrets) (demo.Node, error) {
 		return app.Start(s, secrets, app.NewLogger(io.Discard, s.ID, s.LogLevel))
