--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -11,15 +11,14 @@
 	"time"
 )
 
-// BackendServer is a backend server of the platform: it takes requests whose meaning is
-// in their header fields, and answers with a body or a stream of events. Its faults
-// are switched while it runs.
+// BackendServer is a fake backend server of the platform with fault injection. It interprets
+// only the header of a request and responds with a body or a stream of events.
 type BackendServer struct {
-	// ID is the id under which the server registers; it stays over a restart.
+	// ID is the ID of the server. Restart does not change it.
 	ID string
-	// StreamEvents is the length of a stream.
+	// StreamEvents is the number of events of a stream.
 	StreamEvents int
-	// ConfidenceByModel is what a model says of its own answer; models not listed say 95.
+	// ConfidenceByModel is the reported confidence of each model in percent, 95 by default.
 	ConfidenceByModel map[string]int
 
 	mu            sync.Mutex
@@ -34,32 +33,32 @@
 	onCrash       func()
 }
 
-// Run is one request that began to run.
+// Run is a request whose execution has started.
 type Run struct {
 	ID string
 	At time.Time
 }
 
-// NewBackendServer returns a server that streams some events.
+// NewBackendServer returns a server whose streams have the given number of events.
 func NewBackendServer(id string, streamEvents int) *BackendServer {
 	return &BackendServer{ID: id, StreamEvents: streamEvents, ConfidenceByModel: map[string]int{}, runCounts: map[string]int{}, startMillis: time.Now().UnixMilli()}
 }
 
-// StartMillis returns the start of the server's present run.
+// StartMillis returns the start time of the current incarnation in Unix milliseconds.
 func (s *BackendServer) StartMillis() int64 { s.mu.Lock(); defer s.mu.Unlock(); return s.startMillis }
 
-// Restart begins a new run under the same id: streams break off, and nothing is known of
-// them. What ran stays counted, for those who check.
+// Restart starts a new incarnation with the same ID. Open streams are aborted; the recorded
+// runs are kept for later checks.
 func (s *BackendServer) Restart() { s.mu.Lock(); s.startMillis++; s.mu.Unlock() }
 
-// OnCrash sets what happens when the server has begun to run a request whose body holds
-// DeadlyMark: its connection breaks, and the server ends.
+// OnCrash sets the function that is called when the server starts to run a request whose
+// body contains CrashMarker. The connection is aborted afterwards.
 func (s *BackendServer) OnCrash(onCrash func()) { s.mu.Lock(); s.onCrash = onCrash; s.mu.Unlock() }
 
-// crashDelay is the time from the head of an answer to the end of a server by it.
+// crashDelay is the time between sending the response header and crashing.
 const crashDelay = 30 * time.Millisecond
 
-// crashIfMarked ends the server if a request's body does.
+// crashIfMarked crashes the server if the body contains CrashMarker.
 func (s *BackendServer) crashIfMarked(w http.ResponseWriter, body []byte) {
 	s.mu.Lock()
 	onCrash := s.onCrash
@@ -68,47 +67,47 @@
 		return
 	}
 	w.WriteHeader(http.StatusOK)
-	_ = http.NewResponseController(w).Flush() // the connection breaks off next
+	_ = http.NewResponseController(w).Flush() // the connection is aborted below
 	time.Sleep(crashDelay)
 	onCrash()
 	panic(http.ErrAbortHandler)
 }
 
-// RunHistory returns every run since the first start.
+// RunHistory returns the runs of all incarnations.
 func (s *BackendServer) RunHistory() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runHistory...)
 }
 
-// BreakNextStreamAt makes the next stream break off in the middle of an event.
+// BreakNextStreamAt makes the next stream abort in the middle of the given event.
 func (s *BackendServer) BreakNextStreamAt(event int) {
 	s.mu.Lock()
 	s.breakAtEvent = event
 	s.mu.Unlock()
 }
 
-// SetShedding makes the server refuse every request unrun, or mends that.
+// SetShedding sets whether the server rejects all requests without executing them.
 func (s *BackendServer) SetShedding(on bool) { s.mu.Lock(); s.shedding = on; s.mu.Unlock() }
 
-// SetFailureStatus makes the server answer plain requests with a status; 0 mends that.
+// SetFailureStatus sets the HTTP status of responses that are no streams; 0 restores 200.
 func (s *BackendServer) SetFailureStatus(status int) {
 	s.mu.Lock()
 	s.failureStatus = status
 	s.mu.Unlock()
 }
 
-// SetLoseResponses makes the server run requests and reset their connections.
+// SetLoseResponses sets whether the server executes requests but aborts their connections.
 func (s *BackendServer) SetLoseResponses(on bool) { s.mu.Lock(); s.loseResponses = on; s.mu.Unlock() }
 
-// RunCount returns how often a request ran here.
+// RunCount returns how often a request was executed.
 func (s *BackendServer) RunCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runCounts[id]
 }
 
-// TotalRuns returns how many runs there were.
+// TotalRuns returns the number of runs.
 func (s *BackendServer) TotalRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +118,7 @@
 	return total
 }
 
-// RunHeaders returns the header fields of the requests that ran.
+// RunHeaders returns the headers of the executed requests.
 func (s *BackendServer) RunHeaders() []http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,11 +128,11 @@
 // ServeHTTP implements http.Handler.
 func (s *BackendServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/-/report" {
-		_ = json.NewEncoder(w).Encode(map[string]int64{"running": 0, "born": s.StartMillis()}) // a reader that left gets nothing
+		_ = json.NewEncoder(w).Encode(map[string]int64{"running": 0, "born": s.StartMillis()}) // fails only if the client has disconnected
 		return
 	}
 	id := r.Header.Get("X-Damaskrudder-Attempt-Id")
-	body, _ := io.ReadAll(r.Body) // a body that broke off ends nothing
+	body, _ := io.ReadAll(r.Body) // an incomplete body is accepted
 	h := w.Header()
 	h.Set("X-Damaskrudder-Attempt-Id", id)
 	h.Set("X-Damaskrudder-Instance-Id", s.ID)
@@ -184,11 +183,11 @@
 	for n := last + 1; n <= s.StreamEvents; n++ {
 		if n == breakAtEvent || s.StartMillis() != startMillis {
 			fmt.Fprintf(w, "id: %d\ndata: ha", n)
-			_ = controller.Flush() // the stream breaks off next
+			_ = controller.Flush() // the stream is aborted below
 			panic(http.ErrAbortHandler)
 		}
 		fmt.Fprintf(w, "id: %d\ndata: event %d\n\n", n, n)
-		_ = controller.Flush() // a reader that left ends the loop by its context
+		_ = controller.Flush() // a disconnected client is detected by its context below
 		select {
 		case <-r.Context().Done():
 			return
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -2,17 +2,17 @@
 
 import "hash/fnv"
 
-// blockBytes is the granularity of the engines' prefix cache.
+// blockBytes is the size of a block of the prefix cache.
 const blockBytes = 256
 
-// CacheEvent tells that a block entered or left an engine's prefix cache.
+// CacheEvent reports that a block was stored in or evicted from a prefix cache.
 type CacheEvent struct {
 	Block  uint64 `json:"block"`
 	Stored bool   `json:"stored"`
 }
 
-// blockCache is a prefix cache with first-in-first-out eviction. Every tenth
-// event is dropped, as the published feed has gaps.
+// blockCache is a prefix cache with FIFO eviction. It drops some of its events, because the
+// event feed is specified as lossy.
 type blockCache struct {
 	capacity       int
 	cached         map[uint64]bool
@@ -21,14 +21,15 @@
 	eventCount     int
 }
 
-// eventDropInterval drops every n-th cache event.
+// eventDropInterval is n if every n-th cache event is dropped.
 const eventDropInterval = 10
 
 func newBlockCache(capacity int) *blockCache {
 	return &blockCache{capacity: capacity, cached: map[uint64]bool{}}
 }
 
-// lookupAndStore stores a prompt's blocks and returns how many bytes were not cached.
+// lookupAndStore stores the blocks of a prompt and returns the number of bytes after the
+// longest cached prefix.
 func (c *blockCache) lookupAndStore(model, prompt string) int {
 	uncachedBytes := len(prompt)
 	h := fnv.New64a()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,36 +14,35 @@
 	"github.com/damaskrudder/damaskrudder/internal/loop"
 )
 
-// Behaviour is how one version answers on an engine.
+// Behaviour configures the faults of a model version on an engine.
 type Behaviour struct {
-	// ErrorRate is the fraction of runs that end in an error, 0 to 1.
+	// ErrorRate is the fraction of runs that fail, 0 to 1.
 	ErrorRate float64
-	// BadAnswerRate is the fraction of answers that carry WrongMark, 0 to 1.
+	// BadAnswerRate is the fraction of answers that contain BadAnswerMarker, 0 to 1.
 	BadAnswerRate float64
-	// SlowFactor multiplies service times; 0 means 1.
+	// SlowFactor multiplies the service time. Values below 1 count as 1.
 	SlowFactor float64
 }
 
-// EngineConfig sets the service-time model.
+// EngineConfig configures the capacity and service times of an engine.
 type EngineConfig struct {
 	Slots int
-	// PrefillPerToken is the time per uncached prompt token.
+	// PrefillPerToken is the prefill time per uncached prompt token.
 	PrefillPerToken time.Duration
-	// DecodePerToken is the time between answer tokens.
+	// DecodePerToken is the time between two tokens of an answer.
 	DecodePerToken time.Duration
-	// AnswerTokens is the answer length when max_tokens does not cut it.
+	// AnswerTokens is the length of an answer unless max_tokens is lower.
 	AnswerTokens int
-	// ChecksFencing refuses orders with an old fencing number.
+	// ChecksFencing enables the rejection of orders with an outdated fencing token.
 	ChecksFencing bool
-	// LoadReportLag delays load reports.
+	// LoadReportLag is the age of the reported load.
 	LoadReportLag time.Duration
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
 }
 
-// Engine is a model engine: continuous batching over slots with priorities, a
-// prefix cache, streams with resume and cancel, lagged load reports, cache
-// events with gaps, and orders with or without fencing.
+// Engine is a fake model engine with continuous batching, priorities, a prefix cache,
+// resumable streams, delayed load reports, lossy cache events and fenced orders.
 type Engine struct {
 	cfg EngineConfig
 
@@ -58,17 +57,19 @@
 	stalled      bool
 	startedRuns  int
 	canceledRuns int
-	// onCrash is called when a run ends the engine; see DeadlyMark.
+	// onCrash is called when a run crashes the engine; see CrashMarker.
 	onCrash func()
 }
 
-// CrashMarker is the text in a prompt that ends an engine which begins to run it.
+// CrashMarker is the text in a request that crashes the fake that starts to run it.
 const CrashMarker = "deadly"
 
-// OnCrash sets what happens when a run begins whose prompt holds DeadlyMark.
+// OnCrash sets the function that is called when a run starts whose prompt contains
+// CrashMarker.
 func (e *Engine) OnCrash(onCrash func()) { e.mu.Lock(); e.onCrash = onCrash; e.mu.Unlock() }
 
-// crashIfMarked ends the engine if a run's prompt does, and reports whether it did.
+// crashIfMarked crashes the engine if the prompt contains CrashMarker. It reports whether it
+// did so.
 func (e *Engine) crashIfMarked(ru *run) bool {
 	e.mu.Lock()
 	onCrash := e.onCrash
@@ -97,11 +98,11 @@
 	updated      chan struct{}
 	cancel       context.CancelFunc
 	ctx          context.Context
-	// confidence is the mean token probability that the end of the answer states.
+	// confidence is the mean token probability reported with the usage.
 	confidence float64
 }
 
-// NewEngine returns an engine that holds the given "model@version" names.
+// NewEngine returns an engine with the given versions loaded, named "model@version".
 func NewEngine(cfg EngineConfig, versions ...string) *Engine {
 	e := &Engine{cfg: cfg, versions: map[string]Behaviour{}, runs: map[string]*run{}, cache: newBlockCache(cfg.CacheBlocks)}
 	for _, v := range versions {
@@ -110,14 +111,14 @@
 	return e
 }
 
-// SetBehaviour changes how a loaded version answers.
+// SetBehaviour loads a version, if necessary, and sets its behaviour.
 func (e *Engine) SetBehaviour(version string, b Behaviour) {
 	e.mu.Lock()
 	e.versions[version] = b
 	e.mu.Unlock()
 }
 
-// SetStalled makes open streams hang while new connections work.
+// SetStalled makes streams stall after a few tokens, unless they are resumed after an event.
 func (e *Engine) SetStalled(stalled bool) { e.mu.Lock(); e.stalled = stalled; e.mu.Unlock() }
 
 // HasVersion reports whether a version is loaded.
@@ -128,13 +129,13 @@
 	return ok
 }
 
-// StartedRuns returns how many runs were started.
+// StartedRuns returns the number of accepted runs.
 func (e *Engine) StartedRuns() int { e.mu.Lock(); defer e.mu.Unlock(); return e.startedRuns }
 
-// CanceledRuns returns how many runs were cancelled by order.
+// CanceledRuns returns the number of runs cancelled by a request.
 func (e *Engine) CanceledRuns() int { e.mu.Lock(); defer e.mu.Unlock(); return e.canceledRuns }
 
-// RunVersions returns "model@version" by run id of every run started.
+// RunVersions returns the "model@version" of all accepted runs by run ID.
 func (e *Engine) RunVersions() map[string]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,7 +146,7 @@
 	return out
 }
 
-// Answers returns the whole answer by run id of every run that ended well.
+// Answers returns the answers of all successful runs by run ID.
 func (e *Engine) Answers() map[string]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -200,7 +201,7 @@
 	e.streamRun(w, r, ru, 0)
 }
 
-// rejectNotStarted answers with the proof that nothing was started.
+// rejectNotStarted responds with an error and a header stating that no run was started.
 func rejectNotStarted(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("X-Started", "false")
 	http.Error(w, message, status)
@@ -226,7 +227,8 @@
 	return ru
 }
 
-// schedule starts waiting runs, lowest priority number first, in order of arrival.
+// schedule starts queued runs while slots are free, those with the lowest priority number
+// first and in order of arrival. The caller must hold e.mu.
 func (e *Engine) schedule() {
 	for e.running < e.cfg.Slots && len(e.queue) > 0 {
 		best := 0
@@ -246,7 +248,7 @@
 	}
 }
 
-// maxLoadReports bounds the kept history of load reports.
+// maxLoadReports is the maximum number of stored load reports.
 const maxLoadReports = 4096
 
 func (e *Engine) execute(ru *run, b Behaviour) {
@@ -289,7 +291,7 @@
 	e.finish(ru, false)
 }
 
-// minGoodConfidence is the least confidence of a good answer.
+// minGoodConfidence is the minimum confidence of an answer without BadAnswerMarker.
 const minGoodConfidence = 0.6
 
 func (e *Engine) releaseSlot() {
@@ -299,7 +301,8 @@
 	e.mu.Unlock()
 }
 
-// hashFraction maps a run and a purpose to a fixed number in [0, 1).
+// hashFraction returns a deterministic pseudo-random number in [0, 1) for a run ID and a
+// purpose.
 func hashFraction(id, purpose string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(purpose + id))
@@ -355,7 +358,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// streamRun sends the tokens after an event id and keeps sending until the end.
+// streamRun streams the tokens of a run after the given event ID until the run ends.
 func (e *Engine) streamRun(w http.ResponseWriter, r *http.Request, ru *run, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -389,7 +392,7 @@
 	}
 }
 
-// tokensBeforeStall is how many tokens a connection carries before it goes silent.
+// tokensBeforeStall is the number of tokens after which a stalled stream stops.
 const tokensBeforeStall = 2
 
 func (e *Engine) writeEnd(w http.ResponseWriter, ru *run, from int, failed bool) {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -10,7 +10,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/platform"
 )
 
-// Log is the append-only log service. Its faults are switched while it runs.
+// Log is a fake of the append-only log service with fault injection.
 type Log struct {
 	mu            sync.Mutex
 	streams       map[string]*logStream
@@ -27,24 +27,25 @@
 	records [][]byte
 }
 
-// NewLog returns a log that keeps the newest keep records of each stream; 0 keeps all.
+// NewLog returns a log that retains the newest maxRecords records of each stream, or all if
+// maxRecords is 0.
 func NewLog(maxRecords int) *Log {
 	return &Log{streams: map[string]*logStream{}, changed: make(chan struct{}), maxRecords: maxRecords}
 }
 
-// SetDown makes every call fail before it acts, or mends that.
+// SetDown sets whether all calls fail without effect.
 func (l *Log) SetDown(down bool) { l.mu.Lock(); l.down = down; l.mu.Unlock() }
 
-// SetDelay delays every reply.
+// SetDelay sets the delay of all calls.
 func (l *Log) SetDelay(d time.Duration) { l.mu.Lock(); l.delay = d; l.mu.Unlock() }
 
-// LoseReplies makes the next n appends act and then answer with an error.
+// LoseReplies makes the next n appends take effect but return an error.
 func (l *Log) LoseReplies(n int) { l.mu.Lock(); l.repliesToLose = n; l.mu.Unlock() }
 
-// AppendCount returns how many append calls acted.
+// AppendCount returns the number of appends that took effect.
 func (l *Log) AppendCount() int { l.mu.Lock(); defer l.mu.Unlock(); return l.appendCount }
 
-// Records returns the kept records of a stream.
+// Records returns the retained records of a stream.
 func (l *Log) Records(stream string) [][]byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/metadata.go
+++ b/internal/standin/metadata.go
@@ -13,31 +13,31 @@
 	"time"
 )
 
-// MetadataStore is the platform's metadata store: keyed topics of one partition, with
-// conditional appends and reads that wait. Its faults are switched while it runs.
+// MetadataStore is a fake of the platform's metadata store with fault injection. It has
+// keyed topics of one partition, conditional appends and long-polling reads.
 type MetadataStore struct {
-	mu            sync.Mutex
-	topics        map[string]*keyedTopic
-	changed       chan struct{}
-	failures      map[string]int
-	repliesToLose int
-	requestCount  int
-	// era rises by one with each return from a copy; every answer states it.
+	mu              sync.Mutex
+	topics          map[string]*keyedTopic
+	changed         chan struct{}
+	failureStatuses map[string]int
+	repliesToLose   int
+	requestCount    int
+	// era is incremented by Restore and sent with every response.
 	era uint64
 }
 
-// MetadataSnapshot is a store's content at a moment.
+// MetadataSnapshot is a copy of the store's content.
 type MetadataSnapshot struct{ topics map[string]*keyedTopic }
 
-// Snapshot copies the store's content.
+// Snapshot returns a copy of the store's content.
 func (m *MetadataStore) Snapshot() *MetadataSnapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return &MetadataSnapshot{cloneTopics(m.topics)}
 }
 
-// Restore has the store come back from a copy: what was written since is gone, and its offsets
-// are given out again. Connections stay open.
+// Restore replaces the store's content by a snapshot. Later records are lost and their
+// offsets are reused. Connections stay open.
 func (m *MetadataStore) Restore(snapshot *MetadataSnapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -68,25 +68,26 @@
 
 // NewMetadataStore returns an empty store.
 func NewMetadataStore() *MetadataStore {
-	return &MetadataStore{topics: map[string]*keyedTopic{}, changed: make(chan struct{}), failures: map[string]int{}}
+	return &MetadataStore{topics: map[string]*keyedTopic{}, changed: make(chan struct{}), failureStatuses: map[string]int{}}
 }
 
-// SetFailure answers every call with a status, or none if it is 0. Caller limits it to
-// one caller's address without port; empty is all.
+// SetFailure makes calls from a host fail with an HTTP status, or succeed again if the status
+// is 0. The host is an IP address; an empty host stands for all.
 func (m *MetadataStore) SetFailure(host string, status int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failures[host] = status
+	m.failureStatuses[host] = status
 	m.notifyReaders()
 }
 
-// LoseReplies makes the next n appends act and then break the connection.
+// LoseReplies makes the next n appends take effect but close the connection without a reply.
 func (m *MetadataStore) LoseReplies(n int) { m.mu.Lock(); m.repliesToLose = n; m.mu.Unlock() }
 
-// RequestCount returns how many calls came.
+// RequestCount returns the number of received requests.
 func (m *MetadataStore) RequestCount() int { m.mu.Lock(); defer m.mu.Unlock(); return m.requestCount }
 
-// Compact drops the records of a topic; the newest of each key stay.
+// Compact removes all records of a topic from its sequence. The newest value of each key
+// stays available.
 func (m *MetadataStore) Compact(topic string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,8 +97,7 @@
 	m.notifyReaders()
 }
 
-// Put appends a record as the operator or a backend server does; a nil value
-// removes the key.
+// Put appends a record. An empty value deletes the key.
 func (m *MetadataStore) Put(topic, key string, value []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,7 +163,7 @@
 	}
 }
 
-// writeEra states the era in an answer. Callers hold mu.
+// writeEra sets the era header of a response. The caller must hold m.mu.
 func (m *MetadataStore) writeEra(w http.ResponseWriter) {
 	w.Header().Set("Store-Era", strconv.FormatUint(m.era, 10))
 }
@@ -172,7 +172,7 @@
 	host, _, _ := strings.Cut(r.RemoteAddr, ":")
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(m.failures[""], m.failures[host])
+	return max(m.failureStatuses[""], m.failureStatuses[host])
 }
 
 func (m *MetadataStore) handleNewest(w http.ResponseWriter, r *http.Request) {
@@ -243,7 +243,7 @@
 		out = append(out, r.key...)
 		out = append(out, r.value...)
 	}
-	_, _ = w.Write(out) // a reader that left gets nothing
+	_, _ = w.Write(out) // fails only if the client has disconnected
 }
 
 func (m *MetadataStore) handleAppend(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/services.go
+++ b/internal/standin/services.go
@@ -17,11 +17,10 @@
 	"github.com/damaskrudder/damaskrudder/internal/platform"
 )
 
-// BadAnswerMarker is the word in a model stand-in's answer that the rating stand-in
-// takes for a bad one.
+// BadAnswerMarker is the text in an answer of an Engine that makes a Rater rate it as bad.
 const BadAnswerMarker = "wrong"
 
-// VMList is the platform's list of VMs; changes show after a lag.
+// VMList is a fake of the platform's VM list. Changes become visible after a delay.
 type VMList struct {
 	mu      sync.Mutex
 	lag     time.Duration
@@ -33,10 +32,10 @@
 	vm platform.VM
 }
 
-// NewVMList returns an empty list whose changes show after lag.
+// NewVMList returns an empty list whose changes become visible after lag.
 func NewVMList(lag time.Duration) *VMList { return &VMList{lag: lag} }
 
-// Set changes a row.
+// Set adds or replaces the entry of a VM.
 func (l *VMList) Set(vm platform.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,8 +59,8 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// Rater is the rating service: it rates a sample good unless the answer holds
-// WrongMark, and says so after a delay.
+// Rater is a fake of the rating service. It rates a sample as good unless the answer contains
+// BadAnswerMarker, and returns the rating after a delay.
 type Rater struct {
 	mu      sync.Mutex
 	delay   time.Duration
@@ -73,7 +72,7 @@
 	rating      platform.Rating
 }
 
-// NewRater returns a rating service that answers after delay.
+// NewRater returns a rating service whose ratings are available after delay.
 func NewRater(delay time.Duration) *Rater {
 	return &Rater{delay: delay, ratings: map[string][]timedRating{}}
 }
@@ -109,10 +108,10 @@
 	writeJSON(w, http.StatusOK, map[string]any{"ratings": due, "next": next})
 }
 
-// WeightStore grants loads at a limited rate.
+// WeightStore is a fake of the weight store, which limits the rate of model loads.
 type WeightStore struct{ limiter *rate.Limiter }
 
-// NewWeightStore allows perSecond loads a second.
+// NewWeightStore returns a weight store that permits perSecond loads per second.
 func NewWeightStore(perSecond float64) *WeightStore {
 	return &WeightStore{limiter: rate.NewLimiter(rate.Limit(perSecond), 1)}
 }
@@ -122,35 +121,35 @@
 	writeJSON(w, http.StatusOK, s.limiter.Allow())
 }
 
-// Service is a plain service. It counts what it really ran, by run id.
+// Service is a fake service without a model. It counts its executions by run ID.
 type Service struct {
 	mu        sync.Mutex
 	runCounts map[string]int
 	replies   map[string]string
-	// Delay is the service time.
+	// Delay is the service time of a call.
 	Delay time.Duration
 }
 
-// NewService returns a service that answers at once.
+// NewService returns a service without delay.
 func NewService() *Service {
 	return &Service{runCounts: map[string]int{}, replies: map[string]string{}}
 }
 
-// RunCounts returns how often each run id was executed.
+// RunCounts returns the number of executions by run ID.
 func (s *Service) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runCounts)
 }
 
-// Replies returns the reply by run id.
+// Replies returns the last reply by run ID.
 func (s *Service) Replies() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.replies)
 }
 
-// maxServiceBodyBytes bounds a call's body in bytes.
+// maxServiceBodyBytes is the maximum size of a request body. Longer bodies are truncated.
 const maxServiceBodyBytes = 1 << 20
 
 // ServeHTTP implements http.Handler.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what surrounds the system: the
-// platform's services, model engines and plain services. They serve the
-// published HTTP protocols over real sockets and can be told to fail.
+// Package standin implements fakes of the external systems for tests and the demo: the
+// platform's services, model engines and backend servers. They serve the published HTTP
+// protocols on real sockets and support fault injection.
 package standin
 
 import (
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// Server is a stand-in's listening socket.
+// Server is the HTTP server of a fake.
 type Server struct {
-	// Address is ip:port.
+	// Address is the listen address as ip:port.
 	Address string
-	// URL is http://Address.
+	// URL is the base URL, http://Address.
 	URL        string
 	httpServer *http.Server
 }
 
-// headerTimeout bounds how long a client may take over its header.
+// headerTimeout is the time a client has to send a request header.
 const headerTimeout = 10 * time.Second
 
 // Serve listens on a free loopback port and serves h until Close.
 func Serve(h http.Handler) (*Server, error) { return ServeAt("127.0.0.1:0", h) }
 
-// ServeAt listens on a given address.
+// ServeAt listens on a given address and serves h until Close.
 func ServeAt(address string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return s, nil
 }
 
-// Close ends the listener and every connection at once, as a lost VM does.
+// Close closes the listener and all connections immediately, like the loss of a VM.
 func (s *Server) Close() { _ = s.httpServer.Close() }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
