--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -231,14 +231,14 @@
 // first and in order of arrival. The caller must hold e.mu.
 func (e *Engine) schedule() {
 	for e.running < e.cfg.Slots && len(e.queue) > 0 {
-		best := 0
-		for i, q := range e.queue {
-			if q.priority < e.queue[best].priority {
-				best = i
+		first := 0
+		for i, queued := range e.queue {
+			if queued.priority < e.queue[first].priority {
+				first = i
 			}
 		}
-		next := e.queue[best]
-		e.queue = append(e.queue[:best], e.queue[best+1:]...)
+		next := e.queue[first]
+		e.queue = append(e.queue[:first], e.queue[first+1:]...)
 		e.running++
 		close(next.scheduled)
 	}
@@ -263,11 +263,11 @@
 		e.finish(ru, true)
 		return
 	}
-	slow := max(b.SlowFactor, 1)
+	slowFactor := max(b.SlowFactor, 1)
 	e.mu.Lock()
 	uncached := e.cache.lookupAndStore(ru.model, ru.prompt)
 	e.mu.Unlock()
-	if !loop.Pause(ru.ctx, time.Duration(slow*float64(uncached/4)*float64(e.cfg.PrefillPerToken))) {
+	if !loop.Pause(ru.ctx, time.Duration(slowFactor*float64(uncached/4)*float64(e.cfg.PrefillPerToken))) {
 		e.finish(ru, true)
 		return
 	}
@@ -275,18 +275,18 @@
 		e.finish(ru, true)
 		return
 	}
-	word := "tok"
+	tokenPrefix := "tok"
 	ru.confidence = minGoodConfidence + (1-minGoodConfidence)*hashFraction(ru.id, "confidence")
 	if hashFraction(ru.id, "wrong") < b.BadAnswerRate {
-		word = BadAnswerMarker
+		tokenPrefix = BadAnswerMarker
 		ru.confidence *= hashFraction(ru.id, "confidence")
 	}
 	for i := range ru.targetTokens {
-		if i > 0 && !loop.Pause(ru.ctx, time.Duration(slow*float64(e.cfg.DecodePerToken))) {
+		if i > 0 && !loop.Pause(ru.ctx, time.Duration(slowFactor*float64(e.cfg.DecodePerToken))) {
 			e.finish(ru, true)
 			return
 		}
-		e.emit(ru, fmt.Sprintf("%s%d ", word, i))
+		e.emit(ru, fmt.Sprintf("%s%d ", tokenPrefix, i))
 	}
 	e.finish(ru, false)
 }
@@ -348,8 +348,8 @@
 	if ru != nil && !ru.done {
 		e.canceledRuns++
 		ru.cancel()
-		for i, q := range e.queue {
-			if q == ru {
+		for i, queued := range e.queue {
+			if queued == ru {
 				e.queue = append(e.queue[:i], e.queue[i+1:]...)
 				break
 			}
