--- a/internal/api/holds.go
+++ b/internal/api/holds.go
@@ -10,47 +10,48 @@
 	"github.com/damaskrudder/damaskrudder/internal/quarantine"
 )
 
-// HeldRequest is a request that is kept from backend servers, as operators see it.
+// HeldRequest describes a quarantined request, which is not sent to backend servers.
 type HeldRequest struct {
-	// Fingerprint is its name on the daemons' lines.
+	// Fingerprint identifies the request in log lines and operator commands.
 	Fingerprint string `json:"fingerprint"`
-	// AgeSeconds is for how long it has been held, and LeftSeconds for how long it still is.
-	AgeSeconds  float64 `json:"age_seconds"`
-	LeftSeconds float64 `json:"left_seconds"`
+	// AgeSeconds is the time since the hold began, RemainingSeconds the time until it
+	// expires.
+	AgeSeconds       float64 `json:"age_seconds"`
+	RemainingSeconds float64 `json:"left_seconds"`
 }
 
-func (a *API) holds(c echo.Context) error {
+func (a *API) listHolds(c echo.Context) error {
 	out := []HeldRequest{}
-	for _, h := range a.d.Holds() {
-		out = append(out, HeldRequest{h.Fingerprint.String(), seconds(h.AgeMs), seconds(h.RemainingMs)})
+	for _, h := range a.daemon.Holds() {
+		out = append(out, HeldRequest{h.Fingerprint.String(), millisToSeconds(h.AgeMs), millisToSeconds(h.RemainingMs)})
 	}
 	return c.JSON(http.StatusOK, out)
 }
 
-func seconds(ms int64) float64 { return (time.Duration(ms) * time.Millisecond).Seconds() }
+func millisToSeconds(ms int64) float64 { return (time.Duration(ms) * time.Millisecond).Seconds() }
 
-// holdRequest keeps a request from servers by hand, for as long as the daemon's own holds
-// last, and answers with all that are held.
-func (a *API) holdRequest(c echo.Context) error {
-	f, err := fingerprintOf(c)
+// addHold quarantines a request on behalf of an operator, for the same duration as an
+// automatic hold, and responds with all holds.
+func (a *API) addHold(c echo.Context) error {
+	f, err := parseFingerprint(c)
 	if err != nil {
 		return err
 	}
-	a.d.AddHold(f)
-	return a.holds(c)
+	a.daemon.AddHold(f)
+	return a.listHolds(c)
 }
 
-// releaseRequest ends a hold by hand, and answers with those that are left.
-func (a *API) releaseRequest(c echo.Context) error {
-	f, err := fingerprintOf(c)
+// releaseHold ends a hold and responds with the remaining ones.
+func (a *API) releaseHold(c echo.Context) error {
+	f, err := parseFingerprint(c)
 	if err != nil {
 		return err
 	}
-	a.d.ReleaseHold(f)
-	return a.holds(c)
+	a.daemon.ReleaseHold(f)
+	return a.listHolds(c)
 }
 
-func fingerprintOf(c echo.Context) (quarantine.Fingerprint, error) {
+func parseFingerprint(c echo.Context) (quarantine.Fingerprint, error) {
 	f, err := quarantine.ParseFingerprint(c.Param("fingerprint"))
 	if err != nil {
 		return 0, fault.NewField(fault.BadRequest, "fingerprint", "%v", err)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli runs a command tree the same way for both binaries: flags with one
-// or two dashes, help on the standard output, and documented exit codes.
+// Package cli runs the command lines of the damaskrudder and rudderctl binaries with common
+// flag parsing, help output and exit codes.
 package cli
 
 import (
@@ -15,59 +15,60 @@
 
 // Exit codes of both binaries.
 const (
-	// ExitOK is success.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailed is an error while working.
-	ExitFailed = 1
-	// ExitUsage is a wrong command line, wrong settings or wrong input files.
+	// ExitFailure means that the command failed.
+	ExitFailure = 1
+	// ExitUsage means that the command line, the settings or an input file is invalid.
 	ExitUsage = 2
-	// ExitConflict is a patch written against a stale configuration number.
+	// ExitConflict means that the base number of a patch is stale.
 	ExitConflict = 3
 	// ExitUnreachable means that no daemon answered.
 	ExitUnreachable = 4
 )
 
-// Error is an error with an exit code of its own.
-type Error struct {
+// ExitError is an error that determines the exit code.
+type ExitError struct {
 	Code int
 	Err  error
 }
 
 // Error implements error.
-func (e *Error) Error() string { return e.Err.Error() }
+func (e *ExitError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error itself.
-func (e *Error) Unwrap() error { return e.Err }
+// Unwrap returns the wrapped error.
+func (e *ExitError) Unwrap() error { return e.Err }
 
-// Usage returns an error that exits with ExitUsage.
-func Usage(err error) error {
+// UsageError wraps err so that Main returns ExitUsage. It returns nil if err is nil.
+func UsageError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return &Error{ExitUsage, err}
+	return &ExitError{ExitUsage, err}
 }
 
-// Flags returns a flag set under a parent. Define adds the flags.
-func Flags(name string, parent *ff.FlagSet, define func(*flag.FlagSet)) *ff.FlagSet {
-	std := flag.NewFlagSet(name, flag.ContinueOnError)
-	define(std)
-	set := ff.NewFlagSetFrom(name, std)
+// NewFlagSet returns a flag set with the flags that define adds and those of the parent,
+// which may be nil.
+func NewFlagSet(name string, parent *ff.FlagSet, define func(*flag.FlagSet)) *ff.FlagSet {
+	stdFlags := flag.NewFlagSet(name, flag.ContinueOnError)
+	define(stdFlags)
+	flags := ff.NewFlagSetFrom(name, stdFlags)
 	if parent != nil {
-		set.SetParent(parent)
+		flags.SetParent(parent)
 	}
-	return set
+	return flags
 }
 
-// Main parses and runs a command line and returns the exit code. Every flag may
-// also be set by an environment variable with the prefix.
-func Main(root *ff.Command, envPrefix string, args []string, out, errw io.Writer) int {
+// Main parses and runs a command line and returns the exit code. Flags that are not given
+// are read from environment variables with the prefix envPrefix.
+func Main(root *ff.Command, envPrefix string, args []string, stdout, stderr io.Writer) int {
 	err := root.Parse(args, ff.WithEnvVarPrefix(envPrefix))
 	if errors.Is(err, ff.ErrHelp) {
-		fmt.Fprint(out, ffhelp.Command(root.GetSelected()))
+		fmt.Fprint(stdout, ffhelp.Command(root.GetSelected()))
 		return ExitOK
 	}
 	if err != nil {
-		fmt.Fprintf(errw, "%s; see %s -help\n", err, root.Name)
+		fmt.Fprintf(stderr, "%s; see %s -help\n", err, root.Name)
 		return ExitUsage
 	}
 	err = root.Run(context.Background())
@@ -75,13 +76,13 @@
 		return ExitOK
 	}
 	if errors.Is(err, ff.ErrNoExec) {
-		fmt.Fprint(errw, ffhelp.Command(root.GetSelected()))
+		fmt.Fprint(stderr, ffhelp.Command(root.GetSelected()))
 		return ExitUsage
 	}
-	fmt.Fprintf(errw, "%s: %v\n", root.Name, err)
-	var coded *Error
-	if errors.As(err, &coded) {
-		return coded.Code
+	fmt.Fprintf(stderr, "%s: %v\n", root.Name, err)
+	var exitErr *ExitError
+	if errors.As(err, &exitErr) {
+		return exitErr.Code
 	}
-	return ExitFailed
+	return ExitFailure
 }
