--- a/lab/history/callers.go
+++ b/lab/history/clients.go
@@ -11,16 +11,16 @@
 
 const (
 	sessionCount = 4
-	// duplicateOneIn is one in how many requests that may not be repeated.
+	// duplicateOneIn is the inverse fraction of payments that are sent twice concurrently.
 	duplicateOneIn = 3
-	// maxClientAttempts bounds the retries of a key.
+	// maxClientAttempts bounds the attempts with one idempotency key.
 	maxClientAttempts = 3
-	// clientTimeout is when a caller takes a silent daemon for lost.
+	// clientTimeout is the time after which a client gives up on a request.
 	clientTimeout = 12 * time.Second
 )
 
-// startClients sends requests of a few sessions, one after the other each, and
-// payments with keys, some of them at two daemons at once.
+// startClients starts sessions that send requests sequentially, and payments with
+// idempotency keys, some of which are sent to two daemons concurrently.
 func (s *Simulation) startClients() {
 	for n := range sessionCount {
 		s.clock.After(s.randomDuration(time.Second), func() {
@@ -42,6 +42,8 @@
 	sendNext(0)
 }
 
+// sendRequest sends a request to a random daemon and calls done exactly once, with the
+// outcome or after clientTimeout.
 func (s *Simulation) sendRequest(key, sessionName string, pin session.Pin, done func(answered bool, err *fault.Error, pin session.Pin)) {
 	s.lastRequest++
 	id := fmt.Sprint("r", s.lastRequest)
@@ -92,12 +94,12 @@
 	})
 }
 
-// sendPayment sends a payment and repeats it with the same key while it is in doubt.
-func (s *Simulation) sendPayment(key string, attempts int) {
+// sendPayment sends a payment and retries it with the same key while it fails.
+func (s *Simulation) sendPayment(key string, attemptsLeft int) {
 	s.sendRequest(key, "", session.Pin{Workspace: workspace, Name: key}, func(answered bool, err *fault.Error, _ session.Pin) {
-		if answered || err == nil || attempts == 1 || s.clock.Elapsed() >= trafficDuration {
+		if answered || err == nil || attemptsLeft == 1 || s.clock.Elapsed() >= trafficDuration {
 			return
 		}
-		s.clock.After(s.randomDuration(2*time.Second), func() { s.sendPayment(key, attempts-1) })
+		s.clock.After(s.randomDuration(2*time.Second), func() { s.sendPayment(key, attemptsLeft-1) })
 	})
 }
--- a/lab/history/engine.go
+++ b/lab/history/engine.go
@@ -14,16 +14,17 @@
 	idleTimeout   = time.Second
 )
 
-// engine runs requests and streams frames that survive a connection.
+// engine runs requests and keeps their frames, so that a stream can be resumed on another
+// connection.
 type engine struct {
 	sim  *Simulation
 	id   int
 	runs map[string]*run
-	// unloadedVersion names a version that is refused.
+	// unloadedVersion is a model version that the engine refuses.
 	unloadedVersion string
-	// stalled lets connections carry two frames and then nothing.
+	// stalled makes each connection stop after two frames.
 	stalled bool
-	// scrambled repeats, crosses and reorders frames.
+	// scrambled makes connections repeat frames, reorder them, and deliver foreign ones.
 	scrambled   bool
 	incarnation int
 }
@@ -35,16 +36,16 @@
 	incarnation int
 }
 
-// start begins a run unless the version is unloaded; a repeated start of a run
-// that exists attaches to it.
-func (e *engine) start(id string, ev invariant.Event, refuse func(), connect func(*run)) {
+// start begins a run, or attaches to an existing run with the same id. It calls onRefused
+// if the version is unloaded, and onConnected otherwise.
+func (e *engine) start(id string, ev invariant.Event, onRefused func(), onConnected func(*run)) {
 	e.sim.clock.After(networkDelay, func() {
 		if ev.Version == e.unloadedVersion {
-			refuse()
+			onRefused()
 			return
 		}
 		if r := e.runs[id]; r != nil {
-			connect(r)
+			onConnected(r)
 			return
 		}
 		ev.Kind, ev.Server = invariant.Started, fmt.Sprint("s", e.id)
@@ -52,10 +53,12 @@
 		r := &run{id: id, incarnation: e.incarnation}
 		e.runs[id] = r
 		e.produce(r, ev.Request)
-		connect(r)
+		onConnected(r)
 	})
 }
 
+// produce adds a frame to a run every frameInterval until it is complete or the engine
+// restarts.
 func (e *engine) produce(r *run, requestID string) {
 	e.sim.clock.After(frameInterval, func() {
 		if e.incarnation != r.incarnation {
@@ -77,29 +80,29 @@
 	})
 }
 
-// stream sends the frames after an offset on one connection. Broken is called
-// when the daemon finds the connection dead.
-func (e *engine) stream(d *node, r *run, after int, frame func(request.Frame) bool, broken func()) {
-	sent, start := after, e.sim.clock.Elapsed()
-	last := start
+// stream passes the frames after offset to onFrame until it returns false. It calls
+// onBroken when the engine has restarted or no frame was sent for idleTimeout.
+func (e *engine) stream(d *daemon, r *run, offset int, onFrame func(request.Frame) bool, onBroken func()) {
+	sent, start := offset, e.sim.clock.Elapsed()
+	lastSent := start
 	var sendFrames func()
 	sendFrames = func() {
 		if e.incarnation != r.incarnation {
-			broken()
+			onBroken()
 			return
 		}
-		for sent < len(r.frames) && (!e.stalled || sent < after+2) {
+		for sent < len(r.frames) && (!e.stalled || sent < offset+2) {
 			f := r.frames[sent]
 			sent++
-			last = e.sim.clock.Elapsed()
-			for _, g := range e.deliveries(f, r) {
-				if !frame(g) {
+			lastSent = e.sim.clock.Elapsed()
+			for _, delivered := range e.deliveries(f, r) {
+				if !onFrame(delivered) {
 					return
 				}
 			}
 		}
-		if e.sim.clock.Elapsed()-last > idleTimeout {
-			broken()
+		if e.sim.clock.Elapsed()-lastSent > idleTimeout {
+			onBroken()
 			return
 		}
 		d.after(frameInterval/2, sendFrames)
@@ -107,7 +110,7 @@
 	d.after(networkDelay, sendFrames)
 }
 
-// deliveries is what arrives for one frame: usually itself.
+// deliveries returns the frames that the daemon receives when f is sent.
 func (e *engine) deliveries(f request.Frame, r *run) []request.Frame {
 	if !e.scrambled {
 		return []request.Frame{f}
@@ -125,7 +128,7 @@
 	return []request.Frame{f, foreign}
 }
 
-// restart loses every run.
+// restart discards all runs.
 func (e *engine) restart() {
 	e.incarnation++
 	e.runs = map[string]*run{}
--- a/lab/history/faults.go
+++ b/lab/history/faults.go
@@ -7,65 +7,65 @@
 	"github.com/damaskrudder/damaskrudder/internal/invariant"
 )
 
-// Fault is something that goes wrong at a random time of a history.
+// Fault is a failure that is injected at a random time of a history.
 type Fault struct {
 	Name   string
-	inject func(w *Simulation)
+	inject func(s *Simulation)
 }
 
-func (s *Simulation) randomNode() *node     { return s.daemons[s.rng.IntN(daemonCount)] }
+func (s *Simulation) randomDaemon() *daemon { return s.daemons[s.rng.IntN(daemonCount)] }
 func (s *Simulation) randomEngine() *engine { return s.engines[s.rng.IntN(engineCount)] }
 
-// injectTemporarily sets something and takes it back after a random time.
-func (s *Simulation) injectTemporarily(maxDuration time.Duration, apply, revert func()) {
+// injectTemporarily applies a fault and reverts it after 0.25 to 1.25 times baseDuration.
+func (s *Simulation) injectTemporarily(baseDuration time.Duration, apply, revert func()) {
 	apply()
-	s.clock.After(maxDuration/4+s.randomDuration(maxDuration), revert)
+	s.clock.After(baseDuration/4+s.randomDuration(baseDuration), revert)
 }
 
-// Faults are all faults, in a fixed order.
+// Faults lists all faults. Seeds of tests depend on the order.
 var Faults = []Fault{
-	{"log down", func(w *Simulation) {
-		w.injectTemporarily(15*time.Second, func() { w.log.down = true }, func() { w.log.down = false })
+	{"log down", func(s *Simulation) {
+		s.injectTemporarily(15*time.Second, func() { s.log.down = true }, func() { s.log.down = false })
 	}},
-	{"log slow", func(w *Simulation) {
-		w.injectTemporarily(10*time.Second, func() { w.log.delay = 400 * time.Millisecond }, func() { w.log.delay = 0 })
+	{"log slow", func(s *Simulation) {
+		s.injectTemporarily(10*time.Second, func() { s.log.delay = 400 * time.Millisecond }, func() { s.log.delay = 0 })
 	}},
-	{"log acts after its callers gave up", func(w *Simulation) {
-		w.injectTemporarily(8*time.Second, func() { w.log.delay = 900 * time.Millisecond }, func() { w.log.delay = 0 })
+	{"log appends after client timeouts", func(s *Simulation) {
+		s.injectTemporarily(8*time.Second, func() { s.log.delay = 900 * time.Millisecond }, func() { s.log.delay = 0 })
 	}},
-	{"append replies lost", func(w *Simulation) {
-		w.injectTemporarily(15*time.Second, func() { w.log.loseReplies = true }, func() { w.log.loseReplies = false })
+	{"append responses lost", func(s *Simulation) {
+		s.injectTemporarily(15*time.Second, func() { s.log.loseReplies = true }, func() { s.log.loseReplies = false })
 	}},
-	{"daemon killed and replaced", func(w *Simulation) {
-		d := w.randomNode()
+	{"daemon killed and replaced", func(s *Simulation) {
+		d := s.randomDaemon()
 		d.alive = false
-		w.recordEvent(invariant.Event{Kind: invariant.DaemonGone, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation)})
-		w.clock.After(w.randomDuration(5*time.Second), func() { d.reset(); d.start() })
+		s.recordEvent(invariant.Event{Kind: invariant.DaemonGone, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation)})
+		s.clock.After(s.randomDuration(5*time.Second), func() { d.reset(); d.start() })
 	}},
-	{"daemon paused", func(w *Simulation) {
-		d := w.randomNode()
-		d.pausedUntil = w.clock.Elapsed() + w.randomDuration(15*time.Second)
+	{"daemon paused", func(s *Simulation) {
+		d := s.randomDaemon()
+		d.pausedUntil = s.clock.Elapsed() + s.randomDuration(15*time.Second)
 	}},
-	{"daemon cut from the log", func(w *Simulation) {
-		d := w.randomNode()
-		w.injectTemporarily(20*time.Second, func() { d.cutFromLog = true }, func() { d.cutFromLog = false })
+	{"daemon partitioned from log", func(s *Simulation) {
+		d := s.randomDaemon()
+		s.injectTemporarily(20*time.Second, func() { d.partitionedFromLog = true }, func() { d.partitionedFromLog = false })
 	}},
-	{"daemon cut from log and peers", func(w *Simulation) {
-		d := w.randomNode()
-		w.injectTemporarily(30*time.Second, func() { d.cutFromLog, d.cutFromPeers = true, true }, func() { d.cutFromLog, d.cutFromPeers = false, false })
+	{"daemon partitioned from log and peers", func(s *Simulation) {
+		d := s.randomDaemon()
+		s.injectTemporarily(30*time.Second, func() { d.partitionedFromLog, d.partitionedFromPeers = true, true }, func() { d.partitionedFromLog, d.partitionedFromPeers = false, false })
 	}},
-	{"engine restarted", func(w *Simulation) { w.randomEngine().restart() }},
-	{"engine connections go silent", func(w *Simulation) {
-		e := w.randomEngine()
-		w.injectTemporarily(10*time.Second, func() { e.stalled = true }, func() { e.stalled = false })
+	{"engine restarted", func(s *Simulation) { s.randomEngine().restart() }},
+	{"engine connections stall", func(s *Simulation) {
+		e := s.randomEngine()
+		s.injectTemporarily(10*time.Second, func() { e.stalled = true }, func() { e.stalled = false })
 	}},
-	{"frames repeated and crossed", func(w *Simulation) {
-		e := w.randomEngine()
-		w.injectTemporarily(20*time.Second, func() { e.scrambled = true }, func() { e.scrambled = false })
+	{"frames duplicated and reordered", func(s *Simulation) {
+		e := s.randomEngine()
+		s.injectTemporarily(20*time.Second, func() { e.scrambled = true }, func() { e.scrambled = false })
 	}},
-	{"server leaves", func(w *Simulation) {
-		e := w.randomEngine()
-		w.leavingSince[e.id] = w.clock.Elapsed()
-		w.recordEvent(invariant.Event{Kind: invariant.ServerLeft, Server: fmt.Sprint("s", e.id)})
+	{"server leaves", func(s *Simulation) {
+		e := s.randomEngine()
+		s.leavingSince[e.id] = s.clock.Elapsed()
+		s.recordEvent(invariant.Event{Kind: invariant.ServerLeft, Server: fmt.Sprint("s", e.id)})
 	}},
 }
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -9,16 +9,14 @@
 )
 
 const (
-	// historiesPerPair is the number of histories of each pair of faults, equal ones
-	// included: 78 pairs make 10,140.
+	// historiesPerPair is the number of seeds for each pair of faults, including pairs of
+	// the same fault.
 	historiesPerPair = 130
-	// historiesPerPairShort is used with -short, under the race detector.
+	// historiesPerPairShort is used with -short.
 	historiesPerPairShort = 4
 )
 
-// Symptom: a promise breaks when two things go wrong at once.
-// Sequence: every pair of faults, at random times, over random traffic.
-// Cause: whatever the checker finds; each finding has a test of its own.
+// Guards against invariants that hold under single faults but not under two at once.
 func TestInvariantsHoldUnderFaultPairs(t *testing.T) {
 	perFaultPair := historiesPerPair
 	if testing.Short() {
@@ -46,31 +44,30 @@
 	v := reflect.ValueOf(sum)
 	for i := range v.NumField() {
 		if v.Field(i).Int() == 0 {
-			t.Errorf("no history had any %s", v.Type().Field(i).Name)
+			t.Errorf("no history has a nonzero %s", v.Type().Field(i).Name)
 		}
 	}
 }
 
 func runAndCheck(t *testing.T, seed uint64, sum *Stats, a, b Fault) {
 	t.Helper()
-	events, s := Run(seed, a, b)
-	addStats(sum, s)
+	events, stats := Run(seed, a, b)
+	addStats(sum, stats)
 	if violations := invariant.Check(events, Limits); len(violations) > 0 {
 		t.Errorf("seed %d, %s and %s: %v", seed, a.Name, b.Name, violations[:min(2, len(violations))])
 	}
 }
 
-func addStats(sum *Stats, s Stats) {
-	s.MaxConfigDelay = max(0, s.MaxConfigDelay-sum.MaxConfigDelay)
-	v, o := reflect.ValueOf(sum).Elem(), reflect.ValueOf(s)
-	for i := range v.NumField() {
-		v.Field(i).SetInt(v.Field(i).Int() + o.Field(i).Int())
+func addStats(sum *Stats, stats Stats) {
+	stats.MaxConfigDelay = max(0, stats.MaxConfigDelay-sum.MaxConfigDelay)
+	total, added := reflect.ValueOf(sum).Elem(), reflect.ValueOf(stats)
+	for i := range total.NumField() {
+		total.Field(i).SetInt(total.Field(i).Int() + added.Field(i).Int())
 	}
 }
 
-// A change is in force at all six daemons within 2 s of the log's taking it when
-// the log is healthy. The times under faults are logged for the design note; what
-// bounds them is the checker, by what daemons dispatch.
+// Without faults every daemon applies a configuration change within 2 s of its commit. The
+// delays under faults are logged only.
 func TestConfigPropagationDelay(t *testing.T) {
 	measure := func(faults ...Fault) time.Duration {
 		maxDelay := time.Duration(0)
@@ -81,9 +78,9 @@
 		return maxDelay
 	}
 	healthy := measure()
-	t.Logf("no fault: %s", healthy.Round(10*time.Millisecond))
+	t.Logf("no faults: %s", healthy.Round(10*time.Millisecond))
 	if healthy > 2*time.Second {
-		t.Errorf("with a healthy log a change takes %s", healthy)
+		t.Errorf("propagation delay without faults: %s", healthy)
 	}
 	for _, f := range Faults[:8] {
 		d := measure(f)
@@ -95,6 +92,6 @@
 	a, _ := Run(7, Faults[0], Faults[4])
 	b, _ := Run(7, Faults[0], Faults[4])
 	if !reflect.DeepEqual(a, b) {
-		t.Fatal("two runs of one seed differ")
+		t.Fatal("two runs with the same seed differ")
 	}
 }
--- a/lab/history/log.go
+++ b/lab/history/log.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// eventLog is the platform's log with its faults.
+// eventLog simulates the replicated log with injectable faults.
 type eventLog struct {
 	sim     *Simulation
 	streams map[string][][]byte
 	down    bool
 	delay   time.Duration
-	// loseReplies makes appends act and then fail.
+	// loseReplies makes some appends time out although they take effect.
 	loseReplies bool
 }
 
-var errLogTimeout = errors.New("no reply from the log")
+var errLogTimeout = errors.New("log request timed out")
 
-// logTimeout is when a caller of the log gives up.
+// logTimeout bounds a request to the log.
 const logTimeout = 500 * time.Millisecond
 
+// commit adds a record to a stream and applies configuration records to the reference.
 func (l *eventLog) commit(stream string, data []byte) {
 	l.streams[stream] = append(l.streams[stream], data)
 	if stream != "config" {
@@ -32,8 +33,8 @@
 	}
 }
 
-// append adds a record after the network's and the log's delay. A slow append
-// acts although its caller has given up on it by then.
+// append commits a record after the network and log delay. A slow append takes effect even
+// after done was called with a timeout.
 func (l *eventLog) append(stream string, data []byte, done func(error)) {
 	if l.down {
 		l.sim.clock.After(logTimeout, func() { done(errLogTimeout) })
@@ -49,20 +50,21 @@
 	l.sim.clock.After(2*delay, func() { done(nil) })
 }
 
-// read delivers the records from an offset on; a failed read delivers nothing.
-func (l *eventLog) read(d *node, stream string, from int, deliver func(first int, records [][]byte)) {
-	if l.down || d.cutFromLog || l.delay > logTimeout {
+// read delivers the records from offset on. A failed read does not call deliver.
+func (l *eventLog) read(d *daemon, stream string, offset int, deliver func(first int, records [][]byte)) {
+	if l.down || d.partitionedFromLog || l.delay > logTimeout {
 		return
 	}
 	all := l.streams[stream]
-	records := all[min(from, len(all)):]
-	d.after(networkDelay+l.delay, func() { deliver(from, records) })
+	records := all[min(offset, len(all)):]
+	d.after(networkDelay+l.delay, func() { deliver(offset, records) })
 }
 
-// appendFrom is an append by a daemon, which a crash or a cut keeps from hearing.
-func (d *node) append(stream string, data []byte, done func(error)) {
+// append appends a record on behalf of the daemon. done is not called if the daemon crashes
+// before the response arrives.
+func (d *daemon) append(stream string, data []byte, done func(error)) {
 	incarnation := d.incarnation
-	if d.cutFromLog {
+	if d.partitionedFromLog {
 		d.after(logTimeout, func() { done(errLogTimeout) })
 		return
 	}
--- a/lab/history/serve.go
+++ b/lab/history/serve.go
@@ -14,16 +14,16 @@
 	"github.com/damaskrudder/damaskrudder/internal/session"
 )
 
-// call is one request as a daemon serves it.
+// call is the state of one request at a daemon.
 type call struct {
-	node    *node
+	daemon  *daemon
 	id, key string
 	session string
 	pin     session.Pin
 	retry   *request.RetryState
 	tried   map[int]bool
 	text    string
-	// connected tells whether the caller is still there.
+	// connected reports whether the client still waits for the response.
 	connected func() bool
 	done      func(answered bool, err *fault.Error, pin session.Pin)
 	finished  bool
@@ -40,9 +40,9 @@
 	c.done(answered, err, c.pin)
 }
 
-// serve runs a request at a daemon: claim, choose, check, dispatch, bill.
-func (d *node) serve(c *call) {
-	c.node = d
+// serve handles a request: it claims the idempotency key, if any, and dispatches the request.
+func (d *daemon) serve(c *call) {
+	c.daemon = d
 	c.retry = &request.RetryState{Repeatable: c.key == "", Deadline: d.now().Add(15 * time.Second)}
 	c.tried = map[int]bool{}
 	d.budget.Deposit()
@@ -58,20 +58,22 @@
 	}
 }
 
-func (c *call) owner() string { return fmt.Sprintf("d%d/%d", c.node.id, c.node.incarnation) }
+func (c *call) owner() string { return fmt.Sprintf("d%d/%d", c.daemon.id, c.daemon.incarnation) }
 
 func (c *call) claimRecord(k request.ClaimRecordKind) []byte {
-	data, _ := json.Marshal(request.ClaimRecord{Kind: k, Key: c.key, BodyHash: "b", RequestID: c.id, Owner: c.owner(), UnixSeconds: c.node.now().Unix(), Status: 200, Response: []byte(c.text)})
+	data, _ := json.Marshal(request.ClaimRecord{Kind: k, Key: c.key, BodyHash: "b", RequestID: c.id, Owner: c.owner(), UnixSeconds: c.daemon.now().Unix(), Status: 200, Response: []byte(c.text)})
 	return data
 }
 
-// claim appends until the log confirms or the time is up, as the daemon does.
-func (c *call) claim(until time.Time) {
-	c.node.append("claims", c.claimRecord(request.Claimed), func(error) { c.awaitClaim(until) })
+// claim appends a claim record, repeatedly until the log shows a result or the deadline
+// passes.
+func (c *call) claim(deadline time.Time) {
+	c.daemon.append("claims", c.claimRecord(request.Claimed), func(error) { c.awaitClaim(deadline) })
 }
 
-func (c *call) awaitClaim(until time.Time) {
-	d := c.node
+// awaitClaim reads the claims and continues depending on the state of the key.
+func (c *call) awaitClaim(deadline time.Time) {
+	d := c.daemon
 	d.sim.log.read(d, "claims", int(d.claims.NextOffset()), func(first int, records [][]byte) {
 		for i, r := range records {
 			var rec request.ClaimRecord
@@ -81,31 +83,32 @@
 		}
 	})
 	d.after(readInterval/5, func() {
-		v := d.claims.Resolve(c.key, "b", c.id)
-		known := v.State == request.ClaimReplay || d.claims.Applied(c.id)
+		result := d.claims.Resolve(c.key, "b", c.id)
+		applied := result.State == request.ClaimReplay || d.claims.Applied(c.id)
 		switch {
-		case v.State == request.ClaimGranted && known:
+		case result.State == request.ClaimGranted && applied:
 			c.dispatch()
-		case v.State == request.ClaimReplay:
+		case result.State == request.ClaimReplay:
 			d.sim.stats.Replayed++
 			d.usage.Release()
 			c.finish(false, nil)
-		case v.State == request.ClaimInProgress && known:
+		case result.State == request.ClaimInProgress && applied:
 			d.sim.stats.ClaimsLost++
 			d.usage.Release()
-			c.finish(false, v.Err())
-		case !d.now().Before(until):
+			c.finish(false, result.Err())
+		case !d.now().Before(deadline):
 			d.usage.Release()
 			c.finish(false, request.ClaimResult{}.Err())
 		default:
-			c.claim(until)
+			c.claim(deadline)
 		}
 	})
 }
 
-// abandonClaim voids the claim of a request that is proven not to have run.
+// abandonClaim releases the claim of a request that did not run. It retries until the
+// append succeeds.
 func (c *call) abandonClaim() {
-	d := c.node
+	d := c.daemon
 	d.append("claims", c.claimRecord(request.Abandoned), func(err error) {
 		if err != nil {
 			d.after(time.Second, c.abandonClaim)
@@ -113,8 +116,9 @@
 	})
 }
 
+// dispatch resolves the model version, picks an engine and sends the request to it.
 func (c *call) dispatch() {
-	d := c.node
+	d := c.daemon
 	cfg := d.state.Config()
 	ws := cfg.Workspaces[workspace]
 	version, err := session.ResolveVersion(cfg, ws, "m", c.pin)
@@ -129,7 +133,7 @@
 		c.finish(false, fault.New(fault.NoServer, "").WithExecution(c.retry.ExecutionState()))
 		return
 	}
-	// The last check before the request leaves.
+	// Checked again right before sending, since the configuration may have changed.
 	if !d.state.Config().MayDispatch(workspace, "m", version) || !d.readiness.CanServe(d.now()) {
 		d.usage.Release()
 		c.finish(false, fault.New(fault.VersionWithdrawn, "").WithExecution(c.retry.ExecutionState()))
@@ -144,11 +148,12 @@
 	c.send(server, version)
 }
 
+// pickEngine returns a random engine that was not tried and is not leaving.
 func (c *call) pickEngine() (*engine, bool) {
-	first := c.node.sim.rng.IntN(engineCount)
+	first := c.daemon.sim.rng.IntN(engineCount)
 	for i := range engineCount {
-		e := c.node.sim.engines[(first+i)%engineCount]
-		if !c.tried[e.id] && !c.node.leaving[e.id] {
+		e := c.daemon.sim.engines[(first+i)%engineCount]
+		if !c.tried[e.id] && !c.daemon.leaving[e.id] {
 			c.tried[e.id] = true
 			return e, true
 		}
@@ -157,7 +162,7 @@
 }
 
 func (c *call) send(e *engine, version string) {
-	d := c.node
+	d := c.daemon
 	asm := request.NewAssembler(fmt.Sprintf("%s-%d", c.id, c.retry.Attempts()))
 	c.text = ""
 	incarnation := d.incarnation
@@ -170,9 +175,10 @@
 		func(r *run) { d.runIfAlive(incarnation, func() { c.retry.RecordExecution(); c.read(e, r, asm) }) })
 }
 
+// read receives the frames of a run and bills the request when it is complete.
 func (c *call) read(e *engine, r *run, asm *request.Assembler) {
 	closed := false
-	e.stream(c.node, r, asm.LastOffset(), func(f request.Frame) bool {
+	e.stream(c.daemon, r, asm.LastOffset(), func(f request.Frame) bool {
 		if closed || c.finished {
 			return false
 		}
@@ -198,8 +204,9 @@
 	})
 }
 
+// handleEvent resumes, retries or fails the request after an attempt has failed.
 func (c *call) handleEvent(e *engine, asm *request.Assembler, ev request.AttemptEvent) {
-	d := c.node
+	d := c.daemon
 	decision := c.retry.Next(ev, d.now(), d.budget)
 	switch decision.Action {
 	case request.Resume:
@@ -220,9 +227,9 @@
 	}
 }
 
-// bill stores the usage record where it survives this daemon, then answers.
+// bill replicates the usage record to a peer, or waits for the log, and then answers.
 func (c *call) bill() {
-	d := c.node
+	d := c.daemon
 	record := billing.UsageRecord{RequestID: c.id, Workspace: workspace, Model: "m", Version: c.pin.Version, Outcome: billing.Complete, CompletionTokens: framesPerRun}
 	position := d.usage.Add(record)
 	answer := func() {
@@ -230,7 +237,7 @@
 			c.sendAnswer()
 			return
 		}
-		c.node.append("claims", c.claimRecord(request.Finished), func(error) { c.sendAnswer() })
+		c.daemon.append("claims", c.claimRecord(request.Finished), func(error) { c.sendAnswer() })
 	}
 	for _, peer := range d.sim.daemons {
 		if peer == d || !d.canReach(peer) {
@@ -250,18 +257,19 @@
 	c.awaitConfirmation(position, answer)
 }
 
-// awaitConfirmation answers when the log has the bill. When it takes long the end of the
-// answer is withheld, and the daemon takes no more requests meanwhile.
+// awaitConfirmation calls answer once the log has confirmed the usage record at position.
+// After unprotectedDelay the daemon refuses new requests, and after protectTimeout this
+// request fails.
 func (c *call) awaitConfirmation(position uint64, answer func()) {
-	c.node.pending = append(c.node.pending, pendingAnswer{position, answer})
-	c.node.after(unprotectedDelay, func() {
-		if !c.node.usage.Confirmed(position) {
-			c.node.usage.SetUnprotected(true)
+	c.daemon.pending = append(c.daemon.pending, pendingAnswer{position, answer})
+	c.daemon.after(unprotectedDelay, func() {
+		if !c.daemon.usage.Confirmed(position) {
+			c.daemon.usage.SetUnprotected(true)
 		}
 	})
-	c.node.after(protectTimeout, func() {
+	c.daemon.after(protectTimeout, func() {
 		if !c.finished {
-			c.node.sim.stats.Withheld++
+			c.daemon.sim.stats.Withheld++
 			c.finish(false, fault.New(fault.UsageUnprotected, "").WithExecution(fault.Ran))
 		}
 	})
@@ -271,14 +279,15 @@
 	if c.finished || !c.connected() {
 		return
 	}
-	c.node.sim.recordEvent(invariant.Event{
+	c.daemon.sim.recordEvent(invariant.Event{
 		Kind: invariant.Answered, Request: c.id, Text: c.text,
 		Workspace: workspace, Session: c.session, Model: "m", Version: c.pin.Version,
 	})
 	c.finish(true, nil)
 }
 
-func (d *node) flushUsage() {
+// flushUsage appends the next batch of usage records to the log.
+func (d *daemon) flushUsage() {
 	batch := d.usage.NextBatch(200)
 	if len(batch) == 0 {
 		return
@@ -294,14 +303,16 @@
 	})
 }
 
-func (d *node) releaseConfirmed() {
+// releaseConfirmed sends the answers whose usage records are confirmed, and deletes the
+// replicas of confirmed records at peers.
+func (d *daemon) releaseConfirmed() {
 	unconfirmed := d.pending[:0]
 	var confirmed []func()
-	for _, b := range d.pending {
-		if d.usage.Confirmed(b.position) {
-			confirmed = append(confirmed, b.send)
+	for _, answer := range d.pending {
+		if d.usage.Confirmed(answer.position) {
+			confirmed = append(confirmed, answer.send)
 		} else {
-			unconfirmed = append(unconfirmed, b)
+			unconfirmed = append(unconfirmed, answer)
 		}
 	}
 	d.pending = unconfirmed
@@ -320,8 +331,9 @@
 	}
 }
 
-// adoptReplicas appends the copies whose owner is gone or silent for long.
-func (d *node) adoptReplicas() {
+// adoptReplicas appends replicated usage records to the log if their owner has restarted or
+// did not confirm them within adoptDelay.
+func (d *daemon) adoptReplicas() {
 	var batch []billing.UsageRecord
 	for _, id := range slices.Sorted(maps.Keys(d.replicas)) {
 		replica := d.replicas[id]
--- a/lab/history/world.go
+++ b/lab/history/simulation.go
@@ -1,7 +1,6 @@
-// Package history drives the decision packages through randomised histories in
-// virtual time: six daemons, a log, engines and plain services, callers that
-// retry, operators that race, and two faults at once. Every history is checked
-// against the promises. The same seed gives the same history.
+// Package history simulates daemons, the replicated log, engines, clients with retries,
+// and racing operators in virtual time, with injected faults, and records a history
+// that can be checked for invariants. The same seed produces the same history.
 package history
 
 import (
@@ -30,49 +29,50 @@
 	flushInterval      = 100 * time.Millisecond
 	serverListInterval = time.Second
 	requestInterval    = 400 * time.Millisecond
-	// unloadDelay is when the lease holder has unloaded a withdrawn version.
+	// unloadDelay is the time from the withdrawal of a version to its unloading by engines.
 	unloadDelay = 5 * time.Second
-	// adoptDelay is how long a keeper waits for a confirmation.
+	// adoptDelay is how long a peer keeps a usage replica before it appends it to the log.
 	adoptDelay = 30 * time.Second
-	// unprotectedDelay is when a daemon whose records nobody takes refuses new requests.
+	// unprotectedDelay is the time after which a daemon with an unreplicated and unconfirmed
+	// usage record refuses new requests.
 	unprotectedDelay = time.Second
-	// protectTimeout bounds the wait for the log when no keeper answers.
+	// protectTimeout bounds the wait for the log when no peer has stored a replica.
 	protectTimeout = 5 * time.Second
 )
 
-// Limits are the times that histories are checked against.
+// Limits are the time bounds that histories are checked against.
 var Limits = invariant.Limits{InForce: 16 * time.Second, Leaving: 3 * time.Second}
 
-// Simulation is one history in the making.
+// Simulation is the state of one simulated history.
 type Simulation struct {
 	clock   *sim.Clock
 	rng     *rand.Rand
 	log     *eventLog
-	daemons []*node
+	daemons []*daemon
 	engines []*engine
-	// maxApplied is the highest number that any daemon folded.
+	// maxApplied is the highest configuration number that any daemon has applied.
 	maxApplied uint64
 	withdrawn  bool
-	// reference folds the configuration as the log has it, and takenAt is when the
-	// log took the record that led to a number.
+	// reference is the configuration state as of the end of the log, and committedAt maps a
+	// configuration number to the time of its commit.
 	reference   *fleet.StateMachine
 	committedAt map[uint64]time.Duration
 	events      []invariant.Event
 	lastRequest int
-	// leavingSince servers by the platform's list, with the time of the word.
+	// leavingSince maps leaving servers to the time of the announcement.
 	leavingSince map[int]time.Duration
 	stats        Stats
 }
 
-// Stats count what a history held, to show that it tested something.
+// Stats counts the outcomes in a history, to verify that faults and traffic took effect.
 type Stats struct {
 	Requests, Answered, RefusedNotRun, UnknownOutcome, TimedOut, Resumed, Retried, Replayed, ClaimsLost, Adopted, Withheld, Duplicates int
-	// MaxConfigDelay is the longest time from the log's taking a change to its
-	// being in force at a daemon that was running then.
+	// MaxConfigDelay is the longest time from the commit of a configuration to its
+	// application by a daemon.
 	MaxConfigDelay time.Duration
 }
 
-// Run makes the history of a seed under some faults and returns it.
+// Run simulates the history of a seed with the given faults and returns its events.
 func Run(seed uint64, faults ...Fault) ([]invariant.Event, Stats) {
 	s := &Simulation{clock: &sim.Clock{}, rng: rand.New(rand.NewPCG(seed, 77)), committedAt: map[uint64]time.Duration{}, reference: fleet.NewStateMachine(), leavingSince: map[int]time.Duration{}}
 	s.log = &eventLog{sim: s, streams: map[string][][]byte{}}
@@ -80,7 +80,7 @@
 		s.engines = append(s.engines, &engine{sim: s, id: i, runs: map[string]*run{}})
 	}
 	for i := range daemonCount {
-		s.daemons = append(s.daemons, newNode(s, i))
+		s.daemons = append(s.daemons, newDaemon(s, i))
 	}
 	s.writeInitialConfig()
 	for _, d := range s.daemons {
@@ -108,8 +108,8 @@
 
 const workspace = "w"
 
-// writeInitialConfig writes the first patch: a model of three versions and a workspace
-// that may use two of them.
+// writeInitialConfig commits a model with three versions and a workspace that may use two
+// of them.
 func (s *Simulation) writeInitialConfig() {
 	var servers []string
 	for i := range engineCount {
@@ -129,8 +129,8 @@
 	return data
 }
 
-// operatorPatches are what operators do in turn, each against a racing one: a roll-out
-// that moves sessions without a pin, and the withdrawal of v1.
+// operatorPatches are applied in sequence: a rollout in two stages, the withdrawal of v1,
+// and unrelated changes.
 var operatorPatches = []string{
 	`{"rollouts":{"m":{"model":"m","to":"v2","stages":[50,100],"stage":0,"state":"running"}}}`,
 	`{"workspaces":{"w":{"priority":3}}}`,
@@ -139,7 +139,7 @@
 	`{"workspaces":{"w":{"priority":4}}}`,
 }
 
-// scheduleOperators race with patches against the same number.
+// scheduleOperators schedules operatorPatches, each with a racing patch on the same base.
 func (s *Simulation) scheduleOperators() {
 	for i, patch := range operatorPatches {
 		at := trafficDuration * time.Duration(i+1) / time.Duration(len(operatorPatches)+2)
@@ -152,9 +152,8 @@
 	}
 }
 
-// recordAccepted notes a configuration that a daemon is the first to fold. From then on
-// an operator may have been told that it is accepted. A record that the log took
-// right before an outage is nobody's knowledge until it can be read.
+// recordAccepted records the acceptance of a configuration when the first daemon applies
+// it, since an operator cannot receive confirmation earlier.
 func (s *Simulation) recordAccepted(c *fleet.Config) {
 	if c.Number <= s.maxApplied {
 		return
@@ -173,6 +172,7 @@
 	})
 }
 
+// recordBills records the requests that have a usage record in the log.
 func (s *Simulation) recordBills() {
 	ledger := billing.NewLedger()
 	for _, data := range s.log.streams["usage"] {
@@ -190,35 +190,37 @@
 	}
 }
 
-// node is one daemon, driven by the clock.
-type node struct {
+// daemon is a simulated daemon.
+type daemon struct {
 	sim         *Simulation
 	id          int
 	incarnation int
 	alive       bool
 	pausedUntil time.Duration
-	// cutFromLog and cutFromPeers are partitions.
-	cutFromLog, cutFromPeers bool
+	// partitionedFromLog and partitionedFromPeers simulate network partitions.
+	partitionedFromLog, partitionedFromPeers bool
 
 	state     *fleet.StateMachine
 	claims    *request.ClaimTable
 	readiness membership.Readiness
 	usage     *billing.Buffer
 	replicas  map[string]usageReplica
-	// pending are answers that await the log's word on their bill.
+	// pending holds answers whose usage record is not yet confirmed.
 	pending []pendingAnswer
 	leaving map[int]bool
 	budget  *request.RetryBudget
 }
 
+// usageReplica is a usage record stored on behalf of another daemon.
 type usageReplica struct {
 	record      billing.UsageRecord
-	owner       *node
+	owner       *daemon
 	incarnation int
 	position    uint64
 	receivedAt  time.Duration
 }
 
+// pendingAnswer is sent once the usage record at position is confirmed.
 type pendingAnswer struct {
 	position uint64
 	send     func()
@@ -226,14 +228,14 @@
 
 const bufferLimit = 500
 
-func newNode(s *Simulation, id int) *node {
-	d := &node{sim: s, id: id}
+func newDaemon(s *Simulation, id int) *daemon {
+	d := &daemon{sim: s, id: id}
 	d.reset()
 	return d
 }
 
-// reset forgets everything, as a replaced VM does.
-func (d *node) reset() {
+// reset starts a new incarnation with empty state, as on a replaced VM.
+func (d *daemon) reset() {
 	d.incarnation++
 	d.alive = true
 	d.state, d.claims = fleet.NewStateMachine(), request.NewClaimTable()
@@ -242,31 +244,32 @@
 	d.leaving, d.budget = map[int]bool{}, request.NewRetryBudget()
 }
 
-// after schedules work of this incarnation; a pause postpones it, a crash ends it.
-func (d *node) after(t time.Duration, do func()) {
+// after runs fn after a delay, unless this incarnation has ended by then.
+func (d *daemon) after(delay time.Duration, fn func()) {
 	incarnation := d.incarnation
-	d.sim.clock.After(t, func() { d.runIfAlive(incarnation, do) })
+	d.sim.clock.After(delay, func() { d.runIfAlive(incarnation, fn) })
 }
 
-func (d *node) runIfAlive(incarnation int, do func()) {
+// runIfAlive runs fn if the incarnation still runs, and defers it while the daemon is paused.
+func (d *daemon) runIfAlive(incarnation int, fn func()) {
 	if !d.alive || d.incarnation != incarnation {
 		return
 	}
 	if remaining := d.pausedUntil - d.sim.clock.Elapsed(); remaining > 0 {
-		d.sim.clock.After(remaining, func() { d.runIfAlive(incarnation, do) })
+		d.sim.clock.After(remaining, func() { d.runIfAlive(incarnation, fn) })
 		return
 	}
-	do()
+	fn()
 }
 
-func (d *node) every(t time.Duration, do func()) {
-	d.after(t, func() {
-		do()
-		d.every(t, do)
+func (d *daemon) every(interval time.Duration, fn func()) {
+	d.after(interval, func() {
+		fn()
+		d.every(interval, fn)
 	})
 }
 
-func (d *node) start() {
+func (d *daemon) start() {
 	d.readConfig()
 	d.every(readInterval, d.readConfig)
 	d.every(time.Second, d.syncPeers)
@@ -275,8 +278,9 @@
 	d.every(time.Second, d.adoptReplicas)
 }
 
-// recordConfigDelay notes how long after the log took a number this daemon got to it.
-func (d *node) recordConfigDelay(before uint64) {
+// recordConfigDelay records the propagation delay of a configuration if its number has
+// changed from before.
+func (d *daemon) recordConfigDelay(before uint64) {
 	n := d.state.Config().Number
 	if n == before {
 		return
@@ -285,9 +289,9 @@
 	d.sim.stats.MaxConfigDelay = max(d.sim.stats.MaxConfigDelay, d.sim.clock.Elapsed()-d.sim.committedAt[n])
 }
 
-func (d *node) now() time.Time { return d.sim.clock.Now() }
+func (d *daemon) now() time.Time { return d.sim.clock.Now() }
 
-func (d *node) readConfig() {
+func (d *daemon) readConfig() {
 	d.sim.log.read(d, "config", int(d.state.NextOffset()), func(first int, records [][]byte) {
 		d.readiness.LogReadAt, d.readiness.ConfigLoaded = d.now(), true
 		before := d.state.Config().Number
@@ -298,12 +302,13 @@
 	})
 }
 
-// canReach reports whether two daemons reach each other.
-func (d *node) canReach(peer *node) bool {
-	return peer.alive && !d.cutFromPeers && !peer.cutFromPeers && peer.pausedUntil <= d.sim.clock.Elapsed()
+// canReach reports whether the two daemons can communicate.
+func (d *daemon) canReach(peer *daemon) bool {
+	return peer.alive && !d.partitionedFromPeers && !peer.partitionedFromPeers && peer.pausedUntil <= d.sim.clock.Elapsed()
 }
 
-func (d *node) syncPeers() {
+// syncPeers installs newer configurations of reachable peers and checks for a majority.
+func (d *daemon) syncPeers() {
 	reached := 0
 	for _, peer := range d.sim.daemons {
 		if peer == d || !d.canReach(peer) {
@@ -321,7 +326,7 @@
 	}
 }
 
-func (d *node) readServerList() {
+func (d *daemon) readServerList() {
 	d.readiness.ServersUpdatedAt = d.now()
 	for s, at := range d.sim.leavingSince {
 		if at <= d.sim.clock.Elapsed() {
