--- a/lab/sim/clock.go
+++ b/lab/sim/clock.go
@@ -1,6 +1,6 @@
-// Package sim drives the decision packages in virtual time over small models of
-// backend servers: a queue, slots, a prefix cache, a service time and lagged
-// reports. The same seed gives the same run, bit for bit.
+// Package sim is a discrete-event simulation of daemons in front of model engines. An
+// engine has a queue, a number of slots, a prefix cache, service times, and delayed load
+// reports. The same seed produces the same run.
 package sim
 
 import (
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Clock runs events in order of time, and of scheduling where times are equal.
+// Clock runs scheduled events in virtual time. Events at the same time run in the order of
+// scheduling.
 type Clock struct {
 	now   time.Duration
 	queue eventQueue
@@ -40,22 +41,23 @@
 	return e
 }
 
-// epoch is virtual time zero; it lies beyond every span that looks back.
+// epoch is the virtual start time. It is late enough that times before the start stay
+// positive.
 var epoch = time.Unix(1_000_000, 0)
 
-// Now returns the virtual time.
+// Now returns the current virtual time.
 func (c *Clock) Now() time.Time { return epoch.Add(c.now) }
 
 // Elapsed returns the virtual time since the start.
 func (c *Clock) Elapsed() time.Duration { return c.now }
 
-// After schedules an event.
+// After schedules run after a delay; a negative delay is zero.
 func (c *Clock) After(d time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.queue, event{c.now + max(d, 0), c.seq, run})
 }
 
-// Run works off events until a time.
+// Run runs all events up to a time since the start, and advances the clock to it.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(event)
--- a/lab/sim/engine.go
+++ b/lab/sim/engine.go
@@ -7,27 +7,27 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// Job is one run on an engine.
+// Job is a request submitted to an engine.
 type Job struct {
 	PromptTokens int
 	Blocks       []uint64
 	OutputTokens int
 	Priority     int
-	// OnFirstToken is called at the first token, Done at the end; a run on an engine
-	// that went down gets Lost instead.
+	// OnFirstToken is called at the first token, OnDone at the end, and OnLost instead when
+	// the engine is down or goes down.
 	OnFirstToken func()
 	OnDone       func()
 	OnLost       func()
 }
 
-// Engine is a model engine with continuous batching.
+// Engine models an inference engine with continuous batching.
 type Engine struct {
 	clock *Clock
 	Slots int
-	// PrefillPerToken and PerToken are service times; Slow multiplies both.
+	// PrefillPerToken and DecodePerToken are service times; Slowdown multiplies both.
 	PrefillPerToken, DecodePerToken time.Duration
 	Slowdown                        float64
-	// ReportDelay delays reports.
+	// ReportDelay is the age of the load in ReportedLoad.
 	ReportDelay time.Duration
 	waiting     []*Job
 	running     map[*Job]bool
@@ -41,9 +41,9 @@
 	load int
 }
 
-// NewEngine returns an idle engine.
-func NewEngine(c *Clock, slots int, prefill, perToken time.Duration, cacheBlocks int) *Engine {
-	return &Engine{clock: c, Slots: slots, PrefillPerToken: prefill, DecodePerToken: perToken, Slowdown: 1, running: map[*Job]bool{}, cache: newPrefixCache(cacheBlocks)}
+// NewEngine returns an idle engine whose prefix cache holds cacheBlocks blocks.
+func NewEngine(c *Clock, slots int, prefillPerToken, decodePerToken time.Duration, cacheBlocks int) *Engine {
+	return &Engine{clock: c, Slots: slots, PrefillPerToken: prefillPerToken, DecodePerToken: decodePerToken, Slowdown: 1, running: map[*Job]bool{}, cache: newPrefixCache(cacheBlocks)}
 }
 
 // Submit queues a job.
@@ -56,14 +56,14 @@
 	e.schedule()
 }
 
-// Cancel takes a job off the engine, whether it waits or runs.
+// Cancel removes a waiting or running job.
 func (e *Engine) Cancel(j *Job) {
 	delete(e.running, j)
 	e.waiting = slices.DeleteFunc(e.waiting, func(w *Job) bool { return w == j })
 	e.schedule()
 }
 
-// SetDown takes the engine away with everything on it, or brings it back empty.
+// SetDown stops or restarts the engine. All jobs are lost and the prefix cache is cleared.
 func (e *Engine) SetDown(down bool) {
 	e.down = down
 	lost := append([]*Job(nil), e.waiting...)
@@ -80,7 +80,7 @@
 // Load returns the number of jobs waiting and running.
 func (e *Engine) Load() int { return len(e.waiting) + len(e.running) }
 
-// ReportedLoad returns the load as it was Lag ago.
+// ReportedLoad returns the load as of ReportDelay ago.
 func (e *Engine) ReportedLoad() int {
 	load := 0
 	cutoff := e.clock.now - e.ReportDelay
@@ -110,8 +110,7 @@
 	e.reports = append(e.reports, report{e.clock.now, e.Load()})
 }
 
-// batchOverhead is how much each request in the batch slows the others: a full
-// batch of 8 decodes at 1.35 times the time of a single request.
+// batchOverhead is the relative slowdown per additional request in the batch.
 const batchOverhead = 0.05
 
 func (e *Engine) startJob(j *Job) {
@@ -135,7 +134,7 @@
 	})
 }
 
-// prefixCache is a prefix cache that evicts the block stored first.
+// prefixCache is a set of prefix blocks with FIFO eviction.
 type prefixCache struct {
 	size   int
 	blocks map[uint64]bool
@@ -146,7 +145,7 @@
 	return &prefixCache{size: size, blocks: map[uint64]bool{}}
 }
 
-// lookupAndStore returns how many leading blocks were cached, and stores all.
+// lookupAndStore returns the number of leading blocks found, and stores the others.
 func (c *prefixCache) lookupAndStore(blocks []uint64) int {
 	hits := 0
 	for hits < len(blocks) && c.blocks[blocks[hits]] {
--- a/lab/sim/router.go
+++ b/lab/sim/router.go
@@ -17,40 +17,40 @@
 	Blocks       []uint64
 	OutputTokens int
 	Priority     int
-	// Deadline bounds the wait for the first token; zero is none.
+	// Deadline bounds the time to the first token; zero means none.
 	Deadline time.Duration
 }
 
-// Result is what became of a request.
+// Result is the outcome of a request.
 type Result struct {
 	SentAt time.Duration
-	// FirstToken is the first-token latency; zero when there was none.
+	// FirstToken is the time to first token; zero if there was none.
 	FirstToken time.Duration
 	Refused    bool
-	Lost       bool
-	// TimedOut says that there was no first token by the deadline.
+	Failed     bool
+	// TimedOut reports that there was no first token by the deadline.
 	TimedOut bool
 	Attempts int
 	Priority int
 	Server   int
 }
 
-// Policy chooses a server for an attempt.
+// Policy selects servers in one daemon.
 type Policy interface {
-	// Pick returns the index of a server or -1 for a refusal.
+	// Pick returns the index of a server that was not tried, or -1 to refuse the request.
 	Pick(r *Request, tried []int) int
-	// RecordDispatch, First and Ended follow an attempt. First returns the part of the
-	// first token that was a wait.
+	// RecordDispatch, RecordFirstToken, and RecordCompletion are called in the course of an
+	// attempt. RecordFirstToken returns the part of the latency that was spent queueing.
 	RecordDispatch(server int, r *Request)
-	RecordFirstToken(server int, r *Request, took time.Duration) time.Duration
-	RecordCompletion(server int, r *Request, held time.Duration, failed bool)
-	// RecordUnreachable tells that the server went away.
+	RecordFirstToken(server int, r *Request, latency time.Duration) time.Duration
+	RecordCompletion(server int, r *Request, duration time.Duration, failed bool)
+	// RecordUnreachable records that the server went down.
 	RecordUnreachable(server int)
-	// RecordReport brings a load report of a server.
+	// RecordReport records a load report of a server.
 	RecordReport(server, load int)
 }
 
-// Cluster is a pool of engines in front of several daemons.
+// Cluster simulates several daemons in front of a pool of engines.
 type Cluster struct {
 	Clock        *Clock
 	Engines      []*Engine
@@ -62,13 +62,14 @@
 }
 
 const (
-	// probePeriod is how often a daemon hears from one of its servers.
+	// probePeriod is the interval at which a daemon probes the next server.
 	probePeriod = 250 * time.Millisecond
-	// networkDelay is one way between a daemon and a server.
+	// networkDelay is the one-way delay between a daemon and a server.
 	networkDelay = 500 * time.Microsecond
 )
 
-// NewCluster returns a pool of engines and daemons made by policy.
+// NewCluster returns a cluster with the given engines and number of daemons, each with its
+// own policy.
 func NewCluster(seed uint64, engines []*Engine, clock *Clock, daemons int, policy func(c *Cluster, daemon int, rng *rand.Rand) Policy) *Cluster {
 	c := &Cluster{Clock: clock, Engines: engines, rng: rand.New(rand.NewPCG(seed, 1)), networkDelay: networkDelay}
 	for i := range daemons {
@@ -79,6 +80,7 @@
 	return c
 }
 
+// scheduleProbe schedules load reports from the servers in turn.
 func (c *Cluster) scheduleProbe(daemon, n int) {
 	c.Clock.After(probePeriod, func() {
 		server := n % len(c.Engines)
@@ -89,7 +91,7 @@
 	})
 }
 
-// Send gives a request to a random daemon.
+// Send sends a request to a random daemon.
 func (c *Cluster) Send(r *Request) {
 	res := &Result{SentAt: c.Clock.now, Priority: r.Priority, Server: -1}
 	c.Results = append(c.Results, res)
@@ -143,7 +145,7 @@
 			c.attempt(daemon, r, res, retry, tried)
 			return
 		}
-		res.Lost = true
+		res.Failed = true
 	}
 	c.Clock.After(c.networkDelay, func() { c.Engines[server].Submit(j) })
 	if r.Deadline > 0 {
@@ -151,18 +153,18 @@
 	}
 }
 
-// timeOut ends an attempt that has no first token by the deadline, as a daemon does
-// when the caller's time is over: the engine is free for those who still wait.
-func (c *Cluster) timeOut(daemon, server int, r *Request, res *Result, j *Job, held time.Duration) {
-	if res.FirstToken > 0 || res.Lost || res.TimedOut {
+// timeOut cancels an attempt without a first token at the deadline, which frees its slot on
+// the engine.
+func (c *Cluster) timeOut(daemon, server int, r *Request, res *Result, j *Job, duration time.Duration) {
+	if res.FirstToken > 0 || res.Failed || res.TimedOut {
 		return
 	}
 	res.TimedOut = true
 	c.Engines[server].Cancel(j)
-	c.Daemons[daemon].RecordCompletion(server, r, held, true)
+	c.Daemons[daemon].RecordCompletion(server, r, duration, true)
 }
 
-// PipelinePolicy is the project's routing in one daemon.
+// PipelinePolicy routes with routing.Pipeline and a load tracker per daemon.
 type PipelinePolicy struct {
 	cluster    *Cluster
 	tracker    *routing.LoadTracker
@@ -171,7 +173,7 @@
 	candidates []routing.Candidate
 }
 
-// NewPipelinePolicy returns the policy with a pipeline.
+// NewPipelinePolicy returns a constructor for the policies of daemons that use the pipeline.
 func NewPipelinePolicy(pipeline routing.Pipeline) func(*Cluster, int, *rand.Rand) Policy {
 	return func(c *Cluster, _ int, rng *rand.Rand) Policy {
 		p := &PipelinePolicy{cluster: c, tracker: routing.NewLoadTracker(), pipeline: pipeline, rng: rng}
@@ -207,15 +209,15 @@
 }
 
 // RecordFirstToken implements Policy.
-func (p *PipelinePolicy) RecordFirstToken(server int, r *Request, took time.Duration) time.Duration {
+func (p *PipelinePolicy) RecordFirstToken(server int, r *Request, latency time.Duration) time.Duration {
 	q := p.request(r)
 	p.tracker.Prefix.Lookup(&q)
-	return p.tracker.RecordFirstToken(serverID(server), took, max(0, r.PromptTokens-int(q.CachedBlocks[server])*routing.BlockTokens), p.cluster.Clock.Now())
+	return p.tracker.RecordFirstToken(serverID(server), latency, max(0, r.PromptTokens-int(q.CachedBlocks[server])*routing.BlockTokens), p.cluster.Clock.Now())
 }
 
 // RecordCompletion implements Policy.
-func (p *PipelinePolicy) RecordCompletion(server int, r *Request, held time.Duration, failed bool) {
-	p.tracker.RecordCompletion(serverID(server), held, failed, r.Priority == 0, p.cluster.Clock.Now())
+func (p *PipelinePolicy) RecordCompletion(server int, r *Request, duration time.Duration, failed bool) {
+	p.tracker.RecordCompletion(serverID(server), duration, failed, r.Priority == 0, p.cluster.Clock.Now())
 }
 
 // RecordUnreachable implements Policy.
@@ -228,7 +230,7 @@
 	p.tracker.RecordReport(serverID(server), load, p.cluster.Clock.Now())
 }
 
-// BaselinePolicy wraps one of the plain rules.
+// BaselinePolicy routes with one of the baseline algorithms of package naive.
 type BaselinePolicy struct {
 	cluster       *Cluster
 	reported      []int
@@ -236,7 +238,7 @@
 	leastReported bool
 }
 
-// NewRoundRobin returns the round-robin policy.
+// NewRoundRobin returns a round-robin policy. Each daemon starts at a different server.
 func NewRoundRobin(c *Cluster, daemon int, _ *rand.Rand) Policy {
 	p := &BaselinePolicy{cluster: c, reported: make([]int, len(c.Engines))}
 	for range daemon {
@@ -245,7 +247,7 @@
 	return p
 }
 
-// NewLeastReported returns the policy that follows the lowest report.
+// NewLeastReported returns a policy that picks the server with the lowest reported load.
 func NewLeastReported(c *Cluster, _ int, _ *rand.Rand) Policy {
 	return &BaselinePolicy{cluster: c, reported: make([]int, len(c.Engines)), leastReported: true}
 }
--- a/lab/sim/workload.go
+++ b/lab/sim/workload.go
@@ -8,19 +8,19 @@
 	"github.com/damaskrudder/damaskrudder/internal/routing"
 )
 
-// Workload makes requests whose prompts share prefixes, as desks do that read
-// the same bundles all day.
+// Workload generates requests whose prompts share prefixes.
 type Workload struct {
-	// PrefixGroups is the number of shared prefixes, drawn by a Zipf law.
+	// PrefixGroups is the number of shared prefixes, whose popularity has a Zipf distribution.
 	PrefixGroups int
-	// SharedTokens and OwnTokens are the prompt's shared and own parts.
+	// SharedTokens and UniqueTokens are the lengths of the shared prefix and of the rest of
+	// the prompt.
 	SharedTokens, UniqueTokens int
-	// MeanOutputTokens is the mean answer length; lengths vary between half and
-	// one and a half of it.
+	// MeanOutputTokens is the mean output length. Lengths are uniform between 0.5 and 1.5
+	// times the mean.
 	MeanOutputTokens int
-	// Deadline bounds the first token; zero is none.
+	// Deadline bounds the time to the first token; zero means none.
 	Deadline time.Duration
-	// UrgentFraction is the fraction of requests of priority 0; the others have 1.
+	// UrgentFraction is the fraction of requests with priority 0; the others have priority 1.
 	UrgentFraction float64
 }
 
@@ -43,29 +43,29 @@
 	return r
 }
 
-// zipfExponent and zipfOffset shape the popularity of prefixes.
+// Parameters of the Zipf distribution of prefixes.
 const (
 	zipfExponent = 1.2
 	zipfOffset   = 2
 )
 
-// ScheduleArrivals sends requests of a Poisson stream until a time.
-func (c *Cluster) ScheduleArrivals(seed uint64, w Workload, perSecond float64, until time.Duration) {
+// ScheduleArrivals sends requests with Poisson arrivals until a time since the start.
+func (c *Cluster) ScheduleArrivals(seed uint64, workload Workload, perSecond float64, until time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	zipf := rand.NewZipf(rng, zipfExponent, zipfOffset, uint64(w.PrefixGroups-1))
-	var next func()
-	next = func() {
+	zipf := rand.NewZipf(rng, zipfExponent, zipfOffset, uint64(workload.PrefixGroups-1))
+	var sendNext func()
+	sendNext = func() {
 		if c.Clock.now >= until {
 			return
 		}
-		c.Send(w.Next(rng, zipf))
-		c.Clock.After(time.Duration(rng.ExpFloat64()/perSecond*float64(time.Second)), next)
+		c.Send(workload.Next(rng, zipf))
+		c.Clock.After(time.Duration(rng.ExpFloat64()/perSecond*float64(time.Second)), sendNext)
 	}
-	c.Clock.After(0, next)
+	c.Clock.After(0, sendNext)
 }
 
-// Quantile returns a quantile of first-token latencies among results that keep
-// admits.
+// Quantile returns the q-quantile of the time to first token of the results accepted by
+// filter; a nil filter accepts all. It returns zero if there are none.
 func Quantile(results []*Result, q float64, filter func(*Result) bool) time.Duration {
 	var latencies []time.Duration
 	for _, r := range results {
