--- a/lab/naive/rollout.go
+++ b/lab/naive/rollout.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// FixedStages moves a roll-out on after a fixed time a stage and halts on one
-// error threshold over all traffic of the model.
+// FixedStages advances a rollout after a fixed time per stage, and halts it when the error
+// rate over all traffic of the model exceeds a threshold.
 type FixedStages struct {
-	// Stages are shares in percent; StageTime is how long each lasts.
+	// Stages are traffic shares in percent, each of which lasts StageDuration.
 	Stages        []float64
 	StageDuration time.Duration
-	// MaxErrorRate halts at this error rate over Window.
+	// MaxErrorRate is the error rate over Window above which the rollout halts.
 	MaxErrorRate float64
 	Window       time.Duration
 
@@ -21,7 +21,7 @@
 	requests, errors int
 }
 
-// Observe takes the totals of all traffic since the last call.
+// Observe adds the numbers of requests and errors since the last call.
 func (f *FixedStages) Observe(at time.Duration, requests, errors int) {
 	f.samples = append(f.samples, sample{at, requests, errors})
 	for f.samples[0].at < at-f.Window {
@@ -37,7 +37,8 @@
 	}
 }
 
-// TrafficPercent returns the share at a time since the start; a halt sends nobody.
+// TrafficPercent returns the traffic share of the new version at a time since the start. It
+// is zero after a halt.
 func (f *FixedStages) TrafficPercent(at time.Duration) float64 {
 	if f.halted {
 		return 0
@@ -45,7 +46,7 @@
 	return f.Stages[min(int(at/f.StageDuration), len(f.Stages)-1)]
 }
 
-// Done reports whether every session is on the new version.
+// Done reports whether the last stage has been reached without a halt.
 func (f *FixedStages) Done(at time.Duration) bool {
 	return !f.halted && at >= f.StageDuration*time.Duration(len(f.Stages)-1)
 }
--- a/lab/naive/routing.go
+++ b/lab/naive/routing.go
@@ -1,13 +1,12 @@
-// Package naive holds the plain rules that the project's decisions are compared
-// with.
+// Package naive implements simple baseline algorithms for comparison in experiments.
 package naive
 
 import "github.com/damaskrudder/damaskrudder/internal/routing"
 
-// RoundRobin sends each request to the next live server.
+// RoundRobin picks available servers in turn.
 type RoundRobin struct{ next int }
 
-// Pick returns the index of the next live candidate, or -1.
+// Pick returns the index of the next candidate that is neither leaving nor suspect, or -1.
 func (r *RoundRobin) Pick(candidates []routing.Candidate) int {
 	for range candidates {
 		r.next++
@@ -18,10 +17,11 @@
 	return -1
 }
 
-// LeastReported sends each request to the live server whose last report is the lowest.
+// LeastReported picks the available server with the lowest reported load.
 type LeastReported struct{}
 
-// Pick returns the index of the live candidate with the least reported work, or -1.
+// Pick returns the index of the candidate with the lowest reported load that is neither
+// leaving nor suspect, or -1.
 func (LeastReported) Pick(candidates []routing.Candidate, reported []int) int {
 	best := -1
 	for i, c := range candidates {
