--- a/cmd/damaskrudder/main_test.go
+++ b/cmd/damaskrudder/main_test.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	env.Defer(log.Close)
-	engine, err := standin.Serve(standin.NewEngine(demo.EngineModel, "m@v1"))
+	engine, err := standin.Serve(standin.NewEngine(demo.EngineConfig, "m@v1"))
 	if err != nil {
 		return err
 	}
--- a/cmd/rudderctl/main_test.go
+++ b/cmd/rudderctl/main_test.go
@@ -33,7 +33,7 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/fleet",
 		Setup: func(env *testscript.Env) error {
-			w, err := demo.NewWorld(2, start)
+			w, err := demo.NewCluster(2, start)
 			if err != nil {
 				return err
 			}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusCreated, map[string]string{"key": a.d.MintIdempotencyKey(ws), "endpoint": a.d.Settings().Listen})
+	return c.JSON(http.StatusCreated, map[string]string{"key": a.d.MintIdempotencyKey(ws), "endpoint": a.d.Settings().ListenAddress})
 }
 
 func (a *API) health(c echo.Context) error {
--- a/internal/app/bench_test.go
+++ b/internal/app/bench_test.go
@@ -42,13 +42,13 @@
 // BenchmarkAddedLatency alternates requests to an engine alone with requests
 // through one daemon to engines of the same kind, and reports both.
 func BenchmarkAddedLatency(b *testing.B) {
-	alone := standin.NewEngine(demo.EngineModel, "bib-lookup@v1")
+	alone := standin.NewEngine(demo.EngineConfig, "bib-lookup@v1")
 	s, err := standin.Serve(alone)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer s.Close()
-	w, err := demo.NewWorld(2, startForDemo)
+	w, err := demo.NewCluster(2, startForDemo)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		exchange(b, c, s.URL, "", http.Header{"X-Run-Id": {time.Now().String()}}, toEngine)
 		_ = direct.RecordValue(time.Since(began).Microseconds())
 		began = time.Now()
-		exchange(b, c, "http://"+w.Addresses[0], demo.Key(demo.Largada), nil, []byte(lookup))
+		exchange(b, c, "http://"+w.Addresses[0], demo.APIKey(demo.Largada), nil, []byte(lookup))
 		_ = through.RecordValue(time.Since(began).Microseconds())
 	}
 	report(b, direct, "alone")
@@ -72,10 +72,10 @@
 // to engines that answer one token at once. Allocations include the callers',
 // the engines' and both daemons', all of which share this process.
 func BenchmarkRequests(b *testing.B) {
-	model := demo.EngineModel
-	defer func() { demo.EngineModel = model }()
-	demo.EngineModel.AnswerTokens, demo.EngineModel.PerToken, demo.EngineModel.Prefill = 1, 0, 0
-	w, err := demo.NewWorld(2, startForDemo)
+	model := demo.EngineConfig
+	defer func() { demo.EngineConfig = model }()
+	demo.EngineConfig.AnswerTokens, demo.EngineConfig.PerToken, demo.EngineConfig.Prefill = 1, 0, 0
+	w, err := demo.NewCluster(2, startForDemo)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			exchange(b, c, "http://"+w.Addresses[0], demo.Key(demo.Largada), nil, []byte(lookup))
+			exchange(b, c, "http://"+w.Addresses[0], demo.APIKey(demo.Largada), nil, []byte(lookup))
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
--- a/internal/app/command.go
+++ b/internal/app/command.go
@@ -37,7 +37,7 @@
 	root.Subcommands = []*ff.Command{
 		{
 			Name: "run", Usage: "damaskrudder run -config FILE", ShortHelp: "run one daemon until SIGTERM",
-			LongHelp: "Secrets come from the file that secrets_file names or from " + settings.SecretsVariable + ".\nThe first SIGTERM or SIGINT drains, the second cuts what still runs.\nSIGHUP reads the session keys again.\n\nExample:\n  damaskrudder run -config /etc/damaskrudder/kalgoorlie-1.jsonc",
+			LongHelp: "Secrets come from the file that secrets_file names or from " + settings.SecretsEnvVar + ".\nThe first SIGTERM or SIGINT drains, the second cuts what still runs.\nSIGHUP reads the session keys again.\n\nExample:\n  damaskrudder run -config /etc/damaskrudder/kalgoorlie-1.jsonc",
 			Flags:    cli.Flags("run", nil, configFlag),
 			Exec:     func(context.Context, []string) error { return run(config, errw) },
 		},
@@ -67,7 +67,7 @@
 			Name: "demo", Usage: "damaskrudder demo [-for 12s]", ShortHelp: "run daemons, stand-ins and traffic in one process",
 			LongHelp: "Example:\n  damaskrudder demo -for 20s",
 			Flags: cli.Flags("demo", nil, func(f *flag.FlagSet) {
-				f.DurationVar(&options.For, "for", 12*time.Second, "how long to send traffic")
+				f.DurationVar(&options.Duration, "for", 12*time.Second, "how long to send traffic")
 				f.Uint64Var(&options.Seed, "seed", 1, "seed of the traffic")
 			}),
 			Exec: func(ctx context.Context, _ []string) error {
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	l.Info("serving", "callers", s.Listen, "peers", s.PeerListen, "failure_domain", s.FailureDomain)
+	l.Info("serving", "callers", s.ListenAddress, "peers", s.PeerListenAddress, "failure_domain", s.FailureDomain)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	for sig := range signals {
--- a/internal/app/failure_test.go
+++ b/internal/app/failure_test.go
@@ -23,11 +23,11 @@
 // confirm sends a confirmation with a key and returns status, headers and body.
 func confirm(t *testing.T, address, key, body string) (int, http.Header, string) {
 	t.Helper()
-	return post(t, address, "/v1/services/confirm", demo.Key(demo.Goldfields), http.Header{api.HeaderKey: {key}}, body)
+	return post(t, address, "/v1/services/confirm", demo.APIKey(demo.Goldfields), http.Header{api.HeaderKey: {key}}, body)
 }
 
 // executions counts what the plain services really ran.
-func executions(w *demo.World) int {
+func executions(w *demo.Cluster) int {
 	n := 0
 	for _, s := range w.Services {
 		for _, k := range s.Runs() {
@@ -90,7 +90,7 @@
 	if status != http.StatusServiceUnavailable || h.Get(api.HeaderRan) != "not_run" || h.Get("Retry-After") == "" || executions(w) != 0 {
 		t.Fatalf("without the log: %d %v, %d executions", status, h, executions(w))
 	}
-	status, _, body := post(t, w.Addresses[1], "/v1/keys", demo.Key(demo.Goldfields), nil, "")
+	status, _, body := post(t, w.Addresses[1], "/v1/keys", demo.APIKey(demo.Goldfields), nil, "")
 	var minted struct{ Key, Endpoint string }
 	if json.Unmarshal([]byte(body), &minted); status != http.StatusCreated || minted.Endpoint != w.Addresses[1] {
 		t.Fatalf("mint: %d %s", status, body)
@@ -124,7 +124,7 @@
 	for _, e := range w.Engines {
 		e.SetSilent(true)
 	}
-	status, _, body := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookup)
+	status, _, body := post(t, w.Addresses[0], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookup)
 	if status != http.StatusOK {
 		t.Fatalf("%d %s", status, body)
 	}
@@ -140,7 +140,7 @@
 }
 
 // bills reads the usage stream as the ledger does.
-func bills(w *demo.World) *billing.Ledger {
+func bills(w *demo.Cluster) *billing.Ledger {
 	l := billing.NewLedger()
 	for _, data := range w.Log.All(daemon.UsageStream) {
 		var batch []billing.UsageRecord
@@ -164,7 +164,7 @@
 	const chats = 5
 	for i := range chats {
 		body := strings.Replace(lookup, "bib 7", fmt.Sprint("bib ", i), 1)
-		if status, _, data := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, body); status != http.StatusOK {
+		if status, _, data := post(t, w.Addresses[0], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, body); status != http.StatusOK {
 			t.Fatalf("%d %s", status, data)
 		}
 	}
@@ -186,20 +186,20 @@
 // have, and refuse until then.
 func TestFreshDaemonLearnsFromPeers(t *testing.T) {
 	w := world(t, 4)
-	if err := w.Apply(fleet.Patch{Workspaces: map[string]json.RawMessage{demo.Largada: json.RawMessage(`{"priority":4}`)}}); err != nil {
+	if err := w.ApplyPatch(fleet.Patch{Workspaces: map[string]json.RawMessage{demo.Largada: json.RawMessage(`{"priority":4}`)}}); err != nil {
 		t.Fatal(err)
 	}
 	w.Log.SetDown(true)
 	w.Kill(3)
-	if err := w.Revive(3); err != nil {
+	if err := w.Start(3); err != nil {
 		t.Fatal(err)
 	}
-	status, _, body := post(t, w.Addresses[3], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookup)
+	status, _, body := post(t, w.Addresses[3], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookup)
 	if status != http.StatusOK {
 		t.Fatalf("%d %s", status, body)
 	}
 	var c fleet.Config
-	if err := w.OperatorAt(3, http.MethodGet, "/config", nil, &c); err != nil || c.Number != 2 {
+	if err := w.CallOperatorAt(3, http.MethodGet, "/config", nil, &c); err != nil || c.Number != 2 {
 		t.Fatalf("number %d, %v", c.Number, err)
 	}
 }
@@ -216,7 +216,7 @@
 	}
 	shown := func(i int) int {
 		var servers []daemon.ServerView
-		if err := w.OperatorAt(i, http.MethodGet, "/servers", nil, &servers); err != nil {
+		if err := w.CallOperatorAt(i, http.MethodGet, "/servers", nil, &servers); err != nil {
 			t.Fatal(err)
 		}
 		n := 0
@@ -229,7 +229,7 @@
 	}
 	until(t, "both daemons know", func() bool { return shown(0) == len(w.Engines)-1 && shown(1) == len(w.Engines)-1 })
 	for i := range 10 {
-		if status, _, body := post(t, w.Addresses[i%2], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookup); status != http.StatusOK {
+		if status, _, body := post(t, w.Addresses[i%2], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookup); status != http.StatusOK {
 			t.Fatalf("%d %s", status, body)
 		}
 	}
@@ -246,7 +246,7 @@
 // Cause: the holder must read back what servers hold and correct it.
 func TestHolderCorrectsServers(t *testing.T) {
 	w := world(t, 1)
-	err := w.Apply(fleet.Patch{Models: map[string]json.RawMessage{"bib-lookup": json.RawMessage(`{"versions":{"v2":{"state":"withdrawn"}}}`)}})
+	err := w.ApplyPatch(fleet.Patch{Models: map[string]json.RawMessage{"bib-lookup": json.RawMessage(`{"versions":{"v2":{"state":"withdrawn"}}}`)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -271,7 +271,7 @@
 	w := world(t, 3)
 	deadly := strings.Replace(lookup, "status of", standin.DeadlyMark, 1)
 	ask := func(i int, body string) (int, string) {
-		status, _, answer := post(t, w.Addresses[i%3], "/v1/chat/completions", demo.Key(demo.Largada), nil, body)
+		status, _, answer := post(t, w.Addresses[i%3], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, body)
 		return status, answer
 	}
 	if status, answer := ask(0, deadly); status != http.StatusBadGateway || strings.Contains(answer, string(fault.NotRun)) {
@@ -285,7 +285,7 @@
 			t.Errorf("a later caller got %d %s", status, answer)
 		}
 	}
-	if n := w.Ended.Load(); n != 3 {
+	if n := w.CrashedEngines.Load(); n != 3 {
 		t.Errorf("%d engines ended", n)
 	}
 	for i := range 3 {
@@ -294,7 +294,7 @@
 		}
 	}
 	held := holds(t, w, 1)[0].Fingerprint
-	if err := w.OperatorAt(1, http.MethodDelete, "/holds/"+held, nil, nil); err != nil {
+	if err := w.CallOperatorAt(1, http.MethodDelete, "/holds/"+held, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
@@ -303,9 +303,9 @@
 }
 
 // holds returns the requests that a daemon keeps from servers.
-func holds(t *testing.T, w *demo.World, daemon int) (out []api.HeldRequest) {
+func holds(t *testing.T, w *demo.Cluster, daemon int) (out []api.HeldRequest) {
 	t.Helper()
-	if err := w.OperatorAt(daemon, http.MethodGet, "/holds", nil, &out); err != nil {
+	if err := w.CallOperatorAt(daemon, http.MethodGet, "/holds", nil, &out); err != nil {
 		t.Fatal(err)
 	}
 	return out
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -62,31 +62,31 @@
 
 // Start opens the listeners and starts the daemon.
 func Start(s settings.Settings, secrets settings.Secrets, l *log.Logger) (*Node, error) {
-	callers, err := net.Listen("tcp", s.Listen)
+	callers, err := net.Listen("tcp", s.ListenAddress)
 	if err != nil {
-		return nil, oops.In("app").Wrapf(err, "listen: %s", s.Listen)
+		return nil, oops.In("app").Wrapf(err, "listen: %s", s.ListenAddress)
 	}
-	peers, err := net.Listen("tcp", s.PeerListen)
+	peers, err := net.Listen("tcp", s.PeerListenAddress)
 	if err != nil {
 		_ = callers.Close()
-		return nil, oops.In("app").Wrapf(err, "peer_listen: %s", s.PeerListen)
+		return nil, oops.In("app").Wrapf(err, "peer_listen: %s", s.PeerListenAddress)
 	}
 	return StartOn(s, secrets, l, callers, peers)
 }
 
 // StartOn starts a daemon on open listeners; the settings' addresses follow them.
 func StartOn(s settings.Settings, secrets settings.Secrets, l *log.Logger, callers, peers net.Listener) (*Node, error) {
-	s.Listen, s.PeerListen = callers.Addr().String(), peers.Addr().String()
+	s.ListenAddress, s.PeerListenAddress = callers.Addr().String(), peers.Addr().String()
 	scope, handler, closer := newMetrics()
-	ports := daemon.Dependencies{Log: platform.NewClient(s.Log, platformTimeout), Logger: l, Metrics: scope}
-	if s.VMList != "" {
-		ports.VMs = platform.NewClient(s.VMList, platformTimeout)
+	ports := daemon.Dependencies{Log: platform.NewClient(s.LogURL, platformTimeout), Logger: l, Metrics: scope}
+	if s.VMListURL != "" {
+		ports.VMs = platform.NewClient(s.VMListURL, platformTimeout)
 	}
-	if s.Rating != "" {
-		ports.Rater = platform.NewClient(s.Rating, platformTimeout)
+	if s.RatingURL != "" {
+		ports.Rater = platform.NewClient(s.RatingURL, platformTimeout)
 	}
-	if s.Weights != "" {
-		ports.Weights = platform.NewClient(s.Weights, platformTimeout)
+	if s.WeightStoreURL != "" {
+		ports.Weights = platform.NewClient(s.WeightStoreURL, platformTimeout)
 	}
 	n := &Node{log: l, done: make(chan struct{}), closers: []io.Closer{closer}}
 	if s.TLS != nil {
--- a/internal/app/path_test.go
+++ b/internal/app/path_test.go
@@ -23,9 +23,9 @@
 )
 
 // world starts daemons and stand-ins on loopback and ends them with the test.
-func world(t *testing.T, daemons int) *demo.World {
+func world(t *testing.T, daemons int) *demo.Cluster {
 	t.Helper()
-	w, err := demo.NewWorld(daemons, startForDemo)
+	w, err := demo.NewCluster(daemons, startForDemo)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 
 func TestOfficialClient(t *testing.T) {
 	w := world(t, 1)
-	c := openai.NewClient(option.WithBaseURL("http://"+w.Addresses[0]+"/v1/"), option.WithAPIKey(demo.Key(demo.Largada)))
+	c := openai.NewClient(option.WithBaseURL("http://"+w.Addresses[0]+"/v1/"), option.WithAPIKey(demo.APIKey(demo.Largada)))
 	params := openai.ChatCompletionNewParams{
 		Model:    "bib-lookup",
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("status of bib 7")},
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if plain.Choices[0].FinishReason != "stop" || plain.Usage.CompletionTokens != int64(demo.EngineModel.AnswerTokens) {
+	if plain.Choices[0].FinishReason != "stop" || plain.Usage.CompletionTokens != int64(demo.EngineConfig.AnswerTokens) {
 		t.Fatalf("plain answer: %+v", plain)
 	}
 	stream := c.Chat.Completions.NewStreaming(t.Context(), params)
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+demo.Key(demo.Largada))
+	req.Header.Set("Authorization", "Bearer "+demo.APIKey(demo.Largada))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -165,13 +165,13 @@
 // Cause: the pin must yield to the withdrawal, at every daemon the same way.
 func TestWithdrawnVersionGetsNoNewWork(t *testing.T) {
 	w := world(t, 2)
-	key := demo.Key(demo.Goldfields)
+	key := demo.APIKey(demo.Goldfields)
 	status, h, _ := post(t, w.Addresses[0], "/v1/chat/completions", key, nil, lookup)
 	if status != http.StatusOK || h.Get("X-Model-Version") != "bib-lookup@v1" {
 		t.Fatalf("before: %d %v", status, h)
 	}
 	pin := http.Header{api.HeaderSession: {h.Get(api.HeaderSession)}}
-	err := w.Apply(fleet.Patch{Models: map[string]json.RawMessage{
+	err := w.ApplyPatch(fleet.Patch{Models: map[string]json.RawMessage{
 		"bib-lookup": json.RawMessage(`{"stable":"v2","versions":{"v1":{"state":"withdrawn","successor":"v2"}}}`),
 	}})
 	if err != nil {
@@ -192,7 +192,7 @@
 	}
 }
 
-func startedOn(w *demo.World, version string) int {
+func startedOn(w *demo.Cluster, version string) int {
 	n := 0
 	for _, e := range w.Engines {
 		for _, v := range e.Runs() {
@@ -206,7 +206,7 @@
 
 func TestBadInputIsRefusedAndChangesNothing(t *testing.T) {
 	w := world(t, 1)
-	key, operator := demo.Key(demo.Largada), demo.Secrets.OperatorKey
+	key, operator := demo.APIKey(demo.Largada), demo.Secrets.OperatorKey
 	chat, patches := "/v1/chat/completions", "/operator/v1/patches"
 	cases := []struct {
 		name, path, key string
@@ -250,7 +250,7 @@
 		})
 	}
 	var cfg fleet.Config
-	if err := w.Operator(http.MethodGet, "/config", nil, &cfg); err != nil || cfg.Number != 1 {
+	if err := w.CallOperator(http.MethodGet, "/config", nil, &cfg); err != nil || cfg.Number != 1 {
 		t.Fatalf("configuration %d, %v", cfg.Number, err)
 	}
 	if n := startedOn(w, "bib-lookup@v1"); n != 0 {
@@ -273,7 +273,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer %s\r\nConnection: close\r\n%s\r\n\r\n%s", demo.Key(demo.Largada), header, lookup)
+		_, err = fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer %s\r\nConnection: close\r\n%s\r\n\r\n%s", demo.APIKey(demo.Largada), header, lookup)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -307,14 +307,14 @@
 	}
 	stop()
 	<-done
-	if refused := traffic.Refused(); len(refused) > 0 {
+	if refused := traffic.Unanswered(); len(refused) > 0 {
 		t.Fatalf("not answered: %v", refused)
 	}
 }
 
 func TestMetricsAreReadable(t *testing.T) {
 	w := world(t, 1)
-	if status, _, _ := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookup); status != http.StatusOK {
+	if status, _, _ := post(t, w.Addresses[0], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookup); status != http.StatusOK {
 		t.Fatal(status)
 	}
 	until(t, "the request is counted", func() bool {
--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -12,21 +12,21 @@
 	"testing"
 )
 
-// pure are the decision packages: typed inputs in, typed decisions out.
-var pure = []string{"fault", "fleet", "routing", "cascade", "rollout", "session", "request", "quota", "billing", "membership", "lease", "slo", "invariant", "route", "backend", "freshness", "quarantine", "slowstart", "gate"}
+// purePackages are the decision packages: typed inputs in, typed decisions out.
+var purePackages = []string{"fault", "fleet", "routing", "cascade", "rollout", "session", "request", "quota", "billing", "membership", "lease", "slo", "invariant", "route", "backend", "freshness", "quarantine", "slowstart", "gate"}
 
-// forbidden imports would bring I/O, or randomness and time from nowhere.
-var forbidden = []string{"net", "os", "io/fs", "syscall", "context", "sync", "crypto/rand", "github.com/charmbracelet/log"}
+// forbiddenImports imports would bring I/O, or randomness and time from nowhere.
+var forbiddenImports = []string{"net", "os", "io/fs", "syscall", "context", "sync", "crypto/rand", "github.com/charmbracelet/log"}
 
-// allowed are exceptions with their reason.
-var allowed = map[string]string{
+// importExceptions are exceptions with their reason.
+var importExceptions = map[string]string{
 	"fault net/http":  "names of status codes",
 	"fleet net/netip": "parsing of addresses, no I/O",
 }
 
 func TestDecisionPackagesArePure(t *testing.T) {
 	files := 0
-	for _, pkg := range pure {
+	for _, pkg := range purePackages {
 		matches, err := filepath.Glob(filepath.Join("..", pkg, "*.go"))
 		if err != nil {
 			t.Fatal(err)
@@ -36,26 +36,26 @@
 				continue
 			}
 			files++
-			checkFile(t, pkg, file)
+			checkPurity(t, pkg, file)
 		}
 	}
-	if files < len(pure) {
+	if files < len(purePackages) {
 		t.Fatalf("only %d files were read", files)
 	}
 }
 
-func checkFile(t *testing.T, pkg, file string) {
+func checkPurity(t *testing.T, pkg, file string) {
 	t.Helper()
 	src, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, problem := range problems(t, pkg, file, string(src)) {
-		t.Errorf("%s: %s", file, problem)
+	for _, violation := range findViolations(t, pkg, file, string(src)) {
+		t.Errorf("%s: %s", file, violation)
 	}
 }
 
-func problems(t *testing.T, pkg, name, src string) []string {
+func findViolations(t *testing.T, pkg, name, src string) []string {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), name, src, 0)
 	if err != nil {
@@ -64,8 +64,8 @@
 	var out []string
 	for _, imp := range f.Imports {
 		path, _ := strconv.Unquote(imp.Path.Value)
-		for _, bad := range forbidden {
-			if (path == bad || strings.HasPrefix(path, bad+"/")) && allowed[pkg+" "+path] == "" {
+		for _, forbidden := range forbiddenImports {
+			if (path == forbidden || strings.HasPrefix(path, forbidden+"/")) && importExceptions[pkg+" "+path] == "" {
 				out = append(out, "imports "+path)
 			}
 		}
@@ -90,9 +90,9 @@
 	return out
 }
 
-func TestTheRuleFindsBreaches(t *testing.T) {
+func TestFindViolations(t *testing.T) {
 	src := "package x\nimport (\"net/http\"; \"time\"; \"math/rand/v2\")\nvar _ = http.Get\nvar _ = time.Now()\nvar _ = rand.IntN(3)\n"
-	if got := problems(t, "routing", "x.go", src); len(got) != 3 {
+	if got := findViolations(t, "routing", "x.go", src); len(got) != 3 {
 		t.Fatalf("found %v", got)
 	}
 }
--- a/internal/arch/docs_test.go
+++ b/internal/arch/docs_test.go
@@ -24,8 +24,8 @@
 
 var update = flag.Bool("update", false, "write the pages that are made from the code")
 
-// page compares a page of docs with what the code says, or writes it.
-func page(t *testing.T, name, want string) {
+// comparePage compares a page of docs with what the code says, or writes it.
+func comparePage(t *testing.T, name, want string) {
 	t.Helper()
 	file := filepath.Join("..", "..", "docs", name)
 	if *update {
@@ -45,14 +45,14 @@
 func TestErrorsPage(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# Errors\n\nEvery refusal has one of these kinds. `ran` says whether the request was executed:\n`not_run` is always true; an error may carry a less certain word than the table's.\nMade from the table in `internal/fault`.\n\n| kind | status | ran | advice | meaning |\n|---|---|---|---|---|\n")
-	for _, a := range fault.Specs() {
+	for _, spec := range fault.Specs() {
 		advice := "-"
-		if a.RetryAfter > 0 {
-			advice = "after " + a.RetryAfter.String()
+		if spec.RetryAfter > 0 {
+			advice = "after " + spec.RetryAfter.String()
 		}
-		fmt.Fprintf(&b, "| `%s` | %d | %s | %s | %s |\n", a.Kind, a.Status, a.Execution, advice, a.Description)
+		fmt.Fprintf(&b, "| `%s` | %d | %s | %s | %s |\n", spec.Kind, spec.Status, spec.Execution, advice, spec.Description)
 	}
-	page(t, "ERRORS.md", b.String())
+	comparePage(t, "ERRORS.md", b.String())
 }
 
 func TestMetricsPage(t *testing.T) {
@@ -69,13 +69,13 @@
 		for _, n := range slices.Sorted(maps.Keys(list.names)) {
 			fmt.Fprintf(&b, "| `%s` | %s |\n", n, list.names[n])
 		}
-		checkMetrics(t, list.file, list.names)
+		checkRegisteredMetrics(t, list.file, list.names)
 	}
-	page(t, "METRICS.md", b.String())
+	comparePage(t, "METRICS.md", b.String())
 }
 
-// checkMetrics compares a list of metrics with those that a package registers.
-func checkMetrics(t *testing.T, pkg string, names map[string]string) {
+// checkRegisteredMetrics compares a list of metrics with those that a package registers.
+func checkRegisteredMetrics(t *testing.T, pkg string, names map[string]string) {
 	t.Helper()
 	src, err := os.ReadFile(filepath.Join("..", pkg, "metrics.go"))
 	if err != nil {
@@ -100,13 +100,13 @@
 	b.WriteString("# Settings\n\nJSON with comments; an unknown field is an error. [settings.sample.jsonc](settings.sample.jsonc)\nhas every field with its default. Made from the types in `internal/settings`.\n")
 	for _, s := range []struct{ typ, title string }{{"Settings", "Daemon"}, {"TLS", "tls"}} {
 		fmt.Fprintf(&b, "\n## %s\n\n| field | meaning |\n|---|---|\n", s.title)
-		fields(f, s.typ, func(name, doc string) { fmt.Fprintf(&b, "| `%s` | %s |\n", name, doc) })
+		forEachField(f, s.typ, func(name, doc string) { fmt.Fprintf(&b, "| `%s` | %s |\n", name, doc) })
 	}
-	page(t, "SETTINGS.md", b.String())
+	comparePage(t, "SETTINGS.md", b.String())
 }
 
-// fields calls f with the JSON name and the comment of every field of a type.
-func fields(f *ast.File, typ string, each func(name, doc string)) {
+// forEachField calls f with the JSON name and the comment of every field of a type.
+func forEachField(f *ast.File, typ string, visit func(name, doc string)) {
 	ast.Inspect(f, func(n ast.Node) bool {
 		ts, ok := n.(*ast.TypeSpec)
 		if !ok || ts.Name.Name != typ {
@@ -114,26 +114,26 @@
 		}
 		for _, field := range ts.Type.(*ast.StructType).Fields.List {
 			tag := reflect.StructTag(strings.Trim(field.Tag.Value, "`")).Get("json")
-			each(tag, strings.Join(strings.Fields(field.Doc.Text()), " "))
+			visit(tag, strings.Join(strings.Fields(field.Doc.Text()), " "))
 		}
 		return false
 	})
 }
 
 // The sample shows every field, and the defaults that the code has.
-func TestSampleShowsTheDefaults(t *testing.T) {
+func TestSampleMatchesDefaults(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("..", "..", "docs", "settings.sample.jsonc"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := settings.Parse(data)
+	sample, err := settings.Parse(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := settings.Defaults()
-	d.ID, d.Region, d.FailureDomain, d.Listen, d.PeerListen, d.Peers, d.Log, d.Pools = s.ID, s.Region, s.FailureDomain, s.Listen, s.PeerListen, s.Peers, s.Log, s.Pools
-	got, _ := json.Marshal(s)
-	want, _ := json.Marshal(d)
+	defaults := settings.Defaults()
+	defaults.ID, defaults.Region, defaults.FailureDomain, defaults.ListenAddress, defaults.PeerListenAddress, defaults.Peers, defaults.LogURL, defaults.Pools = sample.ID, sample.Region, sample.FailureDomain, sample.ListenAddress, sample.PeerListenAddress, sample.Peers, sample.LogURL, sample.Pools
+	got, _ := json.Marshal(sample)
+	want, _ := json.Marshal(defaults)
 	if string(got) != string(want) {
 		t.Errorf("sample\n%s\ndefaults\n%s", got, want)
 	}
@@ -144,7 +144,7 @@
 			t.Errorf("the sample lacks %s", field)
 		}
 	}
-	if time.Duration(s.Silence) <= 0 {
+	if time.Duration(sample.StreamIdleTimeout) <= 0 {
 		t.Error("silence was not read")
 	}
 }
--- a/internal/arch/words_test.go
+++ b/internal/arch/platform_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// wire are names of the users' platform. They are decoded once, in platform/;
+// wireNames are names of the users' platform. They are decoded once, in platform/;
 // stand-ins and the soak, which plays callers and the operator, speak them to it.
-var wire = regexp.MustCompile(`(?i)x-damaskrudder-|"/-/|keyed\.(op|servers|status)|kv-from|log-append`)
+var wireNames = regexp.MustCompile(`(?i)x-damaskrudder-|"/-/|keyed\.(op|servers|status)|kv-from|log-append`)
 
-func TestWireNamesStandInOneFolder(t *testing.T) {
+func TestWireNamesOnlyInPlatform(t *testing.T) {
 	root := filepath.Join("..", "..")
-	seen := 0
+	matches := 0
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -28,13 +28,13 @@
 		if err != nil {
 			return err
 		}
-		found := wire.Find(text)
-		switch dir := filepath.ToSlash(rel); {
-		case strings.HasPrefix(dir, "platform/"):
+		found := wireNames.Find(text)
+		switch slashPath := filepath.ToSlash(rel); {
+		case strings.HasPrefix(slashPath, "platform/"):
 			if found != nil {
-				seen++
+				matches++
 			}
-		case strings.HasPrefix(dir, "internal/standin/"), strings.HasPrefix(dir, "lab/soak/"):
+		case strings.HasPrefix(slashPath, "internal/standin/"), strings.HasPrefix(slashPath, "lab/soak/"):
 		case found != nil:
 			t.Errorf("%s has %q", rel, found)
 		}
@@ -43,15 +43,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if seen == 0 {
+	if matches == 0 {
 		t.Error("the pattern finds nothing in platform/ either")
 	}
 }
 
-// mostPlatformLines keeps the adapter small: what decides belongs to the product.
-const mostPlatformLines = 2500
+// maxPlatformLines keeps the adapter small: what decides belongs to the product.
+const maxPlatformLines = 2500
 
-func TestAdapterIsSmall(t *testing.T) {
+func TestPlatformSize(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "platform", "*.go"))
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 		}
 		lines += strings.Count(string(text), "\n")
 	}
-	if lines == 0 || lines > mostPlatformLines {
-		t.Errorf("platform/ has %d lines, at most %d", lines, mostPlatformLines)
+	if lines == 0 || lines > maxPlatformLines {
+		t.Errorf("platform/ has %d lines, at most %d", lines, maxPlatformLines)
 	}
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -88,7 +88,7 @@
 	if most {
 		c.peerHeard = time.Now()
 	}
-	return membership.Readiness{LogReadAt: c.logHeard, MajorityAt: c.peerHeard, ConfigLoaded: c.loaded, ServersUpdatedAt: servers, RequireLog: c.d.settings.WithoutLog == "refuse"}
+	return membership.Readiness{LogReadAt: c.logHeard, MajorityAt: c.peerHeard, ConfigLoaded: c.loaded, ServersUpdatedAt: servers, RequireLog: c.d.settings.LogOutagePolicy == "refuse"}
 }
 
 func (c *configuration) loop(ctx context.Context) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,11 +78,11 @@
 		settings: s, secrets: secrets, ports: p, log: p.Logger,
 		incarnation: uint64(time.Now().UnixNano()),
 		metrics:     newMetrics(p.Metrics),
-		engine:      engine.NewClient(time.Duration(s.Silence)),
+		engine:      engine.NewClient(time.Duration(s.StreamIdleTimeout)),
 		links:       peer.NewClient(s.ID, secrets.PeerKey, p.PeerTLS),
 		stopping:    make(chan struct{}),
 	}
-	d.ring.Store(secrets.Ring())
+	d.ring.Store(secrets.Keyring())
 	d.links.OnBytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
 	d.config = newConfiguration(d)
 	d.members = newMembers(d)
@@ -129,7 +129,7 @@
 }
 
 // SetSecrets replaces the session keys without a restart.
-func (d *Daemon) SetSecrets(s settings.Secrets) { d.ring.Store(s.Ring()) }
+func (d *Daemon) SetSecrets(s settings.Secrets) { d.ring.Store(s.Keyring()) }
 
 // Settings returns the daemon's settings.
 func (d *Daemon) Settings() settings.Settings { return d.settings }
@@ -152,7 +152,7 @@
 	d.stopOnce.Do(func() { close(d.stopping) })
 	done := make(chan struct{})
 	go func() { d.running.Wait(); close(done) }()
-	limit := time.NewTimer(time.Duration(d.settings.DrainLimit))
+	limit := time.NewTimer(time.Duration(d.settings.DrainTimeout))
 	defer limit.Stop()
 	select {
 	case <-done:
@@ -196,7 +196,7 @@
 // identity is what never changes about this incarnation.
 func (d *Daemon) identity() membership.DaemonInfo {
 	return membership.DaemonInfo{
-		ID: d.settings.ID, Address: d.settings.Listen, PeerAddress: d.settings.PeerListen,
+		ID: d.settings.ID, Address: d.settings.ListenAddress, PeerAddress: d.settings.PeerListenAddress,
 		FailureDomain: d.settings.FailureDomain, Incarnation: d.incarnation,
 	}
 }
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -21,7 +21,7 @@
 // gatedPools has servers of a pool in two failure domains, and is the only daemon.
 func gatedPools(t *testing.T) (*pools, *fleet.Config) {
 	t.Helper()
-	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Dependencies{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
+	d := New(settings.Settings{ID: "d", SubsetSize: 24}, settings.Secrets{}, Dependencies{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
 	c := fleet.NewConfig()
 	pool := fleet.Pool{SlowStart: &fleet.SlowStart{Seconds: 3, PerSecond: 15, Burst: 5}}
 	for i, domain := range []string{"east", "west"} {
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -91,7 +91,7 @@
 		for i, s := range cp.Servers {
 			members[i] = routing.Member{ID: s.ID, Address: s.Address, FailureDomain: s.FailureDomain, Slots: s.Slots}
 		}
-		st.picture.Update(routing.Subset(p.d.settings.ID, members, p.d.settings.Subset))
+		st.picture.Update(routing.Subset(p.d.settings.ID, members, p.d.settings.SubsetSize))
 		for id := range p.leaving {
 			st.picture.SetLeaving(id, true)
 		}
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -59,7 +59,7 @@
 
 func newUsage(d *Daemon) *usage {
 	return &usage{
-		d: d, buffer: billing.NewBuffer(d.settings.BillingBuffer), confirmed: make(chan struct{}),
+		d: d, buffer: billing.NewBuffer(d.settings.BillingBufferSize), confirmed: make(chan struct{}),
 		kept: map[string]keptRecord{}, keepers: map[string]bool{}, hurry: make(chan struct{}, 1),
 	}
 }
@@ -166,7 +166,7 @@
 func (u *usage) keep(q peer.StoreUsageRequest) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.kept)+len(q.Records) > u.d.settings.BillingBuffer {
+	if len(u.kept)+len(q.Records) > u.d.settings.BillingBufferSize {
 		return fault.New(fault.BillingBacklog, "%d copies are kept already", len(u.kept))
 	}
 	for i, r := range q.Records {
--- a/internal/demo/world.go
+++ b/internal/demo/cluster.go
@@ -35,43 +35,43 @@
 	SessionCurrent: "k1", SessionKeys: map[string]string{"k1": "demo-session-key-0123456789"},
 }
 
-// domains are the failure domains of the smaller deployment.
-var domains = []string{"kalgoorlie-hall", "perth-east", "perth-west", "bunbury-hall"}
+// failureDomains are the failure domains of the smaller deployment.
+var failureDomains = []string{"kalgoorlie-hall", "perth-east", "perth-west", "bunbury-hall"}
 
-// World is the platform, the backend servers and the daemons.
-type World struct {
+// Cluster is the platform, the backend servers and the daemons.
+type Cluster struct {
 	Log      *standin.Log
 	VMs      *standin.VMList
 	Engines  map[string]*standin.Engine
 	Services map[string]*standin.Plain
-	// Ended counts engines that a run has ended; they stay away.
-	Ended     atomic.Int64
-	Nodes     []Node
-	Addresses []string
-	Settings  []settings.Settings
-	servers   []*standin.Server
-	start     StartFunc
-	http      *http.Client
+	// CrashedEngines counts engines that a run has ended; they stay away.
+	CrashedEngines atomic.Int64
+	Nodes          []Node
+	Addresses      []string
+	Settings       []settings.Settings
+	servers        []*standin.Server
+	startNode      StartFunc
+	http           *http.Client
 }
 
-// versions are loaded on every engine of the demo.
-var versions = []string{"bib-lookup@v1", "bib-lookup@v2", "warrant-reader@v1"}
+// loadedVersions are loaded on every engine of the demo.
+var loadedVersions = []string{"bib-lookup@v1", "bib-lookup@v2", "warrant-reader@v1"}
 
-// NewWorld starts stand-ins and count daemons and applies the demo's
+// NewCluster starts stand-ins and count daemons and applies the demo's
 // configuration. A failed start leaves nothing running.
-func NewWorld(count int, start StartFunc) (*World, error) {
-	w := &World{
+func NewCluster(count int, start StartFunc) (*Cluster, error) {
+	w := &Cluster{
 		Log: standin.NewLog(0), VMs: standin.NewVMList(0), Engines: map[string]*standin.Engine{},
-		Services: map[string]*standin.Plain{}, start: start, http: &http.Client{Timeout: 30 * time.Second},
+		Services: map[string]*standin.Plain{}, startNode: start, http: &http.Client{Timeout: 30 * time.Second},
 	}
-	if err := w.begin(count); err != nil {
+	if err := w.startAll(count); err != nil {
 		w.Close()
 		return nil, err
 	}
 	return w, nil
 }
 
-func (w *World) begin(count int) error {
+func (w *Cluster) startAll(count int) error {
 	var urls []string
 	for _, h := range []http.Handler{w.Log, standin.NewRater(time.Second), w.VMs} {
 		s, err := w.serve(h)
@@ -80,17 +80,17 @@
 		}
 		urls = append(urls, s.URL)
 	}
-	config, err := w.backends()
+	config, err := w.startBackends()
 	if err != nil {
 		return err
 	}
-	if err := w.daemons(count, urls); err != nil {
+	if err := w.startDaemons(count, urls); err != nil {
 		return err
 	}
-	return w.Apply(config)
+	return w.ApplyPatch(config)
 }
 
-func (w *World) serve(h http.Handler) (*standin.Server, error) {
+func (w *Cluster) serve(h http.Handler) (*standin.Server, error) {
 	s, err := standin.Serve(h)
 	if err == nil {
 		w.servers = append(w.servers, s)
@@ -98,36 +98,36 @@
 	return s, err
 }
 
-// EngineModel is the service-time model of the demo's engines.
-var EngineModel = standin.EngineConfig{
+// EngineConfig is the service-time model of the demo's engines.
+var EngineConfig = standin.EngineConfig{
 	Slots: 8, Prefill: 40 * time.Microsecond, PerToken: 2 * time.Millisecond,
 	AnswerTokens: 24, ChecksFencing: true, Lag: 500 * time.Millisecond, CacheBlocks: 512,
 }
 
 const (
-	// demoRatingShare is above the default, so that a short run gets ratings.
-	demoRatingShare = 0.2
-	engineCount     = 10
-	serviceCount    = 4
+	// ratingShare is above the default, so that a short run gets ratings.
+	ratingShare  = 0.2
+	engineCount  = 10
+	serviceCount = 4
 	// enginePool and servicePool are the pools of the demo.
 	enginePool, servicePool = "lm-desk", "trade-apps"
 )
 
-// backends starts the backend servers and returns the configuration that names them.
-func (w *World) backends() (fleet.Patch, error) {
+// startBackends starts the backend servers and returns the configuration that names them.
+func (w *Cluster) startBackends() (fleet.Patch, error) {
 	var engines, services []fleet.Server
 	for i := range engineCount {
 		id := fmt.Sprintf("%s-%d", enginePool, i)
-		w.Engines[id] = standin.NewEngine(EngineModel, versions...)
+		w.Engines[id] = standin.NewEngine(EngineConfig, loadedVersions...)
 		s, err := w.serve(w.Engines[id])
 		if err != nil {
 			return fleet.Patch{}, err
 		}
 		w.Engines[id].OnDeadly(func() {
-			w.Ended.Add(1)
+			w.CrashedEngines.Add(1)
 			s.Close()
 		})
-		engines = append(engines, fleet.Server{ID: id, Address: s.Address, FailureDomain: domains[i%len(domains)], Slots: EngineModel.Slots, ChecksFencing: true})
+		engines = append(engines, fleet.Server{ID: id, Address: s.Address, FailureDomain: failureDomains[i%len(failureDomains)], Slots: EngineConfig.Slots, ChecksFencing: true})
 	}
 	for i := range serviceCount {
 		id := fmt.Sprintf("%s-%d", servicePool, i)
@@ -136,12 +136,12 @@
 		if err != nil {
 			return fleet.Patch{}, err
 		}
-		services = append(services, fleet.Server{ID: id, Address: s.Address, FailureDomain: domains[i%len(domains)], Slots: 16})
+		services = append(services, fleet.Server{ID: id, Address: s.Address, FailureDomain: failureDomains[i%len(failureDomains)], Slots: 16})
 	}
-	return patch(engines, services), nil
+	return initialPatch(engines, services), nil
 }
 
-func raw(v any) json.RawMessage {
+func mustMarshal(v any) json.RawMessage {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -149,26 +149,26 @@
 	return data
 }
 
-func patch(engines, services []fleet.Server) fleet.Patch {
-	goal := fleet.Objectives{Availability: 0.999, FirstTokenMillis: 1500, FirstTokenFraction: 0.95}
+func initialPatch(engines, services []fleet.Server) fleet.Patch {
+	objectives := fleet.Objectives{Availability: 0.999, FirstTokenMillis: 1500, FirstTokenFraction: 0.95}
 	workspace := func(key string) fleet.Workspace {
 		return fleet.Workspace{
 			KeyHashes: []string{fleet.HashAPIKey(key)}, Models: []string{"bib-lookup", "warrant-reader"},
-			Cascades: []string{"desk"}, Services: []string{"confirm"}, TokensPerMinute: 10_000_000, Objectives: goal,
+			Cascades: []string{"desk"}, Services: []string{"confirm"}, TokensPerMinute: 10_000_000, Objectives: objectives,
 		}
 	}
 	return fleet.Patch{
-		Pools: map[string]json.RawMessage{enginePool: raw(fleet.Pool{Servers: engines}), servicePool: raw(fleet.Pool{Servers: services})},
+		Pools: map[string]json.RawMessage{enginePool: mustMarshal(fleet.Pool{Servers: engines}), servicePool: mustMarshal(fleet.Pool{Servers: services})},
 		Models: map[string]json.RawMessage{
-			"bib-lookup": raw(fleet.Model{Stable: "v1", Versions: map[string]fleet.Version{
+			"bib-lookup": mustMarshal(fleet.Model{Stable: "v1", Versions: map[string]fleet.Version{
 				"v1": {Pool: enginePool, MicrosPerKiloToken: 100}, "v2": {Pool: enginePool, MicrosPerKiloToken: 80},
 			}}),
-			"warrant-reader": raw(fleet.Model{Stable: "v1", Versions: map[string]fleet.Version{"v1": {Pool: enginePool, MicrosPerKiloToken: 1500}}}),
+			"warrant-reader": mustMarshal(fleet.Model{Stable: "v1", Versions: map[string]fleet.Version{"v1": {Pool: enginePool, MicrosPerKiloToken: 1500}}}),
 		},
-		Cascades: map[string]json.RawMessage{"desk": raw(fleet.Cascade{Steps: []string{"bib-lookup", "warrant-reader"}, QualityTarget: 0.9})},
-		Services: map[string]json.RawMessage{"confirm": raw(fleet.Service{Pool: servicePool, NonRepeatable: true, Micros: 50})},
+		Cascades: map[string]json.RawMessage{"desk": mustMarshal(fleet.Cascade{Steps: []string{"bib-lookup", "warrant-reader"}, QualityTarget: 0.9})},
+		Services: map[string]json.RawMessage{"confirm": mustMarshal(fleet.Service{Pool: servicePool, NonRepeatable: true, Micros: 50})},
 		Workspaces: map[string]json.RawMessage{
-			Goldfields: raw(workspace(Key(Goldfields))), Largada: raw(workspace(Key(Largada))),
+			Goldfields: mustMarshal(workspace(APIKey(Goldfields))), Largada: mustMarshal(workspace(APIKey(Largada))),
 		},
 	}
 }
@@ -179,31 +179,31 @@
 	Largada    = "largada-sul"
 )
 
-// Key returns the API key of one of the demo's workspaces.
-func Key(workspace string) string { return "key-of-" + workspace }
+// APIKey returns the API key of one of the demo's workspaces.
+func APIKey(workspace string) string { return "key-of-" + workspace }
 
-func (w *World) daemons(count int, urls []string) error {
-	free, err := freeAddresses(2 * count)
+func (w *Cluster) startDaemons(count int, urls []string) error {
+	addresses, err := freeAddresses(2 * count)
 	if err != nil {
 		return err
 	}
-	callers, peers := free[:count], free[count:]
+	callers, peers := addresses[:count], addresses[count:]
 	for i := range count {
 		s := settings.Defaults()
-		s.ID, s.Region, s.FailureDomain = fmt.Sprintf("router-%d", i), "wa-south", domains[i%len(domains)]
-		s.Listen, s.PeerListen, s.Peers = callers[i], peers[i], peers
-		s.Log, s.Rating, s.VMList, s.RatingShare = urls[0], urls[1], urls[2], demoRatingShare
+		s.ID, s.Region, s.FailureDomain = fmt.Sprintf("router-%d", i), "wa-south", failureDomains[i%len(failureDomains)]
+		s.ListenAddress, s.PeerListenAddress, s.Peers = callers[i], peers[i], peers
+		s.LogURL, s.RatingURL, s.VMListURL, s.RatingShare = urls[0], urls[1], urls[2], ratingShare
 		s.EndpointTTL, s.DrainGrace = settings.Duration(500*time.Millisecond), settings.Duration(2*time.Second)
-		s.Silence = settings.Duration(time.Second)
+		s.StreamIdleTimeout = settings.Duration(time.Second)
 		w.Settings = append(w.Settings, s)
-		w.Addresses = append(w.Addresses, s.Listen)
-		n, err := w.start(s, Secrets)
+		w.Addresses = append(w.Addresses, s.ListenAddress)
+		n, err := w.startNode(s, Secrets)
 		if err != nil {
 			return err
 		}
 		w.Nodes = append(w.Nodes, n)
 	}
-	return w.ready()
+	return w.waitReady()
 }
 
 // freeAddresses finds loopback addresses that nothing listens on. All are held
@@ -221,8 +221,8 @@
 	return out, nil
 }
 
-// ready waits until every daemon serves.
-func (w *World) ready() error {
+// waitReady waits until every daemon serves.
+func (w *Cluster) waitReady() error {
 	for _, a := range w.Addresses {
 		for tries := 0; ; tries++ {
 			resp, err := w.http.Get("http://" + a + "/healthz")
@@ -241,19 +241,19 @@
 	return nil
 }
 
-// Apply sends a patch against the number in force and waits until every daemon
+// ApplyPatch sends a patch against the number in force and waits until every daemon
 // has it.
-func (w *World) Apply(p fleet.Patch) error {
+func (w *Cluster) ApplyPatch(p fleet.Patch) error {
 	var c fleet.Config
-	if err := w.Operator(http.MethodGet, "/config", nil, &c); err != nil {
+	if err := w.CallOperator(http.MethodGet, "/config", nil, &c); err != nil {
 		return err
 	}
-	rec := fleet.Record{PatchID: daemon.NewRequestID(), Base: c.Number, Author: "demo", Patch: raw(p)}
-	if err := w.Operator(http.MethodPost, "/patches", rec, nil); err != nil {
+	rec := fleet.Record{PatchID: daemon.NewRequestID(), Base: c.Number, Author: "demo", Patch: mustMarshal(p)}
+	if err := w.CallOperator(http.MethodPost, "/patches", rec, nil); err != nil {
 		return err
 	}
 	for tries := range 100 {
-		if w.lowest() > c.Number {
+		if w.lowestConfigNumber() > c.Number {
 			return nil
 		}
 		time.Sleep(time.Duration(tries) * time.Millisecond)
@@ -261,26 +261,26 @@
 	return fmt.Errorf("configuration %d is not in force everywhere", c.Number+1)
 }
 
-func (w *World) lowest() uint64 {
-	low := ^uint64(0)
+func (w *Cluster) lowestConfigNumber() uint64 {
+	lowest := ^uint64(0)
 	for _, a := range w.Addresses {
 		var c fleet.Config
-		if w.operatorAt(a, http.MethodGet, "/config", nil, &c) == nil {
-			low = min(low, c.Number)
+		if w.callOperator(a, http.MethodGet, "/config", nil, &c) == nil {
+			lowest = min(lowest, c.Number)
 		}
 	}
-	return low
+	return lowest
 }
 
-// Operator calls an operators' resource of the first daemon.
-func (w *World) Operator(method, path string, in, out any) error {
-	return w.operatorAt(w.Addresses[0], method, path, in, out)
+// CallOperator calls an operators' resource of the first daemon.
+func (w *Cluster) CallOperator(method, path string, in, out any) error {
+	return w.callOperator(w.Addresses[0], method, path, in, out)
 }
 
-func (w *World) operatorAt(address, method, path string, in, out any) error {
+func (w *Cluster) callOperator(address, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
-		body = bytes.NewReader(raw(in))
+		body = bytes.NewReader(mustMarshal(in))
 	}
 	req, err := http.NewRequest(method, "http://"+address+"/operator/v1"+path, body)
 	if err != nil {
@@ -306,34 +306,34 @@
 }
 
 // Restart replaces a daemon gracefully at the same addresses.
-func (w *World) Restart(ctx context.Context, i int) error {
+func (w *Cluster) Restart(ctx context.Context, i int) error {
 	if err := w.Nodes[i].Shutdown(ctx); err != nil {
 		return err
 	}
-	return w.Revive(i)
+	return w.Start(i)
 }
 
 // Kill ends a daemon at once, as the loss of its VM does.
-func (w *World) Kill(i int) { w.Nodes[i].Kill() }
+func (w *Cluster) Kill(i int) { w.Nodes[i].Kill() }
 
-// Revive starts a fresh daemon in the place of a killed one and waits until it
+// Start starts a fresh daemon in the place of a killed one and waits until it
 // serves.
-func (w *World) Revive(i int) error {
-	n, err := w.start(w.Settings[i], Secrets)
+func (w *Cluster) Start(i int) error {
+	n, err := w.startNode(w.Settings[i], Secrets)
 	if err != nil {
 		return err
 	}
 	w.Nodes[i] = n
-	return w.ready()
+	return w.waitReady()
 }
 
-// OperatorAt calls an operators' resource of one daemon.
-func (w *World) OperatorAt(i int, method, path string, in, out any) error {
-	return w.operatorAt(w.Addresses[i], method, path, in, out)
+// CallOperatorAt calls an operators' resource of one daemon.
+func (w *Cluster) CallOperatorAt(i int, method, path string, in, out any) error {
+	return w.callOperator(w.Addresses[i], method, path, in, out)
 }
 
 // Close ends everything.
-func (w *World) Close() {
+func (w *Cluster) Close() {
 	for _, n := range w.Nodes {
 		n.Kill()
 	}
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -22,35 +22,35 @@
 
 // Traffic sends requests like the callers of both operators and keeps what came back.
 type Traffic struct {
-	world *World
-	http  *http.Client
+	cluster *Cluster
+	http    *http.Client
 
-	mu         sync.Mutex
-	history    []invariant.Event
-	firstToken *hdrhistogram.Histogram
-	asked      int
-	answered   int
-	calls      int
-	refused    map[string]int
-	began      time.Time
-	endpoints  []string
-	until      time.Time
+	mu              sync.Mutex
+	history         []invariant.Event
+	firstToken      *hdrhistogram.Histogram
+	sent            int
+	answered        int
+	serviceCalls    int
+	unanswered      map[string]int
+	start           time.Time
+	endpoints       []string
+	endpointsExpire time.Time
 }
 
 const (
-	// maxLatency bounds the histogram, in microseconds.
-	maxLatency = 60_000_000
+	// maxLatencyMicros bounds the histogram, in microseconds.
+	maxLatencyMicros = 60_000_000
 	// sharedPromptBytes is the part of a desk's prompts that is always the same.
 	sharedPromptBytes = 4096
-	// pacePerWorker is the pause between two requests of one caller.
-	pacePerWorker = 10 * time.Millisecond
+	// requestPause is the pause between two requests of one caller.
+	requestPause = 10 * time.Millisecond
 )
 
 // NewTraffic returns traffic for a world.
-func NewTraffic(w *World) *Traffic {
+func NewTraffic(w *Cluster) *Traffic {
 	return &Traffic{
-		world: w, http: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
-		firstToken: hdrhistogram.New(1, maxLatency, 3), refused: map[string]int{}, began: time.Now(),
+		cluster: w, http: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+		firstToken: hdrhistogram.New(1, maxLatencyMicros, 3), unanswered: map[string]int{}, start: time.Now(),
 	}
 }
 
@@ -61,8 +61,8 @@
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
 			for n := 0; ctx.Err() == nil; n++ {
-				t.one(rng, i, n)
-				time.Sleep(pacePerWorker)
+				t.sendNext(rng, i, n)
+				time.Sleep(requestPause)
 			}
 		})
 	}
@@ -76,16 +76,16 @@
 	return t.answered
 }
 
-// Refused returns how many requests were not answered, by reason.
-func (t *Traffic) Refused() map[string]int {
+// Unanswered returns how many requests were not answered, by reason.
+func (t *Traffic) Unanswered() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return maps.Clone(t.refused)
+	return maps.Clone(t.unanswered)
 }
 
-// one sends one request of the mix: desk prompts through the cascade, cheap
+// sendNext sends one request of the mix: desk prompts through the cascade, cheap
 // look-ups, long reads, and confirmations that may not be repeated.
-func (t *Traffic) one(rng *rand.Rand, caller, n int) {
+func (t *Traffic) sendNext(rng *rand.Rand, caller, n int) {
 	ws := Goldfields
 	if caller%2 == 1 {
 		ws = Largada
@@ -103,18 +103,18 @@
 	}
 }
 
-// endpoint asks which address to use and keeps the answer for its time.
-func (t *Traffic) endpoint() string {
+// nextEndpoint asks which address to use and keeps the answer for its time.
+func (t *Traffic) nextEndpoint() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.endpoints) == 0 || time.Now().After(t.until) {
-		t.refresh()
+	if len(t.endpoints) == 0 || time.Now().After(t.endpointsExpire) {
+		t.refreshEndpoints()
 	}
-	return t.endpoints[t.asked%len(t.endpoints)]
+	return t.endpoints[t.sent%len(t.endpoints)]
 }
 
-func (t *Traffic) refresh() {
-	known := append(t.endpoints, t.world.Addresses...)
+func (t *Traffic) refreshEndpoints() {
+	known := append(t.endpoints, t.cluster.Addresses...)
 	for _, a := range known {
 		resp, err := t.http.Get("http://" + a + "/v1/endpoints")
 		if err != nil {
@@ -128,11 +128,11 @@
 		_ = resp.Body.Close()
 		if err == nil && len(r.Endpoints) > 0 {
 			t.endpoints = r.Endpoints
-			t.until = time.Now().Add(time.Duration(r.TTLSeconds * float64(time.Second)))
+			t.endpointsExpire = time.Now().Add(time.Duration(r.TTLSeconds * float64(time.Second)))
 			return
 		}
 	}
-	t.endpoints = t.world.Addresses
+	t.endpoints = t.cluster.Addresses
 }
 
 // send posts a request and books what is no answer. The caller closes the body of
@@ -140,12 +140,12 @@
 func (t *Traffic) send(ws, path string, header http.Header, body []byte) (resp *http.Response, id string, ok bool) {
 	resp, err := t.post(ws, path, header, body)
 	if err != nil {
-		t.lost("connection")
+		t.recordFailure("connection")
 		return nil, "", false
 	}
 	id = resp.Header.Get(api.HeaderRequestID)
 	if resp.StatusCode != http.StatusOK {
-		t.refuse(id, resp)
+		t.recordRefusal(id, resp)
 		_ = resp.Body.Close()
 		return nil, "", false
 	}
@@ -153,46 +153,46 @@
 }
 
 func (t *Traffic) post(ws, path string, header http.Header, body []byte) (*http.Response, error) {
-	address := t.endpoint()
+	address := t.nextEndpoint()
 	t.mu.Lock()
-	t.asked++
+	t.sent++
 	t.mu.Unlock()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
 	req.Header = header
-	req.Header.Set("Authorization", "Bearer "+Key(ws))
+	req.Header.Set("Authorization", "Bearer "+APIKey(ws))
 	return t.http.Do(req)
 }
 
 func (t *Traffic) chat(ws, model, session, prompt string) {
-	body := raw(map[string]any{"model": model, "stream": true, "messages": []any{map[string]string{"role": "user", "content": prompt}}})
+	body := mustMarshal(map[string]any{"model": model, "stream": true, "messages": []any{map[string]string{"role": "user", "content": prompt}}})
 	sent := time.Now()
 	resp, id, ok := t.send(ws, "/v1/chat/completions", http.Header{api.HeaderSession: {session}}, body)
 	if !ok {
 		return
 	}
 	defer resp.Body.Close()
-	text, first, whole := readStream(resp.Body)
-	if !whole {
-		t.lost("cut")
+	text, first, complete := readStream(resp.Body)
+	if !complete {
+		t.recordFailure("cut")
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answered++
 	_ = t.firstToken.RecordValue(first.Sub(sent).Microseconds())
-	t.record(invariant.Event{Kind: invariant.Answered, Request: id, Text: text})
+	t.record(invariant.Event{Kind: invariant.ResponseReceived, Request: id, Answer: text})
 }
 
 func (t *Traffic) record(e invariant.Event) {
-	e.At = time.Since(t.began)
+	e.At = time.Since(t.start)
 	t.history = append(t.history, e)
 }
 
 // readStream reads a streamed answer up to its terminal mark.
-func readStream(r io.Reader) (text string, first time.Time, whole bool) {
+func readStream(r io.Reader) (text string, first time.Time, complete bool) {
 	var b strings.Builder
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -225,24 +225,24 @@
 
 func (t *Traffic) confirm(ws, key string) {
 	header := http.Header{api.HeaderKey: {key}}
-	resp, id, ok := t.send(ws, "/v1/services/confirm", header, raw(map[string]string{"lot": key}))
+	resp, id, ok := t.send(ws, "/v1/services/confirm", header, mustMarshal(map[string]string{"lot": key}))
 	if !ok {
 		return
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.lost("cut")
+		t.recordFailure("cut")
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answered++
-	t.calls++
-	t.record(invariant.Event{Kind: invariant.Answered, Request: id, Text: string(data)})
+	t.serviceCalls++
+	t.record(invariant.Event{Kind: invariant.ResponseReceived, Request: id, Answer: string(data)})
 }
 
-func (t *Traffic) refuse(id string, resp *http.Response) {
+func (t *Traffic) recordRefusal(id string, resp *http.Response) {
 	var r struct {
 		Error struct {
 			Type string `json:"type"`
@@ -252,14 +252,14 @@
 	_ = json.NewDecoder(resp.Body).Decode(&r)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.refused[r.Error.Type+" ("+r.Error.Ran+")"]++
+	t.unanswered[r.Error.Type+" ("+r.Error.Ran+")"]++
 	if r.Error.Ran == "not_run" {
 		t.record(invariant.Event{Kind: invariant.RefusedNotRun, Request: id})
 	}
 }
 
-func (t *Traffic) lost(what string) {
+func (t *Traffic) recordFailure(reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.refused["lost: "+what]++
+	t.unanswered["lost: "+reason]++
 }
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -13,9 +13,9 @@
 
 // Main runs the tests of a package that uses rapid. Call it from TestMain.
 func Main(m *testing.M) {
-	f := flag.Lookup("rapid.seed")
-	f.DefValue = seed
-	if err := f.Value.Set(seed); err != nil {
+	seedFlag := flag.Lookup("rapid.seed")
+	seedFlag.DefValue = seed
+	if err := seedFlag.Value.Set(seed); err != nil {
 		panic(err)
 	}
 	flag.Parse()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -7,70 +7,70 @@
 	"time"
 )
 
-// Promise names one of the promises.
-type Promise string
+// Property names one of the promises.
+type Property string
 
 // The promises, in the order of the documentation.
 const (
-	Entitled       Promise = "a request runs only on an allowed version"
-	NoNewWork      Promise = "a withdrawn version receives no new work"
-	SessionKept    Promise = "a session keeps its version"
-	BilledOnce     Promise = "each request is billed once"
-	WholeAnswer    Promise = "a caller receives the whole answer to its own request"
-	TrueRefusal    Promise = "a refusal saying not_run is true"
-	AtMostOnce     Promise = "a non-repeatable request runs at most once"
-	LeavingIdle    Promise = "a leaving backend server receives no new work"
-	GracefulEnd    Promise = "a graceful shutdown cuts no request"
-	NeverReverts   Promise = "an accepted configuration never reverts"
-	InForceQuickly Promise = "an accepted configuration is in force everywhere in time"
+	VersionAllowed           Property = "a request runs only on an allowed version"
+	NoWorkOnWithdrawnVersion Property = "a withdrawn version receives no new work"
+	SessionAffinity          Property = "a session keeps its version"
+	BilledOnce               Property = "each request is billed once"
+	CompleteAnswer           Property = "a caller receives the whole answer to its own request"
+	AccurateRefusal          Property = "a refusal saying not_run is true"
+	AtMostOnce               Property = "a non-repeatable request runs at most once"
+	NoWorkOnLeavingServer    Property = "a leaving backend server receives no new work"
+	GracefulShutdown         Property = "a graceful shutdown cuts no request"
+	MonotonicConfig          Property = "an accepted configuration never reverts"
+	TimelyConfig             Property = "an accepted configuration is in force everywhere in time"
 )
 
-// Kind is what happened.
-type Kind uint8
+// EventKind is what happened.
+type EventKind uint8
 
 const (
-	// Asked: a caller sent Request for Workspace.
-	Asked Kind = iota
-	// Started: a backend server began to run Request.
-	Started
-	// Answered: the caller got the terminal mark; Text is the answer it saw, of
+	// RequestSent: a caller sent Request for Workspace.
+	RequestSent EventKind = iota
+	// ExecutionStarted: a backend server began to run Request.
+	ExecutionStarted
+	// ResponseReceived: the caller got the terminal mark; Text is the answer it saw, of
 	// Version in Session.
-	Answered
-	// Produced: a backend server finished Request; Text is its answer.
-	Produced
+	ResponseReceived
+	// ExecutionFinished: a backend server finished Request; Text is its answer.
+	ExecutionFinished
 	// RefusedNotRun: the caller was told that Request did not run.
 	RefusedNotRun
-	// CutByShutdown: Request ended early because its daemon stopped gracefully.
-	CutByShutdown
-	// Billed: a bill for Request stands in the ledger.
-	Billed
-	// Withdrew: version was withdrawn by an accepted patch.
-	Withdrew
-	// ServerLeft: Server was listed as leaving.
-	ServerLeft
-	// Accepted: the log holds an accepted patch leading to Number.
-	Accepted
-	// InForce: Daemon serves by configuration Number.
-	InForce
-	// DaemonGone: Daemon stopped.
-	DaemonGone
+	// InterruptedByShutdown: Request ended early because its daemon stopped gracefully.
+	InterruptedByShutdown
+	// RequestBilled: a bill for Request stands in the ledger.
+	RequestBilled
+	// VersionWithdrawn: version was withdrawn by an accepted patch.
+	VersionWithdrawn
+	// ServerLeaving: Server was listed as leaving.
+	ServerLeaving
+	// ConfigAccepted: the log holds an accepted patch leading to Number.
+	ConfigAccepted
+	// ConfigApplied: Daemon serves by configuration Number.
+	ConfigApplied
+	// DaemonStopped: Daemon stopped.
+	DaemonStopped
 )
 
 // Event is one entry of a history, ordered by At.
 type Event struct {
-	Kind          Kind
-	At            time.Duration
-	Request       string
-	Key           string
-	NonRepeatable bool
-	Workspace     string
-	Session       string
-	Model         string
-	Version       string
-	Server        string
-	Daemon        string
-	Number        uint64
-	Text          string
+	Kind           EventKind
+	At             time.Duration
+	Request        string
+	IdempotencyKey string
+	NonRepeatable  bool
+	Workspace      string
+	Session        string
+	Model          string
+	Version        string
+	Server         string
+	Daemon         string
+	ConfigNumber   uint64
+	Answer         string
 	// Allowed is set on Started by the observer that knows the entitlements at
 	// the time of the dispatch.
 	Allowed bool
@@ -78,172 +78,172 @@
 
 // Limits are the times in which a change must show.
 type Limits struct {
-	// InForce bounds the spread of a configuration.
-	InForce time.Duration
-	// Leaving bounds the time to stop new work for a leaving server.
-	Leaving time.Duration
+	// ConfigPropagation bounds the spread of a configuration.
+	ConfigPropagation time.Duration
+	// ServerRemoval bounds the time to stop new work for a leaving server.
+	ServerRemoval time.Duration
 }
 
 // Violation is a broken promise.
 type Violation struct {
-	Promise Promise
-	Detail  string
+	Property Property
+	Detail   string
 }
 
 // Check returns every broken promise of a history.
 func Check(history []Event, l Limits) []Violation {
 	c := checker{
-		limits: l, requests: map[string]*life{}, sessions: map[string]string{},
-		withdrawn: map[string]time.Duration{}, left: map[string]time.Duration{},
-		daemons: map[string]uint64{}, keys: map[string]string{},
+		limits: l, requests: map[string]*requestState{}, sessions: map[string]string{},
+		withdrawn: map[string]time.Duration{}, leaving: map[string]time.Duration{},
+		configNumbers: map[string]uint64{}, keys: map[string]string{},
 	}
 	for _, e := range history {
-		c.step(e)
+		c.apply(e)
 	}
-	c.end()
-	return c.found
+	c.finish()
+	return c.violations
 }
 
-type life struct {
-	asked, answered, refused, nonRepeatable bool
-	starts, bills                           int
-	produced                                []string
-	text                                    string
+type requestState struct {
+	sent, responseReceived, refused, nonRepeatable bool
+	executions, bills                              int
+	answers                                        []string
+	received                                       string
 }
 
 type checker struct {
-	limits    Limits
-	requests  map[string]*life
-	sessions  map[string]string
-	withdrawn map[string]time.Duration
-	left      map[string]time.Duration
-	daemons   map[string]uint64
-	keys      map[string]string
-	accepted  []Event
-	found     []Violation
+	limits        Limits
+	requests      map[string]*requestState
+	sessions      map[string]string
+	withdrawn     map[string]time.Duration
+	leaving       map[string]time.Duration
+	configNumbers map[string]uint64
+	keys          map[string]string
+	accepted      []Event
+	violations    []Violation
 }
 
-func (c *checker) broken(p Promise, format string, args ...any) {
-	c.found = append(c.found, Violation{p, fmt.Sprintf(format, args...)})
+func (c *checker) report(p Property, format string, args ...any) {
+	c.violations = append(c.violations, Violation{p, fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) request(id string) *life {
+func (c *checker) request(id string) *requestState {
 	r := c.requests[id]
 	if r == nil {
-		r = &life{}
+		r = &requestState{}
 		c.requests[id] = r
 	}
 	return r
 }
 
-func (c *checker) step(e Event) {
+func (c *checker) apply(e Event) {
 	switch e.Kind {
-	case Asked:
+	case RequestSent:
 		r := c.request(e.Request)
-		r.asked, r.nonRepeatable = true, e.NonRepeatable
-	case Started:
-		c.started(e)
-	case Answered:
+		r.sent, r.nonRepeatable = true, e.NonRepeatable
+	case ExecutionStarted:
+		c.executionStarted(e)
+	case ResponseReceived:
 		r := c.request(e.Request)
-		r.answered, r.text = true, e.Text
-		c.pin(e)
-	case Produced:
+		r.responseReceived, r.received = true, e.Answer
+		c.checkSessionAffinity(e)
+	case ExecutionFinished:
 		r := c.request(e.Request)
-		r.produced = append(r.produced, e.Text)
+		r.answers = append(r.answers, e.Answer)
 	case RefusedNotRun:
 		c.request(e.Request).refused = true
-	case CutByShutdown:
-		c.broken(GracefulEnd, "request %s was cut at %s", e.Request, e.At)
-	case Billed:
+	case InterruptedByShutdown:
+		c.report(GracefulShutdown, "request %s was cut at %s", e.Request, e.At)
+	case RequestBilled:
 		c.request(e.Request).bills++
-	case Withdrew:
+	case VersionWithdrawn:
 		c.withdrawn[e.Model+"@"+e.Version] = e.At
-	case ServerLeft:
-		c.left[e.Server] = e.At
-	case Accepted:
+	case ServerLeaving:
+		c.leaving[e.Server] = e.At
+	case ConfigAccepted:
 		c.accepted = append(c.accepted, e)
-	case InForce:
-		c.inForce(e)
-	case DaemonGone:
-		delete(c.daemons, e.Daemon)
+	case ConfigApplied:
+		c.configApplied(e)
+	case DaemonStopped:
+		delete(c.configNumbers, e.Daemon)
 	}
 }
 
-func (c *checker) started(e Event) {
+func (c *checker) executionStarted(e Event) {
 	r := c.request(e.Request)
-	r.starts++
+	r.executions++
 	if !e.Allowed {
-		c.broken(Entitled, "request %s of %s ran on %s@%s", e.Request, e.Workspace, e.Model, e.Version)
+		c.report(VersionAllowed, "request %s of %s ran on %s@%s", e.Request, e.Workspace, e.Model, e.Version)
 	}
-	if at, ok := c.withdrawn[e.Model+"@"+e.Version]; ok && e.At > at+c.limits.InForce {
-		c.broken(NoNewWork, "request %s started on %s@%s %s after its withdrawal", e.Request, e.Model, e.Version, e.At-at)
+	if at, ok := c.withdrawn[e.Model+"@"+e.Version]; ok && e.At > at+c.limits.ConfigPropagation {
+		c.report(NoWorkOnWithdrawnVersion, "request %s started on %s@%s %s after its withdrawal", e.Request, e.Model, e.Version, e.At-at)
 	}
-	if at, ok := c.left[e.Server]; ok && e.At > at+c.limits.Leaving {
-		c.broken(LeavingIdle, "request %s started on %s %s after it was listed", e.Request, e.Server, e.At-at)
+	if at, ok := c.leaving[e.Server]; ok && e.At > at+c.limits.ServerRemoval {
+		c.report(NoWorkOnLeavingServer, "request %s started on %s %s after it was listed", e.Request, e.Server, e.At-at)
 	}
-	if e.Key == "" {
+	if e.IdempotencyKey == "" {
 		return
 	}
-	if other, ok := c.keys[e.Key]; ok {
-		c.broken(AtMostOnce, "key %s ran for %s and for %s", e.Key, other, e.Request)
+	if other, ok := c.keys[e.IdempotencyKey]; ok {
+		c.report(AtMostOnce, "key %s ran for %s and for %s", e.IdempotencyKey, other, e.Request)
 	}
-	c.keys[e.Key] = e.Request
+	c.keys[e.IdempotencyKey] = e.Request
 }
 
-// pin follows the versions whose answers a session saw. A run whose answer never
+// checkSessionAffinity follows the versions whose answers a session saw. A run whose answer never
 // arrived moved nobody.
-func (c *checker) pin(e Event) {
+func (c *checker) checkSessionAffinity(e Event) {
 	if e.Session == "" {
 		return
 	}
-	at := e.Workspace + "/" + e.Session + "/" + e.Model
-	old, pinned := c.sessions[at]
-	_, gone := c.withdrawn[e.Model+"@"+old]
-	if pinned && old != e.Version && !gone {
-		c.broken(SessionKept, "session %s moved from %s to %s", at, old, e.Version)
+	session := e.Workspace + "/" + e.Session + "/" + e.Model
+	old, pinned := c.sessions[session]
+	_, withdrawn := c.withdrawn[e.Model+"@"+old]
+	if pinned && old != e.Version && !withdrawn {
+		c.report(SessionAffinity, "session %s moved from %s to %s", session, old, e.Version)
 	}
-	c.sessions[at] = e.Version
+	c.sessions[session] = e.Version
 }
 
-func (c *checker) inForce(e Event) {
-	if old, ok := c.daemons[e.Daemon]; ok && e.Number < old {
-		c.broken(NeverReverts, "daemon %s went from %d to %d", e.Daemon, old, e.Number)
+func (c *checker) configApplied(e Event) {
+	if old, ok := c.configNumbers[e.Daemon]; ok && e.ConfigNumber < old {
+		c.report(MonotonicConfig, "daemon %s went from %d to %d", e.Daemon, old, e.ConfigNumber)
 	}
-	c.daemons[e.Daemon] = e.Number
+	c.configNumbers[e.Daemon] = e.ConfigNumber
 	for _, a := range c.accepted {
-		if a.Number > e.Number && e.At > a.At+c.limits.InForce {
-			c.broken(InForceQuickly, "daemon %s is at %d, %s after %d was accepted", e.Daemon, e.Number, e.At-a.At, a.Number)
+		if a.ConfigNumber > e.ConfigNumber && e.At > a.At+c.limits.ConfigPropagation {
+			c.report(TimelyConfig, "daemon %s is at %d, %s after %d was accepted", e.Daemon, e.ConfigNumber, e.At-a.At, a.ConfigNumber)
 			return
 		}
 	}
 }
 
-func (c *checker) end() {
+func (c *checker) finish() {
 	for id, r := range c.requests {
-		c.endRequest(id, r)
+		c.finishRequest(id, r)
 	}
 }
 
-func (c *checker) endRequest(id string, r *life) {
-	if r.refused && r.starts > 0 {
-		c.broken(TrueRefusal, "request %s was refused as not run and started %d times", id, r.starts)
+func (c *checker) finishRequest(id string, r *requestState) {
+	if r.refused && r.executions > 0 {
+		c.report(AccurateRefusal, "request %s was refused as not run and started %d times", id, r.executions)
 	}
-	if r.nonRepeatable && r.starts > 1 {
-		c.broken(AtMostOnce, "request %s started %d times", id, r.starts)
+	if r.nonRepeatable && r.executions > 1 {
+		c.report(AtMostOnce, "request %s started %d times", id, r.executions)
 	}
-	if r.answered && r.bills != 1 {
-		c.broken(BilledOnce, "request %s was answered and billed %d times", id, r.bills)
+	if r.responseReceived && r.bills != 1 {
+		c.report(BilledOnce, "request %s was answered and billed %d times", id, r.bills)
 	}
-	if !r.answered && r.bills > 1 {
-		c.broken(BilledOnce, "request %s was billed %d times", id, r.bills)
+	if !r.responseReceived && r.bills > 1 {
+		c.report(BilledOnce, "request %s was billed %d times", id, r.bills)
 	}
-	if !r.answered {
+	if !r.responseReceived {
 		return
 	}
-	for _, p := range r.produced {
-		if p == r.text {
+	for _, answer := range r.answers {
+		if answer == r.received {
 			return
 		}
 	}
-	c.broken(WholeAnswer, "request %s was answered with text that no run of it produced", id)
+	c.report(CompleteAnswer, "request %s was answered with text that no run of it produced", id)
 }
--- a/internal/settings/secrets.go
+++ b/internal/settings/secrets.go
@@ -9,12 +9,12 @@
 	"github.com/damaskrudder/damaskrudder/internal/session"
 )
 
-// SecretsVariable is the environment variable that holds the secrets as JSON
+// SecretsEnvVar is the environment variable that holds the secrets as JSON
 // when no file is named.
-const SecretsVariable = "DAMASKRUDDER_SECRETS"
+const SecretsEnvVar = "DAMASKRUDDER_SECRETS"
 
-// minSecretLength is the least length of a key in bytes.
-const minSecretLength = 16
+// minSecretBytes is the least length of a key in bytes.
+const minSecretBytes = 16
 
 // Secrets are the keys of a daemon. They are never printed.
 type Secrets struct {
@@ -33,8 +33,8 @@
 
 // LoadSecrets reads the secrets that settings name.
 func LoadSecrets(s Settings) (Secrets, error) {
-	source := "environment variable " + SecretsVariable
-	data := []byte(os.Getenv(SecretsVariable))
+	source := "environment variable " + SecretsEnvVar
+	data := []byte(os.Getenv(SecretsEnvVar))
 	if s.SecretsFile != "" {
 		source = s.SecretsFile
 		var err error
@@ -53,25 +53,25 @@
 }
 
 func (s Secrets) validate() error {
-	if len(s.PeerKey) < minSecretLength {
-		return fmt.Errorf("peer_key: needs at least %d bytes", minSecretLength)
+	if len(s.PeerKey) < minSecretBytes {
+		return fmt.Errorf("peer_key: needs at least %d bytes", minSecretBytes)
 	}
-	if len(s.OperatorKey) < minSecretLength {
-		return fmt.Errorf("operator_key: needs at least %d bytes", minSecretLength)
+	if len(s.OperatorKey) < minSecretBytes {
+		return fmt.Errorf("operator_key: needs at least %d bytes", minSecretBytes)
 	}
 	if _, ok := s.SessionKeys[s.SessionCurrent]; !ok {
 		return errors.New("session_current: names no entry of session_keys")
 	}
 	for id, k := range s.SessionKeys {
-		if len(k) < minSecretLength {
-			return fmt.Errorf("session_keys/%s: needs at least %d bytes", id, minSecretLength)
+		if len(k) < minSecretBytes {
+			return fmt.Errorf("session_keys/%s: needs at least %d bytes", id, minSecretBytes)
 		}
 	}
 	return nil
 }
 
-// Ring returns the session keyring.
-func (s Secrets) Ring() *session.Keyring {
+// Keyring returns the session keyring.
+func (s Secrets) Keyring() *session.Keyring {
 	keys := make(map[string][]byte, len(s.SessionKeys))
 	for id, k := range s.SessionKeys {
 		keys[id] = []byte(k)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -41,20 +41,20 @@
 	Region string `json:"region"`
 	// FailureDomain is where the VM runs. Required.
 	FailureDomain string `json:"failure_domain"`
-	// Listen is the ip:port for callers and operators. Required.
-	Listen string `json:"listen"`
-	// PeerListen is the ip:port for other daemons. Required.
-	PeerListen string `json:"peer_listen"`
+	// ListenAddress is the ip:port for callers and operators. Required.
+	ListenAddress string `json:"listen"`
+	// PeerListenAddress is the ip:port for other daemons. Required.
+	PeerListenAddress string `json:"peer_listen"`
 	// Peers are peer addresses to join through. Default: none.
 	Peers []string `json:"peers"`
-	// Log is the base URL of the append-only log service. Required.
-	Log string `json:"log"`
-	// VMList is the base URL of the list of VMs. Default: not used.
-	VMList string `json:"vm_list"`
-	// Rating is the base URL of the rating service. Default: not used.
-	Rating string `json:"rating"`
-	// Weights is the base URL of the weight store. Default: loads are not limited.
-	Weights string `json:"weights"`
+	// LogURL is the base URL of the append-only log service. Required.
+	LogURL string `json:"log"`
+	// VMListURL is the base URL of the list of VMs. Default: not used.
+	VMListURL string `json:"vm_list"`
+	// RatingURL is the base URL of the rating service. Default: not used.
+	RatingURL string `json:"rating"`
+	// WeightStoreURL is the base URL of the weight store. Default: loads are not limited.
+	WeightStoreURL string `json:"weights"`
 	// Pools are the pools this daemon routes to. Default: all.
 	Pools []string `json:"pools"`
 	// SecretsFile holds the keys as JSON. Default: the environment variable
@@ -62,9 +62,9 @@
 	SecretsFile string `json:"secrets_file"`
 	// MaxBodyBytes bounds a request's body in bytes. Default 1,048,576.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// Subset is how many servers of a pool the daemon works with, 1 to 64.
+	// SubsetSize is how many servers of a pool the daemon works with, 1 to 64.
 	// Default 24.
-	Subset int `json:"subset"`
+	SubsetSize int `json:"subset"`
 	// EndpointTTL is how long callers may keep an answer of /v1/endpoints.
 	// Default "5s".
 	EndpointTTL Duration `json:"endpoint_ttl"`
@@ -72,21 +72,21 @@
 	// requests. It covers the spread of the leaving mark to daemons that just
 	// started and missed the announcement, so it is at least "2s". Default "3s".
 	DrainGrace Duration `json:"drain_grace"`
-	// DrainLimit bounds the wait for running requests. Default "2m".
-	DrainLimit Duration `json:"drain_limit"`
-	// Silence is how long an answer stream may stay silent before it is resumed
+	// DrainTimeout bounds the wait for running requests. Default "2m".
+	DrainTimeout Duration `json:"drain_limit"`
+	// StreamIdleTimeout is how long an answer stream may stay silent before it is resumed
 	// on a new connection. Default "3s".
-	Silence Duration `json:"silence"`
-	// BillingBuffer bounds the usage records awaiting the log. Default 20,000,
+	StreamIdleTimeout Duration `json:"silence"`
+	// BillingBufferSize bounds the usage records awaiting the log. Default 20,000,
 	// about 8 MB.
-	BillingBuffer int `json:"billing_buffer"`
+	BillingBufferSize int `json:"billing_buffer"`
 	// RatingShare is the fraction of answers handed to the rating service, 0 to
 	// 1. Default 0.05.
 	RatingShare float64 `json:"rating_share"`
-	// WithoutLog says what to do while the log does not answer: "majority" serves
+	// LogOutagePolicy says what to do while the log does not answer: "majority" serves
 	// on among most daemons, "refuse" stops 15 s after the log's last word.
 	// Default "majority".
-	WithoutLog string `json:"without_log"`
+	LogOutagePolicy string `json:"without_log"`
 	// LogLevel is debug, info, warn or error. Default "info".
 	LogLevel string `json:"log_level"`
 	// TLS holds the files for encrypted listeners and links. Default: plain.
@@ -107,16 +107,16 @@
 // Defaults returns settings with every default filled in.
 func Defaults() Settings {
 	return Settings{
-		MaxBodyBytes:  1 << 20,
-		Subset:        24,
-		EndpointTTL:   Duration(5 * time.Second),
-		DrainGrace:    Duration(3 * time.Second),
-		DrainLimit:    Duration(2 * time.Minute),
-		Silence:       Duration(3 * time.Second),
-		BillingBuffer: 20000,
-		RatingShare:   0.05,
-		WithoutLog:    "majority",
-		LogLevel:      "info",
+		MaxBodyBytes:      1 << 20,
+		SubsetSize:        24,
+		EndpointTTL:       Duration(5 * time.Second),
+		DrainGrace:        Duration(3 * time.Second),
+		DrainTimeout:      Duration(2 * time.Minute),
+		StreamIdleTimeout: Duration(3 * time.Second),
+		BillingBufferSize: 20000,
+		RatingShare:       0.05,
+		LogOutagePolicy:   "majority",
+		LogLevel:          "info",
 	}
 }
 
@@ -136,37 +136,37 @@
 // Parse decodes and checks settings.
 func Parse(data []byte) (Settings, error) {
 	s := Defaults()
-	plain, err := hujson.Standardize(bytes.Clone(data))
+	standardJSON, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
 		return s, err
 	}
-	d := json.NewDecoder(bytes.NewReader(plain))
+	d := json.NewDecoder(bytes.NewReader(standardJSON))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
-		return s, located(plain, err)
+		return s, addLineNumber(standardJSON, err)
 	}
 	return s, s.Validate()
 }
 
-// located adds the line of the offending field to a decoding error.
-func located(data []byte, err error) error {
-	var bad *json.UnmarshalTypeError
-	if errors.As(err, &bad) {
-		return fmt.Errorf("line %d: %s: %s does not fit (a JSON %s)", lineAt(data, int(bad.Offset)), bad.Field, valueAt(data, int(bad.Offset)), bad.Value)
+// addLineNumber adds the line of the offending field to a decoding error.
+func addLineNumber(data []byte, err error) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return fmt.Errorf("line %d: %s: %s does not fit (a JSON %s)", lineNumber(data, int(typeErr.Offset)), typeErr.Field, valueEndingAt(data, int(typeErr.Offset)), typeErr.Value)
 	}
 	if _, field, ok := strings.Cut(err.Error(), "unknown field "); ok {
-		return fmt.Errorf("line %d: unknown field %s", lineAt(data, bytes.Index(data, []byte(field))), field)
+		return fmt.Errorf("line %d: unknown field %s", lineNumber(data, bytes.Index(data, []byte(field))), field)
 	}
 	return err
 }
 
-// valueAt returns the text of the value that ends at an offset.
-func valueAt(data []byte, offset int) string {
+// valueEndingAt returns the text of the value that ends at an offset.
+func valueEndingAt(data []byte, offset int) string {
 	before := data[:min(max(offset, 0), len(data))]
 	return string(bytes.TrimSpace(before[bytes.LastIndexByte(before, ':')+1:]))
 }
 
-func lineAt(data []byte, offset int) int {
+func lineNumber(data []byte, offset int) int {
 	return 1 + bytes.Count(data[:min(max(offset, 0), len(data))], []byte("\n"))
 }
 
@@ -184,7 +184,7 @@
 }
 
 func (s *Settings) validateAddresses() error {
-	addresses := map[string]string{"listen": s.Listen, "peer_listen": s.PeerListen}
+	addresses := map[string]string{"listen": s.ListenAddress, "peer_listen": s.PeerListenAddress}
 	for i, p := range s.Peers {
 		addresses[fmt.Sprintf("peers[%d]", i)] = p
 	}
@@ -193,10 +193,10 @@
 			return fmt.Errorf("%s: %q is not ip:port", field, value)
 		}
 	}
-	if s.Log == "" {
+	if s.LogURL == "" {
 		return errors.New("log: must not be empty")
 	}
-	for _, f := range []struct{ name, value string }{{"log", s.Log}, {"vm_list", s.VMList}, {"rating", s.Rating}, {"weights", s.Weights}} {
+	for _, f := range []struct{ name, value string }{{"log", s.LogURL}, {"vm_list", s.VMListURL}, {"rating", s.RatingURL}, {"weights", s.WeightStoreURL}} {
 		u, err := url.Parse(f.value)
 		if f.value != "" && (err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "") {
 			return fmt.Errorf("%s: %q is not an http or https URL", f.name, f.value)
@@ -206,7 +206,7 @@
 }
 
 const (
-	maxSubset = 64
+	maxSubsetSize = 64
 	// minDrainGrace is two rounds of heartbeats.
 	minDrainGrace = Duration(2 * time.Second)
 )
@@ -215,7 +215,7 @@
 	for _, f := range []struct {
 		name  string
 		value Duration
-	}{{"endpoint_ttl", s.EndpointTTL}, {"drain_grace", s.DrainGrace}, {"drain_limit", s.DrainLimit}, {"silence", s.Silence}} {
+	}{{"endpoint_ttl", s.EndpointTTL}, {"drain_grace", s.DrainGrace}, {"drain_limit", s.DrainTimeout}, {"silence", s.StreamIdleTimeout}} {
 		if f.value <= 0 {
 			return fmt.Errorf("%s: %s must be above zero", f.name, time.Duration(f.value))
 		}
@@ -223,16 +223,16 @@
 	switch {
 	case s.MaxBodyBytes <= 0:
 		return fmt.Errorf("max_body_bytes: %d must be above zero", s.MaxBodyBytes)
-	case s.Subset < 1 || s.Subset > maxSubset:
-		return fmt.Errorf("subset: %d is out of 1..%d", s.Subset, maxSubset)
+	case s.SubsetSize < 1 || s.SubsetSize > maxSubsetSize:
+		return fmt.Errorf("subset: %d is out of 1..%d", s.SubsetSize, maxSubsetSize)
 	case s.DrainGrace < minDrainGrace:
 		return fmt.Errorf("drain_grace: %s must be at least %s", time.Duration(s.DrainGrace), time.Duration(minDrainGrace))
-	case s.BillingBuffer < 1:
-		return fmt.Errorf("billing_buffer: %d must be above zero", s.BillingBuffer)
+	case s.BillingBufferSize < 1:
+		return fmt.Errorf("billing_buffer: %d must be above zero", s.BillingBufferSize)
 	case s.RatingShare < 0 || s.RatingShare > 1:
 		return fmt.Errorf("rating_share: %v is out of 0..1", s.RatingShare)
-	case s.WithoutLog != "majority" && s.WithoutLog != "refuse":
-		return fmt.Errorf("without_log: %q is neither majority nor refuse", s.WithoutLog)
+	case s.LogOutagePolicy != "majority" && s.LogOutagePolicy != "refuse":
+		return fmt.Errorf("without_log: %q is neither majority nor refuse", s.LogOutagePolicy)
 	case !strings.Contains(" debug info warn error ", " "+s.LogLevel+" "):
 		return fmt.Errorf("log_level: %q is not debug, info, warn or error", s.LogLevel)
 	case s.TLS != nil && (s.TLS.CertFile == "" || s.TLS.KeyFile == "" || s.TLS.CAFile == ""):
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,28 +11,28 @@
 	f.Add([]byte(`{"subset":-1,"silence":"-1s"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse(data)
-		if err == nil && (s.ID == "" || s.Subset < 1 || s.Silence <= 0 || s.DrainGrace < minDrainGrace) {
+		if err == nil && (s.ID == "" || s.SubsetSize < 1 || s.StreamIdleTimeout <= 0 || s.DrainGrace < minDrainGrace) {
 			t.Fatalf("%+v", s)
 		}
 	})
 }
 
-func TestSecretsAreCheckedAndHidden(t *testing.T) {
-	long := strings.Repeat("k", minSecretLength)
-	good := Secrets{PeerKey: long, OperatorKey: long, SessionCurrent: "k1", SessionKeys: map[string]string{"k1": long}}
-	if err := good.validate(); err != nil {
+func TestSecretsValidationAndRedaction(t *testing.T) {
+	validKey := strings.Repeat("k", minSecretBytes)
+	valid := Secrets{PeerKey: validKey, OperatorKey: validKey, SessionCurrent: "k1", SessionKeys: map[string]string{"k1": validKey}}
+	if err := valid.validate(); err != nil {
 		t.Fatal(err)
 	}
-	if strings.Contains(good.String(), long) {
+	if strings.Contains(valid.String(), validKey) {
 		t.Error("a key is printed")
 	}
-	for want, bad := range map[string]Secrets{
-		"peer_key":        {OperatorKey: long, SessionCurrent: "k1", SessionKeys: good.SessionKeys},
-		"operator_key":    {PeerKey: long, SessionCurrent: "k1", SessionKeys: good.SessionKeys},
-		"session_current": {PeerKey: long, OperatorKey: long, SessionCurrent: "k2", SessionKeys: good.SessionKeys},
-		"session_keys/k1": {PeerKey: long, OperatorKey: long, SessionCurrent: "k1", SessionKeys: map[string]string{"k1": "short"}},
+	for want, invalid := range map[string]Secrets{
+		"peer_key":        {OperatorKey: validKey, SessionCurrent: "k1", SessionKeys: valid.SessionKeys},
+		"operator_key":    {PeerKey: validKey, SessionCurrent: "k1", SessionKeys: valid.SessionKeys},
+		"session_current": {PeerKey: validKey, OperatorKey: validKey, SessionCurrent: "k2", SessionKeys: valid.SessionKeys},
+		"session_keys/k1": {PeerKey: validKey, OperatorKey: validKey, SessionCurrent: "k1", SessionKeys: map[string]string{"k1": "short"}},
 	} {
-		if err := bad.validate(); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if err := invalid.validate(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
--- a/lab/experiments/limits.go
+++ b/lab/experiments/limits.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// limitTime is the length of a limits trial.
-	limitTime = 6 * time.Minute
-	// limitStep is the resolution of virtual time.
-	limitStep = 100 * time.Millisecond
-	// homeLostAt and homeLostFor take the home away in the middle.
-	homeLostAt, homeLostFor = 3 * time.Minute, 3 * time.Second
-	// demand is what callers ask for, as a multiple of the limit.
-	demand = 1.5
+	// limitsDuration is the length of a limits trial.
+	limitsDuration = 6 * time.Minute
+	// limitsStep is the resolution of virtual time.
+	limitsStep = 100 * time.Millisecond
+	// lessorOutageStart and homeLostFor take the home away in the middle.
+	lessorOutageStart, lessorOutageDuration = 3 * time.Minute, 3 * time.Second
+	// demandFactor is what callers ask for, as a multiple of the limit.
+	demandFactor = 1.5
 )
 
 func limitsTable(out io.Writer, seeds int) {
@@ -31,30 +31,30 @@
 			{name: "asks of the home a second"},
 			{name: "  overshoot when tokens are counted at the end of requests of 5 s"},
 		}
-		collect(seeds, rows, func(seed uint64) []float64 {
-			over, under, asks := leased(seed, n, limit)
-			return []float64{over, under, fixedShares(seed, n, limit), asks, countedLate(seed, n, limit)}
+		collectValues(seeds, rows, func(seed uint64) []float64 {
+			overshoot, undershoot, leaseRequests := leasedLimits(seed, n, limit)
+			return []float64{overshoot, undershoot, fixedShares(seed, n, limit), leaseRequests, countedAtEnd(seed, n, limit)}
 		})
 		writeTable(out, fmt.Sprintf("limits: %d daemons, 600,000 tokens a minute, demand 1.5 of it, skewed, home lost for 3 s", n), rows)
 	}
 }
 
-// skew draws a daemon by a Zipf law: few get most of the demand.
-func skew(rng *rand.Rand, n int) *rand.Zipf { return rand.NewZipf(rng, 1.1, 1, uint64(n-1)) }
+// newDaemonZipf draws a daemon by a Zipf law: few get most of the demand.
+func newDaemonZipf(rng *rand.Rand, n int) *rand.Zipf { return rand.NewZipf(rng, 1.1, 1, uint64(n-1)) }
 
 const tokensPerRequest = 500
 
-// spend drives one trial and returns what was spent in each step.
-func spend(seed uint64, n int, limit int64, try func(now time.Time, at time.Duration, daemon int) bool) []int64 {
+// simulateSpending drives one trial and returns what was spent in each step.
+func simulateSpending(seed uint64, n int, limit int64, trySpend func(now time.Time, at time.Duration, daemon int) bool) []int64 {
 	rng := rand.New(rand.NewPCG(seed, 9))
-	zipf := skew(rng, n)
+	zipf := newDaemonZipf(rng, n)
 	start := time.Unix(1_000_000, 0)
-	perStep := demand * float64(limit) / tokensPerRequest * limitStep.Seconds() / quota.WindowSpan.Seconds()
+	perStep := demandFactor * float64(limit) / tokensPerRequest * limitsStep.Seconds() / quota.WindowSpan.Seconds()
 	var spent []int64
-	for at := time.Duration(0); at < limitTime; at += limitStep {
+	for at := time.Duration(0); at < limitsDuration; at += limitsStep {
 		sum := int64(0)
 		for range int(perStep + rng.Float64()) {
-			if try(start.Add(at), at, int(zipf.Uint64())) {
+			if trySpend(start.Add(at), at, int(zipf.Uint64())) {
 				sum += tokensPerRequest
 			}
 		}
@@ -63,10 +63,10 @@
 	return spent
 }
 
-// judge returns the largest excess of a sliding minute and the shortfall of the
+// limitDeviation returns the largest excess of a sliding minute and the shortfall of the
 // mean use after the first minute, both as fractions of the limit.
-func judge(spent []int64, limit int64) (over, under float64) {
-	width := int(quota.WindowSpan / limitStep)
+func limitDeviation(spent []int64, limit int64) (overshoot, undershoot float64) {
+	width := int(quota.WindowSpan / limitsStep)
 	sum, total := int64(0), int64(0)
 	for i, s := range spent {
 		sum += s
@@ -74,52 +74,52 @@
 			sum -= spent[i-width]
 			total += s
 		}
-		over = max(over, float64(sum)/float64(limit)-1)
+		overshoot = max(overshoot, float64(sum)/float64(limit)-1)
 	}
 	minutes := float64(len(spent)-width) / float64(width)
-	return over, 1 - float64(total)/(minutes*float64(limit))
+	return overshoot, 1 - float64(total)/(minutes*float64(limit))
 }
 
-// leased runs the project's limits; the home is lost midway and a new one, which
+// leasedLimits runs the project's limits; the home is lost midway and a new one, which
 // knows nothing, takes over.
-func leased(seed uint64, n int, limit int64) (over, under, asks float64) {
-	shares := make([]*quota.Limiter, n)
-	for i := range shares {
-		shares[i] = quota.NewLimiter("w/tokens")
+func leasedLimits(seed uint64, n int, limit int64) (overshoot, undershoot, requestsPerSecond float64) {
+	limiters := make([]*quota.Limiter, n)
+	for i := range limiters {
+		limiters[i] = quota.NewLimiter("w/tokens")
 	}
 	epoch := uint64(1)
-	home := quota.NewLessor(epoch)
-	count := 0
-	ask := func(now time.Time, s *quota.Limiter, need int64) {
-		count++
-		s.ApplyLease(now, home.Grant(now, s.NewLeaseRequest(now, need, limit, epoch)))
+	lessor := quota.NewLessor(epoch)
+	requests := 0
+	requestLease := func(now time.Time, s *quota.Limiter, need int64) {
+		requests++
+		s.ApplyLease(now, lessor.Grant(now, s.NewLeaseRequest(now, need, limit, epoch)))
 	}
-	spent := spend(seed, n, limit, func(now time.Time, at time.Duration, d int) bool {
-		s := shares[d]
+	spent := simulateSpending(seed, n, limit, func(now time.Time, at time.Duration, d int) bool {
+		s := limiters[d]
 		if s.TryAcquire(now, tokensPerRequest) {
 			return true
 		}
-		if at >= homeLostAt && at < homeLostAt+homeLostFor {
+		if at >= lessorOutageStart && at < lessorOutageStart+lessorOutageDuration {
 			s.LeaseRequestFailed(now, s.NewLeaseRequest(now, tokensPerRequest, limit, epoch))
 			return s.TryAcquire(now, tokensPerRequest)
 		}
-		if at >= homeLostAt && epoch == 1 {
+		if at >= lessorOutageStart && epoch == 1 {
 			epoch = 2
-			home = quota.NewLessor(epoch)
-			for _, other := range shares {
+			lessor = quota.NewLessor(epoch)
+			for _, other := range limiters {
 				if other.HasUnleasedSpend() {
-					ask(now, other, 0)
+					requestLease(now, other, 0)
 				}
 			}
 		}
 		if s.Denied(now) {
 			return false
 		}
-		ask(now, s, tokensPerRequest)
+		requestLease(now, s, tokensPerRequest)
 		return s.TryAcquire(now, tokensPerRequest)
 	})
-	over, under = judge(spent, limit)
-	return over, under, float64(count) / limitTime.Seconds()
+	overshoot, undershoot = limitDeviation(spent, limit)
+	return overshoot, undershoot, float64(requests) / limitsDuration.Seconds()
 }
 
 func fixedShares(seed uint64, n int, limit int64) float64 {
@@ -127,23 +127,23 @@
 	for i := range shares {
 		shares[i] = naive.NewEqualShare(limit, n)
 	}
-	_, under := judge(spend(seed, n, limit, func(now time.Time, _ time.Duration, d int) bool {
+	_, undershoot := limitDeviation(simulateSpending(seed, n, limit, func(now time.Time, _ time.Duration, d int) bool {
 		return shares[d].TrySpend(now, tokensPerRequest)
 	}), limit)
-	return under
+	return undershoot
 }
 
-// countedLate spends from one exact window that knows of a request's tokens only
+// countedAtEnd spends from one exact window that knows of a request's tokens only
 // when it ends, as a limiter without reservations does.
-func countedLate(seed uint64, n int, limit int64) float64 {
-	const takes = 5 * time.Second
+func countedAtEnd(seed uint64, n int, limit int64) float64 {
+	const requestDuration = 5 * time.Second
 	type end struct {
 		at     time.Duration
 		tokens int64
 	}
 	var window quota.Window
 	var running []end
-	over, _ := judge(spend(seed, n, limit, func(now time.Time, at time.Duration, _ int) bool {
+	overshoot, _ := limitDeviation(simulateSpending(seed, n, limit, func(now time.Time, at time.Duration, _ int) bool {
 		for len(running) > 0 && running[0].at <= at {
 			window.Add(now, running[0].tokens)
 			running = running[1:]
@@ -151,8 +151,8 @@
 		if window.Sum(now, quota.WindowSpan)+tokensPerRequest > limit {
 			return false
 		}
-		running = append(running, end{at + takes, tokensPerRequest})
+		running = append(running, end{at + requestDuration, tokensPerRequest})
 		return true
 	}), limit)
-	return over
+	return overshoot
 }
--- a/lab/experiments/rollout.go
+++ b/lab/experiments/rollout.go
@@ -16,49 +16,49 @@
 	requestRate = 120
 	// sessions take turns; each is pinned to the version of its first answer and
 	// ends after sessionLength requests in the mean.
-	sessions      = 400
-	sessionLength = 20
-	// horizon ends a roll-out trial.
-	horizon = 900
+	sessions            = 400
+	meanSessionRequests = 20
+	// rolloutSeconds ends a roll-out trial.
+	rolloutSeconds = 900
 	// ratingShare and ratingDelay describe the rating service.
-	ratingShare = 0.05
-	ratingDelay = 30
+	ratingShare        = 0.05
+	rolloutRatingDelay = 30
 	// Base rates of a good version.
-	baseErrors, baseSlow, baseBad = 0.002, 0.02, 0.05
-	// stageTime is the fixed time of a stage for the naive rule and the least
+	baseErrorRate, baseSlowRate, baseBadRate = 0.002, 0.02, 0.05
+	// stageDuration is the fixed time of a stage for the naive rule and the least
 	// time of ours.
-	stageTime = time.Minute
+	stageDuration = time.Minute
 )
 
 var stages = []float64{1, 10, 50, 100}
 
-// fault is what is wrong with the new version, or with a place.
-type fault struct {
-	errors, slow, wrong float64
-	// from is when the version turns bad, in seconds.
-	from int
+// injectedFault is what is wrong with the new version, or with a place.
+type injectedFault struct {
+	errors, slow, badAnswers float64
+	// startSecond is when the version turns bad, in seconds.
+	startSecond int
 	// servers fail runs of both versions at placeErrors.
-	servers     []int
-	placeErrors float64
-	// drained makes every run of both versions slow.
-	drained bool
+	servers         []int
+	serverErrorRate float64
+	// allSlow makes every run of both versions slow.
+	allSlow bool
 }
 
 // outcome is what one roll-out did.
 type outcome struct {
-	// hurt counts requests harmed by the new version's fault.
-	hurt int
-	// hurtPinned counts those of sessions that were pinned before it turned bad.
-	hurtPinned int
-	// stopped and done are when, in seconds; -1 is never.
-	stopped, done int
-	held          bool
+	// affected counts requests harmed by the new version's fault.
+	affected int
+	// affectedPinned counts those of sessions that were pinned before it turned bad.
+	affectedPinned int
+	// rolledBackAt and done are when, in seconds; -1 is never.
+	rolledBackAt, completedAt int
+	held                      bool
 }
 
-// stepper is a rule that steers a roll-out, called once a virtual second.
-type stepper interface {
+// rolloutController is a rule that steers a roll-out, called once a virtual second.
+type rolloutController interface {
 	percent() float64
-	avoids(daemon int) bool
+	excludes(daemon int) bool
 	ratingShare(fresh bool) float64
 	observe(r run)
 	tick(second int) (stop, done, held bool)
@@ -66,19 +66,19 @@
 
 // run is one finished request.
 type run struct {
-	daemon, server    int
-	fresh             bool
-	failed, slow, bad bool
-	rated             bool
+	daemon, server          int
+	newVersion              bool
+	failed, slow, badAnswer bool
+	rated                   bool
 }
 
-type late struct {
+type delayedRating struct {
 	due int
 	run run
 }
 
-// simulate runs one roll-out.
-func simulate(seed uint64, f fault, s stepper) outcome {
+// simulateRollout runs one roll-out.
+func simulateRollout(seed uint64, f injectedFault, s rolloutController) outcome {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	pins := make([]int8, sessions)
 	pinnedBefore := make([]bool, sessions)
@@ -86,40 +86,40 @@
 	for i := range buckets {
 		buckets[i] = fleet.Bucket("m", fmt.Sprint(seed, "/", i))
 	}
-	out := outcome{stopped: -1, done: -1}
-	names := sessions
-	var ratings []late
-	for second := range horizon {
-		if second == f.from {
+	out := outcome{rolledBackAt: -1, completedAt: -1}
+	sessionCount := sessions
+	var ratings []delayedRating
+	for second := range rolloutSeconds {
+		if second == f.startSecond {
 			for i, p := range pins {
 				pinnedBefore[i] = p == 2
 			}
 		}
 		for range requestRate {
 			id := rng.IntN(sessions)
-			if rng.IntN(sessionLength) == 0 {
-				names++
-				pins[id], pinnedBefore[id], buckets[id] = 0, false, fleet.Bucket("m", fmt.Sprint(seed, "/", names))
+			if rng.IntN(meanSessionRequests) == 0 {
+				sessionCount++
+				pins[id], pinnedBefore[id], buckets[id] = 0, false, fleet.Bucket("m", fmt.Sprint(seed, "/", sessionCount))
 			}
-			r := run{daemon: rng.IntN(daemons), server: rng.IntN(engines)}
-			r.fresh = out.stopped < 0 && (pins[id] == 2 || pins[id] == 0 && buckets[id] < s.percent() && !s.avoids(r.daemon))
-			hurt := r.suffer(rng, f, second)
-			if hurt {
-				out.hurt++
+			r := run{daemon: rng.IntN(daemonCount), server: rng.IntN(engineCount)}
+			r.newVersion = out.rolledBackAt < 0 && (pins[id] == 2 || pins[id] == 0 && buckets[id] < s.percent() && !s.excludes(r.daemon))
+			affected := r.simulate(rng, f, second)
+			if affected {
+				out.affected++
 				if pinnedBefore[id] {
-					out.hurtPinned++
+					out.affectedPinned++
 				}
 			}
 			if !r.failed {
 				pins[id] = 1
-				if r.fresh {
+				if r.newVersion {
 					pins[id] = 2
 				}
 			}
 			s.observe(r)
-			if !r.failed && rng.Float64() < s.ratingShare(r.fresh) {
+			if !r.failed && rng.Float64() < s.ratingShare(r.newVersion) {
 				r.rated = true
-				ratings = append(ratings, late{second + ratingDelay, r})
+				ratings = append(ratings, delayedRating{second + rolloutRatingDelay, r})
 			}
 		}
 		for len(ratings) > 0 && ratings[0].due <= second {
@@ -127,80 +127,80 @@
 			ratings = ratings[1:]
 		}
 		stop, done, held := s.tick(second)
-		if stop && out.stopped < 0 {
-			out.stopped = second
+		if stop && out.rolledBackAt < 0 {
+			out.rolledBackAt = second
 		}
-		if done && out.done < 0 {
-			out.done = second
+		if done && out.completedAt < 0 {
+			out.completedAt = second
 		}
 		out.held = out.held || held
 	}
 	return out
 }
 
-// suffer decides how a run went and whether the new version's fault harmed it.
-func (r *run) suffer(rng *rand.Rand, f fault, second int) bool {
-	r.failed = rng.Float64() < baseErrors
-	r.slow = f.drained || rng.Float64() < baseSlow
-	r.bad = rng.Float64() < baseBad
+// simulate decides how a run went and whether the new version's fault harmed it.
+func (r *run) simulate(rng *rand.Rand, f injectedFault, second int) bool {
+	r.failed = rng.Float64() < baseErrorRate
+	r.slow = f.allSlow || rng.Float64() < baseSlowRate
+	r.badAnswer = rng.Float64() < baseBadRate
 	for _, s := range f.servers {
-		if s == r.server && rng.Float64() < f.placeErrors {
+		if s == r.server && rng.Float64() < f.serverErrorRate {
 			r.failed = true
 		}
 	}
-	if !r.fresh || second < f.from {
+	if !r.newVersion || second < f.startSecond {
 		return false
 	}
-	hurt := false
+	affected := false
 	for _, c := range []struct {
 		rate float64
 		flag *bool
-	}{{f.errors, &r.failed}, {f.slow, &r.slow}, {f.wrong, &r.bad}} {
+	}{{f.errors, &r.failed}, {f.slow, &r.slow}, {f.badAnswers, &r.badAnswer}} {
 		if c.rate > 0 && rng.Float64() < c.rate {
-			*c.flag, hurt = true, true
+			*c.flag, affected = true, true
 		}
 	}
-	return hurt
+	return affected
 }
 
-// ours steers by the project's rules: evidence by server, judged every second at
+// evidenceController steers by the project's rules: evidence by server, judged every second at
 // the home, with a brake in each daemon.
-type ours struct {
-	rules  rollout.StagePolicy
-	ro     fleet.Rollout
-	since  int
-	own    [daemons]rollout.Evidence
-	braked [daemons]bool
+type evidenceController struct {
+	policy     rollout.StagePolicy
+	rollout    fleet.Rollout
+	stageStart int
+	evidence   [daemonCount]rollout.Evidence
+	braked     [daemonCount]bool
 }
 
-func newOurs() *ours {
-	o := &ours{rules: rollout.DefaultStagePolicy(), ro: fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: stages, State: fleet.RolloutRunning}}
-	o.rules.MinStageDuration = stageTime
-	for d := range o.own {
-		for s := range engines {
+func newEvidenceController() *evidenceController {
+	o := &evidenceController{policy: rollout.DefaultStagePolicy(), rollout: fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: stages, State: fleet.RolloutRunning}}
+	o.policy.MinStageDuration = stageDuration
+	for d := range o.evidence {
+		for s := range engineCount {
 			domain := fmt.Sprint("fd", s%5)
 			id := fmt.Sprintf("s%02d", s)
-			o.own[d] = append(o.own[d], rollout.ServerCounts{Server: id, FailureDomain: domain}, rollout.ServerCounts{Server: id, FailureDomain: domain, New: true})
+			o.evidence[d] = append(o.evidence[d], rollout.ServerCounts{Server: id, FailureDomain: domain}, rollout.ServerCounts{Server: id, FailureDomain: domain, New: true})
 		}
 	}
 	return o
 }
 
-func (o *ours) ratingShare(fresh bool) float64 {
-	return rollout.RatingShare(ratingShare, o.ro.Percent(), fresh)
+func (o *evidenceController) ratingShare(fresh bool) float64 {
+	return rollout.RatingShare(ratingShare, o.rollout.Percent(), fresh)
 }
-func (o *ours) percent() float64       { return o.ro.Percent() }
-func (o *ours) avoids(daemon int) bool { return o.braked[daemon] }
+func (o *evidenceController) percent() float64         { return o.rollout.Percent() }
+func (o *evidenceController) excludes(daemon int) bool { return o.braked[daemon] }
 
-func (o *ours) observe(r run) {
+func (o *evidenceController) observe(r run) {
 	at := 2 * r.server
-	if r.fresh {
+	if r.newVersion {
 		at++
 	}
-	n := &o.own[r.daemon][at].Counts
+	n := &o.evidence[r.daemon][at].Counts
 	if r.rated {
 		n.Rated++
-		if r.bad {
+		if r.badAnswer {
 			n.Bad++
 		}
 		return
@@ -216,51 +216,53 @@
 	}
 }
 
-func (o *ours) tick(second int) (stop, done, held bool) {
-	if rollout.CarriesTraffic(o.ro) {
-		o.judge(second)
+func (o *evidenceController) tick(second int) (stop, done, held bool) {
+	if rollout.CarriesTraffic(o.rollout) {
+		o.evaluate(second)
 	}
-	return o.ro.State == fleet.RolloutRolledBack, o.ro.Percent() == 100, o.ro.State == fleet.RolloutHeld
+	return o.rollout.State == fleet.RolloutRolledBack, o.rollout.Percent() == 100, o.rollout.State == fleet.RolloutHeld
 }
 
-func (o *ours) judge(second int) {
+func (o *evidenceController) evaluate(second int) {
 	var all rollout.Evidence
-	for d := range o.own {
-		_, stop := o.rules.ShouldStopLocally(o.own[d])
+	for d := range o.evidence {
+		_, stop := o.policy.ShouldStopLocally(o.evidence[d])
 		o.braked[d] = o.braked[d] || stop
-		all = all.Merge(o.own[d])
+		all = all.Merge(o.evidence[d])
 	}
-	v := o.rules.Evaluate(o.ro, all, time.Duration(second-o.since)*time.Second)
+	v := o.policy.Evaluate(o.rollout, all, time.Duration(second-o.stageStart)*time.Second)
 	if v.Step == rollout.Wait {
 		return
 	}
-	o.ro = rollout.ApplyStep(o.ro, v.Step)
-	o.since = second
+	o.rollout = rollout.ApplyStep(o.rollout, v.Step)
+	o.stageStart = second
 	if v.Step != rollout.Advance {
 		return
 	}
-	for d := range o.own {
-		for i := range o.own[d] {
-			o.own[d][i].Counts = rollout.Counts{}
+	for d := range o.evidence {
+		for i := range o.evidence[d] {
+			o.evidence[d][i].Counts = rollout.Counts{}
 		}
 	}
 }
 
-// fixed steers by the naive rule.
-type fixed struct {
+// fixedStepsController steers by the naive rule.
+type fixedStepsController struct {
 	rule             naive.FixedSteps
 	second           int
 	requests, errors int
 }
 
-func newFixed() *fixed {
-	return &fixed{rule: naive.FixedSteps{Stages: stages, StageTime: stageTime, Threshold: 0.05, Window: 30 * time.Second}}
+func newFixedStepsController() *fixedStepsController {
+	return &fixedStepsController{rule: naive.FixedSteps{Stages: stages, StageTime: stageDuration, Threshold: 0.05, Window: 30 * time.Second}}
 }
 
-func (f *fixed) percent() float64         { return f.rule.Percent(time.Duration(f.second) * time.Second) }
-func (f *fixed) avoids(int) bool          { return false }
-func (f *fixed) ratingShare(bool) float64 { return ratingShare }
-func (f *fixed) observe(r run) {
+func (f *fixedStepsController) percent() float64 {
+	return f.rule.Percent(time.Duration(f.second) * time.Second)
+}
+func (f *fixedStepsController) excludes(int) bool        { return false }
+func (f *fixedStepsController) ratingShare(bool) float64 { return ratingShare }
+func (f *fixedStepsController) observe(r run) {
 	if r.rated {
 		return
 	}
@@ -270,7 +272,7 @@
 	}
 }
 
-func (f *fixed) tick(second int) (stop, done, held bool) {
+func (f *fixedStepsController) tick(second int) (stop, done, held bool) {
 	f.second = second
 	at := time.Duration(second) * time.Second
 	f.rule.Observe(at, f.requests, f.errors)
@@ -280,13 +282,13 @@
 
 var badVersions = []struct {
 	name string
-	f    fault
+	f    injectedFault
 }{
-	{"2% errors", fault{errors: 0.02}},
-	{"10% errors", fault{errors: 0.1}},
-	{"50% errors", fault{errors: 0.5}},
-	{"30% slow", fault{slow: 0.3}},
-	{"30% wrong by rating", fault{wrong: 0.3}},
+	{"2% errors", injectedFault{errors: 0.02}},
+	{"10% errors", injectedFault{errors: 0.1}},
+	{"50% errors", injectedFault{errors: 0.5}},
+	{"30% slow", injectedFault{slow: 0.3}},
+	{"30% wrong by rating", injectedFault{badAnswers: 0.3}},
 }
 
 func rolloutTable(out io.Writer, seeds int) {
@@ -298,30 +300,30 @@
 	rows = append(rows, row{name: "50% errors from 200 s on: pinned requests hurt, ours"},
 		row{name: "  seconds until withdrawn"},
 		row{name: "good version, seconds to everyone, ours / fixed steps", target: 1.2})
-	writeTable(out, "roll-out: 120 requests/s, 400 sessions of 20 requests, stages 1, 10, 50, 100%, ratings of 5% after 30 s, 15 minutes", collect(seeds, rows, rolloutTrial))
-	falseHalts(out, 50*seeds)
-	wrongBlame(out, seeds)
+	writeTable(out, "roll-out: 120 requests/s, 400 sessions of 20 requests, stages 1, 10, 50, 100%, ratings of 5% after 30 s, 15 minutes", collectValues(seeds, rows, rolloutTrial))
+	reportFalseHalts(out, 50*seeds)
+	reportFalseRollbacks(out, seeds)
 }
 
 func rolloutTrial(seed uint64) []float64 {
 	var out []float64
 	for _, b := range badVersions {
-		a, n := simulate(seed, b.f, newOurs()), simulate(seed, b.f, newFixed())
-		out = append(out, float64(a.hurt)/float64(max(n.hurt, 1)), float64(a.hurt), float64(n.hurt), float64(a.stopped))
+		a, n := simulateRollout(seed, b.f, newEvidenceController()), simulateRollout(seed, b.f, newFixedStepsController())
+		out = append(out, float64(a.affected)/float64(max(n.affected, 1)), float64(a.affected), float64(n.affected), float64(a.rolledBackAt))
 	}
-	turned := simulate(seed, fault{errors: 0.5, from: 200}, newOurs())
-	good, fixedGood := simulate(seed, fault{}, newOurs()), simulate(seed, fault{}, newFixed())
-	if good.done < 0 {
-		good.done = horizon
+	delayed := simulateRollout(seed, injectedFault{errors: 0.5, startSecond: 200}, newEvidenceController())
+	good, fixedGood := simulateRollout(seed, injectedFault{}, newEvidenceController()), simulateRollout(seed, injectedFault{}, newFixedStepsController())
+	if good.completedAt < 0 {
+		good.completedAt = rolloutSeconds
 	}
-	return append(out, float64(turned.hurtPinned), float64(turned.stopped-200), float64(good.done)/float64(fixedGood.done))
+	return append(out, float64(delayed.affectedPinned), float64(delayed.rolledBackAt-200), float64(good.completedAt)/float64(fixedGood.completedAt))
 }
 
-// falseHalts counts good versions that were rolled back or held.
-func falseHalts(out io.Writer, runs int) {
+// reportFalseHalts counts good versions that were rolled back or held.
+func reportFalseHalts(out io.Writer, runs int) {
 	halts := 0
 	for seed := range runs {
-		if o := simulate(uint64(seed+1000), fault{}, newOurs()); o.stopped >= 0 || o.held {
+		if o := simulateRollout(uint64(seed+1000), injectedFault{}, newEvidenceController()); o.rolledBackAt >= 0 || o.held {
 			halts++
 		}
 	}
@@ -329,24 +331,24 @@
 	r.write(out)
 }
 
-// wrongBlame counts good versions that were blamed for something else.
-func wrongBlame(out io.Writer, runs int) {
+// reportFalseRollbacks counts good versions that were blamed for something else.
+func reportFalseRollbacks(out io.Writer, runs int) {
 	cases := []struct {
 		name string
-		f    fault
+		f    injectedFault
 	}{
-		{"a bad server", fault{servers: []int{3}, placeErrors: 0.5}},
-		{"a bad failure domain", fault{servers: []int{0, 5}, placeErrors: 0.5}},
-		{"a drained pool", fault{drained: true}},
+		{"a bad server", injectedFault{servers: []int{3}, serverErrorRate: 0.5}},
+		{"a bad failure domain", injectedFault{servers: []int{0, 5}, serverErrorRate: 0.5}},
+		{"a drained pool", injectedFault{allSlow: true}},
 	}
 	for _, c := range cases {
-		blamed := 0
+		rolledBack := 0
 		for seed := range runs {
-			if simulate(uint64(seed+1), c.f, newOurs()).stopped >= 0 {
-				blamed++
+			if simulateRollout(uint64(seed+1), c.f, newEvidenceController()).rolledBackAt >= 0 {
+				rolledBack++
 			}
 		}
-		r := row{name: fmt.Sprintf("good versions rolled back for %s, of %d runs", c.name, runs), values: []float64{float64(blamed) / float64(runs)}, target: 0.01}
+		r := row{name: fmt.Sprintf("good versions rolled back for %s, of %d runs", c.name, runs), values: []float64{float64(rolledBack) / float64(runs)}, target: 0.01}
 		r.write(out)
 	}
 }
--- a/lab/experiments/routing.go
+++ b/lab/experiments/routing.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	engines     = 10
-	daemons     = 6
-	slots       = 8
-	prefill     = 200 * time.Microsecond
-	perToken    = 15 * time.Millisecond
-	cacheBlocks = 1500
-	reportLag   = 2 * time.Second
-	trialTime   = 120 * time.Second
+	engineCount   = 10
+	daemonCount   = 6
+	slots         = 8
+	prefill       = 200 * time.Microsecond
+	perToken      = 15 * time.Millisecond
+	cacheBlocks   = 1500
+	reportLag     = 2 * time.Second
+	trialDuration = 120 * time.Second
 	// warmUp is left out of the figures.
 	warmUp = 20 * time.Second
 )
 
-var desk = sim.Workload{Groups: 400, SharedTokens: 1024, OwnTokens: 256, AnswerTokens: 60}
+var deskWorkload = sim.Workload{Groups: 400, SharedTokens: 1024, OwnTokens: 256, AnswerTokens: 60}
 
 type policy = func(c *sim.Cluster, daemon int, rng *rand.Rand) sim.Policy
 
 func newEngines(c *sim.Clock) []*sim.Engine {
 	var out []*sim.Engine
-	for range engines {
+	for range engineCount {
 		e := sim.NewEngine(c, slots, prefill, perToken, cacheBlocks)
 		e.Lag = reportLag
 		out = append(out, e)
@@ -37,37 +37,37 @@
 }
 
 type trial struct {
-	seed  uint64
-	load  float64
-	work  sim.Workload
-	setup func(c *sim.Cluster)
+	seed     uint64
+	load     float64
+	workload sim.Workload
+	setup    func(c *sim.Cluster)
 }
 
 func (t trial) run(p policy) *sim.Cluster {
 	clock := &sim.Clock{}
-	c := sim.NewCluster(t.seed, newEngines(clock), clock, daemons, p)
+	c := sim.NewCluster(t.seed, newEngines(clock), clock, daemonCount, p)
 	if t.setup != nil {
 		t.setup(c)
 	}
-	c.Offer(t.seed, t.work, t.load, trialTime)
-	clock.Run(trialTime + 30*time.Second)
+	c.Offer(t.seed, t.workload, t.load, trialDuration)
+	clock.Run(trialDuration + 30*time.Second)
 	return c
 }
 
-func settled(r *sim.Result) bool { return r.Sent > warmUp && r.Sent < trialTime }
+func afterWarmUp(r *sim.Result) bool { return r.Sent > warmUp && r.Sent < trialDuration }
 
 // capacity is the rate at which the pool completes desk requests when it is
 // kept busy, with our routing, in requests a second.
 func capacity(seed uint64, work sim.Workload) float64 {
 	work.Deadline = 0
-	c := trial{seed: seed, load: 200, work: work}.run(sim.NewOurs(routing.DefaultPipeline()))
+	c := trial{seed: seed, load: 200, workload: work}.run(sim.NewOurs(routing.DefaultPipeline()))
 	done := 0
 	for _, r := range c.Results {
-		if at := r.Sent + r.First; r.First > 0 && at > warmUp && at < trialTime {
+		if at := r.Sent + r.First; r.First > 0 && at > warmUp && at < trialDuration {
 			done++
 		}
 	}
-	return float64(done) / (trialTime - warmUp).Seconds()
+	return float64(done) / (trialDuration - warmUp).Seconds()
 }
 
 func routingTable(out io.Writer, seeds int) {
@@ -84,51 +84,51 @@
 		{name: "attempts per request with a failure domain gone", target: 1.1},
 		{name: "p95 first token from 5 s after a failure domain went, ms", target: 1500},
 	}
-	writeTable(out, "routing: 10 engines, 6 daemons, reports lag 2 s, shared prefixes, one slow server", collect(seeds, rows, routingTrial))
+	writeTable(out, "routing: 10 engines, 6 daemons, reports lag 2 s, shared prefixes, one slow server", collectValues(seeds, rows, routingTrial))
 }
 
 func routingTrial(seed uint64) []float64 {
 	ours := sim.NewOurs(routing.DefaultPipeline())
-	full := capacity(seed, desk)
-	slow := trial{seed: seed, load: 0.8 * full, work: desk, setup: func(c *sim.Cluster) { c.Engines[3].Slow = 3 }}
+	capacityRate := capacity(seed, deskWorkload)
+	slow := trial{seed: seed, load: 0.8 * capacityRate, workload: deskWorkload, setup: func(c *sim.Cluster) { c.Engines[3].Slow = 3 }}
 	p99 := func(p policy) float64 {
-		return float64(sim.Quantile(slow.run(p).Results, 0.99, settled)) / float64(time.Millisecond)
+		return float64(sim.Quantile(slow.run(p).Results, 0.99, afterWarmUp)) / float64(time.Millisecond)
 	}
 	a, robin, least := p99(ours), p99(sim.NewRoundRobin), p99(sim.NewLeastReported)
 	out := []float64{a / robin, a / least, a, robin, least}
-	out = append(out, overload(seed, full, ours)...)
-	return append(out, domainLoss(seed, full, ours)...)
+	out = append(out, overload(seed, capacityRate, ours)...)
+	return append(out, domainLoss(seed, capacityRate, ours)...)
 }
 
 // overloadDeadline is the first-token deadline of the overload trials.
 const overloadDeadline = 1500 * time.Millisecond
 
-func overload(seed uint64, full float64, ours policy) []float64 {
-	work := desk
+func overload(seed uint64, capacityRate float64, ours policy) []float64 {
+	work := deskWorkload
 	work.Deadline, work.UrgentShare = overloadDeadline, 0.1
-	over := trial{seed: seed, load: 1.3 * full, work: work}
+	overloaded := trial{seed: seed, load: 1.3 * capacityRate, workload: work}
 	goodput := func(c *sim.Cluster) float64 {
 		good := 0
 		for _, r := range c.Results {
-			if settled(r) && r.First > 0 && r.First <= overloadDeadline {
+			if afterWarmUp(r) && r.First > 0 && r.First <= overloadDeadline {
 				good++
 			}
 		}
-		return float64(good) / (trialTime - warmUp).Seconds() / full
+		return float64(good) / (trialDuration - warmUp).Seconds() / capacityRate
 	}
-	loaded := over.run(ours)
-	urgent := func(r *sim.Result) bool { return settled(r) && r.Priority == 0 }
-	quiet := trial{seed: seed, load: 0.1 * full, work: work}.run(ours)
-	ratio := float64(sim.Quantile(loaded.Results, 0.99, urgent)) / float64(sim.Quantile(quiet.Results, 0.99, urgent))
-	return []float64{goodput(loaded), goodput(over.run(sim.NewRoundRobin)), goodput(over.run(sim.NewLeastReported)), ratio}
+	loaded := overloaded.run(ours)
+	urgent := func(r *sim.Result) bool { return afterWarmUp(r) && r.Priority == 0 }
+	unloaded := trial{seed: seed, load: 0.1 * capacityRate, workload: work}.run(ours)
+	ratio := float64(sim.Quantile(loaded.Results, 0.99, urgent)) / float64(sim.Quantile(unloaded.Results, 0.99, urgent))
+	return []float64{goodput(loaded), goodput(overloaded.run(sim.NewRoundRobin)), goodput(overloaded.run(sim.NewLeastReported)), ratio}
 }
 
 // domainLoss takes two of the ten engines away halfway, at 60% load.
-func domainLoss(seed uint64, full float64, ours policy) []float64 {
-	const lost, recovery = trialTime / 2, 5 * time.Second
-	work := desk
+func domainLoss(seed uint64, capacityRate float64, ours policy) []float64 {
+	const lost, recovery = trialDuration / 2, 5 * time.Second
+	work := deskWorkload
 	work.Deadline = 10 * time.Second
-	c := trial{seed: seed, load: 0.6 * full, work: work, setup: func(c *sim.Cluster) {
+	c := trial{seed: seed, load: 0.6 * capacityRate, workload: work, setup: func(c *sim.Cluster) {
 		c.Clock.After(lost, func() {
 			c.Engines[0].SetDown(true)
 			c.Engines[1].SetDown(true)
@@ -141,6 +141,6 @@
 			requests++
 		}
 	}
-	after := sim.Quantile(c.Results, 0.95, func(r *sim.Result) bool { return settled(r) && r.Sent > lost+recovery })
+	after := sim.Quantile(c.Results, 0.95, func(r *sim.Result) bool { return afterWarmUp(r) && r.Sent > lost+recovery })
 	return []float64{float64(attempts) / float64(requests), float64(after) / float64(time.Millisecond)}
 }
--- a/lab/experiments/table.go
+++ b/lab/experiments/table.go
@@ -28,7 +28,7 @@
 	return slices.Max(r.values)
 }
 
-func (r row) met(v float64) bool {
+func (r row) meets(v float64) bool {
 	if r.atLeast {
 		return v >= r.target
 	}
@@ -41,17 +41,17 @@
 		fmt.Fprintf(out, "%-64s %10.4g %10.4g\n", r.name, r.median(), r.worst())
 		return
 	}
-	sign, word := "<=", "met"
+	sign, verdict := "<=", "met"
 	if r.atLeast {
 		sign = ">="
 	}
 	switch {
-	case !r.met(r.median()):
-		word = "MISSED"
-	case !r.met(r.worst()):
-		word = "met at the median, missed by the worst seed"
+	case !r.meets(r.median()):
+		verdict = "MISSED"
+	case !r.meets(r.worst()):
+		verdict = "met at the median, missed by the worst seed"
 	}
-	fmt.Fprintf(out, "%-64s %10.4g %10.4g   %s %-6.4g %s\n", r.name, r.median(), r.worst(), sign, r.target, word)
+	fmt.Fprintf(out, "%-64s %10.4g %10.4g   %s %-6.4g %s\n", r.name, r.median(), r.worst(), sign, r.target, verdict)
 }
 
 func writeTable(out io.Writer, title string, rows []row) {
@@ -61,9 +61,9 @@
 	}
 }
 
-// collect runs a trial for every seed and gathers its figures by name, in the
+// collectValues runs a trial for every seed and gathers its figures by name, in the
 // order of the first trial.
-func collect(seeds int, rows []row, trial func(seed uint64) []float64) []row {
+func collectValues(seeds int, rows []row, trial func(seed uint64) []float64) []row {
 	for seed := range seeds {
 		for i, v := range trial(uint64(seed + 1)) {
 			rows[i].values = append(rows[i].values, v)
--- a/lab/history/callers.go
+++ b/lab/history/callers.go
@@ -47,7 +47,7 @@
 	id := fmt.Sprint("r", w.next)
 	d := w.daemons[w.rng.IntN(daemonCount)]
 	w.stats.Asked++
-	w.event(invariant.Event{Kind: invariant.Asked, Request: id, Key: key, NonRepeatable: key != "", Session: sessionName})
+	w.event(invariant.Event{Kind: invariant.RequestSent, Request: id, IdempotencyKey: key, NonRepeatable: key != "", Session: sessionName})
 	settled := false
 	result := func(answered bool, err *fault.Error, pin session.Pin) {
 		if settled {
--- a/lab/history/engine.go
+++ b/lab/history/engine.go
@@ -47,7 +47,7 @@
 			connect(r)
 			return
 		}
-		ev.Kind, ev.Server = invariant.Started, fmt.Sprint("s", e.id)
+		ev.Kind, ev.Server = invariant.ExecutionStarted, fmt.Sprint("s", e.id)
 		e.w.event(ev)
 		r := &run{id: id, life: e.life}
 		e.runs[id] = r
@@ -73,7 +73,7 @@
 		for _, f := range r.frames {
 			text += f.Delta
 		}
-		e.w.event(invariant.Event{Kind: invariant.Produced, Request: requestID, Text: text})
+		e.w.event(invariant.Event{Kind: invariant.ExecutionFinished, Request: requestID, Answer: text})
 	})
 }
 
--- a/lab/history/faults.go
+++ b/lab/history/faults.go
@@ -39,7 +39,7 @@
 	{"daemon killed and replaced", func(w *World) {
 		d := w.someNode()
 		d.alive = false
-		w.event(invariant.Event{Kind: invariant.DaemonGone, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation)})
+		w.event(invariant.Event{Kind: invariant.DaemonStopped, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation)})
 		w.clock.After(w.duration(5*time.Second), func() { d.reset(); d.start() })
 	}},
 	{"daemon paused", func(w *World) {
@@ -66,6 +66,6 @@
 	{"server leaves", func(w *World) {
 		e := w.someEngine()
 		w.leaving[e.id] = w.clock.Elapsed()
-		w.event(invariant.Event{Kind: invariant.ServerLeft, Server: fmt.Sprint("s", e.id)})
+		w.event(invariant.Event{Kind: invariant.ServerLeaving, Server: fmt.Sprint("s", e.id)})
 	}},
 }
--- a/lab/history/serve.go
+++ b/lab/history/serve.go
@@ -135,7 +135,7 @@
 		c.finish(false, fault.New(fault.VersionWithdrawn, "").WithExecution(c.life.ExecutionState()))
 		return
 	}
-	d.w.event(invariant.Event{Kind: invariant.InForce, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation), Number: cfg.Number})
+	d.w.event(invariant.Event{Kind: invariant.ConfigApplied, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation), ConfigNumber: cfg.Number})
 	c.pin = c.pin.WithVersion("m", version)
 	c.life.RecordAttempt()
 	if c.life.Attempts() > 1 {
@@ -162,7 +162,7 @@
 	c.text = ""
 	incarnation := d.incarnation
 	ev := invariant.Event{
-		Request: c.id, Key: c.key, NonRepeatable: c.key != "", Workspace: workspace, Session: c.session,
+		Request: c.id, IdempotencyKey: c.key, NonRepeatable: c.key != "", Workspace: workspace, Session: c.session,
 		Model: "m", Version: version, Allowed: version != "v3",
 	}
 	e.start(fmt.Sprintf("%s-%d", c.id, c.life.Attempts()), ev,
@@ -272,7 +272,7 @@
 		return
 	}
 	c.d.w.event(invariant.Event{
-		Kind: invariant.Answered, Request: c.id, Text: c.text,
+		Kind: invariant.ResponseReceived, Request: c.id, Answer: c.text,
 		Workspace: workspace, Session: c.session, Model: "m", Version: c.pin.Version,
 	})
 	c.finish(true, nil)
--- a/lab/history/world.go
+++ b/lab/history/world.go
@@ -41,7 +41,7 @@
 )
 
 // Limits are the times that histories are checked against.
-var Limits = invariant.Limits{InForce: 16 * time.Second, Leaving: 3 * time.Second}
+var Limits = invariant.Limits{ConfigPropagation: 16 * time.Second, ServerRemoval: 3 * time.Second}
 
 // World is one history in the making.
 type World struct {
@@ -160,12 +160,12 @@
 		return
 	}
 	w.known = c.Number
-	w.event(invariant.Event{Kind: invariant.Accepted, Number: c.Number})
+	w.event(invariant.Event{Kind: invariant.ConfigAccepted, ConfigNumber: c.Number})
 	if v, _ := c.Version("m", "v1"); v.State != fleet.Withdrawn || w.withdrawn {
 		return
 	}
 	w.withdrawn = true
-	w.event(invariant.Event{Kind: invariant.Withdrew, Model: "m", Version: "v1"})
+	w.event(invariant.Event{Kind: invariant.VersionWithdrawn, Model: "m", Version: "v1"})
 	w.clock.After(unloadAfter, func() {
 		for _, e := range w.engines {
 			e.unloaded = "v1"
@@ -186,7 +186,7 @@
 	}
 	w.stats.Duplicates = ledger.Duplicates
 	for _, id := range slices.Sorted(maps.Keys(ledger.Records())) {
-		w.event(invariant.Event{Kind: invariant.Billed, Request: id})
+		w.event(invariant.Event{Kind: invariant.RequestBilled, Request: id})
 	}
 }
 
--- a/lab/slopes/fit.go
+++ b/lab/slopes/fit.go
@@ -15,12 +15,12 @@
 	reads, appends float64
 }
 
-type quantity struct {
-	name string
-	of   func(point) float64
+type metric struct {
+	name  string
+	value func(point) float64
 }
 
-var quantities = []quantity{
+var metrics = []metric{
 	{"CPU %core", func(p point) float64 { return p.cpu }},
 	{"heap KB", func(p point) float64 { return p.heap }},
 	{"peer B/s", func(p point) float64 { return p.bytes }},
@@ -29,7 +29,7 @@
 }
 
 // line is a fitted line with its worst relative error over the points.
-type line struct{ base, slope, worst float64 }
+type line struct{ intercept, slope, maxRelativeError float64 }
 
 // fit returns the least-squares line.
 func fit(points []point, of func(point) float64) line {
@@ -40,13 +40,13 @@
 		sx, sy, sxx, sxy = sx+x, sy+y, sxx+x*x, sxy+x*y
 	}
 	l := line{slope: (n*sxy - sx*sy) / (n*sxx - sx*sx)}
-	l.base = (sy - l.slope*sx) / n
+	l.intercept = (sy - l.slope*sx) / n
 	for _, p := range points {
 		y := of(p)
 		if y == 0 {
 			continue
 		}
-		l.worst = math.Max(l.worst, math.Abs(l.base+l.slope*p.size-y)/y)
+		l.maxRelativeError = math.Max(l.maxRelativeError, math.Abs(l.intercept+l.slope*p.size-y)/y)
 	}
 	return l
 }
--- a/lab/slopes/fleet.go
+++ b/lab/slopes/fleet.go
@@ -24,8 +24,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// shape is one size to measure.
-type shape struct {
+// fleetShape is one size to measure.
+type fleetShape struct {
 	daemons, servers, workspaces int
 	// changes and requests are rates a second for the whole fleet.
 	changes, requests int
@@ -81,41 +81,41 @@
 	}
 }
 
-// rig is a running fleet under measurement.
-type rig struct {
+// testFleet is a running fleet under measurement.
+type testFleet struct {
 	log     *memoryLog
 	daemons []*daemon.Daemon
 	scopes  []tally.TestScope
-	stop    context.CancelFunc
-	close   []func()
-	wait    sync.WaitGroup
+	cancel  context.CancelFunc
+	closers []func()
+	running sync.WaitGroup
 }
 
 const (
 	failureDomains = 5
-	// settle is how long a fleet runs before it is measured, and settlePer how
+	// settleTime is how long a fleet runs before it is measured, and settlePer how
 	// much longer for each daemon: all starting at once is news about everybody,
 	// which travels for a while.
-	settle    = 4 * time.Second
-	settlePer = 400 * time.Millisecond
-	// loadRequest is the prompt of the measured requests.
-	loadRequest = "status of bib 7"
+	settleTime          = 4 * time.Second
+	settleTimePerDaemon = 400 * time.Millisecond
+	// loadPrompt is the prompt of the measured requests.
+	loadPrompt = "status of bib 7"
 )
 
-// start brings a fleet up. All servers of a pool share one engine stand-in.
-func start(s shape) (*rig, error) {
-	r := &rig{log: newMemoryLog()}
+// startFleet brings a fleet up. All servers of a pool share one engine stand-in.
+func startFleet(s fleetShape) (*testFleet, error) {
+	r := &testFleet{log: newMemoryLog()}
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 1 << 20, AnswerTokens: 8, ChecksFencing: true}, "m@v1")
 	es, err := standin.Serve(engine)
 	if err != nil {
 		return nil, err
 	}
-	r.close = append(r.close, es.Close)
+	r.closers = append(r.closers, es.Close)
 	if err := r.configure(s, es.Address); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r.stop = cancel
+	r.cancel = cancel
 	var listeners []net.Listener
 	for range s.daemons {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -127,20 +127,20 @@
 	for i, l := range listeners {
 		set := settings.Defaults()
 		set.ID, set.Region, set.FailureDomain = fmt.Sprintf("d%03d", i), "r", fmt.Sprintf("fd%d", i%failureDomains)
-		set.Listen, set.PeerListen = l.Addr().String(), l.Addr().String()
+		set.ListenAddress, set.PeerListenAddress = l.Addr().String(), l.Addr().String()
 		set.Peers = []string{listeners[0].Addr().String(), listeners[len(listeners)/2].Addr().String()}
 		scope := tally.NewTestScope("", nil)
 		d := daemon.New(set, demo.Secrets, daemon.Dependencies{Log: r.log, Logger: log.New(io.Discard), Metrics: scope})
 		r.daemons, r.scopes = append(r.daemons, d), append(r.scopes, scope)
 		srv := &http.Server{Handler: d.PeerServer()}
 		go func() { _ = srv.Serve(l) }()
-		r.close = append(r.close, func() { _ = srv.Close() })
-		r.wait.Go(func() { d.Run(ctx) })
+		r.closers = append(r.closers, func() { _ = srv.Close() })
+		r.running.Go(func() { d.Run(ctx) })
 	}
 	return r, nil
 }
 
-func (r *rig) configure(s shape, address string) error {
+func (r *testFleet) configure(s fleetShape, address string) error {
 	pool := fleet.Pool{}
 	for i := range s.servers {
 		pool.Servers = append(pool.Servers, fleet.Server{ID: fmt.Sprintf("s%04d", i), Address: address, FailureDomain: fmt.Sprintf("fd%d", i%failureDomains), Slots: 8})
@@ -157,7 +157,7 @@
 	return r.patch("first", 0, p)
 }
 
-func (r *rig) patch(id string, base uint64, p any) error {
+func (r *testFleet) patch(id string, base uint64, p any) error {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return err
@@ -170,25 +170,25 @@
 	return err
 }
 
-// drive changes the configuration and sends requests at the shape's rates.
-func (r *rig) drive(ctx context.Context, s shape) {
+// generateLoad changes the configuration and sends requests at the shape's rates.
+func (r *testFleet) generateLoad(ctx context.Context, s fleetShape) {
 	if s.changes > 0 {
-		go r.tick(ctx, time.Second/time.Duration(s.changes), func(n int) {
+		go r.every(ctx, time.Second/time.Duration(s.changes), func(n int) {
 			_ = r.patch(fmt.Sprint("change", n), uint64(n+1), map[string]any{"workspaces": map[string]any{"w0001": map[string]any{"priority": n % 9}}})
 		})
 	}
 	if s.requests > 0 {
-		go r.tick(ctx, time.Second/time.Duration(s.requests), func(n int) {
+		go r.every(ctx, time.Second/time.Duration(s.requests), func(n int) {
 			go func() {
 				d := r.daemons[n%len(r.daemons)]
-				_, _ = d.Chat(ctx, daemon.NewRequestID(), daemon.ChatRequest{Workspace: fmt.Sprintf("w%04d", n%s.workspaces), Model: "m", Prompt: loadRequest,
-					Body: map[string]json.RawMessage{"messages": json.RawMessage(`[{"role":"user","content":"` + loadRequest + `"}]`)}})
+				_, _ = d.Chat(ctx, daemon.NewRequestID(), daemon.ChatRequest{Workspace: fmt.Sprintf("w%04d", n%s.workspaces), Model: "m", Prompt: loadPrompt,
+					Body: map[string]json.RawMessage{"messages": json.RawMessage(`[{"role":"user","content":"` + loadPrompt + `"}]`)}})
 			}()
 		})
 	}
 }
 
-func (r *rig) tick(ctx context.Context, period time.Duration, f func(n int)) {
+func (r *testFleet) every(ctx context.Context, period time.Duration, f func(n int)) {
 	t := time.NewTicker(period)
 	defer t.Stop()
 	for n := 0; ; n++ {
@@ -201,10 +201,10 @@
 	}
 }
 
-func (r *rig) end() {
-	r.stop()
-	r.wait.Wait()
-	for _, c := range r.close {
+func (r *testFleet) shutdown() {
+	r.cancel()
+	r.running.Wait()
+	for _, c := range r.closers {
 		c()
 	}
 }
@@ -224,7 +224,7 @@
 	return float64(m.HeapAlloc+m.StackInuse) / 1024
 }
 
-func (r *rig) peerBytes() float64 {
+func (r *testFleet) peerBytes() float64 {
 	sum := int64(0)
 	for _, s := range r.scopes {
 		if c, ok := s.Snapshot().Counters()["peer_bytes+"]; ok {
@@ -234,28 +234,28 @@
 	return float64(sum)
 }
 
-// observe runs one size and returns the mean cost of a daemon.
-func observe(s shape, window time.Duration) (point, error) {
-	time.Sleep(settle / 4)
+// measureShape runs one size and returns the mean cost of a daemon.
+func measureShape(s fleetShape, window time.Duration) (point, error) {
+	time.Sleep(settleTime / 4)
 	before := heapKB()
-	r, err := start(s)
+	r, err := startFleet(s)
 	if err != nil {
 		return point{}, err
 	}
-	defer r.end()
+	defer r.shutdown()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	time.Sleep(settle + time.Duration(s.daemons)*settlePer)
+	time.Sleep(settleTime + time.Duration(s.daemons)*settleTimePerDaemon)
 	for _, d := range r.daemons {
 		if !d.Ready() {
 			return point{}, fmt.Errorf("daemon %s is not ready", d.Settings().ID)
 		}
 	}
-	r.drive(ctx, s)
-	time.Sleep(settle / 2)
-	cpu, bytes, reads, appends, began := cpuSeconds(), r.peerBytes(), r.log.reads.Load(), r.log.appends.Load(), time.Now()
+	r.generateLoad(ctx, s)
+	time.Sleep(settleTime / 2)
+	cpu, bytes, reads, appends, started := cpuSeconds(), r.peerBytes(), r.log.reads.Load(), r.log.appends.Load(), time.Now()
 	time.Sleep(window)
-	n, seconds := float64(s.daemons), time.Since(began).Seconds()
+	n, seconds := float64(s.daemons), time.Since(started).Seconds()
 	p := point{
 		cpu:     100 * (cpuSeconds() - cpu) / seconds / n,
 		bytes:   (r.peerBytes() - bytes) / seconds / n,
--- a/lab/slopes/main.go
+++ b/lab/slopes/main.go
@@ -27,16 +27,16 @@
 	name  string
 	unit  string
 	sizes []int
-	build func(size int) shape
+	build func(size int) fleetShape
 }
 
 func run(window time.Duration, only string) error {
 	all := []series{
-		{"daemons", "daemon", []int{10, 20, 40, 80, 160}, func(n int) shape { return shape{daemons: n, servers: 20, workspaces: 10} }},
-		{"servers", "server", []int{100, 200, 400, 800, 1600}, func(n int) shape { return shape{daemons: 6, servers: n, workspaces: 10} }},
-		{"workspaces", "workspace", []int{25, 50, 100, 200}, func(n int) shape { return shape{daemons: 6, servers: 20, workspaces: n} }},
-		{"changes", "change/s", []int{0, 2, 4, 8}, func(n int) shape { return shape{daemons: 6, servers: 20, workspaces: 50, changes: n} }},
-		{"requests", "request/s", []int{0, 100, 200, 400, 800}, func(n int) shape { return shape{daemons: 6, servers: 20, workspaces: 10, requests: n} }},
+		{"daemons", "daemon", []int{10, 20, 40, 80, 160}, func(n int) fleetShape { return fleetShape{daemons: n, servers: 20, workspaces: 10} }},
+		{"servers", "server", []int{100, 200, 400, 800, 1600}, func(n int) fleetShape { return fleetShape{daemons: 6, servers: n, workspaces: 10} }},
+		{"workspaces", "workspace", []int{25, 50, 100, 200}, func(n int) fleetShape { return fleetShape{daemons: 6, servers: 20, workspaces: n} }},
+		{"changes", "change/s", []int{0, 2, 4, 8}, func(n int) fleetShape { return fleetShape{daemons: 6, servers: 20, workspaces: 50, changes: n} }},
+		{"requests", "request/s", []int{0, 100, 200, 400, 800}, func(n int) fleetShape { return fleetShape{daemons: 6, servers: 20, workspaces: 10, requests: n} }},
 	}
 	for _, s := range all {
 		if only != "" && s.name != only {
@@ -52,14 +52,14 @@
 	return nil
 }
 
-// now is any time; the spread does not depend on it.
-var now = time.Unix(1000, 0)
+// startTime is any time; the spread does not depend on it.
+var startTime = time.Unix(1000, 0)
 
 func (s series) measure(window time.Duration) error {
 	fmt.Printf("\n%s: per daemon\n%8s %12s %12s %12s %14s %14s\n", s.name, "size", "CPU %core", "heap KB", "peer B/s", "log reads/s", "log appends/s")
 	var points []point
 	for _, n := range s.sizes {
-		p, err := observe(s.build(n), window)
+		p, err := measureShape(s.build(n), window)
 		if err != nil {
 			return err
 		}
@@ -67,9 +67,9 @@
 		points = append(points, p)
 		fmt.Printf("%8d %12.4f %12.1f %12.1f %14.3f %14.3f\n", n, p.cpu, p.heap, p.bytes, p.reads, p.appends)
 	}
-	for _, q := range quantities {
-		f := fit(points, q.of)
-		fmt.Printf("  %-14s %12.5f + %.6f per %s (worst error %.1f%%)\n", q.name, f.base, f.slope, s.unit, 100*f.worst)
+	for _, q := range metrics {
+		f := fit(points, q.value)
+		fmt.Printf("  %-14s %12.5f + %.6f per %s (worst error %.1f%%)\n", q.name, f.intercept, f.slope, s.unit, 100*f.maxRelativeError)
 	}
 	return nil
 }
--- a/lab/traces/main.go
+++ b/lab/traces/main.go
@@ -54,11 +54,11 @@
 		name string
 		r    Result
 	}{{"ours", ours}, {"round robin", t.Replay(sim.NewRoundRobin)}, {"least reported", t.Replay(sim.NewLeastReported)}} {
-		word := "missed"
-		if p.r.Meets(t.Outcome) {
-			word = "met"
+		verdict := "missed"
+		if p.r.Meets(t.Expected) {
+			verdict = "met"
 		}
-		fmt.Fprintf(out, "%-18s %-14s %9d %9.4f %12.1f %9.3f  %s\n", t.Name, p.name, p.r.Requests, p.r.Answered, p.r.FirstP95, p.r.Attempts, word)
+		fmt.Fprintf(out, "%-18s %-14s %9d %9.4f %12.1f %9.3f  %s\n", t.Name, p.name, p.r.Requests, p.r.AnsweredFraction, p.r.FirstTokenP95, p.r.AttemptsPerRequest, verdict)
 	}
-	return ours.Meets(t.Outcome)
+	return ours.Meets(t.Expected)
 }
--- a/lab/traces/trace.go
+++ b/lab/traces/trace.go
@@ -24,93 +24,93 @@
 
 // Header describes a trace and its pool, and states the outcome.
 type Header struct {
-	Name    string `json:"name"`
-	Story   string `json:"story"`
-	Servers int    `json:"servers"`
-	Slots   int    `json:"slots"`
+	Name        string `json:"name"`
+	Description string `json:"story"`
+	Servers     int    `json:"servers"`
+	Slots       int    `json:"slots"`
 	// PrefillMicros and TokenMicros are service times per token in µs.
 	PrefillMicros int64 `json:"prefill_us"`
 	TokenMicros   int64 `json:"token_us"`
 	CacheBlocks   int   `json:"cache_blocks"`
-	// Outcome is what a replay must reach.
-	Outcome Outcome `json:"outcome"`
+	// Expected is what a replay must reach.
+	Expected Expectation `json:"outcome"`
 }
 
-// Outcome bounds a replay. Zero values bound nothing.
-type Outcome struct {
-	// AnsweredAtLeast is the least share of requests with a first token within
+// Expectation bounds a replay. Zero values bound nothing.
+type Expectation struct {
+	// MinAnswered is the least share of requests with a first token within
 	// their deadline.
-	AnsweredAtLeast float64 `json:"answered_at_least"`
-	// FirstP95AtMost is the largest p95 of first tokens, in ms.
-	FirstP95AtMost float64 `json:"first_p95_ms_at_most"`
-	// AttemptsAtMost is the largest number of attempts per request.
-	AttemptsAtMost float64 `json:"attempts_at_most"`
+	MinAnswered float64 `json:"answered_at_least"`
+	// MaxFirstTokenP95 is the largest p95 of first tokens, in ms.
+	MaxFirstTokenP95 float64 `json:"first_p95_ms_at_most"`
+	// MaxAttempts is the largest number of attempts per request.
+	MaxAttempts float64 `json:"attempts_at_most"`
 }
 
-// Line is a request or a fault.
-type Line struct {
-	AtMillis int64 `json:"at"`
+// Event is a request or a fault.
+type Event struct {
+	TimeMillis int64 `json:"at"`
 	// Group names the shared prefix, Shared and Own are prompt tokens.
-	Group    uint64 `json:"group,omitempty"`
-	Shared   int    `json:"shared,omitempty"`
-	Own      int    `json:"own,omitempty"`
-	Answer   int    `json:"answer,omitempty"`
-	Priority int    `json:"priority,omitempty"`
-	// Deadline bounds the first token, in ms.
-	Deadline int64 `json:"deadline,omitempty"`
+	Group        uint64 `json:"group,omitempty"`
+	SharedTokens int    `json:"shared,omitempty"`
+	UniqueTokens int    `json:"own,omitempty"`
+	AnswerTokens int    `json:"answer,omitempty"`
+	Priority     int    `json:"priority,omitempty"`
+	// DeadlineMillis bounds the first token, in ms.
+	DeadlineMillis int64 `json:"deadline,omitempty"`
 	// Fault is "slow", "down" or "up", of Server by Factor.
-	Fault  string  `json:"fault,omitempty"`
-	Server int     `json:"server,omitempty"`
-	Factor float64 `json:"factor,omitempty"`
+	Fault      string  `json:"fault,omitempty"`
+	Server     int     `json:"server,omitempty"`
+	SlowFactor float64 `json:"factor,omitempty"`
 }
 
 // Trace is a decoded trace.
 type Trace struct {
 	Header
-	Lines []Line
+	Events []Event
 }
 
 // Read decodes a trace and checks it.
 func Read(r io.Reader) (Trace, error) {
 	var t Trace
-	lines := bufio.NewScanner(r)
-	for n := 1; lines.Scan(); n++ {
+	scanner := bufio.NewScanner(r)
+	for n := 1; scanner.Scan(); n++ {
 		if n == 1 {
-			if err := json.Unmarshal(lines.Bytes(), &t.Header); err != nil {
+			if err := json.Unmarshal(scanner.Bytes(), &t.Header); err != nil {
 				return t, fmt.Errorf("line 1: %w", err)
 			}
 			continue
 		}
-		var l Line
-		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
+		var event Event
+		if err := json.Unmarshal(scanner.Bytes(), &event); err != nil {
 			return t, fmt.Errorf("line %d: %w", n, err)
 		}
-		if l.Fault != "" && (l.Server < 0 || l.Server >= t.Servers || !slices.Contains([]string{"slow", "down", "up"}, l.Fault)) {
-			return t, fmt.Errorf("line %d: no fault %q of server %d", n, l.Fault, l.Server)
+		if event.Fault != "" && (event.Server < 0 || event.Server >= t.Servers || !slices.Contains([]string{"slow", "down", "up"}, event.Fault)) {
+			return t, fmt.Errorf("line %d: no fault %q of server %d", n, event.Fault, event.Server)
 		}
-		t.Lines = append(t.Lines, l)
+		t.Events = append(t.Events, event)
 	}
-	return t, lines.Err()
+	return t, scanner.Err()
 }
 
 // Result is what a replay reached.
 type Result struct {
-	Requests           int
-	Answered, FirstP95 float64
-	Attempts           float64
+	Requests                        int
+	AnsweredFraction, FirstTokenP95 float64
+	AttemptsPerRequest              float64
 }
 
 // Meets reports whether the stated outcome was reached.
-func (r Result) Meets(o Outcome) bool {
-	return r.Answered >= o.AnsweredAtLeast &&
-		(o.FirstP95AtMost == 0 || r.FirstP95 <= o.FirstP95AtMost) &&
-		(o.AttemptsAtMost == 0 || r.Attempts <= o.AttemptsAtMost)
+func (r Result) Meets(o Expectation) bool {
+	return r.AnsweredFraction >= o.MinAnswered &&
+		(o.MaxFirstTokenP95 == 0 || r.FirstTokenP95 <= o.MaxFirstTokenP95) &&
+		(o.MaxAttempts == 0 || r.AttemptsPerRequest <= o.MaxAttempts)
 }
 
 const (
-	replayDaemons = 6
-	replayLag     = 2 * time.Second
-	replayTail    = time.Minute
+	replayDaemons   = 6
+	replayReportLag = 2 * time.Second
+	replayDrainTime = time.Minute
 )
 
 // Replay runs a trace under a policy.
@@ -119,31 +119,31 @@
 	var engines []*sim.Engine
 	for range t.Servers {
 		e := sim.NewEngine(clock, t.Slots, time.Duration(t.PrefillMicros)*time.Microsecond, time.Duration(t.TokenMicros)*time.Microsecond, t.CacheBlocks)
-		e.Lag = replayLag
+		e.Lag = replayReportLag
 		engines = append(engines, e)
 	}
 	c := sim.NewCluster(1, engines, clock, replayDaemons, policy)
 	var sent []*sim.Request
 	last := time.Duration(0)
-	for i, l := range t.Lines {
-		last = time.Duration(l.AtMillis) * time.Millisecond
+	for i, event := range t.Events {
+		last = time.Duration(event.TimeMillis) * time.Millisecond
 		clock.After(last, func() {
-			if l.Fault != "" {
-				l.strike(engines[l.Server])
+			if event.Fault != "" {
+				event.applyTo(engines[event.Server])
 				return
 			}
-			sent = append(sent, l.request(uint64(i)))
+			sent = append(sent, event.request(uint64(i)))
 			c.Send(sent[len(sent)-1])
 		})
 	}
-	clock.Run(last + replayTail)
-	return judge(c.Results, sent)
+	clock.Run(last + replayDrainTime)
+	return summarize(c.Results, sent)
 }
 
-func (l Line) strike(e *sim.Engine) {
+func (l Event) applyTo(e *sim.Engine) {
 	switch l.Fault {
 	case "slow":
-		e.Slow = l.Factor
+		e.Slow = l.SlowFactor
 	case "down":
 		e.SetDown(true)
 	case "up":
@@ -151,29 +151,29 @@
 	}
 }
 
-func (l Line) request(n uint64) *sim.Request {
-	r := &sim.Request{Prompt: l.Shared + l.Own, Answer: l.Answer, Priority: l.Priority, Deadline: time.Duration(l.Deadline) * time.Millisecond}
-	for b := range l.Shared / routing.BlockTokens {
+func (l Event) request(n uint64) *sim.Request {
+	r := &sim.Request{Prompt: l.SharedTokens + l.UniqueTokens, Answer: l.AnswerTokens, Priority: l.Priority, Deadline: time.Duration(l.DeadlineMillis) * time.Millisecond}
+	for b := range l.SharedTokens / routing.BlockTokens {
 		r.Blocks = append(r.Blocks, l.Group<<16|uint64(b)+1)
 	}
-	for b := range l.Own / routing.BlockTokens {
+	for b := range l.UniqueTokens / routing.BlockTokens {
 		r.Blocks = append(r.Blocks, 1<<62|n<<8|uint64(b))
 	}
 	return r
 }
 
-func judge(results []*sim.Result, sent []*sim.Request) Result {
+func summarize(results []*sim.Result, sent []*sim.Request) Result {
 	out := Result{Requests: len(results)}
 	for i, r := range results {
-		out.Attempts += float64(r.Attempts)
+		out.AttemptsPerRequest += float64(r.Attempts)
 		if r.First > 0 && (sent[i].Deadline == 0 || r.First <= sent[i].Deadline) {
-			out.Answered++
+			out.AnsweredFraction++
 		}
 	}
 	n := float64(max(len(results), 1))
-	out.Answered /= n
-	out.Attempts /= n
-	out.FirstP95 = float64(sim.Quantile(results, 0.95, nil)) / float64(time.Millisecond)
+	out.AnsweredFraction /= n
+	out.AttemptsPerRequest /= n
+	out.FirstTokenP95 = float64(sim.Quantile(results, 0.95, nil)) / float64(time.Millisecond)
 	return out
 }
 
--- a/lab/traces/trace_test.go
+++ b/lab/traces/trace_test.go
@@ -12,7 +12,7 @@
 	"github.com/damaskrudder/damaskrudder/lab/sim"
 )
 
-func TestTracesReachTheirOutcome(t *testing.T) {
+func TestTracesMeetExpectations(t *testing.T) {
 	files, err := filepath.Glob("data/*.jsonl")
 	if err != nil || len(files) != 4 {
 		t.Fatal(files, err)
@@ -23,8 +23,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r := tr.Replay(sim.NewOurs(routing.DefaultPipeline())); !r.Meets(tr.Outcome) {
-				t.Errorf("%+v, stated %+v", r, tr.Outcome)
+			if r := tr.Replay(sim.NewOurs(routing.DefaultPipeline())); !r.Meets(tr.Expected) {
+				t.Errorf("%+v, stated %+v", r, tr.Expected)
 			}
 		})
 	}
@@ -32,37 +32,37 @@
 
 // Where the pool is even and the load low, ours answers as round robin does;
 // with a slow server round robin loses what it sends there.
-func TestAgainstRoundRobin(t *testing.T) {
-	tr, err := readFile("data/trading-window.jsonl")
+func TestCompareWithRoundRobin(t *testing.T) {
+	trace, err := readFile("data/trading-window.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours, robin := tr.Replay(sim.NewOurs(routing.DefaultPipeline())), tr.Replay(sim.NewRoundRobin)
-	if ours.Answered <= robin.Answered || robin.Meets(tr.Outcome) {
+	ours, robin := trace.Replay(sim.NewOurs(routing.DefaultPipeline())), trace.Replay(sim.NewRoundRobin)
+	if ours.AnsweredFraction <= robin.AnsweredFraction || robin.Meets(trace.Expected) {
 		t.Errorf("with a slow server: ours %+v, round robin %+v", ours, robin)
 	}
-	calm := tr
-	calm.Lines = nil
-	for _, l := range tr.Lines {
-		if l.Fault == "" && l.AtMillis < 15000 {
-			calm.Lines = append(calm.Lines, l)
+	beforePeak := trace
+	beforePeak.Events = nil
+	for _, l := range trace.Events {
+		if l.Fault == "" && l.TimeMillis < 15000 {
+			beforePeak.Events = append(beforePeak.Events, l)
 		}
 	}
-	ours, robin = calm.Replay(sim.NewOurs(routing.DefaultPipeline())), calm.Replay(sim.NewRoundRobin)
-	if ours.Answered != 1 || robin.Answered != 1 {
+	ours, robin = beforePeak.Replay(sim.NewOurs(routing.DefaultPipeline())), beforePeak.Replay(sim.NewRoundRobin)
+	if ours.AnsweredFraction != 1 || robin.AnsweredFraction != 1 {
 		t.Errorf("calm: ours %+v, round robin %+v", ours, robin)
 	}
-	if again := calm.Replay(sim.NewOurs(routing.DefaultPipeline())); again != ours {
+	if again := beforePeak.Replay(sim.NewOurs(routing.DefaultPipeline())); again != ours {
 		t.Errorf("the same trace gave %+v and %+v", ours, again)
 	}
 }
 
-func TestExamplesAreAsMade(t *testing.T) {
+func TestCommittedExamplesMatchGenerator(t *testing.T) {
 	for _, tr := range examples() {
 		var want bytes.Buffer
 		e := json.NewEncoder(&want)
 		_ = e.Encode(tr.Header)
-		for _, l := range tr.Lines {
+		for _, l := range tr.Events {
 			_ = e.Encode(l)
 		}
 		got, err := os.ReadFile("data/" + tr.Name + ".jsonl")
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestReadRefusesNonsense(t *testing.T) {
+func TestReadRejectsInvalidTraces(t *testing.T) {
 	for _, s := range []string{"{", "{}\n{", `{"servers":2}` + "\n" + `{"fault":"down","server":2}`, `{"servers":2}` + "\n" + `{"fault":"burn"}`} {
 		if _, err := Read(strings.NewReader(s)); err == nil {
 			t.Errorf("%q was read", s)
