--- a/internal/settings/secrets.go
+++ b/internal/settings/secrets.go
@@ -13,25 +13,27 @@
 // when no file is named.
 const SecretsEnvVar = "DAMASKRUDDER_SECRETS"
 
-// minSecretBytes is the least length of a key in bytes.
+// minSecretBytes is the minimum length of a key.
 const minSecretBytes = 16
 
-// Secrets are the keys of a daemon. They are never printed.
+// Secrets holds the keys of a daemon. Its String method redacts them.
 type Secrets struct {
 	// PeerKey authenticates daemons to each other.
 	PeerKey string `json:"peer_key"`
 	// OperatorKey authenticates operators.
 	OperatorKey string `json:"operator_key"`
-	// SessionCurrent is the id of the key that signs session tokens.
+	// SessionCurrent is the ID of the key that signs new session tokens.
 	SessionCurrent string `json:"session_current"`
-	// SessionKeys maps ids to keys; retired ones stay until their tokens are gone.
+	// SessionKeys maps key IDs to keys. A retired key must stay until all tokens
+	// that it signed have expired.
 	SessionKeys map[string]string `json:"session_keys"`
 }
 
-// String hides the keys from logs and errors.
+// String keeps the keys out of logs and errors.
 func (Secrets) String() string { return "[secrets]" }
 
-// LoadSecrets reads the secrets that settings name.
+// LoadSecrets reads and validates the secrets from s.SecretsFile or, if it is
+// empty, from the environment variable SecretsEnvVar.
 func LoadSecrets(s Settings) (Secrets, error) {
 	source := "environment variable " + SecretsEnvVar
 	data := []byte(os.Getenv(SecretsEnvVar))
@@ -44,7 +46,7 @@
 	}
 	var out Secrets
 	if json.Unmarshal(data, &out) != nil {
-		return out, fmt.Errorf("%s: not a JSON object of secrets", source)
+		return out, fmt.Errorf("%s: secrets are not a valid JSON object", source)
 	}
 	if err := out.validate(); err != nil {
 		return Secrets{}, fmt.Errorf("%s: %w", source, err)
@@ -54,23 +56,23 @@
 
 func (s Secrets) validate() error {
 	if len(s.PeerKey) < minSecretBytes {
-		return fmt.Errorf("peer_key: needs at least %d bytes", minSecretBytes)
+		return fmt.Errorf("peer_key: must have at least %d bytes", minSecretBytes)
 	}
 	if len(s.OperatorKey) < minSecretBytes {
-		return fmt.Errorf("operator_key: needs at least %d bytes", minSecretBytes)
+		return fmt.Errorf("operator_key: must have at least %d bytes", minSecretBytes)
 	}
 	if _, ok := s.SessionKeys[s.SessionCurrent]; !ok {
-		return errors.New("session_current: names no entry of session_keys")
+		return errors.New("session_current: not found in session_keys")
 	}
 	for id, k := range s.SessionKeys {
 		if len(k) < minSecretBytes {
-			return fmt.Errorf("session_keys/%s: needs at least %d bytes", id, minSecretBytes)
+			return fmt.Errorf("session_keys/%s: must have at least %d bytes", id, minSecretBytes)
 		}
 	}
 	return nil
 }
 
-// Keyring returns the session keyring.
+// Keyring returns the keyring that signs and verifies session tokens.
 func (s Secrets) Keyring() *session.Keyring {
 	keys := make(map[string][]byte, len(s.SessionKeys))
 	for id, k := range s.SessionKeys {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a daemon's settings: JSON with comments, every field
-// checked, errors naming the file, the line or field, and the value.
+// Package settings loads and validates a daemon's settings file, which is JSON
+// with comments. Errors contain the file, the line or field, and the value.
 package settings
 
 import (
@@ -23,7 +23,7 @@
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var s string
 	if err := json.Unmarshal(data, &s); err != nil {
-		return fmt.Errorf("a duration is a string such as \"1.5s\", not %s", data)
+		return fmt.Errorf("duration must be a string such as \"1.5s\", not %s", data)
 	}
 	v, err := time.ParseDuration(s)
 	*d = Duration(v)
@@ -33,78 +33,80 @@
 // MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Settings are the settings of one daemon.
+// Settings holds the settings of one daemon.
 type Settings struct {
-	// ID names the daemon; it stays the same over restarts. Required.
+	// ID identifies the daemon and must not change across restarts. Required.
 	ID string `json:"id"`
-	// Region is where the failure domain lies. Required.
+	// Region is the region of the failure domain. Required.
 	Region string `json:"region"`
-	// FailureDomain is where the VM runs. Required.
+	// FailureDomain is the failure domain of the VM. Required.
 	FailureDomain string `json:"failure_domain"`
-	// ListenAddress is the ip:port for callers and operators. Required.
+	// ListenAddress is the ip:port that serves callers and operators. Required.
 	ListenAddress string `json:"listen"`
-	// PeerListenAddress is the ip:port for other daemons. Required.
+	// PeerListenAddress is the ip:port that serves other daemons. Required.
 	PeerListenAddress string `json:"peer_listen"`
-	// Peers are peer addresses to join through. Default: none.
+	// Peers lists the ip:port of daemons to join the cluster through. Default: none.
 	Peers []string `json:"peers"`
 	// LogURL is the base URL of the append-only log service. Required.
 	LogURL string `json:"log"`
-	// VMListURL is the base URL of the list of VMs. Default: not used.
+	// VMListURL is the base URL of the VM list service. Default: not used.
 	VMListURL string `json:"vm_list"`
 	// RatingURL is the base URL of the rating service. Default: not used.
 	RatingURL string `json:"rating"`
-	// WeightStoreURL is the base URL of the weight store. Default: loads are not limited.
+	// WeightStoreURL is the base URL of the weight store, which limits concurrent
+	// weight loads. Default: loads are not limited.
 	WeightStoreURL string `json:"weights"`
-	// Pools are the pools this daemon routes to. Default: all.
+	// Pools lists the pools that the daemon routes to. Default: all.
 	Pools []string `json:"pools"`
-	// SecretsFile holds the keys as JSON. Default: the environment variable
-	// DAMASKRUDDER_SECRETS holds them.
+	// SecretsFile is the path of a JSON file with the keys. Default: the keys are
+	// read from the environment variable DAMASKRUDDER_SECRETS.
 	SecretsFile string `json:"secrets_file"`
-	// MaxBodyBytes bounds a request's body in bytes. Default 1,048,576.
+	// MaxBodyBytes is the maximum size of a request body in bytes. Default 1,048,576.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// SubsetSize is how many servers of a pool the daemon works with, 1 to 64.
-	// Default 24.
+	// SubsetSize is the maximum number of servers of a pool that the daemon sends
+	// to, 1 to 64. Default 24.
 	SubsetSize int `json:"subset"`
-	// EndpointTTL is how long callers may keep an answer of /v1/endpoints.
+	// EndpointTTL is how long callers may cache a response of /v1/endpoints.
 	// Default "5s".
 	EndpointTTL Duration `json:"endpoint_ttl"`
-	// DrainGrace is how long after EndpointTTL a stopping daemon still accepts
-	// requests. It covers the spread of the leaving mark to daemons that just
-	// started and missed the announcement, so it is at least "2s". Default "3s".
+	// DrainGrace is how long a stopping daemon accepts requests after the endpoint
+	// TTL has passed. The minimum, "2s", lets daemons that have just started learn
+	// that it is leaving. Default "3s".
 	DrainGrace Duration `json:"drain_grace"`
-	// DrainTimeout bounds the wait for running requests. Default "2m".
+	// DrainTimeout is the maximum wait for running requests at shutdown. Default "2m".
 	DrainTimeout Duration `json:"drain_limit"`
-	// StreamIdleTimeout is how long an answer stream may stay silent before it is resumed
-	// on a new connection. Default "3s".
+	// StreamIdleTimeout is how long a response stream from a server may be idle
+	// before it is resumed on a new connection. Default "3s".
 	StreamIdleTimeout Duration `json:"silence"`
-	// BillingBufferSize bounds the usage records awaiting the log. Default 20,000,
-	// about 8 MB.
+	// BillingBufferSize is the maximum number of usage records waiting to be written
+	// to the log. Default 20,000, about 8 MB.
 	BillingBufferSize int `json:"billing_buffer"`
-	// RatingShare is the fraction of answers handed to the rating service, 0 to
-	// 1. Default 0.05.
+	// RatingShare is the fraction of answers sent to the rating service, 0 to 1.
+	// Default 0.05.
 	RatingShare float64 `json:"rating_share"`
-	// LogOutagePolicy says what to do while the log does not answer: "majority" serves
-	// on among most daemons, "refuse" stops 15 s after the log's last word.
-	// Default "majority".
+	// LogOutagePolicy is the behaviour while the log is unreachable: "majority"
+	// keeps serving while a majority of daemons is reachable, "refuse" stops serving
+	// 15 s after the last response of the log. Default "majority".
 	LogOutagePolicy string `json:"without_log"`
 	// LogLevel is debug, info, warn or error. Default "info".
 	LogLevel string `json:"log_level"`
-	// TLS holds the files for encrypted listeners and links. Default: plain.
+	// TLS configures TLS for the listeners and for connections to other daemons.
+	// Default: no TLS.
 	TLS *TLS `json:"tls"`
 }
 
-// TLS names certificate files; they are read again when they change.
+// TLS holds the paths of PEM files. They are reloaded when they change.
 type TLS struct {
-	// CertFile is the daemon's certificate chain, PEM.
+	// CertFile is the path of the daemon's certificate chain, PEM.
 	CertFile string `json:"cert_file"`
-	// KeyFile is its private key, PEM.
+	// KeyFile is the path of the certificate's private key, PEM.
 	KeyFile string `json:"key_file"`
-	// CAFile holds the authorities that other daemons' certificates must be
-	// signed by, PEM.
+	// CAFile is the path of the CA certificates that verify other daemons'
+	// certificates, PEM.
 	CAFile string `json:"ca_file"`
 }
 
-// Defaults returns settings with every default filled in.
+// Defaults returns settings with all defaults set. Required fields are empty.
 func Defaults() Settings {
 	return Settings{
 		MaxBodyBytes:      1 << 20,
@@ -120,7 +122,7 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -133,7 +135,8 @@
 	return s, nil
 }
 
-// Parse decodes and checks settings.
+// Parse decodes settings over the defaults and validates them. An unknown field
+// is an error.
 func Parse(data []byte) (Settings, error) {
 	s := Defaults()
 	standardJSON, err := hujson.Standardize(bytes.Clone(data))
@@ -148,11 +151,11 @@
 	return s, s.Validate()
 }
 
-// addLineNumber adds the line of the offending field to a decoding error.
+// addLineNumber adds the line of the invalid field to a decoding error.
 func addLineNumber(data []byte, err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
-		return fmt.Errorf("line %d: %s: %s does not fit (a JSON %s)", lineNumber(data, int(typeErr.Offset)), typeErr.Field, valueEndingAt(data, int(typeErr.Offset)), typeErr.Value)
+		return fmt.Errorf("line %d: %s: %s has the wrong type (JSON %s)", lineNumber(data, int(typeErr.Offset)), typeErr.Field, valueEndingAt(data, int(typeErr.Offset)), typeErr.Value)
 	}
 	if _, field, ok := strings.Cut(err.Error(), "unknown field "); ok {
 		return fmt.Errorf("line %d: unknown field %s", lineNumber(data, bytes.Index(data, []byte(field))), field)
@@ -160,7 +163,7 @@
 	return err
 }
 
-// valueEndingAt returns the text of the value that ends at an offset.
+// valueEndingAt returns the JSON text of the value that ends at offset.
 func valueEndingAt(data []byte, offset int) string {
 	before := data[:min(max(offset, 0), len(data))]
 	return string(bytes.TrimSpace(before[bytes.LastIndexByte(before, ':')+1:]))
@@ -170,7 +173,7 @@
 	return 1 + bytes.Count(data[:min(max(offset, 0), len(data))], []byte("\n"))
 }
 
-// Validate checks every field.
+// Validate checks all fields and returns an error that names an invalid one.
 func (s *Settings) Validate() error {
 	for _, f := range []struct{ name, value string }{{"id", s.ID}, {"region", s.Region}, {"failure_domain", s.FailureDomain}} {
 		if f.value == "" {
@@ -207,7 +210,7 @@
 
 const (
 	maxSubsetSize = 64
-	// minDrainGrace is two rounds of heartbeats.
+	// minDrainGrace covers two heartbeat rounds.
 	minDrainGrace = Duration(2 * time.Second)
 )
 
@@ -217,26 +220,26 @@
 		value Duration
 	}{{"endpoint_ttl", s.EndpointTTL}, {"drain_grace", s.DrainGrace}, {"drain_limit", s.DrainTimeout}, {"silence", s.StreamIdleTimeout}} {
 		if f.value <= 0 {
-			return fmt.Errorf("%s: %s must be above zero", f.name, time.Duration(f.value))
+			return fmt.Errorf("%s: %s must be greater than zero", f.name, time.Duration(f.value))
 		}
 	}
 	switch {
 	case s.MaxBodyBytes <= 0:
-		return fmt.Errorf("max_body_bytes: %d must be above zero", s.MaxBodyBytes)
+		return fmt.Errorf("max_body_bytes: %d must be greater than zero", s.MaxBodyBytes)
 	case s.SubsetSize < 1 || s.SubsetSize > maxSubsetSize:
-		return fmt.Errorf("subset: %d is out of 1..%d", s.SubsetSize, maxSubsetSize)
+		return fmt.Errorf("subset: %d is out of range 1..%d", s.SubsetSize, maxSubsetSize)
 	case s.DrainGrace < minDrainGrace:
 		return fmt.Errorf("drain_grace: %s must be at least %s", time.Duration(s.DrainGrace), time.Duration(minDrainGrace))
 	case s.BillingBufferSize < 1:
-		return fmt.Errorf("billing_buffer: %d must be above zero", s.BillingBufferSize)
+		return fmt.Errorf("billing_buffer: %d must be greater than zero", s.BillingBufferSize)
 	case s.RatingShare < 0 || s.RatingShare > 1:
-		return fmt.Errorf("rating_share: %v is out of 0..1", s.RatingShare)
+		return fmt.Errorf("rating_share: %v is out of range 0..1", s.RatingShare)
 	case s.LogOutagePolicy != "majority" && s.LogOutagePolicy != "refuse":
 		return fmt.Errorf("without_log: %q is neither majority nor refuse", s.LogOutagePolicy)
 	case !strings.Contains(" debug info warn error ", " "+s.LogLevel+" "):
 		return fmt.Errorf("log_level: %q is not debug, info, warn or error", s.LogLevel)
 	case s.TLS != nil && (s.TLS.CertFile == "" || s.TLS.KeyFile == "" || s.TLS.CAFile == ""):
-		return errors.New("tls: cert_file, key_file and ca_file are all needed")
+		return errors.New("tls: cert_file, key_file and ca_file are all required")
 	}
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(valid.String(), validKey) {
-		t.Error("a key is printed")
+		t.Error("String contains a key")
 	}
 	for want, invalid := range map[string]Secrets{
 		"peer_key":        {OperatorKey: validKey, SessionCurrent: "k1", SessionKeys: valid.SessionKeys},
