--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -7,7 +7,7 @@
 
 var limits = Limits{ConfigPropagation: 2 * time.Second, ServerRemoval: 3 * time.Second}
 
-// validHistory is a history that breaks nothing.
+// validHistory returns a history without violations.
 func validHistory() []Event {
 	return []Event{
 		{Kind: ConfigAccepted, ConfigNumber: 1},
@@ -28,7 +28,7 @@
 	}
 }
 
-// Each promise has a history that breaks it and nothing else.
+// Each history violates exactly one property.
 func TestEachViolationIsReported(t *testing.T) {
 	cases := map[Property][]Event{
 		VersionAllowed:           {{Kind: ExecutionStarted, Request: "b", Model: "m", Version: "v9"}},
@@ -57,6 +57,6 @@
 	}
 	sharedKey := []Event{{Kind: ExecutionStarted, Request: "b", IdempotencyKey: "k", Allowed: true}, {Kind: ExecutionStarted, Request: "c", IdempotencyKey: "k", Allowed: true}}
 	if violations := Check(sharedKey, limits); len(violations) != 1 || violations[0].Property != AtMostOnce {
-		t.Errorf("two requests of one key: %v", violations)
+		t.Errorf("two requests with one idempotency key: found %v", violations)
 	}
 }
