--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -1,4 +1,5 @@
-// Package arch_test holds rules on the layout of the code.
+// Package arch_test checks the package dependencies, the size of the platform
+// adapter and the generated reference pages.
 package arch_test
 
 import (
@@ -12,13 +13,15 @@
 	"testing"
 )
 
-// purePackages are the decision packages: typed inputs in, typed decisions out.
+// purePackages lists the packages that must not do I/O, read the clock or use global
+// randomness.
 var purePackages = []string{"fault", "fleet", "routing", "cascade", "rollout", "session", "request", "quota", "billing", "membership", "lease", "slo", "invariant", "route", "backend", "freshness", "quarantine", "slowstart", "gate"}
 
-// forbiddenImports imports would bring I/O, or randomness and time from nowhere.
+// forbiddenImports lists the packages, with their subpackages, that a pure package
+// must not import.
 var forbiddenImports = []string{"net", "os", "io/fs", "syscall", "context", "sync", "crypto/rand", "github.com/charmbracelet/log"}
 
-// importExceptions are exceptions with their reason.
+// importExceptions maps "package import" to the reason why the import is allowed.
 var importExceptions = map[string]string{
 	"fault net/http":  "names of status codes",
 	"fleet net/netip": "parsing of addresses, no I/O",
@@ -40,7 +43,7 @@
 		}
 	}
 	if files < len(purePackages) {
-		t.Fatalf("only %d files were read", files)
+		t.Fatalf("checked only %d files", files)
 	}
 }
 
@@ -55,6 +58,7 @@
 	}
 }
 
+// findViolations returns the forbidden imports and calls in a source file.
 func findViolations(t *testing.T, pkg, name, src string) []string {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), name, src, 0)
--- a/internal/arch/docs_test.go
+++ b/internal/arch/docs_test.go
@@ -24,7 +24,8 @@
 
 var update = flag.Bool("update", false, "write the pages that are made from the code")
 
-// comparePage compares a page of docs with what the code says, or writes it.
+// comparePage compares a page in docs with the generated text, or writes it with
+// -update.
 func comparePage(t *testing.T, name, want string) {
 	t.Helper()
 	file := filepath.Join("..", "..", "docs", name)
@@ -38,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if string(got) != want {
-		t.Errorf("%s does not fit the code; run go test ./internal/arch -update", name)
+		t.Errorf("%s is out of date; run go test ./internal/arch -update", name)
 	}
 }
 
@@ -74,7 +75,8 @@
 	comparePage(t, "METRICS.md", b.String())
 }
 
-// checkRegisteredMetrics compares a list of metrics with those that a package registers.
+// checkRegisteredMetrics compares documented metrics with those that a package
+// registers in its metrics.go.
 func checkRegisteredMetrics(t *testing.T, pkg string, names map[string]string) {
 	t.Helper()
 	src, err := os.ReadFile(filepath.Join("..", pkg, "metrics.go"))
@@ -83,11 +85,11 @@
 	}
 	for n := range names {
 		if !strings.Contains(string(src), `("`+n+`"`) {
-			t.Errorf("%s is listed and not in use", n)
+			t.Errorf("%s is documented but not registered", n)
 		}
 	}
 	if used := strings.Count(string(src), `Counter("`) + strings.Count(string(src), `Gauge("`) + strings.Count(string(src), `Histogram("`); used != len(names) {
-		t.Errorf("%s: %d metrics are in use, %d are listed", pkg, used, len(names))
+		t.Errorf("%s: %d metrics are registered, %d are documented", pkg, used, len(names))
 	}
 }
 
@@ -105,7 +107,8 @@
 	comparePage(t, "SETTINGS.md", b.String())
 }
 
-// forEachField calls f with the JSON name and the comment of every field of a type.
+// forEachField calls visit with the JSON name and the doc comment of every field of a
+// struct type.
 func forEachField(f *ast.File, typ string, visit func(name, doc string)) {
 	ast.Inspect(f, func(n ast.Node) bool {
 		ts, ok := n.(*ast.TypeSpec)
@@ -120,7 +123,7 @@
 	})
 }
 
-// The sample shows every field, and the defaults that the code has.
+// The sample must contain every field with its default value.
 func TestSampleMatchesDefaults(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("..", "..", "docs", "settings.sample.jsonc"))
 	if err != nil {
@@ -141,10 +144,10 @@
 	_ = json.Unmarshal(want, &all)
 	for field := range all {
 		if field != "tls" && !strings.Contains(string(data), `"`+field+`"`) {
-			t.Errorf("the sample lacks %s", field)
+			t.Errorf("the sample does not contain %s", field)
 		}
 	}
 	if time.Duration(sample.StreamIdleTimeout) <= 0 {
-		t.Error("silence was not read")
+		t.Error("silence is missing")
 	}
 }
--- a/internal/arch/platform_test.go
+++ b/internal/arch/platform_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// wireNames are names of the users' platform. They are decoded once, in platform/;
-// stand-ins and the soak, which plays callers and the operator, speak them to it.
+// wireNames matches names of the platform's wire protocols. Only platform/ may use
+// them, besides the stand-ins and the soak test, which act as its clients and servers.
 var wireNames = regexp.MustCompile(`(?i)x-damaskrudder-|"/-/|keyed\.(op|servers|status)|kv-from|log-append`)
 
 func TestWireNamesOnlyInPlatform(t *testing.T) {
@@ -36,7 +36,7 @@
 			}
 		case strings.HasPrefix(slashPath, "internal/standin/"), strings.HasPrefix(slashPath, "lab/soak/"):
 		case found != nil:
-			t.Errorf("%s has %q", rel, found)
+			t.Errorf("%s contains wire name %q", rel, found)
 		}
 		return nil
 	})
@@ -44,11 +44,12 @@
 		t.Fatal(err)
 	}
 	if matches == 0 {
-		t.Error("the pattern finds nothing in platform/ either")
+		t.Error("the pattern matches nothing in platform/")
 	}
 }
 
-// maxPlatformLines keeps the adapter small: what decides belongs to the product.
+// maxPlatformLines limits the size of the adapter, which must not contain decision
+// logic.
 const maxPlatformLines = 2500
 
 func TestPlatformSize(t *testing.T) {
