--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed runs tests with fixed seeds, so that CI gives the same
-// verdict every time.
+// Package fixedseed runs property-based tests with a fixed seed, so that their
+// results are reproducible.
 package fixedseed
 
 import (
@@ -8,10 +8,11 @@
 	"testing"
 )
 
-// seed is the seed of rapid's checks; -rapid.seed overrides it.
+// seed is the default of the flag -rapid.seed.
 const seed = "20261202"
 
-// Main runs the tests of a package that uses rapid. Call it from TestMain.
+// Main runs the tests of a package that uses rapid with a fixed seed unless
+// -rapid.seed is given. Call it from TestMain.
 func Main(m *testing.M) {
 	seedFlag := flag.Lookup("rapid.seed")
 	seedFlag.DefValue = seed
