--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -1,6 +1,6 @@
-// Package demo runs the whole system in one process: six daemons, stand-ins for
-// the platform and the backend servers, and traffic of two operators' kinds,
-// while a version goes bad. It ends with a report.
+// Package demo runs daemons, stand-ins for the platform and the backend servers, and
+// client traffic in one process. The demo rolls out a model version that starts to
+// fail, and prints a report.
 package demo
 
 import (
@@ -20,31 +20,32 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// Node is a started daemon.
+// Node is a running daemon.
 type Node interface {
 	Shutdown(ctx context.Context) error
 	Kill()
 }
 
-// StartFunc starts a daemon from settings.
+// StartFunc starts a daemon.
 type StartFunc func(s settings.Settings, secrets settings.Secrets) (Node, error)
 
-// Secrets are fixed keys for the demo and for tests; no deployment uses them.
+// Secrets holds fixed keys for the demo and for tests.
 var Secrets = settings.Secrets{
 	PeerKey: "demo-peer-key-0123456789", OperatorKey: "demo-operator-key-0123456789",
 	SessionCurrent: "k1", SessionKeys: map[string]string{"k1": "demo-session-key-0123456789"},
 }
 
-// failureDomains are the failure domains of the smaller deployment.
+// failureDomains lists the failure domains; daemons and servers alternate between them.
 var failureDomains = []string{"kalgoorlie-hall", "perth-east", "perth-west", "bunbury-hall"}
 
-// Cluster is the platform, the backend servers and the daemons.
+// Cluster runs daemons with stand-ins for the platform and the backend servers.
 type Cluster struct {
 	Log      *standin.Log
 	VMs      *standin.VMList
 	Engines  map[string]*standin.Engine
 	Services map[string]*standin.Plain
-	// CrashedEngines counts engines that a run has ended; they stay away.
+	// CrashedEngines counts the engines that a request has crashed. They are not
+	// restarted.
 	CrashedEngines atomic.Int64
 	Nodes          []Node
 	Addresses      []string
@@ -54,85 +55,84 @@
 	http           *http.Client
 }
 
-// loadedVersions are loaded on every engine of the demo.
+// loadedVersions lists the model versions that are loaded on every engine.
 var loadedVersions = []string{"bib-lookup@v1", "bib-lookup@v2", "warrant-reader@v1"}
 
-// NewCluster starts stand-ins and count daemons and applies the demo's
-// configuration. A failed start leaves nothing running.
+// NewCluster starts the stand-ins and count daemons and applies the demo's
+// configuration. On an error it stops what it has started.
 func NewCluster(count int, start StartFunc) (*Cluster, error) {
-	w := &Cluster{
+	c := &Cluster{
 		Log: standin.NewLog(0), VMs: standin.NewVMList(0), Engines: map[string]*standin.Engine{},
 		Services: map[string]*standin.Plain{}, startNode: start, http: &http.Client{Timeout: 30 * time.Second},
 	}
-	if err := w.startAll(count); err != nil {
-		w.Close()
+	if err := c.startAll(count); err != nil {
+		c.Close()
 		return nil, err
 	}
-	return w, nil
+	return c, nil
 }
 
-func (w *Cluster) startAll(count int) error {
+func (c *Cluster) startAll(count int) error {
 	var urls []string
-	for _, h := range []http.Handler{w.Log, standin.NewRater(time.Second), w.VMs} {
-		s, err := w.serve(h)
+	for _, h := range []http.Handler{c.Log, standin.NewRater(time.Second), c.VMs} {
+		s, err := c.serve(h)
 		if err != nil {
 			return err
 		}
 		urls = append(urls, s.URL)
 	}
-	config, err := w.startBackends()
+	config, err := c.startBackends()
 	if err != nil {
 		return err
 	}
-	if err := w.startDaemons(count, urls); err != nil {
+	if err := c.startDaemons(count, urls); err != nil {
 		return err
 	}
-	return w.ApplyPatch(config)
+	return c.ApplyPatch(config)
 }
 
-func (w *Cluster) serve(h http.Handler) (*standin.Server, error) {
+func (c *Cluster) serve(h http.Handler) (*standin.Server, error) {
 	s, err := standin.Serve(h)
 	if err == nil {
-		w.servers = append(w.servers, s)
+		c.servers = append(c.servers, s)
 	}
 	return s, err
 }
 
-// EngineConfig is the service-time model of the demo's engines.
+// EngineConfig is the configuration of the demo's engines.
 var EngineConfig = standin.EngineConfig{
 	Slots: 8, Prefill: 40 * time.Microsecond, PerToken: 2 * time.Millisecond,
 	AnswerTokens: 24, ChecksFencing: true, Lag: 500 * time.Millisecond, CacheBlocks: 512,
 }
 
 const (
-	// ratingShare is above the default, so that a short run gets ratings.
-	ratingShare  = 0.2
-	engineCount  = 10
-	serviceCount = 4
-	// enginePool and servicePool are the pools of the demo.
+	// ratingShare is higher than the default so that a short demo receives ratings.
+	ratingShare             = 0.2
+	engineCount             = 10
+	serviceCount            = 4
 	enginePool, servicePool = "lm-desk", "trade-apps"
 )
 
-// startBackends starts the backend servers and returns the configuration that names them.
-func (w *Cluster) startBackends() (fleet.Patch, error) {
+// startBackends starts the backend servers and returns the initial configuration.
+func (c *Cluster) startBackends() (fleet.Patch, error) {
 	var engines, services []fleet.Server
 	for i := range engineCount {
 		id := fmt.Sprintf("%s-%d", enginePool, i)
-		w.Engines[id] = standin.NewEngine(EngineConfig, loadedVersions...)
-		s, err := w.serve(w.Engines[id])
+		c.Engines[id] = standin.NewEngine(EngineConfig, loadedVersions...)
+		s, err := c.serve(c.Engines[id])
 		if err != nil {
 			return fleet.Patch{}, err
 		}
-		w.Engines[id].OnDeadly(func() {
-			w.CrashedEngines.Add(1)
+		c.Engines[id].OnDeadly(func() {
+			c.CrashedEngines.Add(1)
 			s.Close()
 		})
 		engines = append(engines, fleet.Server{ID: id, Address: s.Address, FailureDomain: failureDomains[i%len(failureDomains)], Slots: EngineConfig.Slots, ChecksFencing: true})
 	}
 	for i := range serviceCount {
 		id := fmt.Sprintf("%s-%d", servicePool, i)
-		w.Services[id] = standin.NewPlain()
-		s, err := w.serve(w.Services[id])
+		c.Services[id] = standin.NewPlain()
+		s, err := c.serve(c.Services[id])
 		if err != nil {
 			return fleet.Patch{}, err
 		}
@@ -173,7 +173,7 @@
 	}
 }
 
-// Names of the demo's workspaces.
+// The demo's workspaces.
 const (
 	Goldfields = "goldfields-desk"
 	Largada    = "largada-sul"
@@ -182,7 +182,7 @@
 // APIKey returns the API key of one of the demo's workspaces.
 func APIKey(workspace string) string { return "key-of-" + workspace }
 
-func (w *Cluster) startDaemons(count int, urls []string) error {
+func (c *Cluster) startDaemons(count int, urls []string) error {
 	addresses, err := freeAddresses(2 * count)
 	if err != nil {
 		return err
@@ -195,19 +195,19 @@
 		s.LogURL, s.RatingURL, s.VMListURL, s.RatingShare = urls[0], urls[1], urls[2], ratingShare
 		s.EndpointTTL, s.DrainGrace = settings.Duration(500*time.Millisecond), settings.Duration(2*time.Second)
 		s.StreamIdleTimeout = settings.Duration(time.Second)
-		w.Settings = append(w.Settings, s)
-		w.Addresses = append(w.Addresses, s.ListenAddress)
-		n, err := w.startNode(s, Secrets)
+		c.Settings = append(c.Settings, s)
+		c.Addresses = append(c.Addresses, s.ListenAddress)
+		n, err := c.startNode(s, Secrets)
 		if err != nil {
 			return err
 		}
-		w.Nodes = append(w.Nodes, n)
+		c.Nodes = append(c.Nodes, n)
 	}
-	return w.waitReady()
+	return c.waitReady()
 }
 
-// freeAddresses finds loopback addresses that nothing listens on. All are held
-// until the last is found, so that none is given twice.
+// freeAddresses returns n unused loopback addresses. It keeps all ports open until
+// the last one is found, so that none is returned twice.
 func freeAddresses(n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -221,11 +221,11 @@
 	return out, nil
 }
 
-// waitReady waits until every daemon serves.
-func (w *Cluster) waitReady() error {
-	for _, a := range w.Addresses {
+// waitReady waits until the health check of every daemon succeeds.
+func (c *Cluster) waitReady() error {
+	for _, a := range c.Addresses {
 		for tries := 0; ; tries++ {
-			resp, err := w.http.Get("http://" + a + "/healthz")
+			resp, err := c.http.Get("http://" + a + "/healthz")
 			if err == nil {
 				_ = resp.Body.Close()
 				if resp.StatusCode == http.StatusNoContent {
@@ -241,43 +241,45 @@
 	return nil
 }
 
-// ApplyPatch sends a patch against the number in force and waits until every daemon
-// has it.
-func (w *Cluster) ApplyPatch(p fleet.Patch) error {
-	var c fleet.Config
-	if err := w.CallOperator(http.MethodGet, "/config", nil, &c); err != nil {
+// ApplyPatch submits a patch against the current configuration and waits until every
+// daemon has applied it.
+func (c *Cluster) ApplyPatch(p fleet.Patch) error {
+	var config fleet.Config
+	if err := c.CallOperator(http.MethodGet, "/config", nil, &config); err != nil {
 		return err
 	}
-	rec := fleet.Record{PatchID: daemon.NewRequestID(), Base: c.Number, Author: "demo", Patch: mustMarshal(p)}
-	if err := w.CallOperator(http.MethodPost, "/patches", rec, nil); err != nil {
+	rec := fleet.Record{PatchID: daemon.NewRequestID(), Base: config.Number, Author: "demo", Patch: mustMarshal(p)}
+	if err := c.CallOperator(http.MethodPost, "/patches", rec, nil); err != nil {
 		return err
 	}
 	for tries := range 100 {
-		if w.lowestConfigNumber() > c.Number {
+		if c.lowestConfigNumber() > config.Number {
 			return nil
 		}
 		time.Sleep(time.Duration(tries) * time.Millisecond)
 	}
-	return fmt.Errorf("configuration %d is not in force everywhere", c.Number+1)
+	return fmt.Errorf("configuration %d is not in force everywhere", config.Number+1)
 }
 
-func (w *Cluster) lowestConfigNumber() uint64 {
+// lowestConfigNumber returns the lowest configuration number of the reachable daemons.
+func (c *Cluster) lowestConfigNumber() uint64 {
 	lowest := ^uint64(0)
-	for _, a := range w.Addresses {
-		var c fleet.Config
-		if w.callOperator(a, http.MethodGet, "/config", nil, &c) == nil {
-			lowest = min(lowest, c.Number)
+	for _, a := range c.Addresses {
+		var config fleet.Config
+		if c.callOperatorAPI(a, http.MethodGet, "/config", nil, &config) == nil {
+			lowest = min(lowest, config.Number)
 		}
 	}
 	return lowest
 }
 
-// CallOperator calls an operators' resource of the first daemon.
-func (w *Cluster) CallOperator(method, path string, in, out any) error {
-	return w.callOperator(w.Addresses[0], method, path, in, out)
+// CallOperator calls the operator API of the first daemon. It decodes the response
+// into out unless out is nil.
+func (c *Cluster) CallOperator(method, path string, in, out any) error {
+	return c.callOperatorAPI(c.Addresses[0], method, path, in, out)
 }
 
-func (w *Cluster) callOperator(address, method, path string, in, out any) error {
+func (c *Cluster) callOperatorAPI(address, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		body = bytes.NewReader(mustMarshal(in))
@@ -287,7 +289,7 @@
 		return err
 	}
 	req.Header.Set("Authorization", "Bearer "+Secrets.OperatorKey)
-	resp, err := w.http.Do(req)
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return err
 	}
@@ -305,39 +307,39 @@
 	return json.Unmarshal(data, out)
 }
 
-// Restart replaces a daemon gracefully at the same addresses.
-func (w *Cluster) Restart(ctx context.Context, i int) error {
-	if err := w.Nodes[i].Shutdown(ctx); err != nil {
+// Restart shuts a daemon down gracefully and starts it again at the same addresses.
+func (c *Cluster) Restart(ctx context.Context, i int) error {
+	if err := c.Nodes[i].Shutdown(ctx); err != nil {
 		return err
 	}
-	return w.Start(i)
+	return c.Start(i)
 }
 
-// Kill ends a daemon at once, as the loss of its VM does.
-func (w *Cluster) Kill(i int) { w.Nodes[i].Kill() }
+// Kill stops a daemon without a graceful shutdown.
+func (c *Cluster) Kill(i int) { c.Nodes[i].Kill() }
 
-// Start starts a fresh daemon in the place of a killed one and waits until it
-// serves.
-func (w *Cluster) Start(i int) error {
-	n, err := w.startNode(w.Settings[i], Secrets)
+// Start starts a stopped daemon again at the same addresses and waits until all
+// daemons are ready.
+func (c *Cluster) Start(i int) error {
+	n, err := c.startNode(c.Settings[i], Secrets)
 	if err != nil {
 		return err
 	}
-	w.Nodes[i] = n
-	return w.waitReady()
+	c.Nodes[i] = n
+	return c.waitReady()
 }
 
-// CallOperatorAt calls an operators' resource of one daemon.
-func (w *Cluster) CallOperatorAt(i int, method, path string, in, out any) error {
-	return w.callOperator(w.Addresses[i], method, path, in, out)
+// CallOperatorAt calls the operator API of daemon i like CallOperator.
+func (c *Cluster) CallOperatorAt(i int, method, path string, in, out any) error {
+	return c.callOperatorAPI(c.Addresses[i], method, path, in, out)
 }
 
-// Close ends everything.
-func (w *Cluster) Close() {
-	for _, n := range w.Nodes {
+// Close kills the daemons and stops the stand-ins.
+func (c *Cluster) Close() {
+	for _, n := range c.Nodes {
 		n.Kill()
 	}
-	for _, s := range w.servers {
+	for _, s := range c.servers {
 		s.Close()
 	}
 }
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -20,41 +20,41 @@
 	"github.com/damaskrudder/damaskrudder/internal/invariant"
 )
 
-// Traffic sends requests like the callers of both operators and keeps what came back.
+// Traffic sends requests to a cluster and records the responses.
 type Traffic struct {
 	cluster *Cluster
 	http    *http.Client
 
-	mu              sync.Mutex
-	history         []invariant.Event
-	firstToken      *hdrhistogram.Histogram
-	sent            int
-	answered        int
-	serviceCalls    int
-	unanswered      map[string]int
-	start           time.Time
-	endpoints       []string
-	endpointsExpire time.Time
+	mu               sync.Mutex
+	history          []invariant.Event
+	firstTokenMicros *hdrhistogram.Histogram
+	sent             int
+	answered         int
+	serviceCalls     int
+	unanswered       map[string]int
+	start            time.Time
+	endpoints        []string
+	endpointsExpire  time.Time
 }
 
 const (
-	// maxLatencyMicros bounds the histogram, in microseconds.
+	// maxLatencyMicros is the largest latency that the histogram can record.
 	maxLatencyMicros = 60_000_000
-	// sharedPromptBytes is the part of a desk's prompts that is always the same.
+	// sharedPromptBytes is the length of the common prefix of cascade prompts.
 	sharedPromptBytes = 4096
-	// requestPause is the pause between two requests of one caller.
+	// requestPause is the pause of a caller between two requests.
 	requestPause = 10 * time.Millisecond
 )
 
-// NewTraffic returns traffic for a world.
-func NewTraffic(w *Cluster) *Traffic {
+// NewTraffic returns a traffic generator for a cluster.
+func NewTraffic(c *Cluster) *Traffic {
 	return &Traffic{
-		cluster: w, http: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
-		firstToken: hdrhistogram.New(1, maxLatencyMicros, 3), unanswered: map[string]int{}, start: time.Now(),
+		cluster: c, http: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+		firstTokenMicros: hdrhistogram.New(1, maxLatencyMicros, 3), unanswered: map[string]int{}, start: time.Now(),
 	}
 }
 
-// Run sends requests with a number of callers until the context ends.
+// Run sends requests from concurrent callers until the context is done.
 func (t *Traffic) Run(ctx context.Context, callers int, seed uint64) {
 	var wg sync.WaitGroup
 	for i := range callers {
@@ -69,41 +69,42 @@
 	wg.Wait()
 }
 
-// Answered returns how many requests were answered in full.
+// Answered returns the number of complete responses.
 func (t *Traffic) Answered() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.answered
 }
 
-// Unanswered returns how many requests were not answered, by reason.
+// Unanswered returns the number of requests without a complete response, by reason.
 func (t *Traffic) Unanswered() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.unanswered)
 }
 
-// sendNext sends one request of the mix: desk prompts through the cascade, cheap
-// look-ups, long reads, and confirmations that may not be repeated.
+// sendNext sends a random request: a service call that must not be repeated, a chat
+// through the cascade, or a chat with the cheap or the expensive model.
 func (t *Traffic) sendNext(rng *rand.Rand, caller, n int) {
 	ws := Goldfields
 	if caller%2 == 1 {
 		ws = Largada
 	}
 	session := fmt.Sprintf("caller-%d-%d", caller, n)
-	switch mix := rng.IntN(10); {
-	case mix < 1:
+	switch choice := rng.IntN(10); {
+	case choice < 1:
 		t.confirm(ws, fmt.Sprintf("confirm-%d-%d", caller, n))
-	case mix < 4:
+	case choice < 4:
 		t.chat(ws, "desk", session, strings.Repeat("warrant ", sharedPromptBytes/8)+session)
-	case mix < 9:
+	case choice < 9:
 		t.chat(ws, "bib-lookup", session, "status of bib "+session)
 	default:
 		t.chat(ws, "warrant-reader", session, strings.Repeat("assay ", rng.IntN(400))+session)
 	}
 }
 
-// nextEndpoint asks which address to use and keeps the answer for its time.
+// nextEndpoint returns the next daemon address in turn. It refreshes the list of
+// endpoints when its TTL has expired.
 func (t *Traffic) nextEndpoint() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,8 +115,8 @@
 }
 
 func (t *Traffic) refreshEndpoints() {
-	known := append(t.endpoints, t.cluster.Addresses...)
-	for _, a := range known {
+	addresses := append(t.endpoints, t.cluster.Addresses...)
+	for _, a := range addresses {
 		resp, err := t.http.Get("http://" + a + "/v1/endpoints")
 		if err != nil {
 			continue
@@ -135,8 +136,8 @@
 	t.endpoints = t.cluster.Addresses
 }
 
-// send posts a request and books what is no answer. The caller closes the body of
-// a response it gets.
+// send posts a request and counts a failure or refusal. If ok is true, the caller must
+// close the response body.
 func (t *Traffic) send(ws, path string, header http.Header, body []byte) (resp *http.Response, id string, ok bool) {
 	resp, err := t.post(ws, path, header, body)
 	if err != nil {
@@ -174,7 +175,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	text, first, complete := readStream(resp.Body)
+	text, firstToken, complete := readStream(resp.Body)
 	if !complete {
 		t.recordFailure("cut")
 		return
@@ -182,7 +183,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answered++
-	_ = t.firstToken.RecordValue(first.Sub(sent).Microseconds())
+	_ = t.firstTokenMicros.RecordValue(firstToken.Sub(sent).Microseconds())
 	t.record(invariant.Event{Kind: invariant.ResponseReceived, Request: id, Answer: text})
 }
 
@@ -191,9 +192,10 @@
 	t.history = append(t.history, e)
 }
 
-// readStream reads a streamed answer up to its terminal mark.
-func readStream(r io.Reader) (text string, first time.Time, complete bool) {
-	var b strings.Builder
+// readStream reads a response stream. Complete is false if the stream ends without the
+// terminal event.
+func readStream(r io.Reader) (content string, firstToken time.Time, complete bool) {
+	var text strings.Builder
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -201,7 +203,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			return b.String(), first, true
+			return text.String(), firstToken, true
 		}
 		var chunk struct {
 			Choices []struct {
@@ -214,13 +216,13 @@
 			continue
 		}
 		if c := chunk.Choices[0].Delta.Content; c != "" {
-			if first.IsZero() {
-				first = time.Now()
+			if firstToken.IsZero() {
+				firstToken = time.Now()
 			}
-			b.WriteString(c)
+			text.WriteString(c)
 		}
 	}
-	return b.String(), first, false
+	return text.String(), firstToken, false
 }
 
 func (t *Traffic) confirm(ws, key string) {
