--- a/internal/settings/secrets.go
+++ b/internal/settings/secrets.go
@@ -56,17 +56,17 @@
 
 func (s Secrets) validate() error {
 	if len(s.PeerKey) < minSecretBytes {
-		return fmt.Errorf("peer_key: must have at least %d bytes", minSecretBytes)
+		return fmt.Errorf("peer_key: needs at least %d bytes", minSecretBytes)
 	}
 	if len(s.OperatorKey) < minSecretBytes {
-		return fmt.Errorf("operator_key: must have at least %d bytes", minSecretBytes)
+		return fmt.Errorf("operator_key: needs at least %d bytes", minSecretBytes)
 	}
 	if _, ok := s.SessionKeys[s.SessionCurrent]; !ok {
 		return errors.New("session_current: not found in session_keys")
 	}
 	for id, k := range s.SessionKeys {
 		if len(k) < minSecretBytes {
-			return fmt.Errorf("session_keys/%s: must have at least %d bytes", id, minSecretBytes)
+			return fmt.Errorf("session_keys/%s: needs at least %d bytes", id, minSecretBytes)
 		}
 	}
 	return nil
