--- a/lab/experiments/cascade.go
+++ b/lab/experiments/cascade.go
@@ -8,26 +8,29 @@
 )
 
 const (
-	// cascadeRequests are sent at cascadeRate a second.
+	// cascadeRequests is the number of requests, sent at cascadeRate per second.
 	cascadeRequests, cascadeRate = 40_000, 20
-	// driftRequest is the request from which the cheap model is worse in one class.
+	// driftRequest is the index of the first request with lower quality of the cheap
+	// model in driftedClass.
 	driftRequest = 20_000
-	// ratingDelaySeconds is how many seconds a rating takes.
+	// ratingDelaySeconds is the time from an answer to its rating.
 	ratingDelaySeconds = 10
-	// qualityTarget is the wanted fraction of good answers.
+	// qualityTarget is the required fraction of good answers.
 	qualityTarget = 0.90
-	// fixedConfidence is the fixed confidence below which the naive cascade escalates.
+	// fixedConfidence is the confidence below which the baseline cascade escalates.
 	fixedConfidence = 0.8
-	// confidenceNoise is the standard deviation of the cheap model's confidence
-	// around its true chance of being right.
+	// confidenceNoise is the standard deviation of the cheap model's confidence from
+	// the probability of a good answer.
 	confidenceNoise = 0.08
-	// recoveryRequests of the drifted class is the time allowed to recover.
+	// recoveryRequests is the number of requests of driftedClass after the drift that
+	// are not part of the recovered quality.
 	recoveryRequests = 500
 )
 
 var costs = cascade.Costs{Cheap: 1, Expensive: 15}
 
-// requestClass is a class of requests with the mean chance that either model is right.
+// requestClass is a class of requests with its share of the traffic and the mean
+// probability of a good answer of each model.
 type requestClass struct {
 	name             string
 	share            float64
@@ -41,13 +44,13 @@
 	{"waiver", 0.10, 0.35, 0.93},
 }
 
-// drifted is the class whose cheap answers turn worse, to this chance.
+// The quality of the cheap model in driftedClass drops to driftedQuality.
 const (
 	driftedClass   = 0
 	driftedQuality = 0.55
 )
 
-// request is one request with its truth.
+// request is a request with the quality of both models' answers.
 type request struct {
 	class         int
 	confidence    float64
@@ -58,7 +61,7 @@
 func newRequest(rng *rand.Rand, index int) request {
 	r := request{class: pickClass(rng)}
 	class := requestClasses[r.class]
-	// A question's own difficulty spreads the chance around the class's mean.
+	// The difficulty varies between requests of a class.
 	quality := min(max(class.cheap+rng.NormFloat64()*0.12, 0.02), 0.995)
 	r.confidence = min(max(quality+rng.NormFloat64()*confidenceNoise, 0), 1)
 	if index >= driftRequest && r.class == driftedClass {
@@ -71,16 +74,16 @@
 
 func pickClass(rng *rand.Rand) int {
 	x := rng.Float64()
-	for i, k := range requestClasses {
-		if x < k.share {
+	for i, class := range requestClasses {
+		if x < class.share {
 			return i
 		}
-		x -= k.share
+		x -= class.share
 	}
 	return len(requestClasses) - 1
 }
 
-// result is what a rule did with one question.
+// result is the outcome of serving a request.
 type result struct {
 	cost         float64
 	good         bool
@@ -88,6 +91,8 @@
 	expensiveRan bool
 }
 
+// serve runs the cheap model first if cheapFirst is set, and the expensive model if the
+// cheap answer is not accepted.
 func serve(r request, cheapFirst bool, accept func() bool) result {
 	out := result{cheapRan: cheapFirst}
 	if cheapFirst {
@@ -102,13 +107,14 @@
 	return out
 }
 
+// pendingRating is a rating that arrives at second due.
 type pendingRating struct {
 	due     int
 	request request
 	result  result
 }
 
-// stats sums up one phase of a trial.
+// stats accumulates the results of one phase of a trial.
 type stats struct {
 	requests, good int
 	cost           float64
@@ -125,43 +131,43 @@
 func (s stats) quality() float64  { return float64(s.good) / float64(s.requests) }
 func (s stats) meanCost() float64 { return s.cost / float64(s.requests) }
 
-// cascadeTrial runs ours and the naive rules over the same questions.
+// cascadeTrial serves the same requests with the adaptive plan and with the baselines.
 func cascadeTrial(seed uint64) []float64 {
-	rng, coin := rand.New(rand.NewPCG(seed, 11)), rand.New(rand.NewPCG(seed, 12))
+	rng, sampler := rand.New(rand.NewPCG(seed, 11)), rand.New(rand.NewPCG(seed, 12))
 	classes := map[string]*cascade.Class{}
-	for _, k := range requestClasses {
-		classes[k.name] = &cascade.Class{}
+	for _, class := range requestClasses {
+		classes[class.name] = &cascade.Class{}
 	}
 	var plan cascade.Plan
 	var pending []pendingRating
 	var ours, fixedThreshold, oracle, drifted, recovered stats
 	var alwaysExpensive stats
-	oracleRules := oraclePlan(rng)
+	bestPlan := oraclePlan(rng)
 	driftedRequests := 0
-	for n := range cascadeRequests {
-		if n%cascadeRate == 0 {
-			pending = applyDueRatings(classes, pending, n/cascadeRate)
+	for index := range cascadeRequests {
+		if index%cascadeRate == 0 {
+			pending = applyDueRatings(classes, pending, index/cascadeRate)
 			plan = cascade.NewPlan(classes, costs, qualityTarget)
 		}
-		r := newRequest(rng, n)
+		r := newRequest(rng, index)
 		name := requestClasses[r.class].name
 		_, hasPlan := plan.Accept[name]
-		cheapFirst := plan.UseCheapFirst(name, hasPlan, coin.Float64())
+		cheapFirst := plan.UseCheapFirst(name, hasPlan, sampler.Float64())
 		if cheapFirst {
 			classes[name].RecordConfidence(r.confidence)
 		}
 		res := serve(r, cheapFirst, func() bool { return plan.Accepts(name, r.confidence) })
-		if coin.Float64() < ratingShare {
-			pending = append(pending, pendingRating{n/cascadeRate + ratingDelaySeconds, r, res})
+		if sampler.Float64() < ratingShare {
+			pending = append(pending, pendingRating{index/cascadeRate + ratingDelaySeconds, r, res})
 		}
-		// The first quarter is for learning.
+		// The first quarter of the requests is not measured.
 		switch {
-		case n >= driftRequest/2 && n < driftRequest:
+		case index >= driftRequest/2 && index < driftRequest:
 			ours.add(res)
 			fixedThreshold.add(serve(r, true, func() bool { return r.confidence >= fixedConfidence }))
-			oracle.add(serve(r, oracleRules.UseCheapFirst(name, true, 1), func() bool { return oracleRules.Accepts(name, r.confidence) }))
+			oracle.add(serve(r, bestPlan.UseCheapFirst(name, true, 1), func() bool { return bestPlan.Accepts(name, r.confidence) }))
 			alwaysExpensive.add(serve(r, false, nil))
-		case n >= driftRequest:
+		case index >= driftRequest:
 			if r.class == driftedClass {
 				driftedRequests++
 			}
@@ -177,6 +183,7 @@
 	}
 }
 
+// applyDueRatings records the ratings that are due and returns the remaining ones.
 func applyDueRatings(classes map[string]*cascade.Class, pending []pendingRating, second int) []pendingRating {
 	for len(pending) > 0 && pending[0].due <= second {
 		p := pending[0]
@@ -192,11 +199,11 @@
 	return pending
 }
 
-// oraclePlan knows the true rates: it is made from many rated questions.
+// oraclePlan returns a plan based on a large sample of rated requests.
 func oraclePlan(rng *rand.Rand) cascade.Plan {
 	classes := map[string]*cascade.Class{}
-	for _, k := range requestClasses {
-		classes[k.name] = &cascade.Class{}
+	for _, class := range requestClasses {
+		classes[class.name] = &cascade.Class{}
 	}
 	for range 200_000 {
 		r := newRequest(rng, 0)
--- a/lab/experiments/limits.go
+++ b/lab/experiments/limits.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// limitsDuration is the length of a limits trial.
+	// limitsDuration is the duration of a trial in virtual time.
 	limitsDuration = 6 * time.Minute
 	// limitsStep is the resolution of virtual time.
 	limitsStep = 100 * time.Millisecond
-	// lessorOutageStart and homeLostFor take the home away in the middle.
+	// The lessor is unreachable for lessorOutageDuration from lessorOutageStart.
 	lessorOutageStart, lessorOutageDuration = 3 * time.Minute, 3 * time.Second
-	// demandFactor is what callers ask for, as a multiple of the limit.
+	// demandFactor is the offered load as a multiple of the limit.
 	demandFactor = 1.5
 )
 
@@ -39,49 +39,51 @@
 	}
 }
 
-// newDaemonZipf draws a daemon by a Zipf law: few get most of the demand.
-func newDaemonZipf(rng *rand.Rand, n int) *rand.Zipf { return rand.NewZipf(rng, 1.1, 1, uint64(n-1)) }
+// zipfDaemons returns a Zipf distribution of requests over daemons.
+func zipfDaemons(rng *rand.Rand, daemons int) *rand.Zipf {
+	return rand.NewZipf(rng, 1.1, 1, uint64(daemons-1))
+}
 
 const tokensPerRequest = 500
 
-// simulateSpending drives one trial and returns what was spent in each step.
-func simulateSpending(seed uint64, n int, limit int64, trySpend func(now time.Time, at time.Duration, daemon int) bool) []int64 {
+// simulateSpending runs one trial and returns the tokens spent in each step.
+func simulateSpending(seed uint64, daemons int, limit int64, trySpend func(now time.Time, elapsed time.Duration, daemon int) bool) []int64 {
 	rng := rand.New(rand.NewPCG(seed, 9))
-	zipf := newDaemonZipf(rng, n)
+	zipf := zipfDaemons(rng, daemons)
 	start := time.Unix(1_000_000, 0)
 	perStep := demandFactor * float64(limit) / tokensPerRequest * limitsStep.Seconds() / quota.WindowSpan.Seconds()
 	var spent []int64
-	for at := time.Duration(0); at < limitsDuration; at += limitsStep {
-		sum := int64(0)
+	for elapsed := time.Duration(0); elapsed < limitsDuration; elapsed += limitsStep {
+		stepTotal := int64(0)
 		for range int(perStep + rng.Float64()) {
-			if trySpend(start.Add(at), at, int(zipf.Uint64())) {
-				sum += tokensPerRequest
+			if trySpend(start.Add(elapsed), elapsed, int(zipf.Uint64())) {
+				stepTotal += tokensPerRequest
 			}
 		}
-		spent = append(spent, sum)
+		spent = append(spent, stepTotal)
 	}
 	return spent
 }
 
-// limitDeviation returns the largest excess of a sliding minute and the shortfall of the
-// mean use after the first minute, both as fractions of the limit.
+// limitDeviation returns the maximum overshoot of a sliding minute and the undershoot
+// of the mean after the first minute, as fractions of the limit.
 func limitDeviation(spent []int64, limit int64) (overshoot, undershoot float64) {
-	width := int(quota.WindowSpan / limitsStep)
+	windowSteps := int(quota.WindowSpan / limitsStep)
 	sum, total := int64(0), int64(0)
 	for i, s := range spent {
 		sum += s
-		if i >= width {
-			sum -= spent[i-width]
+		if i >= windowSteps {
+			sum -= spent[i-windowSteps]
 			total += s
 		}
 		overshoot = max(overshoot, float64(sum)/float64(limit)-1)
 	}
-	minutes := float64(len(spent)-width) / float64(width)
+	minutes := float64(len(spent)-windowSteps) / float64(windowSteps)
 	return overshoot, 1 - float64(total)/(minutes*float64(limit))
 }
 
-// leasedLimits runs the project's limits; the home is lost midway and a new one, which
-// knows nothing, takes over.
+// leasedLimits runs limiters that lease tokens from a lessor. After an outage a new
+// lessor without state replaces the first one.
 func leasedLimits(seed uint64, n int, limit int64) (overshoot, undershoot, requestsPerSecond float64) {
 	limiters := make([]*quota.Limiter, n)
 	for i := range limiters {
@@ -90,20 +92,20 @@
 	epoch := uint64(1)
 	lessor := quota.NewLessor(epoch)
 	requests := 0
-	requestLease := func(now time.Time, s *quota.Limiter, need int64) {
+	requestLease := func(now time.Time, l *quota.Limiter, tokens int64) {
 		requests++
-		s.ApplyLease(now, lessor.Grant(now, s.NewLeaseRequest(now, need, limit, epoch)))
+		l.ApplyLease(now, lessor.Grant(now, l.NewLeaseRequest(now, tokens, limit, epoch)))
 	}
-	spent := simulateSpending(seed, n, limit, func(now time.Time, at time.Duration, d int) bool {
-		s := limiters[d]
-		if s.TryAcquire(now, tokensPerRequest) {
+	spent := simulateSpending(seed, n, limit, func(now time.Time, elapsed time.Duration, d int) bool {
+		l := limiters[d]
+		if l.TryAcquire(now, tokensPerRequest) {
 			return true
 		}
-		if at >= lessorOutageStart && at < lessorOutageStart+lessorOutageDuration {
-			s.LeaseRequestFailed(now, s.NewLeaseRequest(now, tokensPerRequest, limit, epoch))
-			return s.TryAcquire(now, tokensPerRequest)
+		if elapsed >= lessorOutageStart && elapsed < lessorOutageStart+lessorOutageDuration {
+			l.LeaseRequestFailed(now, l.NewLeaseRequest(now, tokensPerRequest, limit, epoch))
+			return l.TryAcquire(now, tokensPerRequest)
 		}
-		if at >= lessorOutageStart && epoch == 1 {
+		if elapsed >= lessorOutageStart && epoch == 1 {
 			epoch = 2
 			lessor = quota.NewLessor(epoch)
 			for _, other := range limiters {
@@ -112,16 +114,17 @@
 				}
 			}
 		}
-		if s.Denied(now) {
+		if l.Denied(now) {
 			return false
 		}
-		requestLease(now, s, tokensPerRequest)
-		return s.TryAcquire(now, tokensPerRequest)
+		requestLease(now, l, tokensPerRequest)
+		return l.TryAcquire(now, tokensPerRequest)
 	})
 	overshoot, undershoot = limitDeviation(spent, limit)
 	return overshoot, undershoot, float64(requests) / limitsDuration.Seconds()
 }
 
+// fixedShares gives each daemon an equal share of the limit.
 func fixedShares(seed uint64, n int, limit int64) float64 {
 	shares := make([]*naive.EqualShare, n)
 	for i := range shares {
@@ -133,8 +136,8 @@
 	return undershoot
 }
 
-// countedAtEnd spends from one exact window that knows of a request's tokens only
-// when it ends, as a limiter without reservations does.
+// countedAtEnd runs one exact window that counts the tokens of a request only when the
+// request ends.
 func countedAtEnd(seed uint64, n int, limit int64) float64 {
 	const requestDuration = 5 * time.Second
 	type end struct {
@@ -143,15 +146,15 @@
 	}
 	var window quota.Window
 	var running []end
-	overshoot, _ := limitDeviation(simulateSpending(seed, n, limit, func(now time.Time, at time.Duration, _ int) bool {
-		for len(running) > 0 && running[0].at <= at {
+	overshoot, _ := limitDeviation(simulateSpending(seed, n, limit, func(now time.Time, elapsed time.Duration, _ int) bool {
+		for len(running) > 0 && running[0].at <= elapsed {
 			window.Add(now, running[0].tokens)
 			running = running[1:]
 		}
 		if window.Sum(now, quota.WindowSpan)+tokensPerRequest > limit {
 			return false
 		}
-		running = append(running, end{at + requestDuration, tokensPerRequest})
+		running = append(running, end{elapsed + requestDuration, tokensPerRequest})
 		return true
 	}), limit)
 	return overshoot
--- a/lab/experiments/main.go
+++ b/lab/experiments/main.go
@@ -1,6 +1,5 @@
-// Command experiments measures the decisions against naive versions in virtual
-// time and prints one table a matter. The same seeds give the same table, byte
-// for byte.
+// Command experiments compares the decision algorithms with simple baselines in virtual
+// time and prints one table per topic. The output depends only on the number of seeds.
 //
 //	go run ./lab/experiments
 package main
--- a/lab/experiments/rollout.go
+++ b/lab/experiments/rollout.go
@@ -12,56 +12,62 @@
 )
 
 const (
-	// requestRate is the model's traffic over the whole fleet, a second.
+	// requestRate is the number of requests per second to all daemons.
 	requestRate = 120
-	// sessions take turns; each is pinned to the version of its first answer and
-	// ends after sessionLength requests in the mean.
+	// sessions is the number of concurrent sessions. Each is pinned to the version of
+	// its first answer and lasts meanSessionRequests on average.
 	sessions            = 400
 	meanSessionRequests = 20
-	// rolloutSeconds ends a roll-out trial.
+	// rolloutSeconds is the duration of a trial in virtual time.
 	rolloutSeconds = 900
-	// ratingShare and ratingDelay describe the rating service.
-	ratingShare        = 0.05
-	rolloutRatingDelay = 30
-	// Base rates of a good version.
+	// ratingShare is the fraction of rated answers; a rating takes rolloutRatingDelay
+	// seconds.
+	ratingShare = 0.05
+	ratingDelay = 30
+	// Error, slow and bad answer rates of a good version.
 	baseErrorRate, baseSlowRate, baseBadRate = 0.002, 0.02, 0.05
-	// stageDuration is the fixed time of a stage for the naive rule and the least
-	// time of ours.
+	// stageDuration is the duration of a stage of the fixed steps and the minimum
+	// duration of a stage of the evidence controller.
 	stageDuration = time.Minute
 )
 
 var stages = []float64{1, 10, 50, 100}
 
-// injectedFault is what is wrong with the new version, or with a place.
+// injectedFault is a fault of the new version or of the servers. Its rates are
+// probabilities per request.
 type injectedFault struct {
 	errors, slow, badAnswers float64
-	// startSecond is when the version turns bad, in seconds.
+	// startSecond is the second from which the new version is faulty.
 	startSecond int
-	// servers fail runs of both versions at placeErrors.
+	// servers fail requests to both versions at serverErrorRate.
 	servers         []int
 	serverErrorRate float64
-	// allSlow makes every run of both versions slow.
+	// allSlow makes all requests to both versions slow.
 	allSlow bool
 }
 
-// outcome is what one roll-out did.
+// outcome is the result of one roll-out.
 type outcome struct {
-	// affected counts requests harmed by the new version's fault.
+	// affected counts the requests affected by the new version's fault.
 	affected int
-	// affectedPinned counts those of sessions that were pinned before it turned bad.
+	// affectedPinned counts the affected requests of sessions that were pinned before
+	// the fault started.
 	affectedPinned int
-	// rolledBackAt and done are when, in seconds; -1 is never.
+	// rolledBackAt and completedAt are in seconds, or -1 if it didn't happen.
 	rolledBackAt, completedAt int
 	held                      bool
 }
 
-// rolloutController is a rule that steers a roll-out, called once a virtual second.
+// rolloutController controls a roll-out.
 type rolloutController interface {
 	percent() float64
+	// excludes reports whether a daemon sends no new sessions to the new version.
 	excludes(daemon int) bool
-	ratingShare(fresh bool) float64
+	ratingShare(newVersion bool) float64
+	// observe records a request, or its rating if r.rated is set.
 	observe(r run)
-	tick(second int) (stop, done, held bool)
+	// evaluateSecond is called at the end of each second of virtual time.
+	evaluateSecond(second int) (rolledBack, completed, held bool)
 }
 
 // run is one finished request.
@@ -72,14 +78,16 @@
 	rated                   bool
 }
 
+// delayedRating is a rating that arrives at second due.
 type delayedRating struct {
 	due int
 	run run
 }
 
 // simulateRollout runs one roll-out.
-func simulateRollout(seed uint64, f injectedFault, s rolloutController) outcome {
+func simulateRollout(seed uint64, fault injectedFault, controller rolloutController) outcome {
 	rng := rand.New(rand.NewPCG(seed, 7))
+	// A session is not pinned (0), pinned to the old version (1) or to the new one (2).
 	pins := make([]int8, sessions)
 	pinnedBefore := make([]bool, sessions)
 	buckets := make([]float64, sessions)
@@ -90,7 +98,7 @@
 	sessionCount := sessions
 	var ratings []delayedRating
 	for second := range rolloutSeconds {
-		if second == f.startSecond {
+		if second == fault.startSecond {
 			for i, p := range pins {
 				pinnedBefore[i] = p == 2
 			}
@@ -102,8 +110,8 @@
 				pins[id], pinnedBefore[id], buckets[id] = 0, false, fleet.Bucket("m", fmt.Sprint(seed, "/", sessionCount))
 			}
 			r := run{daemon: rng.IntN(daemonCount), server: rng.IntN(engineCount)}
-			r.newVersion = out.rolledBackAt < 0 && (pins[id] == 2 || pins[id] == 0 && buckets[id] < s.percent() && !s.excludes(r.daemon))
-			affected := r.simulate(rng, f, second)
+			r.newVersion = out.rolledBackAt < 0 && (pins[id] == 2 || pins[id] == 0 && buckets[id] < controller.percent() && !controller.excludes(r.daemon))
+			affected := r.simulate(rng, fault, second)
 			if affected {
 				out.affected++
 				if pinnedBefore[id] {
@@ -116,21 +124,21 @@
 					pins[id] = 2
 				}
 			}
-			s.observe(r)
-			if !r.failed && rng.Float64() < s.ratingShare(r.newVersion) {
+			controller.observe(r)
+			if !r.failed && rng.Float64() < controller.ratingShare(r.newVersion) {
 				r.rated = true
-				ratings = append(ratings, delayedRating{second + rolloutRatingDelay, r})
+				ratings = append(ratings, delayedRating{second + ratingDelay, r})
 			}
 		}
 		for len(ratings) > 0 && ratings[0].due <= second {
-			s.observe(ratings[0].run)
+			controller.observe(ratings[0].run)
 			ratings = ratings[1:]
 		}
-		stop, done, held := s.tick(second)
-		if stop && out.rolledBackAt < 0 {
+		rolledBack, completed, held := controller.evaluateSecond(second)
+		if rolledBack && out.rolledBackAt < 0 {
 			out.rolledBackAt = second
 		}
-		if done && out.completedAt < 0 {
+		if completed && out.completedAt < 0 {
 			out.completedAt = second
 		}
 		out.held = out.held || held
@@ -138,24 +146,25 @@
 	return out
 }
 
-// simulate decides how a run went and whether the new version's fault harmed it.
-func (r *run) simulate(rng *rand.Rand, f injectedFault, second int) bool {
+// simulate sets the result of a request and reports whether it was affected by the new
+// version's fault.
+func (r *run) simulate(rng *rand.Rand, fault injectedFault, second int) bool {
 	r.failed = rng.Float64() < baseErrorRate
-	r.slow = f.allSlow || rng.Float64() < baseSlowRate
+	r.slow = fault.allSlow || rng.Float64() < baseSlowRate
 	r.badAnswer = rng.Float64() < baseBadRate
-	for _, s := range f.servers {
-		if s == r.server && rng.Float64() < f.serverErrorRate {
+	for _, s := range fault.servers {
+		if s == r.server && rng.Float64() < fault.serverErrorRate {
 			r.failed = true
 		}
 	}
-	if !r.newVersion || second < f.startSecond {
+	if !r.newVersion || second < fault.startSecond {
 		return false
 	}
 	affected := false
 	for _, c := range []struct {
 		rate float64
 		flag *bool
-	}{{f.errors, &r.failed}, {f.slow, &r.slow}, {f.badAnswers, &r.badAnswer}} {
+	}{{fault.errors, &r.failed}, {fault.slow, &r.slow}, {fault.badAnswers, &r.badAnswer}} {
 		if c.rate > 0 && rng.Float64() < c.rate {
 			*c.flag, affected = true, true
 		}
@@ -163,93 +172,94 @@
 	return affected
 }
 
-// evidenceController steers by the project's rules: evidence by server, judged every second at
-// the home, with a brake in each daemon.
+// evidenceController evaluates the merged evidence of all daemons every second. Each
+// daemon also stops on its own evidence.
 type evidenceController struct {
 	policy     rollout.StagePolicy
 	rollout    fleet.Rollout
 	stageStart int
 	evidence   [daemonCount]rollout.Evidence
-	braked     [daemonCount]bool
+	stopped    [daemonCount]bool
 }
 
 func newEvidenceController() *evidenceController {
-	o := &evidenceController{policy: rollout.DefaultStagePolicy(), rollout: fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: stages, State: fleet.RolloutRunning}}
-	o.policy.MinStageDuration = stageDuration
-	for d := range o.evidence {
+	c := &evidenceController{policy: rollout.DefaultStagePolicy(), rollout: fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: stages, State: fleet.RolloutRunning}}
+	c.policy.MinStageDuration = stageDuration
+	for d := range c.evidence {
 		for s := range engineCount {
 			domain := fmt.Sprint("fd", s%5)
 			id := fmt.Sprintf("s%02d", s)
-			o.evidence[d] = append(o.evidence[d], rollout.ServerCounts{Server: id, FailureDomain: domain}, rollout.ServerCounts{Server: id, FailureDomain: domain, New: true})
+			c.evidence[d] = append(c.evidence[d], rollout.ServerCounts{Server: id, FailureDomain: domain}, rollout.ServerCounts{Server: id, FailureDomain: domain, New: true})
 		}
 	}
-	return o
+	return c
 }
 
-func (o *evidenceController) ratingShare(fresh bool) float64 {
-	return rollout.RatingShare(ratingShare, o.rollout.Percent(), fresh)
+func (c *evidenceController) ratingShare(newVersion bool) float64 {
+	return rollout.RatingShare(ratingShare, c.rollout.Percent(), newVersion)
 }
-func (o *evidenceController) percent() float64         { return o.rollout.Percent() }
-func (o *evidenceController) excludes(daemon int) bool { return o.braked[daemon] }
+func (c *evidenceController) percent() float64         { return c.rollout.Percent() }
+func (c *evidenceController) excludes(daemon int) bool { return c.stopped[daemon] }
 
-func (o *evidenceController) observe(r run) {
-	at := 2 * r.server
+func (c *evidenceController) observe(r run) {
+	index := 2 * r.server
 	if r.newVersion {
-		at++
+		index++
 	}
-	n := &o.evidence[r.daemon][at].Counts
+	counts := &c.evidence[r.daemon][index].Counts
 	if r.rated {
-		n.Rated++
+		counts.Rated++
 		if r.badAnswer {
-			n.Bad++
+			counts.Bad++
 		}
 		return
 	}
-	n.Requests++
+	counts.Requests++
 	if r.failed {
-		n.Errors++
+		counts.Errors++
 		return
 	}
-	n.Timed++
+	counts.Timed++
 	if r.slow {
-		n.Slow++
+		counts.Slow++
 	}
 }
 
-func (o *evidenceController) tick(second int) (stop, done, held bool) {
-	if rollout.CarriesTraffic(o.rollout) {
-		o.evaluate(second)
+func (c *evidenceController) evaluateSecond(second int) (rolledBack, completed, held bool) {
+	if rollout.CarriesTraffic(c.rollout) {
+		c.evaluate(second)
 	}
-	return o.rollout.State == fleet.RolloutRolledBack, o.rollout.Percent() == 100, o.rollout.State == fleet.RolloutHeld
+	return c.rollout.State == fleet.RolloutRolledBack, c.rollout.Percent() == 100, c.rollout.State == fleet.RolloutHeld
 }
 
-func (o *evidenceController) evaluate(second int) {
-	var all rollout.Evidence
-	for d := range o.evidence {
-		_, stop := o.policy.ShouldStopLocally(o.evidence[d])
-		o.braked[d] = o.braked[d] || stop
-		all = all.Merge(o.evidence[d])
+func (c *evidenceController) evaluate(second int) {
+	var merged rollout.Evidence
+	for d := range c.evidence {
+		_, stop := c.policy.ShouldStopLocally(c.evidence[d])
+		c.stopped[d] = c.stopped[d] || stop
+		merged = merged.Merge(c.evidence[d])
 	}
-	v := o.policy.Evaluate(o.rollout, all, time.Duration(second-o.stageStart)*time.Second)
-	if v.Step == rollout.Wait {
+	verdict := c.policy.Evaluate(c.rollout, merged, time.Duration(second-c.stageStart)*time.Second)
+	if verdict.Step == rollout.Wait {
 		return
 	}
-	o.rollout = rollout.ApplyStep(o.rollout, v.Step)
-	o.stageStart = second
-	if v.Step != rollout.Advance {
+	c.rollout = rollout.ApplyStep(c.rollout, verdict.Step)
+	c.stageStart = second
+	if verdict.Step != rollout.Advance {
 		return
 	}
-	for d := range o.evidence {
-		for i := range o.evidence[d] {
-			o.evidence[d][i].Counts = rollout.Counts{}
+	for d := range c.evidence {
+		for i := range c.evidence[d] {
+			c.evidence[d][i].Counts = rollout.Counts{}
 		}
 	}
 }
 
-// fixedStepsController steers by the naive rule.
+// fixedStepsController advances after a fixed time unless the error rate exceeds a
+// threshold.
 type fixedStepsController struct {
 	rule             naive.FixedSteps
-	second           int
+	lastSecond       int
 	requests, errors int
 }
 
@@ -257,32 +267,32 @@
 	return &fixedStepsController{rule: naive.FixedSteps{Stages: stages, StageTime: stageDuration, Threshold: 0.05, Window: 30 * time.Second}}
 }
 
-func (f *fixedStepsController) percent() float64 {
-	return f.rule.Percent(time.Duration(f.second) * time.Second)
+func (c *fixedStepsController) percent() float64 {
+	return c.rule.Percent(time.Duration(c.lastSecond) * time.Second)
 }
-func (f *fixedStepsController) excludes(int) bool        { return false }
-func (f *fixedStepsController) ratingShare(bool) float64 { return ratingShare }
-func (f *fixedStepsController) observe(r run) {
+func (c *fixedStepsController) excludes(int) bool        { return false }
+func (c *fixedStepsController) ratingShare(bool) float64 { return ratingShare }
+func (c *fixedStepsController) observe(r run) {
 	if r.rated {
 		return
 	}
-	f.requests++
+	c.requests++
 	if r.failed {
-		f.errors++
+		c.errors++
 	}
 }
 
-func (f *fixedStepsController) tick(second int) (stop, done, held bool) {
-	f.second = second
-	at := time.Duration(second) * time.Second
-	f.rule.Observe(at, f.requests, f.errors)
-	f.requests, f.errors = 0, 0
-	return f.rule.Percent(at) == 0, f.rule.Done(at), false
+func (c *fixedStepsController) evaluateSecond(second int) (rolledBack, completed, held bool) {
+	c.lastSecond = second
+	elapsed := time.Duration(second) * time.Second
+	c.rule.Observe(elapsed, c.requests, c.errors)
+	c.requests, c.errors = 0, 0
+	return c.rule.Percent(elapsed) == 0, c.rule.Done(elapsed), false
 }
 
 var badVersions = []struct {
-	name string
-	f    injectedFault
+	name  string
+	fault injectedFault
 }{
 	{"2% errors", injectedFault{errors: 0.02}},
 	{"10% errors", injectedFault{errors: 0.1}},
@@ -308,8 +318,8 @@
 func rolloutTrial(seed uint64) []float64 {
 	var out []float64
 	for _, b := range badVersions {
-		a, n := simulateRollout(seed, b.f, newEvidenceController()), simulateRollout(seed, b.f, newFixedStepsController())
-		out = append(out, float64(a.affected)/float64(max(n.affected, 1)), float64(a.affected), float64(n.affected), float64(a.rolledBackAt))
+		evidence, fixed := simulateRollout(seed, b.fault, newEvidenceController()), simulateRollout(seed, b.fault, newFixedStepsController())
+		out = append(out, float64(evidence.affected)/float64(max(fixed.affected, 1)), float64(evidence.affected), float64(fixed.affected), float64(evidence.rolledBackAt))
 	}
 	delayed := simulateRollout(seed, injectedFault{errors: 0.5, startSecond: 200}, newEvidenceController())
 	good, fixedGood := simulateRollout(seed, injectedFault{}, newEvidenceController()), simulateRollout(seed, injectedFault{}, newFixedStepsController())
@@ -319,7 +329,7 @@
 	return append(out, float64(delayed.affectedPinned), float64(delayed.rolledBackAt-200), float64(good.completedAt)/float64(fixedGood.completedAt))
 }
 
-// reportFalseHalts counts good versions that were rolled back or held.
+// reportFalseHalts writes the fraction of good versions that were rolled back or held.
 func reportFalseHalts(out io.Writer, runs int) {
 	halts := 0
 	for seed := range runs {
@@ -331,11 +341,12 @@
 	r.write(out)
 }
 
-// reportFalseRollbacks counts good versions that were blamed for something else.
+// reportFalseRollbacks writes the fraction of good versions that were rolled back
+// because of faulty servers.
 func reportFalseRollbacks(out io.Writer, runs int) {
 	cases := []struct {
-		name string
-		f    injectedFault
+		name  string
+		fault injectedFault
 	}{
 		{"a bad server", injectedFault{servers: []int{3}, serverErrorRate: 0.5}},
 		{"a bad failure domain", injectedFault{servers: []int{0, 5}, serverErrorRate: 0.5}},
@@ -344,7 +355,7 @@
 	for _, c := range cases {
 		rolledBack := 0
 		for seed := range runs {
-			if simulateRollout(uint64(seed+1), c.f, newEvidenceController()).rolledBackAt >= 0 {
+			if simulateRollout(uint64(seed+1), c.fault, newEvidenceController()).rolledBackAt >= 0 {
 				rolledBack++
 			}
 		}
--- a/lab/experiments/routing.go
+++ b/lab/experiments/routing.go
@@ -18,7 +18,7 @@
 	cacheBlocks   = 1500
 	reportLag     = 2 * time.Second
 	trialDuration = 120 * time.Second
-	// warmUp is left out of the figures.
+	// warmUp is the start of a trial that is not measured.
 	warmUp = 20 * time.Second
 )
 
@@ -56,8 +56,8 @@
 
 func afterWarmUp(r *sim.Result) bool { return r.Sent > warmUp && r.Sent < trialDuration }
 
-// capacity is the rate at which the pool completes desk requests when it is
-// kept busy, with our routing, in requests a second.
+// capacity returns the requests per second that a saturated pool completes with the
+// default routing pipeline.
 func capacity(seed uint64, work sim.Workload) float64 {
 	work.Deadline = 0
 	c := trial{seed: seed, load: 200, workload: work}.run(sim.NewOurs(routing.DefaultPipeline()))
@@ -94,15 +94,17 @@
 	p99 := func(p policy) float64 {
 		return float64(sim.Quantile(slow.run(p).Results, 0.99, afterWarmUp)) / float64(time.Millisecond)
 	}
-	a, robin, least := p99(ours), p99(sim.NewRoundRobin), p99(sim.NewLeastReported)
-	out := []float64{a / robin, a / least, a, robin, least}
+	oursP99, roundRobinP99, leastReportedP99 := p99(ours), p99(sim.NewRoundRobin), p99(sim.NewLeastReported)
+	out := []float64{oursP99 / roundRobinP99, oursP99 / leastReportedP99, oursP99, roundRobinP99, leastReportedP99}
 	out = append(out, overload(seed, capacityRate, ours)...)
 	return append(out, domainLoss(seed, capacityRate, ours)...)
 }
 
-// overloadDeadline is the first-token deadline of the overload trials.
+// overloadDeadline is the first-token deadline of the overload trial.
 const overloadDeadline = 1500 * time.Millisecond
 
+// overload runs a trial at 130% load. It returns the goodput of each policy as a
+// fraction of the capacity, and the p99 of high-priority requests relative to 10% load.
 func overload(seed uint64, capacityRate float64, ours policy) []float64 {
 	work := deskWorkload
 	work.Deadline, work.UrgentShare = overloadDeadline, 0.1
@@ -123,7 +125,8 @@
 	return []float64{goodput(loaded), goodput(overloaded.run(sim.NewRoundRobin)), goodput(overloaded.run(sim.NewLeastReported)), ratio}
 }
 
-// domainLoss takes two of the ten engines away halfway, at 60% load.
+// domainLoss fails two engines halfway through a trial at 60% load. It returns the
+// attempts per request after the loss and the p95 of the first token after recovery.
 func domainLoss(seed uint64, capacityRate float64, ours policy) []float64 {
 	const lost, recovery = trialDuration / 2, 5 * time.Second
 	work := deskWorkload
--- a/lab/experiments/slowstart.go
+++ b/lab/experiments/slowstart.go
@@ -10,23 +10,23 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// warmupLimit is the limit of the servers in these trials.
+// warmupLimit is the limit of the simulated server.
 var warmupLimit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
 
 const (
-	// offeredRate is what a server would be sent in a second if nothing held it back: it looks
-	// idle to all.
+	// offeredRate is the number of requests per second that all daemons together would
+	// send to the server without a limit.
 	offeredRate = 120
 	// sendStep is the resolution of virtual time.
 	sendStep = 5 * time.Millisecond
-	// maxNetworkDelay bounds the delay of a send on its way to the server.
+	// maxNetworkDelay is the maximum delay between a daemon and the server.
 	maxNetworkDelay = 20 * time.Millisecond
 )
 
-// membershipScenario is what daemons know of each other while a server warms up.
+// membershipScenario defines the membership views of the daemons during a warm-up.
 type membershipScenario struct {
 	name string
-	// view returns what daemon i of n knows.
+	// view returns the membership view of daemon i of n.
 	view func(rng *rand.Rand, i, n int) slowstart.View
 }
 
@@ -54,34 +54,34 @@
 
 func daemonHash(i int) uint64 { return uint64(i+1) * 0x9E3779B97F4A7C15 }
 
-// rangeView is the view of daemon i that knows those from one number to another.
+// rangeView returns the view of daemon i with the daemons from..to-1 as members.
 func rangeView(i, from, to int, trusted bool) slowstart.View {
 	v := slowstart.View{Self: daemonHash(i), Trusted: trusted}
-	for o := from; o < to; o++ {
-		if o != i {
-			v.Peers = append(v.Peers, daemonHash(o))
+	for other := from; other < to; other++ {
+		if other != i {
+			v.Peers = append(v.Peers, daemonHash(other))
 		}
 	}
 	return v
 }
 
-// sender is one daemon's side of a way.
+// sender decides for one daemon when it may send to the server.
 type sender interface {
 	canSend(now time.Duration) bool
 	recordSend(now time.Duration)
 }
 
-// selectedSender is the product's way: few daemons with a fixed part each.
+// selectedSender sends its share of the rate if the daemon is one of the few senders.
 type selectedSender struct {
 	slowstart.Pacer
 	share    slowstart.Share
 	selected bool
 }
 
-func (c *selectedSender) canSend(now time.Duration) bool { return c.selected && c.Ready(c.share, now) }
-func (c *selectedSender) recordSend(now time.Duration)   { c.RecordSend(now) }
+func (s *selectedSender) canSend(now time.Duration) bool { return s.selected && s.Ready(s.share, now) }
+func (s *selectedSender) recordSend(now time.Duration)   { s.RecordSend(now) }
 
-// dividedRate gives each daemon the rate divided by the number that it knows of.
+// dividedRate divides the rate by the number of known daemons.
 type dividedRate struct {
 	interval, next time.Duration
 }
@@ -89,56 +89,56 @@
 func (d *dividedRate) canSend(now time.Duration) bool { return now >= d.next }
 func (d *dividedRate) recordSend(now time.Duration)   { d.next = now + d.interval }
 
-// unlimited is a daemon that knows of no limit.
+// unlimited sends without a limit.
 type unlimited struct{}
 
 func (unlimited) canSend(time.Duration) bool { return true }
 func (unlimited) recordSend(time.Duration)   {}
 
 var slowStartStrategies = []struct {
-	name string
-	make func(rng *rand.Rand, v slowstart.View, server uint64) sender
+	name      string
+	newSender func(rng *rand.Rand, v slowstart.View, server uint64) sender
 }{
 	{"few chosen daemons, a fixed part each", func(_ *rand.Rand, v slowstart.View, server uint64) sender {
 		s := warmupLimit.Share()
 		return &selectedSender{share: s, selected: v.IsSender(server, s.Senders)}
 	}},
 	{"rate divided by the daemons known", func(rng *rand.Rand, v slowstart.View, _ uint64) sender {
-		every := time.Duration(float64(len(v.Peers)+1) / warmupLimit.PerSecond * float64(time.Second))
-		return &dividedRate{interval: every, next: time.Duration(rng.Int64N(int64(every)))}
+		interval := time.Duration(float64(len(v.Peers)+1) / warmupLimit.PerSecond * float64(time.Second))
+		return &dividedRate{interval: interval, next: time.Duration(rng.Int64N(int64(interval)))}
 	}},
 	{"no limit", func(*rand.Rand, slowstart.View, uint64) sender { return unlimited{} }},
 }
 
 func slowStartTable(out io.Writer, seeds int) {
 	for _, n := range []int{6, 59, 195, 520} {
-		for _, d := range membershipScenarios {
+		for _, scenario := range membershipScenarios {
 			var rows []row
-			for _, w := range slowStartStrategies {
-				rows = append(rows, row{name: w.name + ": most in a second", target: float64(warmupLimit.Bound())})
+			for _, strategy := range slowStartStrategies {
+				rows = append(rows, row{name: strategy.name + ": most in a second", target: float64(warmupLimit.Bound())})
 				rows = append(rows, row{name: "  used of what the server bears"})
 			}
 			collectValues(seeds, rows, func(seed uint64) []float64 {
 				var values []float64
-				for _, w := range slowStartStrategies {
+				for _, strategy := range slowStartStrategies {
 					rng := rand.New(rand.NewPCG(seed, uint64(n)))
 					senders := make([]sender, n)
 					for i := range senders {
-						senders[i] = w.make(rng, d.view(rng, i, n), seed*7919)
+						senders[i] = strategy.newSender(rng, scenario.view(rng, i, n), seed*7919)
 					}
-					most, used := simulateWarmup(rng, senders)
-					values = append(values, float64(most), used)
+					maxPerSecond, utilization := simulateWarmup(rng, senders)
+					values = append(values, float64(maxPerSecond), utilization)
 				}
 				return values
 			})
-			writeTable(out, fmt.Sprintf("slow start: %d daemons, %s, bound %d a second", n, d.name, warmupLimit.Bound()), rows)
+			writeTable(out, fmt.Sprintf("slow start: %d daemons, %s, bound %d a second", n, scenario.name, warmupLimit.Bound()), rows)
 		}
 	}
 }
 
-// simulateWarmup plays one server's warming up, and returns the most arrivals in any second and the
-// part that is used of what it bears.
-func simulateWarmup(rng *rand.Rand, senders []sender) (most int, used float64) {
+// simulateWarmup simulates the warm-up of one server. It returns the maximum number of
+// arrivals in any second and the used fraction of the server's limit.
+func simulateWarmup(rng *rand.Rand, senders []sender) (maxPerSecond int, utilization float64) {
 	var arrivals []time.Duration
 	for now := time.Duration(0); now < warmupLimit.WarmupPeriod; now += sendStep {
 		for range int(offeredRate*sendStep.Seconds() + rng.Float64()) {
@@ -155,7 +155,7 @@
 		for at-arrivals[first] > time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxPerSecond = max(maxPerSecond, i-first+1)
 	}
-	return most, float64(len(arrivals)) / (warmupLimit.PerSecond * warmupLimit.WarmupPeriod.Seconds())
+	return maxPerSecond, float64(len(arrivals)) / (warmupLimit.PerSecond * warmupLimit.WarmupPeriod.Seconds())
 }
--- a/lab/experiments/table.go
+++ b/lab/experiments/table.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// row is one measured target over all seeds.
+// row holds the values of one metric over all seeds.
 type row struct {
 	name string
-	// values has one entry a seed.
+	// values has one entry per seed.
 	values []float64
-	// target is the bound; atLeast says on which side of it is good.
+	// target is the upper bound of the values, or the lower bound if atLeast is set.
+	// Zero means no target.
 	target  float64
 	atLeast bool
 }
@@ -35,7 +36,7 @@
 	return v <= r.target
 }
 
-// write prints a row. A row without a target is a figure stated only.
+// write prints the median, the worst value and, if there is a target, the verdict.
 func (r row) write(out io.Writer) {
 	if r.target == 0 {
 		fmt.Fprintf(out, "%-64s %10.4g %10.4g\n", r.name, r.median(), r.worst())
@@ -61,8 +62,7 @@
 	}
 }
 
-// collectValues runs a trial for every seed and gathers its figures by name, in the
-// order of the first trial.
+// collectValues runs a trial for every seed and appends its values to the rows in order.
 func collectValues(seeds int, rows []row, trial func(seed uint64) []float64) []row {
 	for seed := range seeds {
 		for i, v := range trial(uint64(seed + 1)) {
