--- a/lab/slopes/fit.go
+++ b/lab/slopes/fit.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// point is what one daemon cost at one size.
+// point holds the mean cost of one daemon at one size.
 type point struct {
 	size float64
 	// cpu is in percent of a core.
 	cpu float64
-	// heap is in KB.
+	// heap is in KiB and includes stacks.
 	heap float64
-	// bytes is peer traffic in bytes a second, both directions.
+	// bytes is the peer traffic in bytes per second, both directions.
 	bytes float64
-	// reads and appends are calls to the log a second.
+	// reads and appends are calls of the log per second.
 	reads, appends float64
 }
 
@@ -28,21 +28,21 @@
 	{"log appends/s", func(p point) float64 { return p.appends }},
 }
 
-// line is a fitted line with its worst relative error over the points.
+// line is a fitted line with its maximum relative error over the points.
 type line struct{ intercept, slope, maxRelativeError float64 }
 
-// fit returns the least-squares line.
-func fit(points []point, of func(point) float64) line {
+// fit returns the least-squares line of a value over the size.
+func fit(points []point, value func(point) float64) line {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(points))
 	for _, p := range points {
-		x, y := p.size, of(p)
+		x, y := p.size, value(p)
 		sx, sy, sxx, sxy = sx+x, sy+y, sxx+x*x, sxy+x*y
 	}
 	l := line{slope: (n*sxy - sx*sy) / (n*sxx - sx*sx)}
 	l.intercept = (sy - l.slope*sx) / n
 	for _, p := range points {
-		y := of(p)
+		y := value(p)
 		if y == 0 {
 			continue
 		}
--- a/lab/slopes/fit_test.go
+++ b/lab/slopes/fit_test.go
@@ -16,6 +16,6 @@
 	}
 	points[3].cpu *= 2
 	if l := fit(points, metrics[0].value); l.maxRelativeError < 0.1 {
-		t.Fatalf("the error of a bad fit is hidden: %+v", l)
+		t.Fatalf("the error of a bad fit is too small: %+v", l)
 	}
 }
--- a/lab/slopes/fleet.go
+++ b/lab/slopes/fleet.go
@@ -24,14 +24,14 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// fleetShape is one size to measure.
+// fleetShape is the size of a fleet and its load.
 type fleetShape struct {
 	daemons, servers, workspaces int
-	// changes and requests are rates a second for the whole fleet.
+	// changes and requests are rates per second for the whole fleet.
 	changes, requests int
 }
 
-// memoryLog is the log without a network, so that its own cost stays small.
+// memoryLog is an in-memory platform.Log, which adds little to the measured cost.
 type memoryLog struct {
 	mu             sync.Mutex
 	streams        map[string][][]byte
@@ -93,29 +93,28 @@
 
 const (
 	failureDomains = 5
-	// settleTime is how long a fleet runs before it is measured, and settlePer how
-	// much longer for each daemon: all starting at once is news about everybody,
-	// which travels for a while.
+	// settleTime and settleTimePerDaemon are the time that a fleet runs before the
+	// measurement. Membership traffic is higher until all daemons know each other.
 	settleTime          = 4 * time.Second
 	settleTimePerDaemon = 400 * time.Millisecond
 	// loadPrompt is the prompt of the measured requests.
 	loadPrompt = "status of bib 7"
 )
 
-// startFleet brings a fleet up. All servers of a pool share one engine stand-in.
+// startFleet starts a fleet. All servers of its pool are one engine stand-in.
 func startFleet(s fleetShape) (*testFleet, error) {
-	r := &testFleet{log: newMemoryLog()}
+	f := &testFleet{log: newMemoryLog()}
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 1 << 20, AnswerTokens: 8, ChecksFencing: true}, "m@v1")
-	es, err := standin.Serve(engine)
+	engineServer, err := standin.Serve(engine)
 	if err != nil {
 		return nil, err
 	}
-	r.closers = append(r.closers, es.Close)
-	if err := r.configure(s, es.Address); err != nil {
+	f.closers = append(f.closers, engineServer.Close)
+	if err := f.appendInitialConfig(s, engineServer.Address); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r.cancel = cancel
+	f.cancel = cancel
 	var listeners []net.Listener
 	for range s.daemons {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -125,22 +124,22 @@
 		listeners = append(listeners, l)
 	}
 	for i, l := range listeners {
-		set := settings.Defaults()
-		set.ID, set.Region, set.FailureDomain = fmt.Sprintf("d%03d", i), "r", fmt.Sprintf("fd%d", i%failureDomains)
-		set.ListenAddress, set.PeerListenAddress = l.Addr().String(), l.Addr().String()
-		set.Peers = []string{listeners[0].Addr().String(), listeners[len(listeners)/2].Addr().String()}
+		config := settings.Defaults()
+		config.ID, config.Region, config.FailureDomain = fmt.Sprintf("d%03d", i), "r", fmt.Sprintf("fd%d", i%failureDomains)
+		config.ListenAddress, config.PeerListenAddress = l.Addr().String(), l.Addr().String()
+		config.Peers = []string{listeners[0].Addr().String(), listeners[len(listeners)/2].Addr().String()}
 		scope := tally.NewTestScope("", nil)
-		d := daemon.New(set, demo.Secrets, daemon.Dependencies{Log: r.log, Logger: log.New(io.Discard), Metrics: scope})
-		r.daemons, r.scopes = append(r.daemons, d), append(r.scopes, scope)
+		d := daemon.New(config, demo.Secrets, daemon.Dependencies{Log: f.log, Logger: log.New(io.Discard), Metrics: scope})
+		f.daemons, f.scopes = append(f.daemons, d), append(f.scopes, scope)
 		srv := &http.Server{Handler: d.PeerServer()}
 		go func() { _ = srv.Serve(l) }()
-		r.closers = append(r.closers, func() { _ = srv.Close() })
-		r.running.Go(func() { d.Run(ctx) })
+		f.closers = append(f.closers, func() { _ = srv.Close() })
+		f.running.Go(func() { d.Run(ctx) })
 	}
-	return r, nil
+	return f, nil
 }
 
-func (r *testFleet) configure(s fleetShape, address string) error {
+func (f *testFleet) appendInitialConfig(s fleetShape, address string) error {
 	pool := fleet.Pool{}
 	for i := range s.servers {
 		pool.Servers = append(pool.Servers, fleet.Server{ID: fmt.Sprintf("s%04d", i), Address: address, FailureDomain: fmt.Sprintf("fd%d", i%failureDomains), Slots: 8})
@@ -154,10 +153,10 @@
 		ws[fmt.Sprintf("w%04d", i)] = fleet.Workspace{KeyHashes: []string{fleet.HashAPIKey(fmt.Sprint(i))}, Models: []string{"m"}, TokensPerMinute: 100_000_000}
 	}
 	p["workspaces"] = ws
-	return r.patch("first", 0, p)
+	return f.appendPatch("first", 0, p)
 }
 
-func (r *testFleet) patch(id string, base uint64, p any) error {
+func (f *testFleet) appendPatch(id string, base uint64, p any) error {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return err
@@ -166,21 +165,22 @@
 	if err != nil {
 		return err
 	}
-	_, err = r.log.Append(context.Background(), "config", [][]byte{rec})
+	_, err = f.log.Append(context.Background(), "config", [][]byte{rec})
 	return err
 }
 
-// generateLoad changes the configuration and sends requests at the shape's rates.
-func (r *testFleet) generateLoad(ctx context.Context, s fleetShape) {
+// generateLoad appends patches and sends requests at the rates of the shape until ctx is
+// done.
+func (f *testFleet) generateLoad(ctx context.Context, s fleetShape) {
 	if s.changes > 0 {
-		go r.every(ctx, time.Second/time.Duration(s.changes), func(n int) {
-			_ = r.patch(fmt.Sprint("change", n), uint64(n+1), map[string]any{"workspaces": map[string]any{"w0001": map[string]any{"priority": n % 9}}})
+		go f.every(ctx, time.Second/time.Duration(s.changes), func(n int) {
+			_ = f.appendPatch(fmt.Sprint("change", n), uint64(n+1), map[string]any{"workspaces": map[string]any{"w0001": map[string]any{"priority": n % 9}}})
 		})
 	}
 	if s.requests > 0 {
-		go r.every(ctx, time.Second/time.Duration(s.requests), func(n int) {
+		go f.every(ctx, time.Second/time.Duration(s.requests), func(n int) {
 			go func() {
-				d := r.daemons[n%len(r.daemons)]
+				d := f.daemons[n%len(f.daemons)]
 				_, _ = d.Chat(ctx, daemon.NewRequestID(), daemon.ChatRequest{Workspace: fmt.Sprintf("w%04d", n%s.workspaces), Model: "m", Prompt: loadPrompt,
 					Body: map[string]json.RawMessage{"messages": json.RawMessage(`[{"role":"user","content":"` + loadPrompt + `"}]`)}})
 			}()
@@ -188,23 +188,24 @@
 	}
 }
 
-func (r *testFleet) every(ctx context.Context, period time.Duration, f func(n int)) {
+// every calls a function periodically, with the number of previous calls.
+func (f *testFleet) every(ctx context.Context, period time.Duration, call func(n int)) {
 	t := time.NewTicker(period)
 	defer t.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-t.C:
-			f(n)
+			call(n)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (r *testFleet) shutdown() {
-	r.cancel()
-	r.running.Wait()
-	for _, c := range r.closers {
+func (f *testFleet) shutdown() {
+	f.cancel()
+	f.running.Wait()
+	for _, c := range f.closers {
 		c()
 	}
 }
@@ -217,16 +218,16 @@
 
 func heapKB() float64 {
 	var m runtime.MemStats
-	// The second collection frees what finalizers of the first let go.
+	// The second collection frees objects that finalizers have released.
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc+m.StackInuse) / 1024
 }
 
-func (r *testFleet) peerBytes() float64 {
+func (f *testFleet) peerBytes() float64 {
 	sum := int64(0)
-	for _, s := range r.scopes {
+	for _, s := range f.scopes {
 		if c, ok := s.Snapshot().Counters()["peer_bytes+"]; ok {
 			sum += c.Value()
 		}
@@ -234,33 +235,33 @@
 	return float64(sum)
 }
 
-// measureShape runs one size and returns the mean cost of a daemon.
+// measureShape runs a fleet for window and returns the mean cost of a daemon.
 func measureShape(s fleetShape, window time.Duration) (point, error) {
 	time.Sleep(settleTime / 4)
 	before := heapKB()
-	r, err := startFleet(s)
+	f, err := startFleet(s)
 	if err != nil {
 		return point{}, err
 	}
-	defer r.shutdown()
+	defer f.shutdown()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	time.Sleep(settleTime + time.Duration(s.daemons)*settleTimePerDaemon)
-	for _, d := range r.daemons {
+	for _, d := range f.daemons {
 		if !d.Ready() {
 			return point{}, fmt.Errorf("daemon %s is not ready", d.Settings().ID)
 		}
 	}
-	r.generateLoad(ctx, s)
+	f.generateLoad(ctx, s)
 	time.Sleep(settleTime / 2)
-	cpu, bytes, reads, appends, started := cpuSeconds(), r.peerBytes(), r.log.reads.Load(), r.log.appends.Load(), time.Now()
+	cpu, bytes, reads, appends, started := cpuSeconds(), f.peerBytes(), f.log.reads.Load(), f.log.appends.Load(), time.Now()
 	time.Sleep(window)
 	n, seconds := float64(s.daemons), time.Since(started).Seconds()
 	p := point{
 		cpu:     100 * (cpuSeconds() - cpu) / seconds / n,
-		bytes:   (r.peerBytes() - bytes) / seconds / n,
-		reads:   float64(r.log.reads.Load()-reads) / seconds / n,
-		appends: float64(r.log.appends.Load()-appends) / seconds / n,
+		bytes:   (f.peerBytes() - bytes) / seconds / n,
+		reads:   float64(f.log.reads.Load()-reads) / seconds / n,
+		appends: float64(f.log.appends.Load()-appends) / seconds / n,
 	}
 	p.heap = (heapKB() - before) / n
 	return p, nil
--- a/lab/slopes/main.go
+++ b/lab/slopes/main.go
@@ -1,6 +1,7 @@
-// Command slopes measures what one more daemon, server, workspace, change or
-// request costs, by running daemons of this process at several sizes, and fits a
-// line to each. docs/CAPACITY.md works from its output.
+// Command slopes measures how the cost of a daemon grows with the number of daemons,
+// servers, workspaces, configuration changes and requests. It runs fleets of several
+// sizes in this process and fits a line to each series. docs/CAPACITY.md is based on
+// its output.
 //
 //	go run ./lab/slopes
 package main
@@ -22,7 +23,7 @@
 	}
 }
 
-// series is one quantity varied while the others stay.
+// series varies one parameter of the fleet shape.
 type series struct {
 	name  string
 	unit  string
@@ -47,12 +48,12 @@
 		}
 	}
 	if only == "" || only == "spread" {
-		reportSpread()
+		reportPropagation()
 	}
 	return nil
 }
 
-// startTime is any time; the spread does not depend on it.
+// startTime is an arbitrary time; the propagation doesn't depend on it.
 var startTime = time.Unix(1000, 0)
 
 func (s series) measure(window time.Duration) error {
@@ -68,8 +69,8 @@
 		fmt.Printf("%8d %12.4f %12.1f %12.1f %14.3f %14.3f\n", n, p.cpu, p.heap, p.bytes, p.reads, p.appends)
 	}
 	for _, q := range metrics {
-		f := fit(points, q.value)
-		fmt.Printf("  %-14s %12.5f + %.6f per %s (worst error %.1f%%)\n", q.name, f.intercept, f.slope, s.unit, 100*f.maxRelativeError)
+		l := fit(points, q.value)
+		fmt.Printf("  %-14s %12.5f + %.6f per %s (worst error %.1f%%)\n", q.name, l.intercept, l.slope, s.unit, 100*l.maxRelativeError)
 	}
 	return nil
 }
--- a/lab/slopes/propagation.go
+++ b/lab/slopes/propagation.go
@@ -7,9 +7,9 @@
 	"github.com/damaskrudder/damaskrudder/internal/membership"
 )
 
-// simulateSpread measures how many rounds of probes bring a configuration number from
-// the daemons that read the log to all daemons of a fleet, in virtual time.
-func simulateSpread(daemons, readers int, seed uint64) int {
+// simulatePropagation returns the number of probe rounds until a configuration number
+// has propagated from the daemons that read the log to all daemons.
+func simulatePropagation(daemons, readers int, seed uint64) int {
 	tables := make([]*membership.Table, daemons)
 	members := make([]membership.Rumor, daemons)
 	index := map[string]int{}
@@ -26,7 +26,7 @@
 	}
 	for round := 1; ; round++ {
 		next := append([]bool(nil), informed...)
-		all := true
+		complete := true
 		for i, t := range tables {
 			for _, m := range t.ProbeTargets() {
 				j := index[m.ID]
@@ -35,22 +35,22 @@
 			}
 		}
 		copy(informed, next)
-		for _, k := range informed {
-			all = all && k
+		for _, known := range informed {
+			complete = complete && known
 		}
-		if all {
+		if complete {
 			return round
 		}
 	}
 }
 
-// reportSpread prints the worst of some seeds.
-func reportSpread() {
+// reportPropagation prints the maximum number of rounds over several seeds.
+func reportPropagation() {
 	fmt.Printf("\nspread: rounds of one second until every daemon has a new configuration, worst of 50 seeds\n")
 	for _, n := range []int{6, 40, 160, 520} {
 		worst := 0
 		for seed := range 50 {
-			worst = max(worst, simulateSpread(n, min(n, 10), uint64(seed)))
+			worst = max(worst, simulatePropagation(n, min(n, 10), uint64(seed)))
 		}
 		fmt.Printf("%8d daemons, %2d read the log: %d rounds\n", n, min(n, 10), worst)
 	}
