--- a/lab/traces/examples.go
+++ b/lab/traces/examples.go
@@ -9,20 +9,20 @@
 	"slices"
 )
 
-// poolHeader is the pool of both operators' examples: ten servers of eight slots.
+// poolHeader holds the pool settings of all examples.
 var poolHeader = Header{Servers: 10, Slots: 8, PrefillMicros: 200, TokenMicros: 15000, CacheBlocks: 1500}
 
-// deskRequest sends long prompts that share warrant bundles, as a trading desk does.
+// deskRequest returns a request with a long prompt and one of many shared prefixes.
 func deskRequest(rng *rand.Rand, at int64) Event {
 	return Event{TimeMillis: at, Group: uint64(rng.ExpFloat64() * 12), SharedTokens: 1024, UniqueTokens: 128 + rng.IntN(128), AnswerTokens: 30 + rng.IntN(60), DeadlineMillis: 3000}
 }
 
-// registrationRequest sends short prompts of registrations and bib look-ups.
+// registrationRequest returns a request of lower priority with a short prompt.
 func registrationRequest(rng *rand.Rand, at int64) Event {
 	return Event{TimeMillis: at, Group: 1000 + uint64(rng.IntN(4)), SharedTokens: 256, UniqueTokens: 64, AnswerTokens: 20 + rng.IntN(30), Priority: 1, DeadlineMillis: 4000}
 }
 
-// appendRequests appends lines of a Poisson stream between two times, in ms.
+// appendRequests appends the requests of a Poisson process between two times in ms.
 func appendRequests(rng *rand.Rand, events []Event, from, to int64, perSecond float64, newRequest func(*rand.Rand, int64) Event) []Event {
 	for at := float64(from); ; {
 		at += rng.ExpFloat64() / perSecond * 1000
@@ -33,8 +33,7 @@
 	}
 }
 
-// examples makes the traces that are committed. They are made, not taken from a
-// deployment; the format is what a recording would have.
+// examples generates the committed traces. They are synthetic.
 func examples() []Trace {
 	rng := rand.New(rand.NewPCG(20261202, 5))
 	all := []Trace{
--- a/lab/traces/main.go
+++ b/lab/traces/main.go
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// report prints the three policies' results and returns whether ours met the
-// outcome.
+// report prints the results of all policies and returns whether the default routing
+// pipeline meets the expectation.
 func report(out io.Writer, t Trace) bool {
 	ours := t.Replay(sim.NewOurs(routing.DefaultPipeline()))
 	for _, p := range []struct {
--- a/lab/traces/trace.go
+++ b/lab/traces/trace.go
@@ -1,11 +1,10 @@
-// Command traces replays recorded traffic and faults through the routing in
-// virtual time and compares what happens with the outcome stated in the trace.
+// Command traces replays traces of requests and server faults in virtual time and
+// compares the results with the expectations of each trace.
 //
-//	go run ./lab/traces            # replay all, ours and naive
-//	go run ./lab/traces -write     # make the example traces anew
+//	go run ./lab/traces            # replay all traces with all policies
+//	go run ./lab/traces -write     # write the example traces
 //
-// A trace is a file of JSON lines. The first is a Header; each other one is a
-// Line, in order of time: a request, or a fault of a server.
+// A trace is a file of JSON lines: a Header, followed by Events in order of time.
 package main
 
 import (
@@ -22,45 +21,46 @@
 	"github.com/damaskrudder/damaskrudder/lab/sim"
 )
 
-// Header describes a trace and its pool, and states the outcome.
+// Header describes a trace, its pool and the expected result.
 type Header struct {
 	Name        string `json:"name"`
 	Description string `json:"story"`
 	Servers     int    `json:"servers"`
 	Slots       int    `json:"slots"`
-	// PrefillMicros and TokenMicros are service times per token in µs.
-	PrefillMicros int64 `json:"prefill_us"`
-	TokenMicros   int64 `json:"token_us"`
-	CacheBlocks   int   `json:"cache_blocks"`
-	// Expected is what a replay must reach.
-	Expected Expectation `json:"outcome"`
+	// PrefillMicros and TokenMicros are the times per prompt and answer token in µs.
+	PrefillMicros int64       `json:"prefill_us"`
+	TokenMicros   int64       `json:"token_us"`
+	CacheBlocks   int         `json:"cache_blocks"`
+	Expected      Expectation `json:"outcome"`
 }
 
-// Expectation bounds a replay. Zero values bound nothing.
+// Expectation holds the limits on the result of a replay. A zero value is no limit.
 type Expectation struct {
-	// MinAnswered is the least share of requests with a first token within
-	// their deadline.
+	// MinAnswered is the minimum fraction of requests with a first token within their
+	// deadline.
 	MinAnswered float64 `json:"answered_at_least"`
-	// MaxFirstTokenP95 is the largest p95 of first tokens, in ms.
+	// MaxFirstTokenP95 is the maximum p95 of the time to the first token, in ms.
 	MaxFirstTokenP95 float64 `json:"first_p95_ms_at_most"`
-	// MaxAttempts is the largest number of attempts per request.
+	// MaxAttempts is the maximum mean number of attempts per request.
 	MaxAttempts float64 `json:"attempts_at_most"`
 }
 
-// Event is a request or a fault.
+// Event is a request, or a fault if Fault is set.
 type Event struct {
+	// TimeMillis is the time since the start of the trace, in ms.
 	TimeMillis int64 `json:"at"`
-	// Group names the shared prefix, Shared and Own are prompt tokens.
+	// Group identifies the prompt prefix of SharedTokens that requests share.
 	Group        uint64 `json:"group,omitempty"`
 	SharedTokens int    `json:"shared,omitempty"`
 	UniqueTokens int    `json:"own,omitempty"`
 	AnswerTokens int    `json:"answer,omitempty"`
 	Priority     int    `json:"priority,omitempty"`
-	// DeadlineMillis bounds the first token, in ms.
+	// DeadlineMillis is the maximum time to the first token, in ms. Zero is no limit.
 	DeadlineMillis int64 `json:"deadline,omitempty"`
-	// Fault is "slow", "down" or "up", of Server by Factor.
-	Fault      string  `json:"fault,omitempty"`
-	Server     int     `json:"server,omitempty"`
+	// Fault is "slow", "down" or "up". It applies to Server.
+	Fault  string `json:"fault,omitempty"`
+	Server int    `json:"server,omitempty"`
+	// SlowFactor is the factor of the service times of a slow server.
 	SlowFactor float64 `json:"factor,omitempty"`
 }
 
@@ -70,7 +70,7 @@
 	Events []Event
 }
 
-// Read decodes a trace and checks it.
+// Read decodes and validates a trace. Errors contain the line number.
 func Read(r io.Reader) (Trace, error) {
 	var t Trace
 	scanner := bufio.NewScanner(r)
@@ -86,25 +86,25 @@
 			return t, fmt.Errorf("line %d: %w", n, err)
 		}
 		if event.Fault != "" && (event.Server < 0 || event.Server >= t.Servers || !slices.Contains([]string{"slow", "down", "up"}, event.Fault)) {
-			return t, fmt.Errorf("line %d: no fault %q of server %d", n, event.Fault, event.Server)
+			return t, fmt.Errorf("line %d: invalid fault %q of server %d", n, event.Fault, event.Server)
 		}
 		t.Events = append(t.Events, event)
 	}
 	return t, scanner.Err()
 }
 
-// Result is what a replay reached.
+// Result is the result of a replay. FirstTokenP95 is in ms.
 type Result struct {
 	Requests                        int
 	AnsweredFraction, FirstTokenP95 float64
 	AttemptsPerRequest              float64
 }
 
-// Meets reports whether the stated outcome was reached.
-func (r Result) Meets(o Expectation) bool {
-	return r.AnsweredFraction >= o.MinAnswered &&
-		(o.MaxFirstTokenP95 == 0 || r.FirstTokenP95 <= o.MaxFirstTokenP95) &&
-		(o.MaxAttempts == 0 || r.AttemptsPerRequest <= o.MaxAttempts)
+// Meets reports whether a result meets an expectation.
+func (r Result) Meets(expected Expectation) bool {
+	return r.AnsweredFraction >= expected.MinAnswered &&
+		(expected.MaxFirstTokenP95 == 0 || r.FirstTokenP95 <= expected.MaxFirstTokenP95) &&
+		(expected.MaxAttempts == 0 || r.AttemptsPerRequest <= expected.MaxAttempts)
 }
 
 const (
@@ -113,7 +113,7 @@
 	replayDrainTime = time.Minute
 )
 
-// Replay runs a trace under a policy.
+// Replay runs a trace with a routing policy.
 func (t Trace) Replay(policy func(*sim.Cluster, int, *rand.Rand) sim.Policy) Result {
 	clock := &sim.Clock{}
 	var engines []*sim.Engine
@@ -132,7 +132,7 @@
 				event.applyTo(engines[event.Server])
 				return
 			}
-			sent = append(sent, event.request(uint64(i)))
+			sent = append(sent, event.simRequest(uint64(i)))
 			c.Send(sent[len(sent)-1])
 		})
 	}
@@ -140,10 +140,10 @@
 	return summarize(c.Results, sent)
 }
 
-func (l Event) applyTo(e *sim.Engine) {
-	switch l.Fault {
+func (event Event) applyTo(e *sim.Engine) {
+	switch event.Fault {
 	case "slow":
-		e.Slow = l.SlowFactor
+		e.Slow = event.SlowFactor
 	case "down":
 		e.SetDown(true)
 	case "up":
@@ -151,12 +151,12 @@
 	}
 }
 
-func (l Event) request(n uint64) *sim.Request {
-	r := &sim.Request{Prompt: l.SharedTokens + l.UniqueTokens, Answer: l.AnswerTokens, Priority: l.Priority, Deadline: time.Duration(l.DeadlineMillis) * time.Millisecond}
-	for b := range l.SharedTokens / routing.BlockTokens {
-		r.Blocks = append(r.Blocks, l.Group<<16|uint64(b)+1)
+func (event Event) simRequest(n uint64) *sim.Request {
+	r := &sim.Request{Prompt: event.SharedTokens + event.UniqueTokens, Answer: event.AnswerTokens, Priority: event.Priority, Deadline: time.Duration(event.DeadlineMillis) * time.Millisecond}
+	for b := range event.SharedTokens / routing.BlockTokens {
+		r.Blocks = append(r.Blocks, event.Group<<16|uint64(b)+1)
 	}
-	for b := range l.UniqueTokens / routing.BlockTokens {
+	for b := range event.UniqueTokens / routing.BlockTokens {
 		r.Blocks = append(r.Blocks, 1<<62|n<<8|uint64(b))
 	}
 	return r
--- a/lab/traces/trace_test.go
+++ b/lab/traces/trace_test.go
@@ -19,19 +19,19 @@
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".jsonl"), func(t *testing.T) {
-			tr, err := readFile(f)
+			trace, err := readFile(f)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r := tr.Replay(sim.NewOurs(routing.DefaultPipeline())); !r.Meets(tr.Expected) {
-				t.Errorf("%+v, stated %+v", r, tr.Expected)
+			if r := trace.Replay(sim.NewOurs(routing.DefaultPipeline())); !r.Meets(trace.Expected) {
+				t.Errorf("got %+v, expected %+v", r, trace.Expected)
 			}
 		})
 	}
 }
 
-// Where the pool is even and the load low, ours answers as round robin does;
-// with a slow server round robin loses what it sends there.
+// At low load without faults the default pipeline and round robin both answer all
+// requests. With a slow server the default pipeline must answer more.
 func TestCompareWithRoundRobin(t *testing.T) {
 	trace, err := readFile("data/trading-window.jsonl")
 	if err != nil {
@@ -43,14 +43,14 @@
 	}
 	beforePeak := trace
 	beforePeak.Events = nil
-	for _, l := range trace.Events {
-		if l.Fault == "" && l.TimeMillis < 15000 {
-			beforePeak.Events = append(beforePeak.Events, l)
+	for _, event := range trace.Events {
+		if event.Fault == "" && event.TimeMillis < 15000 {
+			beforePeak.Events = append(beforePeak.Events, event)
 		}
 	}
 	ours, robin = beforePeak.Replay(sim.NewOurs(routing.DefaultPipeline())), beforePeak.Replay(sim.NewRoundRobin)
 	if ours.AnsweredFraction != 1 || robin.AnsweredFraction != 1 {
-		t.Errorf("calm: ours %+v, round robin %+v", ours, robin)
+		t.Errorf("before the peak: ours %+v, round robin %+v", ours, robin)
 	}
 	if again := beforePeak.Replay(sim.NewOurs(routing.DefaultPipeline())); again != ours {
 		t.Errorf("the same trace gave %+v and %+v", ours, again)
@@ -58,16 +58,16 @@
 }
 
 func TestCommittedExamplesMatchGenerator(t *testing.T) {
-	for _, tr := range examples() {
+	for _, trace := range examples() {
 		var want bytes.Buffer
 		e := json.NewEncoder(&want)
-		_ = e.Encode(tr.Header)
-		for _, l := range tr.Events {
-			_ = e.Encode(l)
+		_ = e.Encode(trace.Header)
+		for _, event := range trace.Events {
+			_ = e.Encode(event)
 		}
-		got, err := os.ReadFile("data/" + tr.Name + ".jsonl")
+		got, err := os.ReadFile("data/" + trace.Name + ".jsonl")
 		if err != nil || !bytes.Equal(got, want.Bytes()) {
-			t.Errorf("%s differs from what -write makes (%v)", tr.Name, err)
+			t.Errorf("%s differs from the output of -write (%v)", trace.Name, err)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 func TestReadRejectsInvalidTraces(t *testing.T) {
 	for _, s := range []string{"{", "{}\n{", `{"servers":2}` + "\n" + `{"fault":"down","server":2}`, `{"servers":2}` + "\n" + `{"fault":"burn"}`} {
 		if _, err := Read(strings.NewReader(s)); err == nil {
-			t.Errorf("%q was read", s)
+			t.Errorf("%q was accepted", s)
 		}
 	}
 }
