--- a/lab/experiments/routing.go
+++ b/lab/experiments/routing.go
@@ -24,7 +24,7 @@
 
 var deskWorkload = sim.Workload{Groups: 400, SharedTokens: 1024, OwnTokens: 256, AnswerTokens: 60}
 
-type policy = func(c *sim.Cluster, daemon int, rng *rand.Rand) sim.Policy
+type policyFactory = func(c *sim.Cluster, daemon int, rng *rand.Rand) sim.Policy
 
 func newEngines(c *sim.Clock) []*sim.Engine {
 	var out []*sim.Engine
@@ -43,9 +43,9 @@
 	setup    func(c *sim.Cluster)
 }
 
-func (t trial) run(p policy) *sim.Cluster {
+func (t trial) run(newPolicy policyFactory) *sim.Cluster {
 	clock := &sim.Clock{}
-	c := sim.NewCluster(t.seed, newEngines(clock), clock, daemonCount, p)
+	c := sim.NewCluster(t.seed, newEngines(clock), clock, daemonCount, newPolicy)
 	if t.setup != nil {
 		t.setup(c)
 	}
@@ -58,16 +58,16 @@
 
 // capacity returns the requests per second that a saturated pool completes with the
 // default routing pipeline.
-func capacity(seed uint64, work sim.Workload) float64 {
-	work.Deadline = 0
-	c := trial{seed: seed, load: 200, workload: work}.run(sim.NewOurs(routing.DefaultPipeline()))
-	done := 0
+func capacity(seed uint64, workload sim.Workload) float64 {
+	workload.Deadline = 0
+	c := trial{seed: seed, load: 200, workload: workload}.run(sim.NewOurs(routing.DefaultPipeline()))
+	completed := 0
 	for _, r := range c.Results {
 		if at := r.Sent + r.First; r.First > 0 && at > warmUp && at < trialDuration {
-			done++
+			completed++
 		}
 	}
-	return float64(done) / (trialDuration - warmUp).Seconds()
+	return float64(completed) / (trialDuration - warmUp).Seconds()
 }
 
 func routingTable(out io.Writer, seeds int) {
@@ -91,7 +91,7 @@
 	ours := sim.NewOurs(routing.DefaultPipeline())
 	capacityRate := capacity(seed, deskWorkload)
 	slow := trial{seed: seed, load: 0.8 * capacityRate, workload: deskWorkload, setup: func(c *sim.Cluster) { c.Engines[3].Slow = 3 }}
-	p99 := func(p policy) float64 {
+	p99 := func(p policyFactory) float64 {
 		return float64(sim.Quantile(slow.run(p).Results, 0.99, afterWarmUp)) / float64(time.Millisecond)
 	}
 	oursP99, roundRobinP99, leastReportedP99 := p99(ours), p99(sim.NewRoundRobin), p99(sim.NewLeastReported)
@@ -105,10 +105,10 @@
 
 // overload runs a trial at 130% load. It returns the goodput of each policy as a
 // fraction of the capacity, and the p99 of high-priority requests relative to 10% load.
-func overload(seed uint64, capacityRate float64, ours policy) []float64 {
-	work := deskWorkload
-	work.Deadline, work.UrgentShare = overloadDeadline, 0.1
-	overloaded := trial{seed: seed, load: 1.3 * capacityRate, workload: work}
+func overload(seed uint64, capacityRate float64, ours policyFactory) []float64 {
+	workload := deskWorkload
+	workload.Deadline, workload.UrgentShare = overloadDeadline, 0.1
+	overloaded := trial{seed: seed, load: 1.3 * capacityRate, workload: workload}
 	goodput := func(c *sim.Cluster) float64 {
 		good := 0
 		for _, r := range c.Results {
@@ -120,30 +120,30 @@
 	}
 	loaded := overloaded.run(ours)
 	urgent := func(r *sim.Result) bool { return afterWarmUp(r) && r.Priority == 0 }
-	unloaded := trial{seed: seed, load: 0.1 * capacityRate, workload: work}.run(ours)
+	unloaded := trial{seed: seed, load: 0.1 * capacityRate, workload: workload}.run(ours)
 	ratio := float64(sim.Quantile(loaded.Results, 0.99, urgent)) / float64(sim.Quantile(unloaded.Results, 0.99, urgent))
 	return []float64{goodput(loaded), goodput(overloaded.run(sim.NewRoundRobin)), goodput(overloaded.run(sim.NewLeastReported)), ratio}
 }
 
 // domainLoss fails two engines halfway through a trial at 60% load. It returns the
 // attempts per request after the loss and the p95 of the first token after recovery.
-func domainLoss(seed uint64, capacityRate float64, ours policy) []float64 {
-	const lost, recovery = trialDuration / 2, 5 * time.Second
-	work := deskWorkload
-	work.Deadline = 10 * time.Second
-	c := trial{seed: seed, load: 0.6 * capacityRate, workload: work, setup: func(c *sim.Cluster) {
-		c.Clock.After(lost, func() {
+func domainLoss(seed uint64, capacityRate float64, ours policyFactory) []float64 {
+	const lossTime, recovery = trialDuration / 2, 5 * time.Second
+	workload := deskWorkload
+	workload.Deadline = 10 * time.Second
+	c := trial{seed: seed, load: 0.6 * capacityRate, workload: workload, setup: func(c *sim.Cluster) {
+		c.Clock.After(lossTime, func() {
 			c.Engines[0].SetDown(true)
 			c.Engines[1].SetDown(true)
 		})
 	}}.run(ours)
 	attempts, requests := 0, 0
 	for _, r := range c.Results {
-		if r.Sent > lost {
+		if r.Sent > lossTime {
 			attempts += r.Attempts
 			requests++
 		}
 	}
-	after := sim.Quantile(c.Results, 0.95, func(r *sim.Result) bool { return afterWarmUp(r) && r.Sent > lost+recovery })
-	return []float64{float64(attempts) / float64(requests), float64(after) / float64(time.Millisecond)}
+	recoveredP95 := sim.Quantile(c.Results, 0.95, func(r *sim.Result) bool { return afterWarmUp(r) && r.Sent > lossTime+recovery })
+	return []float64{float64(attempts) / float64(requests), float64(recoveredP95) / float64(time.Millisecond)}
 }
