--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -231,7 +231,7 @@
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusCreated, map[string]string{"key": a.daemon.MintIdempotencyKey(workspace), "endpoint": a.daemon.Settings().Listen})
+	return c.JSON(http.StatusCreated, map[string]string{"key": a.daemon.MintIdempotencyKey(workspace), "endpoint": a.daemon.Settings().ListenAddress})
 }
 
 func (a *API) checkHealth(c echo.Context) error {
--- a/internal/app/bench_test.go
+++ b/internal/app/bench_test.go
@@ -42,13 +42,13 @@
 // BenchmarkAddedLatency compares the latency of requests sent directly to an engine with
 // that of requests routed through a daemon.
 func BenchmarkAddedLatency(b *testing.B) {
-	engine := standin.NewEngine(demo.EngineModel, "bib-lookup@v1")
+	engine := standin.NewEngine(demo.EngineConfig, "bib-lookup@v1")
 	s, err := standin.Serve(engine)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer s.Close()
-	w, err := demo.NewWorld(2, startDemoNode)
+	w, err := demo.NewCluster(2, startDemoNode)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		sendChat(b, c, s.URL, "", http.Header{"X-Run-Id": {time.Now().String()}}, engineBody)
 		_ = direct.RecordValue(time.Since(start).Microseconds())
 		start = time.Now()
-		sendChat(b, c, "http://"+w.Addresses[0], demo.Key(demo.Largada), nil, []byte(lookupBody))
+		sendChat(b, c, "http://"+w.Addresses[0], demo.APIKey(demo.Largada), nil, []byte(lookupBody))
 		_ = routed.RecordValue(time.Since(start).Microseconds())
 	}
 	reportLatency(b, direct, "alone")
@@ -72,10 +72,10 @@
 // and engines that return one token without delay. Callers, engines and daemons share the
 // process, so that allocations include all of them.
 func BenchmarkRequests(b *testing.B) {
-	model := demo.EngineModel
-	defer func() { demo.EngineModel = model }()
-	demo.EngineModel.AnswerTokens, demo.EngineModel.DecodePerToken, demo.EngineModel.PrefillPerToken = 1, 0, 0
-	w, err := demo.NewWorld(2, startDemoNode)
+	model := demo.EngineConfig
+	defer func() { demo.EngineConfig = model }()
+	demo.EngineConfig.AnswerTokens, demo.EngineConfig.DecodePerToken, demo.EngineConfig.PrefillPerToken = 1, 0, 0
+	w, err := demo.NewCluster(2, startDemoNode)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			sendChat(b, c, "http://"+w.Addresses[0], demo.Key(demo.Largada), nil, []byte(lookupBody))
+			sendChat(b, c, "http://"+w.Addresses[0], demo.APIKey(demo.Largada), nil, []byte(lookupBody))
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
--- a/internal/app/end_to_end_test.go
+++ b/internal/app/end_to_end_test.go
@@ -23,9 +23,9 @@
 )
 
 // newWorld starts daemons and fake services on loopback and stops them when the test ends.
-func newWorld(t *testing.T, daemons int) *demo.World {
+func newWorld(t *testing.T, daemons int) *demo.Cluster {
 	t.Helper()
-	w, err := demo.NewWorld(daemons, startDemoNode)
+	w, err := demo.NewCluster(daemons, startDemoNode)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 
 func TestOpenAIClient(t *testing.T) {
 	w := newWorld(t, 1)
-	c := openai.NewClient(option.WithBaseURL("http://"+w.Addresses[0]+"/v1/"), option.WithAPIKey(demo.Key(demo.Largada)))
+	c := openai.NewClient(option.WithBaseURL("http://"+w.Addresses[0]+"/v1/"), option.WithAPIKey(demo.APIKey(demo.Largada)))
 	params := openai.ChatCompletionNewParams{
 		Model:    "bib-lookup",
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("status of bib 7")},
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if plain.Choices[0].FinishReason != "stop" || plain.Usage.CompletionTokens != int64(demo.EngineModel.AnswerTokens) {
+	if plain.Choices[0].FinishReason != "stop" || plain.Usage.CompletionTokens != int64(demo.EngineConfig.AnswerTokens) {
 		t.Fatalf("plain answer: %+v", plain)
 	}
 	stream := c.Chat.Completions.NewStreaming(t.Context(), params)
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+demo.Key(demo.Largada))
+	req.Header.Set("Authorization", "Bearer "+demo.APIKey(demo.Largada))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -162,13 +162,13 @@
 // moves to its successor on every daemon, and that explicit requests for it are rejected.
 func TestWithdrawnVersionGetsNoNewRequests(t *testing.T) {
 	w := newWorld(t, 2)
-	key := demo.Key(demo.Goldfields)
+	key := demo.APIKey(demo.Goldfields)
 	status, h, _ := post(t, w.Addresses[0], "/v1/chat/completions", key, nil, lookupBody)
 	if status != http.StatusOK || h.Get("X-Model-Version") != "bib-lookup@v1" {
 		t.Fatalf("before the withdrawal: status %d, header %v", status, h)
 	}
 	pin := http.Header{api.HeaderSessionID: {h.Get(api.HeaderSessionID)}}
-	err := w.Apply(fleet.Patch{Models: map[string]json.RawMessage{
+	err := w.ApplyPatch(fleet.Patch{Models: map[string]json.RawMessage{
 		"bib-lookup": json.RawMessage(`{"stable":"v2","versions":{"v1":{"state":"withdrawn","successor":"v2"}}}`),
 	}})
 	if err != nil {
@@ -189,7 +189,7 @@
 	}
 }
 
-func countRuns(w *demo.World, version string) int {
+func countRuns(w *demo.Cluster, version string) int {
 	n := 0
 	for _, e := range w.Engines {
 		for _, v := range e.RunVersions() {
@@ -203,7 +203,7 @@
 
 func TestInvalidInputIsRejected(t *testing.T) {
 	w := newWorld(t, 1)
-	key, operator := demo.Key(demo.Largada), demo.Secrets.OperatorKey
+	key, operator := demo.APIKey(demo.Largada), demo.Secrets.OperatorKey
 	chat, patches := "/v1/chat/completions", "/operator/v1/patches"
 	cases := []struct {
 		name, path, key string
@@ -247,7 +247,7 @@
 		})
 	}
 	var cfg fleet.Config
-	if err := w.Operator(http.MethodGet, "/config", nil, &cfg); err != nil || cfg.Number != 1 {
+	if err := w.CallOperator(http.MethodGet, "/config", nil, &cfg); err != nil || cfg.Number != 1 {
 		t.Fatalf("configuration %d, error %v", cfg.Number, err)
 	}
 	if n := countRuns(w, "bib-lookup@v1"); n != 0 {
@@ -269,7 +269,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer %s\r\nConnection: close\r\n%s\r\n\r\n%s", demo.Key(demo.Largada), header, lookupBody)
+		_, err = fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer %s\r\nConnection: close\r\n%s\r\n\r\n%s", demo.APIKey(demo.Largada), header, lookupBody)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -300,14 +300,14 @@
 	}
 	stop()
 	<-done
-	if refused := traffic.Refused(); len(refused) > 0 {
+	if refused := traffic.Unanswered(); len(refused) > 0 {
 		t.Fatalf("refused requests: %v", refused)
 	}
 }
 
 func TestMetricsEndpoint(t *testing.T) {
 	w := newWorld(t, 1)
-	if status, _, _ := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody); status != http.StatusOK {
+	if status, _, _ := post(t, w.Addresses[0], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookupBody); status != http.StatusOK {
 		t.Fatal(status)
 	}
 	waitUntil(t, "the request is counted", func() bool {
--- a/internal/app/failure_test.go
+++ b/internal/app/failure_test.go
@@ -24,11 +24,11 @@
 // status, header and body of the response.
 func postConfirmation(t *testing.T, address, key, body string) (int, http.Header, string) {
 	t.Helper()
-	return post(t, address, "/v1/services/confirm", demo.Key(demo.Goldfields), http.Header{api.HeaderIdempotencyKey: {key}}, body)
+	return post(t, address, "/v1/services/confirm", demo.APIKey(demo.Goldfields), http.Header{api.HeaderIdempotencyKey: {key}}, body)
 }
 
 // countServiceRuns returns how many calls the fake services executed.
-func countServiceRuns(w *demo.World) int {
+func countServiceRuns(w *demo.Cluster) int {
 	n := 0
 	for _, s := range w.Services {
 		for _, runs := range s.RunCounts() {
@@ -85,7 +85,7 @@
 	if status != http.StatusServiceUnavailable || h.Get(api.HeaderExecutionState) != "not_run" || h.Get("Retry-After") == "" || countServiceRuns(w) != 0 {
 		t.Fatalf("without the log: status %d, header %v, %d executions", status, h, countServiceRuns(w))
 	}
-	status, _, body := post(t, w.Addresses[1], "/v1/keys", demo.Key(demo.Goldfields), nil, "")
+	status, _, body := post(t, w.Addresses[1], "/v1/keys", demo.APIKey(demo.Goldfields), nil, "")
 	var minted struct{ Key, Endpoint string }
 	if json.Unmarshal([]byte(body), &minted); status != http.StatusCreated || minted.Endpoint != w.Addresses[1] {
 		t.Fatalf("minting a key: status %d, body %s", status, body)
@@ -115,7 +115,7 @@
 	for _, e := range w.Engines {
 		e.SetStalled(true)
 	}
-	status, _, body := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody)
+	status, _, body := post(t, w.Addresses[0], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookupBody)
 	if status != http.StatusOK {
 		t.Fatalf("status %d: %s", status, body)
 	}
@@ -131,7 +131,7 @@
 }
 
 // readLedger builds a ledger from the usage stream of the log.
-func readLedger(w *demo.World) *billing.Ledger {
+func readLedger(w *demo.Cluster) *billing.Ledger {
 	ledger := billing.NewLedger()
 	for _, data := range w.Log.Records(daemon.UsageStream) {
 		var batch []billing.UsageRecord
@@ -152,7 +152,7 @@
 	const chats = 5
 	for i := range chats {
 		body := strings.Replace(lookupBody, "bib 7", fmt.Sprint("bib ", i), 1)
-		if status, _, data := post(t, w.Addresses[0], "/v1/chat/completions", demo.Key(demo.Largada), nil, body); status != http.StatusOK {
+		if status, _, data := post(t, w.Addresses[0], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, body); status != http.StatusOK {
 			t.Fatalf("status %d: %s", status, data)
 		}
 	}
@@ -171,20 +171,20 @@
 // serves with the newest configuration known to daemons of several failure domains.
 func TestNewDaemonLoadsConfigurationFromPeers(t *testing.T) {
 	w := newWorld(t, 4)
-	if err := w.Apply(fleet.Patch{Workspaces: map[string]json.RawMessage{demo.Largada: json.RawMessage(`{"priority":4}`)}}); err != nil {
+	if err := w.ApplyPatch(fleet.Patch{Workspaces: map[string]json.RawMessage{demo.Largada: json.RawMessage(`{"priority":4}`)}}); err != nil {
 		t.Fatal(err)
 	}
 	w.Log.SetDown(true)
 	w.Kill(3)
-	if err := w.Revive(3); err != nil {
+	if err := w.Start(3); err != nil {
 		t.Fatal(err)
 	}
-	status, _, body := post(t, w.Addresses[3], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody)
+	status, _, body := post(t, w.Addresses[3], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookupBody)
 	if status != http.StatusOK {
 		t.Fatalf("status %d: %s", status, body)
 	}
 	var config fleet.Config
-	if err := w.OperatorAt(3, http.MethodGet, "/config", nil, &config); err != nil || config.Number != 2 {
+	if err := w.CallOperatorAt(3, http.MethodGet, "/config", nil, &config); err != nil || config.Number != 2 {
 		t.Fatalf("configuration %d, error %v", config.Number, err)
 	}
 }
@@ -200,7 +200,7 @@
 	}
 	countLeaving := func(i int) int {
 		var servers []daemon.ServerView
-		if err := w.OperatorAt(i, http.MethodGet, "/servers", nil, &servers); err != nil {
+		if err := w.CallOperatorAt(i, http.MethodGet, "/servers", nil, &servers); err != nil {
 			t.Fatal(err)
 		}
 		n := 0
@@ -213,7 +213,7 @@
 	}
 	waitUntil(t, "both daemons see the leaving servers", func() bool { return countLeaving(0) == len(w.Engines)-1 && countLeaving(1) == len(w.Engines)-1 })
 	for i := range 10 {
-		if status, _, body := post(t, w.Addresses[i%2], "/v1/chat/completions", demo.Key(demo.Largada), nil, lookupBody); status != http.StatusOK {
+		if status, _, body := post(t, w.Addresses[i%2], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookupBody); status != http.StatusOK {
 			t.Fatalf("status %d: %s", status, body)
 		}
 	}
@@ -228,7 +228,7 @@
 // version again after an order from a previous holder has loaded it.
 func TestLeaseHolderUnloadsWithdrawnVersion(t *testing.T) {
 	w := newWorld(t, 1)
-	err := w.Apply(fleet.Patch{Models: map[string]json.RawMessage{"bib-lookup": json.RawMessage(`{"versions":{"v2":{"state":"withdrawn"}}}`)}})
+	err := w.ApplyPatch(fleet.Patch{Models: map[string]json.RawMessage{"bib-lookup": json.RawMessage(`{"versions":{"v2":{"state":"withdrawn"}}}`)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -251,7 +251,7 @@
 	w := newWorld(t, 3)
 	crashBody := strings.Replace(lookupBody, "status of", standin.CrashMarker, 1)
 	send := func(i int, body string) (int, string) {
-		status, _, answer := post(t, w.Addresses[i%3], "/v1/chat/completions", demo.Key(demo.Largada), nil, body)
+		status, _, answer := post(t, w.Addresses[i%3], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, body)
 		return status, answer
 	}
 	if status, answer := send(0, crashBody); status != http.StatusBadGateway || strings.Contains(answer, string(fault.NotRun)) {
@@ -265,7 +265,7 @@
 			t.Errorf("a later caller got %d %s", status, answer)
 		}
 	}
-	if n := w.Ended.Load(); n != 3 {
+	if n := w.CrashedEngines.Load(); n != 3 {
 		t.Errorf("%d engines ended", n)
 	}
 	for i := range 3 {
@@ -274,7 +274,7 @@
 		}
 	}
 	fingerprint := listHolds(t, w, 1)[0].Fingerprint
-	if err := w.OperatorAt(1, http.MethodDelete, "/holds/"+fingerprint, nil, nil); err != nil {
+	if err := w.CallOperatorAt(1, http.MethodDelete, "/holds/"+fingerprint, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
@@ -283,9 +283,9 @@
 }
 
 // listHolds returns the quarantined requests of a daemon.
-func listHolds(t *testing.T, w *demo.World, daemon int) (out []api.HeldRequest) {
+func listHolds(t *testing.T, w *demo.Cluster, daemon int) (out []api.HeldRequest) {
 	t.Helper()
-	if err := w.OperatorAt(daemon, http.MethodGet, "/holds", nil, &out); err != nil {
+	if err := w.CallOperatorAt(daemon, http.MethodGet, "/holds", nil, &out); err != nil {
 		t.Fatal(err)
 	}
 	return out
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -63,14 +63,14 @@
 
 // Start listens on the addresses in the settings and starts a daemon.
 func Start(s settings.Settings, secrets settings.Secrets, logger *log.Logger) (*Node, error) {
-	callerListener, err := net.Listen("tcp", s.Listen)
+	callerListener, err := net.Listen("tcp", s.ListenAddress)
 	if err != nil {
-		return nil, oops.In("app").Wrapf(err, "listen: %s", s.Listen)
+		return nil, oops.In("app").Wrapf(err, "listen: %s", s.ListenAddress)
 	}
-	peerListener, err := net.Listen("tcp", s.PeerListen)
+	peerListener, err := net.Listen("tcp", s.PeerListenAddress)
 	if err != nil {
 		_ = callerListener.Close()
-		return nil, oops.In("app").Wrapf(err, "peer_listen: %s", s.PeerListen)
+		return nil, oops.In("app").Wrapf(err, "peer_listen: %s", s.PeerListenAddress)
 	}
 	return StartWithListeners(s, secrets, logger, callerListener, peerListener)
 }
@@ -78,17 +78,17 @@
 // StartWithListeners starts a daemon on open listeners. Their addresses replace those in
 // the settings.
 func StartWithListeners(s settings.Settings, secrets settings.Secrets, logger *log.Logger, callerListener, peerListener net.Listener) (*Node, error) {
-	s.Listen, s.PeerListen = callerListener.Addr().String(), peerListener.Addr().String()
+	s.ListenAddress, s.PeerListenAddress = callerListener.Addr().String(), peerListener.Addr().String()
 	scope, handler, closer := newMetricsScope()
-	deps := daemon.Dependencies{Log: platform.NewClient(s.Log, platformTimeout), Logger: logger, Metrics: scope}
-	if s.VMList != "" {
-		deps.VMs = platform.NewClient(s.VMList, platformTimeout)
+	deps := daemon.Dependencies{Log: platform.NewClient(s.LogURL, platformTimeout), Logger: logger, Metrics: scope}
+	if s.VMListURL != "" {
+		deps.VMs = platform.NewClient(s.VMListURL, platformTimeout)
 	}
-	if s.Rating != "" {
-		deps.Rater = platform.NewClient(s.Rating, platformTimeout)
+	if s.RatingURL != "" {
+		deps.Rater = platform.NewClient(s.RatingURL, platformTimeout)
 	}
-	if s.Weights != "" {
-		deps.Weights = platform.NewClient(s.Weights, platformTimeout)
+	if s.WeightStoreURL != "" {
+		deps.Weights = platform.NewClient(s.WeightStoreURL, platformTimeout)
 	}
 	n := &Node{logger: logger, done: make(chan struct{}), closers: []io.Closer{closer}}
 	if s.TLS != nil {
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -89,7 +89,7 @@
 	if majority {
 		c.majorityAt = time.Now()
 	}
-	return membership.Readiness{LogReadAt: c.logReadAt, MajorityAt: c.majorityAt, ConfigLoaded: c.loaded, ServersUpdatedAt: serversUpdated, RequireLog: c.d.settings.WithoutLog == "refuse"}
+	return membership.Readiness{LogReadAt: c.logReadAt, MajorityAt: c.majorityAt, ConfigLoaded: c.loaded, ServersUpdatedAt: serversUpdated, RequireLog: c.d.settings.LogOutagePolicy == "refuse"}
 }
 
 func (c *configFollower) run(ctx context.Context) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,11 +78,11 @@
 		settings: s, secrets: secrets, deps: deps, log: deps.Logger,
 		incarnation: uint64(time.Now().UnixNano()),
 		metrics:     newMetrics(deps.Metrics),
-		engine:      engine.NewClient(time.Duration(s.Silence)),
+		engine:      engine.NewClient(time.Duration(s.StreamIdleTimeout)),
 		peers:       peer.NewClient(s.ID, secrets.PeerKey, deps.PeerTLS),
 		stopping:    make(chan struct{}),
 	}
-	d.keyring.Store(secrets.Ring())
+	d.keyring.Store(secrets.Keyring())
 	d.peers.OnBytes = func(n int) { d.metrics.peerBytes.Inc(int64(n)) }
 	d.config = newConfigFollower(d)
 	d.members = newMemberlist(d)
@@ -129,7 +129,7 @@
 }
 
 // SetSecrets replaces the session keys. Other secrets change on restart only.
-func (d *Daemon) SetSecrets(s settings.Secrets) { d.keyring.Store(s.Ring()) }
+func (d *Daemon) SetSecrets(s settings.Secrets) { d.keyring.Store(s.Keyring()) }
 
 // Settings returns the daemon's settings.
 func (d *Daemon) Settings() settings.Settings { return d.settings }
@@ -152,7 +152,7 @@
 	d.stopOnce.Do(func() { close(d.stopping) })
 	done := make(chan struct{})
 	go func() { d.activeRequests.Wait(); close(done) }()
-	limit := time.NewTimer(time.Duration(d.settings.DrainLimit))
+	limit := time.NewTimer(time.Duration(d.settings.DrainTimeout))
 	defer limit.Stop()
 	select {
 	case <-done:
@@ -199,7 +199,7 @@
 // incarnation.
 func (d *Daemon) staticInfo() membership.DaemonInfo {
 	return membership.DaemonInfo{
-		ID: d.settings.ID, Address: d.settings.Listen, PeerAddress: d.settings.PeerListen,
+		ID: d.settings.ID, Address: d.settings.ListenAddress, PeerAddress: d.settings.PeerListenAddress,
 		FailureDomain: d.settings.FailureDomain, Incarnation: d.incarnation,
 	}
 }
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -22,7 +22,7 @@
 // with a pool of two servers in two failure domains.
 func newSlowStartBalancer(t *testing.T) (*balancer, *fleet.Config) {
 	t.Helper()
-	d := New(settings.Settings{ID: "d", Subset: 24}, settings.Secrets{}, Dependencies{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
+	d := New(settings.Settings{ID: "d", SubsetSize: 24}, settings.Secrets{}, Dependencies{Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
 	cfg := fleet.NewConfig()
 	pool := fleet.Pool{SlowStart: &fleet.SlowStart{Seconds: 3, PerSecond: 15, Burst: 5}}
 	for i, domain := range []string{"east", "west"} {
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -95,7 +95,7 @@
 		for i, s := range poolCfg.Servers {
 			members[i] = routing.Member{ID: s.ID, Address: s.Address, FailureDomain: s.FailureDomain, Slots: s.Slots}
 		}
-		p.load.Update(routing.Subset(b.d.settings.ID, members, b.d.settings.Subset))
+		p.load.Update(routing.Subset(b.d.settings.ID, members, b.d.settings.SubsetSize))
 		for id := range b.leaving {
 			p.load.SetLeaving(id, true)
 		}
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -60,7 +60,7 @@
 
 func newUsageRecorder(d *Daemon) *usageRecorder {
 	return &usageRecorder{
-		d: d, buffer: billing.NewBuffer(d.settings.BillingBuffer), confirmed: make(chan struct{}),
+		d: d, buffer: billing.NewBuffer(d.settings.BillingBufferSize), confirmed: make(chan struct{}),
 		replicas: map[string]replicaRecord{}, replicaAddresses: map[string]bool{}, flushNow: make(chan struct{}, 1),
 	}
 }
@@ -169,7 +169,7 @@
 func (u *usageRecorder) storeReplicas(req peer.StoreUsageRequest) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.replicas)+len(req.Records) > u.d.settings.BillingBuffer {
+	if len(u.replicas)+len(req.Records) > u.d.settings.BillingBufferSize {
 		return fault.New(fault.BillingBacklog, "%d copies are kept already", len(u.replicas))
 	}
 	for i, rec := range req.Records {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a daemon's settings: JSON with comments, every field
-// checked, errors naming the file, the line or field, and the value.
+// Package settings loads and validates a daemon's settings file, which is JSON
+// with comments. Errors contain the file, the line or field, and the value.
 package settings
 
 import (
@@ -23,7 +23,7 @@
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var s string
 	if err := json.Unmarshal(data, &s); err != nil {
-		return fmt.Errorf("a duration is a string such as \"1.5s\", not %s", data)
+		return fmt.Errorf("duration must be a string such as \"1.5s\", not %s", data)
 	}
 	v, err := time.ParseDuration(s)
 	*d = Duration(v)
@@ -33,94 +33,96 @@
 // MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Settings are the settings of one daemon.
+// Settings holds the settings of one daemon.
 type Settings struct {
-	// ID names the daemon; it stays the same over restarts. Required.
+	// ID identifies the daemon and must not change across restarts. Required.
 	ID string `json:"id"`
-	// Region is where the failure domain lies. Required.
+	// Region is the region of the failure domain. Required.
 	Region string `json:"region"`
-	// FailureDomain is where the VM runs. Required.
+	// FailureDomain is the failure domain of the VM. Required.
 	FailureDomain string `json:"failure_domain"`
-	// Listen is the ip:port for callers and operators. Required.
-	Listen string `json:"listen"`
-	// PeerListen is the ip:port for other daemons. Required.
-	PeerListen string `json:"peer_listen"`
-	// Peers are peer addresses to join through. Default: none.
+	// ListenAddress is the ip:port that serves callers and operators. Required.
+	ListenAddress string `json:"listen"`
+	// PeerListenAddress is the ip:port that serves other daemons. Required.
+	PeerListenAddress string `json:"peer_listen"`
+	// Peers lists the ip:port of daemons to join the cluster through. Default: none.
 	Peers []string `json:"peers"`
-	// Log is the base URL of the append-only log service. Required.
-	Log string `json:"log"`
-	// VMList is the base URL of the list of VMs. Default: not used.
-	VMList string `json:"vm_list"`
-	// Rating is the base URL of the rating service. Default: not used.
-	Rating string `json:"rating"`
-	// Weights is the base URL of the weight store. Default: loads are not limited.
-	Weights string `json:"weights"`
-	// Pools are the pools this daemon routes to. Default: all.
+	// LogURL is the base URL of the append-only log service. Required.
+	LogURL string `json:"log"`
+	// VMListURL is the base URL of the VM list service. Default: not used.
+	VMListURL string `json:"vm_list"`
+	// RatingURL is the base URL of the rating service. Default: not used.
+	RatingURL string `json:"rating"`
+	// WeightStoreURL is the base URL of the weight store, which limits concurrent
+	// weight loads. Default: loads are not limited.
+	WeightStoreURL string `json:"weights"`
+	// Pools lists the pools that the daemon routes to. Default: all.
 	Pools []string `json:"pools"`
-	// SecretsFile holds the keys as JSON. Default: the environment variable
-	// DAMASKRUDDER_SECRETS holds them.
+	// SecretsFile is the path of a JSON file with the keys. Default: the keys are
+	// read from the environment variable DAMASKRUDDER_SECRETS.
 	SecretsFile string `json:"secrets_file"`
-	// MaxBodyBytes bounds a request's body in bytes. Default 1,048,576.
+	// MaxBodyBytes is the maximum size of a request body in bytes. Default 1,048,576.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// Subset is how many servers of a pool the daemon works with, 1 to 64.
-	// Default 24.
-	Subset int `json:"subset"`
-	// EndpointTTL is how long callers may keep an answer of /v1/endpoints.
+	// SubsetSize is the maximum number of servers of a pool that the daemon sends
+	// to, 1 to 64. Default 24.
+	SubsetSize int `json:"subset"`
+	// EndpointTTL is how long callers may cache a response of /v1/endpoints.
 	// Default "5s".
 	EndpointTTL Duration `json:"endpoint_ttl"`
-	// DrainGrace is how long after EndpointTTL a stopping daemon still accepts
-	// requests. It covers the spread of the leaving mark to daemons that just
-	// started and missed the announcement, so it is at least "2s". Default "3s".
+	// DrainGrace is how long a stopping daemon accepts requests after the endpoint
+	// TTL has passed. The minimum, "2s", lets daemons that have just started learn
+	// that it is leaving. Default "3s".
 	DrainGrace Duration `json:"drain_grace"`
-	// DrainLimit bounds the wait for running requests. Default "2m".
-	DrainLimit Duration `json:"drain_limit"`
-	// Silence is how long an answer stream may stay silent before it is resumed
-	// on a new connection. Default "3s".
-	Silence Duration `json:"silence"`
-	// BillingBuffer bounds the usage records awaiting the log. Default 20,000,
-	// about 8 MB.
-	BillingBuffer int `json:"billing_buffer"`
-	// RatingShare is the fraction of answers handed to the rating service, 0 to
-	// 1. Default 0.05.
+	// DrainTimeout is the maximum wait for running requests at shutdown. Default "2m".
+	DrainTimeout Duration `json:"drain_limit"`
+	// StreamIdleTimeout is how long a response stream from a server may be idle
+	// before it is resumed on a new connection. Default "3s".
+	StreamIdleTimeout Duration `json:"silence"`
+	// BillingBufferSize is the maximum number of usage records waiting to be written
+	// to the log. Default 20,000, about 8 MB.
+	BillingBufferSize int `json:"billing_buffer"`
+	// RatingShare is the fraction of answers sent to the rating service, 0 to 1.
+	// Default 0.05.
 	RatingShare float64 `json:"rating_share"`
-	// WithoutLog says what to do while the log does not answer: "majority" serves
-	// on among most daemons, "refuse" stops 15 s after the log's last word.
-	// Default "majority".
-	WithoutLog string `json:"without_log"`
+	// LogOutagePolicy is the behaviour while the log is unreachable: "majority"
+	// keeps serving while a majority of daemons is reachable, "refuse" stops serving
+	// 15 s after the last response of the log. Default "majority".
+	LogOutagePolicy string `json:"without_log"`
 	// LogLevel is debug, info, warn or error. Default "info".
 	LogLevel string `json:"log_level"`
-	// TLS holds the files for encrypted listeners and links. Default: plain.
+	// TLS configures TLS for the listeners and for connections to other daemons.
+	// Default: no TLS.
 	TLS *TLS `json:"tls"`
 }
 
-// TLS names certificate files; they are read again when they change.
+// TLS holds the paths of PEM files. They are reloaded when they change.
 type TLS struct {
-	// CertFile is the daemon's certificate chain, PEM.
+	// CertFile is the path of the daemon's certificate chain, PEM.
 	CertFile string `json:"cert_file"`
-	// KeyFile is its private key, PEM.
+	// KeyFile is the path of the certificate's private key, PEM.
 	KeyFile string `json:"key_file"`
-	// CAFile holds the authorities that other daemons' certificates must be
-	// signed by, PEM.
+	// CAFile is the path of the CA certificates that verify other daemons'
+	// certificates, PEM.
 	CAFile string `json:"ca_file"`
 }
 
-// Defaults returns settings with every default filled in.
+// Defaults returns settings with all defaults set. Required fields are empty.
 func Defaults() Settings {
 	return Settings{
-		MaxBodyBytes:  1 << 20,
-		Subset:        24,
-		EndpointTTL:   Duration(5 * time.Second),
-		DrainGrace:    Duration(3 * time.Second),
-		DrainLimit:    Duration(2 * time.Minute),
-		Silence:       Duration(3 * time.Second),
-		BillingBuffer: 20000,
-		RatingShare:   0.05,
-		WithoutLog:    "majority",
-		LogLevel:      "info",
+		MaxBodyBytes:      1 << 20,
+		SubsetSize:        24,
+		EndpointTTL:       Duration(5 * time.Second),
+		DrainGrace:        Duration(3 * time.Second),
+		DrainTimeout:      Duration(2 * time.Minute),
+		StreamIdleTimeout: Duration(3 * time.Second),
+		BillingBufferSize: 20000,
+		RatingShare:       0.05,
+		LogOutagePolicy:   "majority",
+		LogLevel:          "info",
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -133,44 +135,45 @@
 	return s, nil
 }
 
-// Parse decodes and checks settings.
+// Parse decodes settings over the defaults and validates them. An unknown field
+// is an error.
 func Parse(data []byte) (Settings, error) {
 	s := Defaults()
-	plain, err := hujson.Standardize(bytes.Clone(data))
+	standardJSON, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
 		return s, err
 	}
-	d := json.NewDecoder(bytes.NewReader(plain))
+	d := json.NewDecoder(bytes.NewReader(standardJSON))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
-		return s, located(plain, err)
+		return s, addLineNumber(standardJSON, err)
 	}
 	return s, s.Validate()
 }
 
-// located adds the line of the offending field to a decoding error.
-func located(data []byte, err error) error {
-	var bad *json.UnmarshalTypeError
-	if errors.As(err, &bad) {
-		return fmt.Errorf("line %d: %s: %s does not fit (a JSON %s)", lineAt(data, int(bad.Offset)), bad.Field, valueAt(data, int(bad.Offset)), bad.Value)
+// addLineNumber adds the line of the invalid field to a decoding error.
+func addLineNumber(data []byte, err error) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return fmt.Errorf("line %d: %s: %s does not fit (a JSON %s)", lineNumber(data, int(typeErr.Offset)), typeErr.Field, valueEndingAt(data, int(typeErr.Offset)), typeErr.Value)
 	}
 	if _, field, ok := strings.Cut(err.Error(), "unknown field "); ok {
-		return fmt.Errorf("line %d: unknown field %s", lineAt(data, bytes.Index(data, []byte(field))), field)
+		return fmt.Errorf("line %d: unknown field %s", lineNumber(data, bytes.Index(data, []byte(field))), field)
 	}
 	return err
 }
 
-// valueAt returns the text of the value that ends at an offset.
-func valueAt(data []byte, offset int) string {
+// valueEndingAt returns the JSON text of the value that ends at offset.
+func valueEndingAt(data []byte, offset int) string {
 	before := data[:min(max(offset, 0), len(data))]
 	return string(bytes.TrimSpace(before[bytes.LastIndexByte(before, ':')+1:]))
 }
 
-func lineAt(data []byte, offset int) int {
+func lineNumber(data []byte, offset int) int {
 	return 1 + bytes.Count(data[:min(max(offset, 0), len(data))], []byte("\n"))
 }
 
-// Validate checks every field.
+// Validate checks all fields and returns an error that names an invalid one.
 func (s *Settings) Validate() error {
 	for _, f := range []struct{ name, value string }{{"id", s.ID}, {"region", s.Region}, {"failure_domain", s.FailureDomain}} {
 		if f.value == "" {
@@ -184,7 +187,7 @@
 }
 
 func (s *Settings) validateAddresses() error {
-	addresses := map[string]string{"listen": s.Listen, "peer_listen": s.PeerListen}
+	addresses := map[string]string{"listen": s.ListenAddress, "peer_listen": s.PeerListenAddress}
 	for i, p := range s.Peers {
 		addresses[fmt.Sprintf("peers[%d]", i)] = p
 	}
@@ -193,10 +196,10 @@
 			return fmt.Errorf("%s: %q is not ip:port", field, value)
 		}
 	}
-	if s.Log == "" {
+	if s.LogURL == "" {
 		return errors.New("log: must not be empty")
 	}
-	for _, f := range []struct{ name, value string }{{"log", s.Log}, {"vm_list", s.VMList}, {"rating", s.Rating}, {"weights", s.Weights}} {
+	for _, f := range []struct{ name, value string }{{"log", s.LogURL}, {"vm_list", s.VMListURL}, {"rating", s.RatingURL}, {"weights", s.WeightStoreURL}} {
 		u, err := url.Parse(f.value)
 		if f.value != "" && (err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "") {
 			return fmt.Errorf("%s: %q is not an http or https URL", f.name, f.value)
@@ -206,8 +209,8 @@
 }
 
 const (
-	maxSubset = 64
-	// minDrainGrace is two rounds of heartbeats.
+	maxSubsetSize = 64
+	// minDrainGrace covers two heartbeat rounds.
 	minDrainGrace = Duration(2 * time.Second)
 )
 
@@ -215,28 +218,28 @@
 	for _, f := range []struct {
 		name  string
 		value Duration
-	}{{"endpoint_ttl", s.EndpointTTL}, {"drain_grace", s.DrainGrace}, {"drain_limit", s.DrainLimit}, {"silence", s.Silence}} {
+	}{{"endpoint_ttl", s.EndpointTTL}, {"drain_grace", s.DrainGrace}, {"drain_limit", s.DrainTimeout}, {"silence", s.StreamIdleTimeout}} {
 		if f.value <= 0 {
-			return fmt.Errorf("%s: %s must be above zero", f.name, time.Duration(f.value))
+			return fmt.Errorf("%s: %s must be greater than zero", f.name, time.Duration(f.value))
 		}
 	}
 	switch {
 	case s.MaxBodyBytes <= 0:
-		return fmt.Errorf("max_body_bytes: %d must be above zero", s.MaxBodyBytes)
-	case s.Subset < 1 || s.Subset > maxSubset:
-		return fmt.Errorf("subset: %d is out of 1..%d", s.Subset, maxSubset)
+		return fmt.Errorf("max_body_bytes: %d must be greater than zero", s.MaxBodyBytes)
+	case s.SubsetSize < 1 || s.SubsetSize > maxSubsetSize:
+		return fmt.Errorf("subset: %d is out of 1..%d", s.SubsetSize, maxSubsetSize)
 	case s.DrainGrace < minDrainGrace:
 		return fmt.Errorf("drain_grace: %s must be at least %s", time.Duration(s.DrainGrace), time.Duration(minDrainGrace))
-	case s.BillingBuffer < 1:
-		return fmt.Errorf("billing_buffer: %d must be above zero", s.BillingBuffer)
+	case s.BillingBufferSize < 1:
+		return fmt.Errorf("billing_buffer: %d must be greater than zero", s.BillingBufferSize)
 	case s.RatingShare < 0 || s.RatingShare > 1:
 		return fmt.Errorf("rating_share: %v is out of 0..1", s.RatingShare)
-	case s.WithoutLog != "majority" && s.WithoutLog != "refuse":
-		return fmt.Errorf("without_log: %q is neither majority nor refuse", s.WithoutLog)
+	case s.LogOutagePolicy != "majority" && s.LogOutagePolicy != "refuse":
+		return fmt.Errorf("without_log: %q is neither majority nor refuse", s.LogOutagePolicy)
 	case !strings.Contains(" debug info warn error ", " "+s.LogLevel+" "):
 		return fmt.Errorf("log_level: %q is not debug, info, warn or error", s.LogLevel)
 	case s.TLS != nil && (s.TLS.CertFile == "" || s.TLS.KeyFile == "" || s.TLS.CAFile == ""):
-		return errors.New("tls: cert_file, key_file and ca_file are all needed")
+		return errors.New("tls: cert_file, key_file and ca_file are all required")
 	}
 	return nil
 }
--- a/lab/experiments/cascade.go
+++ b/lab/experiments/cascade.go
@@ -8,224 +8,231 @@
 )
 
 const (
-	// cascadeRequests are sent at cascadeRate a second.
+	// cascadeRequests is the number of requests, sent at cascadeRate per second.
 	cascadeRequests, cascadeRate = 40_000, 20
-	// driftAt is the request from which the cheap model is worse in one class.
-	driftAt = 20_000
-	// ratingLag is how many seconds a rating takes.
-	ratingLag = 10
-	// target is the wanted fraction of good answers.
-	target = 0.90
-	// naiveConfidence is the fixed confidence below which the naive cascade escalates.
-	naiveConfidence = 0.8
-	// confidenceNoise is the standard deviation of the cheap model's confidence
-	// around its true chance of being right.
+	// driftRequest is the index of the first request with lower quality of the cheap
+	// model in driftedClass.
+	driftRequest = 20_000
+	// ratingDelaySeconds is the time from an answer to its rating.
+	ratingDelaySeconds = 10
+	// qualityTarget is the required fraction of good answers.
+	qualityTarget = 0.90
+	// fixedConfidence is the confidence below which the baseline cascade escalates.
+	fixedConfidence = 0.8
+	// confidenceNoise is the standard deviation of the cheap model's confidence from
+	// the probability of a good answer.
 	confidenceNoise = 0.08
-	// recoveryRequests of the drifted class is the time allowed to recover.
+	// recoveryRequests is the number of requests of driftedClass after the drift that
+	// are not part of the recovered quality.
 	recoveryRequests = 500
 )
 
 var costs = cascade.Costs{Cheap: 1, Expensive: 15}
 
-// kind is a class of requests with the mean chance that either model is right.
-type kind struct {
-	name        string
-	share       float64
-	cheap, dear float64
+// requestClass is a class of requests with its share of the traffic and the mean
+// probability of a good answer of each model.
+type requestClass struct {
+	name             string
+	share            float64
+	cheap, expensive float64
 }
 
-var kinds = []kind{
+var requestClasses = []requestClass{
 	{"bib status", 0.40, 0.97, 0.98},
 	{"confirmation", 0.30, 0.88, 0.96},
 	{"assay summary", 0.20, 0.62, 0.95},
 	{"waiver", 0.10, 0.35, 0.93},
 }
 
-// drifted is the class whose cheap answers turn worse, to this chance.
+// The quality of the cheap model in driftedClass drops to driftedQuality.
 const (
-	drifted   = 0
-	driftedTo = 0.55
+	driftedClass   = 0
+	driftedQuality = 0.55
 )
 
-// question is one request with its truth.
-type question struct {
-	kind       int
-	confidence float64
-	cheap      bool
-	dear       bool
+// request is a request with the quality of both models' answers.
+type request struct {
+	class         int
+	confidence    float64
+	cheapGood     bool
+	expensiveGood bool
 }
 
-func ask(rng *rand.Rand, n int) question {
-	q := question{kind: pickKind(rng)}
-	k := kinds[q.kind]
-	// A question's own difficulty spreads the chance around the class's mean.
-	own := min(max(k.cheap+rng.NormFloat64()*0.12, 0.02), 0.995)
-	q.confidence = min(max(own+rng.NormFloat64()*confidenceNoise, 0), 1)
-	if n >= driftAt && q.kind == drifted {
-		own *= driftedTo / k.cheap
+func newRequest(rng *rand.Rand, index int) request {
+	r := request{class: pickClass(rng)}
+	class := requestClasses[r.class]
+	// The difficulty varies between requests of a class.
+	quality := min(max(class.cheap+rng.NormFloat64()*0.12, 0.02), 0.995)
+	r.confidence = min(max(quality+rng.NormFloat64()*confidenceNoise, 0), 1)
+	if index >= driftRequest && r.class == driftedClass {
+		quality *= driftedQuality / class.cheap
 	}
-	q.cheap = rng.Float64() < own
-	q.dear = rng.Float64() < k.dear
-	return q
+	r.cheapGood = rng.Float64() < quality
+	r.expensiveGood = rng.Float64() < class.expensive
+	return r
 }
 
-func pickKind(rng *rand.Rand) int {
+func pickClass(rng *rand.Rand) int {
 	x := rng.Float64()
-	for i, k := range kinds {
-		if x < k.share {
+	for i, class := range requestClasses {
+		if x < class.share {
 			return i
 		}
-		x -= k.share
+		x -= class.share
 	}
-	return len(kinds) - 1
+	return len(requestClasses) - 1
 }
 
-// answered is what a rule did with one question.
-type answered struct {
-	cost     float64
-	good     bool
-	cheapRan bool
-	dearRan  bool
+// result is the outcome of serving a request.
+type result struct {
+	cost         float64
+	good         bool
+	cheapRan     bool
+	expensiveRan bool
 }
 
-func answer(q question, cheapFirst bool, accept func() bool) answered {
-	a := answered{cheapRan: cheapFirst}
+// serve runs the cheap model first if cheapFirst is set, and the expensive model if the
+// cheap answer is not accepted.
+func serve(r request, cheapFirst bool, accept func() bool) result {
+	out := result{cheapRan: cheapFirst}
 	if cheapFirst {
-		a.cost = costs.Cheap
+		out.cost = costs.Cheap
 		if accept() {
-			a.good = q.cheap
-			return a
+			out.good = r.cheapGood
+			return out
 		}
 	}
-	a.cost += costs.Expensive
-	a.dearRan, a.good = true, q.dear
-	return a
+	out.cost += costs.Expensive
+	out.expensiveRan, out.good = true, r.expensiveGood
+	return out
 }
 
+// pendingRating is a rating that arrives at second due.
 type pendingRating struct {
-	due int
-	q   question
-	a   answered
+	due     int
+	request request
+	result  result
 }
 
-// tally sums up one phase of a trial.
-type tally struct {
+// stats accumulates the results of one phase of a trial.
+type stats struct {
 	requests, good int
 	cost           float64
 }
 
-func (t *tally) add(a answered) {
-	t.requests++
-	t.cost += a.cost
-	if a.good {
-		t.good++
+func (s *stats) add(r result) {
+	s.requests++
+	s.cost += r.cost
+	if r.good {
+		s.good++
 	}
 }
 
-func (t tally) quality() float64 { return float64(t.good) / float64(t.requests) }
-func (t tally) mean() float64    { return t.cost / float64(t.requests) }
+func (s stats) quality() float64  { return float64(s.good) / float64(s.requests) }
+func (s stats) meanCost() float64 { return s.cost / float64(s.requests) }
 
-// cascadeTrial runs ours and the naive rules over the same questions.
+// cascadeTrial serves the same requests with the adaptive plan and with the baselines.
 func cascadeTrial(seed uint64) []float64 {
-	rng, coin := rand.New(rand.NewPCG(seed, 11)), rand.New(rand.NewPCG(seed, 12))
+	rng, sampler := rand.New(rand.NewPCG(seed, 11)), rand.New(rand.NewPCG(seed, 12))
 	classes := map[string]*cascade.Class{}
-	for _, k := range kinds {
-		classes[k.name] = &cascade.Class{}
+	for _, class := range requestClasses {
+		classes[class.name] = &cascade.Class{}
 	}
 	var plan cascade.Plan
 	var pending []pendingRating
-	var ours, escalate, oracle, after, recovered tally
-	var dears tally
-	best := oraclePlan(rng)
-	classSince := 0
-	for n := range cascadeRequests {
-		if n%cascadeRate == 0 {
-			pending = rate(classes, pending, n/cascadeRate)
-			plan = cascade.NewPlan(classes, costs, target)
+	var ours, fixedThreshold, oracle, drifted, recovered stats
+	var alwaysExpensive stats
+	bestPlan := oraclePlan(rng)
+	driftedRequests := 0
+	for index := range cascadeRequests {
+		if index%cascadeRate == 0 {
+			pending = applyDueRatings(classes, pending, index/cascadeRate)
+			plan = cascade.NewPlan(classes, costs, qualityTarget)
 		}
-		q := ask(rng, n)
-		name := kinds[q.kind].name
-		_, known := plan.Accept[name]
-		first := plan.UseCheapFirst(name, known, coin.Float64())
-		if first {
-			classes[name].RecordConfidence(q.confidence)
+		r := newRequest(rng, index)
+		name := requestClasses[r.class].name
+		_, hasPlan := plan.Accept[name]
+		cheapFirst := plan.UseCheapFirst(name, hasPlan, sampler.Float64())
+		if cheapFirst {
+			classes[name].RecordConfidence(r.confidence)
 		}
-		a := answer(q, first, func() bool { return plan.Accepts(name, q.confidence) })
-		if coin.Float64() < ratingShare {
-			pending = append(pending, pendingRating{n/cascadeRate + ratingLag, q, a})
+		res := serve(r, cheapFirst, func() bool { return plan.Accepts(name, r.confidence) })
+		if sampler.Float64() < ratingShare {
+			pending = append(pending, pendingRating{index/cascadeRate + ratingDelaySeconds, r, res})
 		}
-		// The first quarter is for learning.
+		// The first quarter of the requests is not measured.
 		switch {
-		case n >= driftAt/2 && n < driftAt:
-			ours.add(a)
-			escalate.add(answer(q, true, func() bool { return q.confidence >= naiveConfidence }))
-			oracle.add(answer(q, best.UseCheapFirst(name, true, 1), func() bool { return best.Accepts(name, q.confidence) }))
-			dears.add(answer(q, false, nil))
-		case n >= driftAt:
-			if q.kind == drifted {
-				classSince++
+		case index >= driftRequest/2 && index < driftRequest:
+			ours.add(res)
+			fixedThreshold.add(serve(r, true, func() bool { return r.confidence >= fixedConfidence }))
+			oracle.add(serve(r, bestPlan.UseCheapFirst(name, true, 1), func() bool { return bestPlan.Accepts(name, r.confidence) }))
+			alwaysExpensive.add(serve(r, false, nil))
+		case index >= driftRequest:
+			if r.class == driftedClass {
+				driftedRequests++
 			}
-			after.add(a)
-			if classSince > recoveryRequests {
-				recovered.add(a)
+			drifted.add(res)
+			if driftedRequests > recoveryRequests {
+				recovered.add(res)
 			}
 		}
 	}
 	return []float64{
-		ours.mean() / dears.mean(), ours.mean() / escalate.mean(), ours.quality(), escalate.quality(), dears.quality(),
-		ours.mean() / oracle.mean(), oracle.quality(), recovered.quality(), after.quality(),
+		ours.meanCost() / alwaysExpensive.meanCost(), ours.meanCost() / fixedThreshold.meanCost(), ours.quality(), fixedThreshold.quality(), alwaysExpensive.quality(),
+		ours.meanCost() / oracle.meanCost(), oracle.quality(), recovered.quality(), drifted.quality(),
 	}
 }
 
-func rate(classes map[string]*cascade.Class, pending []pendingRating, second int) []pendingRating {
+// applyDueRatings records the ratings that are due and returns the remaining ones.
+func applyDueRatings(classes map[string]*cascade.Class, pending []pendingRating, second int) []pendingRating {
 	for len(pending) > 0 && pending[0].due <= second {
 		p := pending[0]
 		pending = pending[1:]
-		c := classes[kinds[p.q.kind].name]
-		if p.a.cheapRan {
-			c.RecordRating(p.q.confidence, p.q.cheap)
+		c := classes[requestClasses[p.request.class].name]
+		if p.result.cheapRan {
+			c.RecordRating(p.request.confidence, p.request.cheapGood)
 		}
-		if p.a.dearRan {
-			c.RecordExpensiveRating(p.q.dear)
+		if p.result.expensiveRan {
+			c.RecordExpensiveRating(p.request.expensiveGood)
 		}
 	}
 	return pending
 }
 
-// oraclePlan knows the true rates: it is made from many rated questions.
+// oraclePlan returns a plan based on a large sample of rated requests.
 func oraclePlan(rng *rand.Rand) cascade.Plan {
 	classes := map[string]*cascade.Class{}
-	for _, k := range kinds {
-		classes[k.name] = &cascade.Class{}
+	for _, class := range requestClasses {
+		classes[class.name] = &cascade.Class{}
 	}
 	for range 200_000 {
-		q := ask(rng, 0)
-		c := classes[kinds[q.kind].name]
-		band := cascade.Band(q.confidence)
+		r := newRequest(rng, 0)
+		c := classes[requestClasses[r.class].name]
+		band := cascade.Band(r.confidence)
 		c.BandCounts[band]++
 		c.Cheap[band].Total++
 		c.Expensive.Total++
-		if q.cheap {
+		if r.cheapGood {
 			c.Cheap[band].Good++
 		}
-		if q.dear {
+		if r.expensiveGood {
 			c.Expensive.Good++
 		}
 	}
-	return cascade.NewPlan(classes, costs, target)
+	return cascade.NewPlan(classes, costs, qualityTarget)
 }
 
 func cascadeTable(out io.Writer, seeds int) {
 	rows := []row{
 		{name: "cost, ours / always dear", target: 0.6},
 		{name: "cost, ours / always cheap then escalate below 0.8", target: 0.85},
-		{name: "quality, ours", target: target, atLeast: true},
+		{name: "quality, ours", target: qualityTarget, atLeast: true},
 		{name: "  quality, always cheap then escalate", atLeast: true},
 		{name: "  quality, always dear", atLeast: true},
 		{name: "cost, ours / oracle"},
 		{name: "  quality, oracle", atLeast: true},
-		{name: "quality after a drop, from 500 requests of the class on", target: target, atLeast: true},
+		{name: "quality after a drop, from 500 requests of the class on", target: qualityTarget, atLeast: true},
 		{name: "  quality after the drop, from its first request", atLeast: true},
 	}
-	writeTable(out, "cascade: 4 classes, prices 1 and 15, ratings of 5% after 10 s, one class drops from 0.97 to 0.55", collect(seeds, rows, cascadeTrial))
+	writeTable(out, "cascade: 4 classes, prices 1 and 15, ratings of 5% after 10 s, one class drops from 0.97 to 0.55", collectValues(seeds, rows, cascadeTrial))
 }
--- a/lab/experiments/rollout.go
+++ b/lab/experiments/rollout.go
@@ -12,283 +12,293 @@
 )
 
 const (
-	// requestRate is the model's traffic over the whole fleet, a second.
+	// requestRate is the number of requests per second to all daemons.
 	requestRate = 120
-	// sessions take turns; each is pinned to the version of its first answer and
-	// ends after sessionLength requests in the mean.
-	sessions      = 400
-	sessionLength = 20
-	// horizon ends a roll-out trial.
-	horizon = 900
-	// ratingShare and ratingDelay describe the rating service.
+	// sessions is the number of concurrent sessions. Each is pinned to the version of
+	// its first answer and lasts meanSessionRequests on average.
+	sessions            = 400
+	meanSessionRequests = 20
+	// rolloutSeconds is the duration of a trial in virtual time.
+	rolloutSeconds = 900
+	// ratingShare is the fraction of rated answers; a rating takes rolloutRatingDelay
+	// seconds.
 	ratingShare = 0.05
 	ratingDelay = 30
-	// Base rates of a good version.
-	baseErrors, baseSlow, baseBad = 0.002, 0.02, 0.05
-	// stageTime is the fixed time of a stage for the naive rule and the least
-	// time of ours.
-	stageTime = time.Minute
+	// Error, slow and bad answer rates of a good version.
+	baseErrorRate, baseSlowRate, baseBadRate = 0.002, 0.02, 0.05
+	// stageDuration is the duration of a stage of the fixed steps and the minimum
+	// duration of a stage of the evidence controller.
+	stageDuration = time.Minute
 )
 
 var stages = []float64{1, 10, 50, 100}
 
-// fault is what is wrong with the new version, or with a place.
-type fault struct {
-	errors, slow, wrong float64
-	// from is when the version turns bad, in seconds.
-	from int
-	// servers fail runs of both versions at placeErrors.
-	servers     []int
-	placeErrors float64
-	// drained makes every run of both versions slow.
-	drained bool
+// injectedFault is a fault of the new version or of the servers. Its rates are
+// probabilities per request.
+type injectedFault struct {
+	errors, slow, badAnswers float64
+	// startSecond is the second from which the new version is faulty.
+	startSecond int
+	// servers fail requests to both versions at serverErrorRate.
+	servers         []int
+	serverErrorRate float64
+	// allSlow makes all requests to both versions slow.
+	allSlow bool
 }
 
-// outcome is what one roll-out did.
+// outcome is the result of one roll-out.
 type outcome struct {
-	// hurt counts requests harmed by the new version's fault.
-	hurt int
-	// hurtPinned counts those of sessions that were pinned before it turned bad.
-	hurtPinned int
-	// stopped and done are when, in seconds; -1 is never.
-	stopped, done int
-	held          bool
+	// affected counts the requests affected by the new version's fault.
+	affected int
+	// affectedPinned counts the affected requests of sessions that were pinned before
+	// the fault started.
+	affectedPinned int
+	// rolledBackAt and completedAt are in seconds, or -1 if it didn't happen.
+	rolledBackAt, completedAt int
+	held                      bool
 }
 
-// stepper is a rule that steers a roll-out, called once a virtual second.
-type stepper interface {
+// rolloutController controls a roll-out.
+type rolloutController interface {
 	percent() float64
-	avoids(daemon int) bool
-	ratingShare(fresh bool) float64
+	// excludes reports whether a daemon sends no new sessions to the new version.
+	excludes(daemon int) bool
+	ratingShare(newVersion bool) float64
+	// observe records a request, or its rating if r.rated is set.
 	observe(r run)
-	tick(second int) (stop, done, held bool)
+	// evaluateSecond is called at the end of each second of virtual time.
+	evaluateSecond(second int) (rolledBack, completed, held bool)
 }
 
 // run is one finished request.
 type run struct {
-	daemon, server    int
-	fresh             bool
-	failed, slow, bad bool
-	rated             bool
+	daemon, server          int
+	newVersion              bool
+	failed, slow, badAnswer bool
+	rated                   bool
 }
 
-type late struct {
+// delayedRating is a rating that arrives at second due.
+type delayedRating struct {
 	due int
 	run run
 }
 
-// simulate runs one roll-out.
-func simulate(seed uint64, f fault, s stepper) outcome {
+// simulateRollout runs one roll-out.
+func simulateRollout(seed uint64, fault injectedFault, controller rolloutController) outcome {
 	rng := rand.New(rand.NewPCG(seed, 7))
+	// A session is not pinned (0), pinned to the old version (1) or to the new one (2).
 	pins := make([]int8, sessions)
 	pinnedBefore := make([]bool, sessions)
 	buckets := make([]float64, sessions)
 	for i := range buckets {
 		buckets[i] = fleet.Bucket("m", fmt.Sprint(seed, "/", i))
 	}
-	out := outcome{stopped: -1, done: -1}
-	names := sessions
-	var ratings []late
-	for second := range horizon {
-		if second == f.from {
+	out := outcome{rolledBackAt: -1, completedAt: -1}
+	sessionCount := sessions
+	var ratings []delayedRating
+	for second := range rolloutSeconds {
+		if second == fault.startSecond {
 			for i, p := range pins {
 				pinnedBefore[i] = p == 2
 			}
 		}
 		for range requestRate {
 			id := rng.IntN(sessions)
-			if rng.IntN(sessionLength) == 0 {
-				names++
-				pins[id], pinnedBefore[id], buckets[id] = 0, false, fleet.Bucket("m", fmt.Sprint(seed, "/", names))
+			if rng.IntN(meanSessionRequests) == 0 {
+				sessionCount++
+				pins[id], pinnedBefore[id], buckets[id] = 0, false, fleet.Bucket("m", fmt.Sprint(seed, "/", sessionCount))
 			}
-			r := run{daemon: rng.IntN(daemons), server: rng.IntN(engines)}
-			r.fresh = out.stopped < 0 && (pins[id] == 2 || pins[id] == 0 && buckets[id] < s.percent() && !s.avoids(r.daemon))
-			hurt := r.suffer(rng, f, second)
-			if hurt {
-				out.hurt++
+			r := run{daemon: rng.IntN(daemonCount), server: rng.IntN(engineCount)}
+			r.newVersion = out.rolledBackAt < 0 && (pins[id] == 2 || pins[id] == 0 && buckets[id] < controller.percent() && !controller.excludes(r.daemon))
+			affected := r.simulate(rng, fault, second)
+			if affected {
+				out.affected++
 				if pinnedBefore[id] {
-					out.hurtPinned++
+					out.affectedPinned++
 				}
 			}
 			if !r.failed {
 				pins[id] = 1
-				if r.fresh {
+				if r.newVersion {
 					pins[id] = 2
 				}
 			}
-			s.observe(r)
-			if !r.failed && rng.Float64() < s.ratingShare(r.fresh) {
+			controller.observe(r)
+			if !r.failed && rng.Float64() < controller.ratingShare(r.newVersion) {
 				r.rated = true
-				ratings = append(ratings, late{second + ratingDelay, r})
+				ratings = append(ratings, delayedRating{second + ratingDelay, r})
 			}
 		}
 		for len(ratings) > 0 && ratings[0].due <= second {
-			s.observe(ratings[0].run)
+			controller.observe(ratings[0].run)
 			ratings = ratings[1:]
 		}
-		stop, done, held := s.tick(second)
-		if stop && out.stopped < 0 {
-			out.stopped = second
+		rolledBack, completed, held := controller.evaluateSecond(second)
+		if rolledBack && out.rolledBackAt < 0 {
+			out.rolledBackAt = second
 		}
-		if done && out.done < 0 {
-			out.done = second
+		if completed && out.completedAt < 0 {
+			out.completedAt = second
 		}
 		out.held = out.held || held
 	}
 	return out
 }
 
-// suffer decides how a run went and whether the new version's fault harmed it.
-func (r *run) suffer(rng *rand.Rand, f fault, second int) bool {
-	r.failed = rng.Float64() < baseErrors
-	r.slow = f.drained || rng.Float64() < baseSlow
-	r.bad = rng.Float64() < baseBad
-	for _, s := range f.servers {
-		if s == r.server && rng.Float64() < f.placeErrors {
+// simulate sets the result of a request and reports whether it was affected by the new
+// version's fault.
+func (r *run) simulate(rng *rand.Rand, fault injectedFault, second int) bool {
+	r.failed = rng.Float64() < baseErrorRate
+	r.slow = fault.allSlow || rng.Float64() < baseSlowRate
+	r.badAnswer = rng.Float64() < baseBadRate
+	for _, s := range fault.servers {
+		if s == r.server && rng.Float64() < fault.serverErrorRate {
 			r.failed = true
 		}
 	}
-	if !r.fresh || second < f.from {
+	if !r.newVersion || second < fault.startSecond {
 		return false
 	}
-	hurt := false
+	affected := false
 	for _, c := range []struct {
 		rate float64
 		flag *bool
-	}{{f.errors, &r.failed}, {f.slow, &r.slow}, {f.wrong, &r.bad}} {
+	}{{fault.errors, &r.failed}, {fault.slow, &r.slow}, {fault.badAnswers, &r.badAnswer}} {
 		if c.rate > 0 && rng.Float64() < c.rate {
-			*c.flag, hurt = true, true
+			*c.flag, affected = true, true
 		}
 	}
-	return hurt
+	return affected
 }
 
-// ours steers by the project's rules: evidence by server, judged every second at
-// the home, with a brake in each daemon.
-type ours struct {
-	rules  rollout.StagePolicy
-	ro     fleet.Rollout
-	since  int
-	own    [daemons]rollout.Evidence
-	braked [daemons]bool
+// evidenceController evaluates the merged evidence of all daemons every second. Each
+// daemon also stops on its own evidence.
+type evidenceController struct {
+	policy     rollout.StagePolicy
+	rollout    fleet.Rollout
+	stageStart int
+	evidence   [daemonCount]rollout.Evidence
+	stopped    [daemonCount]bool
 }
 
-func newOurs() *ours {
-	o := &ours{rules: rollout.DefaultStagePolicy(), ro: fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: stages, State: fleet.RolloutRunning}}
-	o.rules.MinStageDuration = stageTime
-	for d := range o.own {
-		for s := range engines {
+func newEvidenceController() *evidenceController {
+	c := &evidenceController{policy: rollout.DefaultStagePolicy(), rollout: fleet.Rollout{Model: "m", TargetVersion: "v2", Stages: stages, State: fleet.RolloutRunning}}
+	c.policy.MinStageDuration = stageDuration
+	for d := range c.evidence {
+		for s := range engineCount {
 			domain := fmt.Sprint("fd", s%5)
 			id := fmt.Sprintf("s%02d", s)
-			o.own[d] = append(o.own[d], rollout.ServerCounts{Server: id, FailureDomain: domain}, rollout.ServerCounts{Server: id, FailureDomain: domain, New: true})
+			c.evidence[d] = append(c.evidence[d], rollout.ServerCounts{Server: id, FailureDomain: domain}, rollout.ServerCounts{Server: id, FailureDomain: domain, New: true})
 		}
 	}
-	return o
+	return c
 }
 
-func (o *ours) ratingShare(fresh bool) float64 {
-	return rollout.RatingShare(ratingShare, o.ro.Percent(), fresh)
+func (c *evidenceController) ratingShare(newVersion bool) float64 {
+	return rollout.RatingShare(ratingShare, c.rollout.Percent(), newVersion)
 }
-func (o *ours) percent() float64       { return o.ro.Percent() }
-func (o *ours) avoids(daemon int) bool { return o.braked[daemon] }
+func (c *evidenceController) percent() float64         { return c.rollout.Percent() }
+func (c *evidenceController) excludes(daemon int) bool { return c.stopped[daemon] }
 
-func (o *ours) observe(r run) {
-	at := 2 * r.server
-	if r.fresh {
-		at++
+func (c *evidenceController) observe(r run) {
+	index := 2 * r.server
+	if r.newVersion {
+		index++
 	}
-	n := &o.own[r.daemon][at].Counts
+	counts := &c.evidence[r.daemon][index].Counts
 	if r.rated {
-		n.Rated++
-		if r.bad {
-			n.Bad++
+		counts.Rated++
+		if r.badAnswer {
+			counts.Bad++
 		}
 		return
 	}
-	n.Requests++
+	counts.Requests++
 	if r.failed {
-		n.Errors++
+		counts.Errors++
 		return
 	}
-	n.Timed++
+	counts.Timed++
 	if r.slow {
-		n.Slow++
+		counts.Slow++
 	}
 }
 
-func (o *ours) tick(second int) (stop, done, held bool) {
-	if rollout.CarriesTraffic(o.ro) {
-		o.judge(second)
+func (c *evidenceController) evaluateSecond(second int) (rolledBack, completed, held bool) {
+	if rollout.CarriesTraffic(c.rollout) {
+		c.evaluate(second)
 	}
-	return o.ro.State == fleet.RolloutRolledBack, o.ro.Percent() == 100, o.ro.State == fleet.RolloutHeld
+	return c.rollout.State == fleet.RolloutRolledBack, c.rollout.Percent() == 100, c.rollout.State == fleet.RolloutHeld
 }
 
-func (o *ours) judge(second int) {
-	var all rollout.Evidence
-	for d := range o.own {
-		_, stop := o.rules.ShouldStopLocally(o.own[d])
-		o.braked[d] = o.braked[d] || stop
-		all = all.Merge(o.own[d])
+func (c *evidenceController) evaluate(second int) {
+	var merged rollout.Evidence
+	for d := range c.evidence {
+		_, stop := c.policy.ShouldStopLocally(c.evidence[d])
+		c.stopped[d] = c.stopped[d] || stop
+		merged = merged.Merge(c.evidence[d])
 	}
-	v := o.rules.Evaluate(o.ro, all, time.Duration(second-o.since)*time.Second)
-	if v.Step == rollout.Wait {
+	verdict := c.policy.Evaluate(c.rollout, merged, time.Duration(second-c.stageStart)*time.Second)
+	if verdict.Step == rollout.Wait {
 		return
 	}
-	o.ro = rollout.ApplyStep(o.ro, v.Step)
-	o.since = second
-	if v.Step != rollout.Advance {
+	c.rollout = rollout.ApplyStep(c.rollout, verdict.Step)
+	c.stageStart = second
+	if verdict.Step != rollout.Advance {
 		return
 	}
-	for d := range o.own {
-		for i := range o.own[d] {
-			o.own[d][i].Counts = rollout.Counts{}
+	for d := range c.evidence {
+		for i := range c.evidence[d] {
+			c.evidence[d][i].Counts = rollout.Counts{}
 		}
 	}
 }
 
-// fixed steers by the naive rule.
-type fixed struct {
+// fixedStepsController advances after a fixed time unless the error rate exceeds a
+// threshold.
+type fixedStepsController struct {
 	rule             naive.FixedStages
-	second           int
+	lastSecond       int
 	requests, errors int
 }
 
-func newFixed() *fixed {
-	return &fixed{rule: naive.FixedStages{Stages: stages, StageDuration: stageTime, MaxErrorRate: 0.05, Window: 30 * time.Second}}
+func newFixedStepsController() *fixedStepsController {
+	return &fixedStepsController{rule: naive.FixedStages{Stages: stages, StageDuration: stageDuration, MaxErrorRate: 0.05, Window: 30 * time.Second}}
 }
 
-func (f *fixed) percent() float64 {
-	return f.rule.TrafficPercent(time.Duration(f.second) * time.Second)
+func (c *fixedStepsController) percent() float64 {
+	return c.rule.TrafficPercent(time.Duration(c.lastSecond) * time.Second)
 }
-func (f *fixed) avoids(int) bool          { return false }
-func (f *fixed) ratingShare(bool) float64 { return ratingShare }
-func (f *fixed) observe(r run) {
+func (c *fixedStepsController) excludes(int) bool        { return false }
+func (c *fixedStepsController) ratingShare(bool) float64 { return ratingShare }
+func (c *fixedStepsController) observe(r run) {
 	if r.rated {
 		return
 	}
-	f.requests++
+	c.requests++
 	if r.failed {
-		f.errors++
+		c.errors++
 	}
 }
 
-func (f *fixed) tick(second int) (stop, done, held bool) {
-	f.second = second
-	at := time.Duration(second) * time.Second
-	f.rule.Observe(at, f.requests, f.errors)
-	f.requests, f.errors = 0, 0
-	return f.rule.TrafficPercent(at) == 0, f.rule.Done(at), false
+func (c *fixedStepsController) evaluateSecond(second int) (rolledBack, completed, held bool) {
+	c.lastSecond = second
+	elapsed := time.Duration(second) * time.Second
+	c.rule.Observe(elapsed, c.requests, c.errors)
+	c.requests, c.errors = 0, 0
+	return c.rule.TrafficPercent(elapsed) == 0, c.rule.Done(elapsed), false
 }
 
 var badVersions = []struct {
-	name string
-	f    fault
+	name  string
+	fault injectedFault
 }{
-	{"2% errors", fault{errors: 0.02}},
-	{"10% errors", fault{errors: 0.1}},
-	{"50% errors", fault{errors: 0.5}},
-	{"30% slow", fault{slow: 0.3}},
-	{"30% wrong by rating", fault{wrong: 0.3}},
+	{"2% errors", injectedFault{errors: 0.02}},
+	{"10% errors", injectedFault{errors: 0.1}},
+	{"50% errors", injectedFault{errors: 0.5}},
+	{"30% slow", injectedFault{slow: 0.3}},
+	{"30% wrong by rating", injectedFault{badAnswers: 0.3}},
 }
 
 func rolloutTable(out io.Writer, seeds int) {
@@ -300,30 +310,30 @@
 	rows = append(rows, row{name: "50% errors from 200 s on: pinned requests hurt, ours"},
 		row{name: "  seconds until withdrawn"},
 		row{name: "good version, seconds to everyone, ours / fixed steps", target: 1.2})
-	writeTable(out, "roll-out: 120 requests/s, 400 sessions of 20 requests, stages 1, 10, 50, 100%, ratings of 5% after 30 s, 15 minutes", collect(seeds, rows, rolloutTrial))
-	falseHalts(out, 50*seeds)
-	wrongBlame(out, seeds)
+	writeTable(out, "roll-out: 120 requests/s, 400 sessions of 20 requests, stages 1, 10, 50, 100%, ratings of 5% after 30 s, 15 minutes", collectValues(seeds, rows, rolloutTrial))
+	reportFalseHalts(out, 50*seeds)
+	reportFalseRollbacks(out, seeds)
 }
 
 func rolloutTrial(seed uint64) []float64 {
 	var out []float64
 	for _, b := range badVersions {
-		a, n := simulate(seed, b.f, newOurs()), simulate(seed, b.f, newFixed())
-		out = append(out, float64(a.hurt)/float64(max(n.hurt, 1)), float64(a.hurt), float64(n.hurt), float64(a.stopped))
+		evidence, fixed := simulateRollout(seed, b.fault, newEvidenceController()), simulateRollout(seed, b.fault, newFixedStepsController())
+		out = append(out, float64(evidence.affected)/float64(max(fixed.affected, 1)), float64(evidence.affected), float64(fixed.affected), float64(evidence.rolledBackAt))
 	}
-	turned := simulate(seed, fault{errors: 0.5, from: 200}, newOurs())
-	good, fixedGood := simulate(seed, fault{}, newOurs()), simulate(seed, fault{}, newFixed())
-	if good.done < 0 {
-		good.done = horizon
+	delayed := simulateRollout(seed, injectedFault{errors: 0.5, startSecond: 200}, newEvidenceController())
+	good, fixedGood := simulateRollout(seed, injectedFault{}, newEvidenceController()), simulateRollout(seed, injectedFault{}, newFixedStepsController())
+	if good.completedAt < 0 {
+		good.completedAt = rolloutSeconds
 	}
-	return append(out, float64(turned.hurtPinned), float64(turned.stopped-200), float64(good.done)/float64(fixedGood.done))
+	return append(out, float64(delayed.affectedPinned), float64(delayed.rolledBackAt-200), float64(good.completedAt)/float64(fixedGood.completedAt))
 }
 
-// falseHalts counts good versions that were rolled back or held.
-func falseHalts(out io.Writer, runs int) {
+// reportFalseHalts writes the fraction of good versions that were rolled back or held.
+func reportFalseHalts(out io.Writer, runs int) {
 	halts := 0
 	for seed := range runs {
-		if o := simulate(uint64(seed+1000), fault{}, newOurs()); o.stopped >= 0 || o.held {
+		if o := simulateRollout(uint64(seed+1000), injectedFault{}, newEvidenceController()); o.rolledBackAt >= 0 || o.held {
 			halts++
 		}
 	}
@@ -331,24 +341,25 @@
 	r.write(out)
 }
 
-// wrongBlame counts good versions that were blamed for something else.
-func wrongBlame(out io.Writer, runs int) {
+// reportFalseRollbacks writes the fraction of good versions that were rolled back
+// because of faulty servers.
+func reportFalseRollbacks(out io.Writer, runs int) {
 	cases := []struct {
-		name string
-		f    fault
+		name  string
+		fault injectedFault
 	}{
-		{"a bad server", fault{servers: []int{3}, placeErrors: 0.5}},
-		{"a bad failure domain", fault{servers: []int{0, 5}, placeErrors: 0.5}},
-		{"a drained pool", fault{drained: true}},
+		{"a bad server", injectedFault{servers: []int{3}, serverErrorRate: 0.5}},
+		{"a bad failure domain", injectedFault{servers: []int{0, 5}, serverErrorRate: 0.5}},
+		{"a drained pool", injectedFault{allSlow: true}},
 	}
 	for _, c := range cases {
-		blamed := 0
+		rolledBack := 0
 		for seed := range runs {
-			if simulate(uint64(seed+1), c.f, newOurs()).stopped >= 0 {
-				blamed++
+			if simulateRollout(uint64(seed+1), c.fault, newEvidenceController()).rolledBackAt >= 0 {
+				rolledBack++
 			}
 		}
-		r := row{name: fmt.Sprintf("good versions rolled back for %s, of %d runs", c.name, runs), values: []float64{float64(blamed) / float64(runs)}, target: 0.01}
+		r := row{name: fmt.Sprintf("good versions rolled back for %s, of %d runs", c.name, runs), values: []float64{float64(rolledBack) / float64(runs)}, target: 0.01}
 		r.write(out)
 	}
 }
--- a/lab/history/clients.go
+++ b/lab/history/clients.go
@@ -49,7 +49,7 @@
 	id := fmt.Sprint("r", s.lastRequest)
 	d := s.daemons[s.rng.IntN(daemonCount)]
 	s.stats.Requests++
-	s.recordEvent(invariant.Event{Kind: invariant.Asked, Request: id, Key: key, NonRepeatable: key != "", Session: sessionName})
+	s.recordEvent(invariant.Event{Kind: invariant.RequestSent, Request: id, IdempotencyKey: key, NonRepeatable: key != "", Session: sessionName})
 	finished := false
 	finish := func(answered bool, err *fault.Error, pin session.Pin) {
 		if finished {
--- a/lab/history/engine.go
+++ b/lab/history/engine.go
@@ -48,7 +48,7 @@
 			onConnected(r)
 			return
 		}
-		ev.Kind, ev.Server = invariant.Started, fmt.Sprint("s", e.id)
+		ev.Kind, ev.Server = invariant.ExecutionStarted, fmt.Sprint("s", e.id)
 		e.sim.recordEvent(ev)
 		r := &run{id: id, incarnation: e.incarnation}
 		e.runs[id] = r
@@ -76,7 +76,7 @@
 		for _, f := range r.frames {
 			text += f.Delta
 		}
-		e.sim.recordEvent(invariant.Event{Kind: invariant.Produced, Request: requestID, Text: text})
+		e.sim.recordEvent(invariant.Event{Kind: invariant.ExecutionFinished, Request: requestID, Answer: text})
 	})
 }
 
--- a/lab/history/faults.go
+++ b/lab/history/faults.go
@@ -39,7 +39,7 @@
 	{"daemon killed and replaced", func(s *Simulation) {
 		d := s.randomDaemon()
 		d.alive = false
-		s.recordEvent(invariant.Event{Kind: invariant.DaemonGone, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation)})
+		s.recordEvent(invariant.Event{Kind: invariant.DaemonStopped, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation)})
 		s.clock.After(s.randomDuration(5*time.Second), func() { d.reset(); d.start() })
 	}},
 	{"daemon paused", func(s *Simulation) {
@@ -66,6 +66,6 @@
 	{"server leaves", func(s *Simulation) {
 		e := s.randomEngine()
 		s.leavingSince[e.id] = s.clock.Elapsed()
-		s.recordEvent(invariant.Event{Kind: invariant.ServerLeft, Server: fmt.Sprint("s", e.id)})
+		s.recordEvent(invariant.Event{Kind: invariant.ServerLeaving, Server: fmt.Sprint("s", e.id)})
 	}},
 }
--- a/lab/history/serve.go
+++ b/lab/history/serve.go
@@ -139,7 +139,7 @@
 		c.finish(false, fault.New(fault.VersionWithdrawn, "").WithExecution(c.retry.ExecutionState()))
 		return
 	}
-	d.sim.recordEvent(invariant.Event{Kind: invariant.InForce, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation), Number: cfg.Number})
+	d.sim.recordEvent(invariant.Event{Kind: invariant.ConfigApplied, Daemon: fmt.Sprintf("d%d/%d", d.id, d.incarnation), ConfigNumber: cfg.Number})
 	c.pin = c.pin.WithVersion("m", version)
 	c.retry.RecordAttempt()
 	if c.retry.Attempts() > 1 {
@@ -167,7 +167,7 @@
 	c.text = ""
 	incarnation := d.incarnation
 	ev := invariant.Event{
-		Request: c.id, Key: c.key, NonRepeatable: c.key != "", Workspace: workspace, Session: c.session,
+		Request: c.id, IdempotencyKey: c.key, NonRepeatable: c.key != "", Workspace: workspace, Session: c.session,
 		Model: "m", Version: version, Allowed: version != "v3",
 	}
 	e.start(fmt.Sprintf("%s-%d", c.id, c.retry.Attempts()), ev,
@@ -280,7 +280,7 @@
 		return
 	}
 	c.daemon.sim.recordEvent(invariant.Event{
-		Kind: invariant.Answered, Request: c.id, Text: c.text,
+		Kind: invariant.ResponseReceived, Request: c.id, Answer: c.text,
 		Workspace: workspace, Session: c.session, Model: "m", Version: c.pin.Version,
 	})
 	c.finish(true, nil)
--- a/lab/history/simulation.go
+++ b/lab/history/simulation.go
@@ -41,7 +41,7 @@
 )
 
 // Limits are the time bounds that histories are checked against.
-var Limits = invariant.Limits{InForce: 16 * time.Second, Leaving: 3 * time.Second}
+var Limits = invariant.Limits{ConfigPropagation: 16 * time.Second, ServerRemoval: 3 * time.Second}
 
 // Simulation is the state of one simulated history.
 type Simulation struct {
@@ -159,12 +159,12 @@
 		return
 	}
 	s.maxApplied = c.Number
-	s.recordEvent(invariant.Event{Kind: invariant.Accepted, Number: c.Number})
+	s.recordEvent(invariant.Event{Kind: invariant.ConfigAccepted, ConfigNumber: c.Number})
 	if v, _ := c.Version("m", "v1"); v.State != fleet.Withdrawn || s.withdrawn {
 		return
 	}
 	s.withdrawn = true
-	s.recordEvent(invariant.Event{Kind: invariant.Withdrew, Model: "m", Version: "v1"})
+	s.recordEvent(invariant.Event{Kind: invariant.VersionWithdrawn, Model: "m", Version: "v1"})
 	s.clock.After(unloadDelay, func() {
 		for _, e := range s.engines {
 			e.unloadedVersion = "v1"
@@ -186,7 +186,7 @@
 	}
 	s.stats.Duplicates = ledger.Duplicates
 	for _, id := range slices.Sorted(maps.Keys(ledger.Records())) {
-		s.recordEvent(invariant.Event{Kind: invariant.Billed, Request: id})
+		s.recordEvent(invariant.Event{Kind: invariant.RequestBilled, Request: id})
 	}
 }
 
--- a/lab/traces/trace_test.go
+++ b/lab/traces/trace_test.go
@@ -12,70 +12,70 @@
 	"github.com/damaskrudder/damaskrudder/lab/sim"
 )
 
-func TestTracesReachTheirOutcome(t *testing.T) {
+func TestTracesMeetExpectations(t *testing.T) {
 	files, err := filepath.Glob("data/*.jsonl")
 	if err != nil || len(files) != 4 {
 		t.Fatal(files, err)
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".jsonl"), func(t *testing.T) {
-			tr, err := readFile(f)
+			trace, err := readFile(f)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r := tr.Replay(sim.NewPipelinePolicy(routing.DefaultPipeline())); !r.Meets(tr.Outcome) {
-				t.Errorf("%+v, stated %+v", r, tr.Outcome)
+			if r := trace.Replay(sim.NewPipelinePolicy(routing.DefaultPipeline())); !r.Meets(trace.Expected) {
+				t.Errorf("got %+v, expected %+v", r, trace.Expected)
 			}
 		})
 	}
 }
 
-// Where the pool is even and the load low, ours answers as round robin does;
-// with a slow server round robin loses what it sends there.
-func TestAgainstRoundRobin(t *testing.T) {
-	tr, err := readFile("data/trading-window.jsonl")
+// At low load without faults the default pipeline and round robin both answer all
+// requests. With a slow server the default pipeline must answer more.
+func TestCompareWithRoundRobin(t *testing.T) {
+	trace, err := readFile("data/trading-window.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours, robin := tr.Replay(sim.NewPipelinePolicy(routing.DefaultPipeline())), tr.Replay(sim.NewRoundRobin)
-	if ours.Answered <= robin.Answered || robin.Meets(tr.Outcome) {
+	ours, robin := trace.Replay(sim.NewPipelinePolicy(routing.DefaultPipeline())), trace.Replay(sim.NewRoundRobin)
+	if ours.AnsweredFraction <= robin.AnsweredFraction || robin.Meets(trace.Expected) {
 		t.Errorf("with a slow server: ours %+v, round robin %+v", ours, robin)
 	}
-	calm := tr
-	calm.Lines = nil
-	for _, l := range tr.Lines {
-		if l.Fault == "" && l.AtMillis < 15000 {
-			calm.Lines = append(calm.Lines, l)
+	beforePeak := trace
+	beforePeak.Events = nil
+	for _, event := range trace.Events {
+		if event.Fault == "" && event.TimeMillis < 15000 {
+			beforePeak.Events = append(beforePeak.Events, event)
 		}
 	}
-	ours, robin = calm.Replay(sim.NewPipelinePolicy(routing.DefaultPipeline())), calm.Replay(sim.NewRoundRobin)
-	if ours.Answered != 1 || robin.Answered != 1 {
-		t.Errorf("calm: ours %+v, round robin %+v", ours, robin)
+	ours, robin = beforePeak.Replay(sim.NewPipelinePolicy(routing.DefaultPipeline())), beforePeak.Replay(sim.NewRoundRobin)
+	if ours.AnsweredFraction != 1 || robin.AnsweredFraction != 1 {
+		t.Errorf("before the peak: ours %+v, round robin %+v", ours, robin)
 	}
-	if again := calm.Replay(sim.NewPipelinePolicy(routing.DefaultPipeline())); again != ours {
+	if again := beforePeak.Replay(sim.NewPipelinePolicy(routing.DefaultPipeline())); again != ours {
 		t.Errorf("the same trace gave %+v and %+v", ours, again)
 	}
 }
 
-func TestExamplesAreAsMade(t *testing.T) {
-	for _, tr := range examples() {
+func TestCommittedExamplesMatchGenerator(t *testing.T) {
+	for _, trace := range examples() {
 		var want bytes.Buffer
 		e := json.NewEncoder(&want)
-		_ = e.Encode(tr.Header)
-		for _, l := range tr.Lines {
-			_ = e.Encode(l)
+		_ = e.Encode(trace.Header)
+		for _, event := range trace.Events {
+			_ = e.Encode(event)
 		}
-		got, err := os.ReadFile("data/" + tr.Name + ".jsonl")
+		got, err := os.ReadFile("data/" + trace.Name + ".jsonl")
 		if err != nil || !bytes.Equal(got, want.Bytes()) {
-			t.Errorf("%s differs from what -write makes (%v)", tr.Name, err)
+			t.Errorf("%s differs from the output of -write (%v)", trace.Name, err)
 		}
 	}
 }
 
-func TestReadRefusesNonsense(t *testing.T) {
+func TestReadRejectsInvalidTraces(t *testing.T) {
 	for _, s := range []string{"{", "{}\n{", `{"servers":2}` + "\n" + `{"fault":"down","server":2}`, `{"servers":2}` + "\n" + `{"fault":"burn"}`} {
 		if _, err := Read(strings.NewReader(s)); err == nil {
-			t.Errorf("%q was read", s)
+			t.Errorf("%q was accepted", s)
 		}
 	}
 }
