--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -227,7 +227,7 @@
 		return request.AttemptRefused
 	case errors.Is(err, engine.ErrNotConnected):
 		return request.ConnectFailed
-	case errors.Is(err, engine.ErrRunGone):
+	case errors.Is(err, engine.ErrRunNotFound):
 		return request.RunNotFound
 	}
 	return request.ConnectionLost
@@ -241,7 +241,7 @@
 		d.metrics.firstToken.RecordDuration(res.firstToken)
 	}
 	if f.End {
-		res.complete, res.usage, res.finish = true, f.Usage, f.Finish
+		res.complete, res.usage, res.finish = true, f.Usage, f.FinishReason
 		d.observeRun(s, ch, false, res.firstToken)
 		return nil
 	}
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -123,7 +123,7 @@
 		if !ok {
 			return
 		}
-		if o.d.engine.Order(ctx, s.Address, fence, ord) == nil {
+		if o.d.engine.SendOrder(ctx, s.Address, fence, ord) == nil {
 			o.d.metrics.ordersSent.Inc(1)
 			o.d.log.Info("ordered", "server", s.ID, "action", ord.Action, "version", ord.Version, "fence", fence)
 		}
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -227,8 +227,8 @@
 			st.holds[cand.ID] = l.Versions
 		}
 		st.picture.SetLeaving(cand.ID, l.Draining || p.leaving[cand.ID])
-		if l.WarmingMillis > 0 {
-			st.warmAt[cand.ID] = p.boot() + time.Duration(l.WarmingMillis)*time.Millisecond
+		if l.WarmUpMillis > 0 {
+			st.warmAt[cand.ID] = p.boot() + time.Duration(l.WarmUpMillis)*time.Millisecond
 		}
 	})
 }
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -26,9 +26,11 @@
 	started := time.Now()
 	return containment.New(containment.Options{
 		BootTime: func() time.Duration { return time.Since(started) }, Logger: d.log,
-		RefusesConnections: func(ctx context.Context, s containment.Server) bool { return d.engine.Refuses(ctx, s.Address) },
-		Leaving:            func(s containment.Server) bool { return d.pools.isLeaving(s.ID) },
-		OnTerminated:       d.pools.lost, ServersTerminated: d.metrics.serversEnded, RequestsHeld: d.metrics.requestsHeld,
+		RefusesConnections: func(ctx context.Context, s containment.Server) bool {
+			return d.engine.ConnectionRefused(ctx, s.Address)
+		},
+		Leaving:      func(s containment.Server) bool { return d.pools.isLeaving(s.ID) },
+		OnTerminated: d.pools.lost, ServersTerminated: d.metrics.serversEnded, RequestsHeld: d.metrics.requestsHeld,
 	})
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -40,33 +40,33 @@
 // ErrNotConnected means that nothing was sent.
 var ErrNotConnected = errors.New("no connection to the server")
 
-// ErrRunGone means that the server knows no such run.
-var ErrRunGone = errors.New("the server knows no such run")
+// ErrRunNotFound means that the server knows no such run.
+var ErrRunNotFound = errors.New("the server knows no such run")
 
 // Client talks to backend servers.
 type Client struct {
-	http *http.Client
-	// fresh never reuses a connection; see Resume.
-	fresh   *http.Client
-	silence time.Duration
+	pooled *http.Client
+	// unpooled never reuses a connection; see Resume.
+	unpooled    *http.Client
+	idleTimeout time.Duration
 }
 
 const (
 	dialTimeout = 2 * time.Second
 	// controlTimeout bounds a load report, an order or a cancellation.
 	controlTimeout = 2 * time.Second
-	// idlePerHost keeps connections for the usual concurrency on one server.
-	idlePerHost = 64
-	// maxReply bounds a plain service's reply in bytes.
-	maxReply = 1 << 20
+	// maxIdleConnsPerHost keeps connections for the usual concurrency on one server.
+	maxIdleConnsPerHost = 64
+	// maxResponseBytes bounds a plain service's reply in bytes.
+	maxResponseBytes = 1 << 20
 )
 
 // NewClient returns a client that takes a stream for silent after silence.
 func NewClient(silence time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	pooled := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: time.Minute}
+	pooled := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: time.Minute}
 	single := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
-	return &Client{http: &http.Client{Transport: pooled}, fresh: &http.Client{Transport: single}, silence: silence}
+	return &Client{pooled: &http.Client{Transport: pooled}, unpooled: &http.Client{Transport: single}, idleTimeout: silence}
 }
 
 // Start sends a run and returns its stream. The error is ErrNotConnected or
@@ -84,7 +84,7 @@
 		return nil, oops.In("engine").Wrapf(err, "encode run")
 	}
 	header := http.Header{"X-Run-Id": {r.ID}, "X-Priority": {strconv.Itoa(r.Priority)}, "Content-Type": {"application/json"}}
-	return c.stream(ctx, c.http, http.MethodPost, "http://"+address+"/v1/chat/completions", header, data)
+	return c.stream(ctx, c.pooled, http.MethodPost, "http://"+address+"/v1/chat/completions", header, data)
 }
 
 // Resume continues a run after an event. It always opens a new connection: the
@@ -92,7 +92,7 @@
 // which writes succeed and nothing ever comes back.
 func (c *Client) Resume(ctx context.Context, address, run string, after int) (*Stream, error) {
 	header := http.Header{"Last-Event-ID": {strconv.Itoa(after)}}
-	return c.stream(ctx, c.fresh, http.MethodGet, "http://"+address+"/v1/runs/"+url.PathEscape(run)+"/events", header, nil)
+	return c.stream(ctx, c.unpooled, http.MethodGet, "http://"+address+"/v1/runs/"+url.PathEscape(run)+"/events", header, nil)
 }
 
 func (c *Client) stream(ctx context.Context, client *http.Client, method, target string, header http.Header, body []byte) (*Stream, error) {
@@ -103,25 +103,25 @@
 		return nil, oops.In("engine").Wrapf(err, "build request")
 	}
 	req.Header = header
-	watch := time.AfterFunc(c.silence, cancel)
+	watch := time.AfterFunc(c.idleTimeout, cancel)
 	resp, err := client.Do(req)
 	if err != nil {
 		watch.Stop()
 		cancel()
-		return nil, dialError(err)
+		return nil, wrapDialError(err)
 	}
-	if err := statusError(resp); err != nil {
+	if err := checkStatus(resp); err != nil {
 		watch.Stop()
 		_ = resp.Body.Close()
 		cancel()
 		return nil, err
 	}
-	return newStream(resp.Body, cancel, watch, c.silence), nil
+	return newStream(resp.Body, cancel, watch, c.idleTimeout), nil
 }
 
-// Refuses reports whether the VM at an address refuses connections: what listened there has
+// ConnectionRefused reports whether the VM at an address refuses connections: what listened there has
 // ended.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) ConnectionRefused(ctx context.Context, address string) bool {
 	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -131,7 +131,7 @@
 	return false
 }
 
-func dialError(err error) error {
+func wrapDialError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrNotConnected, err)
@@ -139,40 +139,40 @@
 	return oops.In("engine").Wrap(err)
 }
 
-func statusError(resp *http.Response) error {
+func checkStatus(resp *http.Response) error {
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return nil
 	case resp.Header.Get("X-Started") == "false":
 		return fmt.Errorf("%w: %s", ErrNotStarted, resp.Status)
 	case resp.StatusCode == http.StatusNotFound:
-		return ErrRunGone
+		return ErrRunNotFound
 	}
 	return oops.In("engine").Errorf("server answered %s", resp.Status)
 }
 
 // Cancel ends a run on its server.
 func (c *Client) Cancel(address, run string) error {
-	return c.control(context.Background(), http.MethodDelete, "http://"+address+"/v1/runs/"+url.PathEscape(run), nil, nil)
+	return c.doControl(context.Background(), http.MethodDelete, "http://"+address+"/v1/runs/"+url.PathEscape(run), nil, nil)
 }
 
-// Load is a server's lagged report.
-type Load struct {
+// LoadReport is a server's lagged report.
+type LoadReport struct {
 	Running  int      `json:"running"`
 	Waiting  int      `json:"waiting"`
 	Versions []string `json:"versions"`
 	Fence    uint64   `json:"fence"`
 	// Draining is set by a server that wants no new work.
 	Draining bool `json:"draining"`
-	// WarmingMillis is how much longer the server bears little; negative values count as
+	// WarmUpMillis is how much longer the server bears little; negative values count as
 	// none.
-	WarmingMillis int64 `json:"warming_ms"`
+	WarmUpMillis int64 `json:"warming_ms"`
 }
 
 // Load fetches a server's report.
-func (c *Client) Load(ctx context.Context, address string) (Load, error) {
-	var l Load
-	err := c.control(ctx, http.MethodGet, "http://"+address+"/load", nil, &l)
+func (c *Client) Load(ctx context.Context, address string) (LoadReport, error) {
+	var l LoadReport
+	err := c.doControl(ctx, http.MethodGet, "http://"+address+"/load", nil, &l)
 	return l, err
 }
 
@@ -181,12 +181,12 @@
 	lease.Order
 }
 
-// Order tells a server to load or unload a version under a fencing number.
-func (c *Client) Order(ctx context.Context, address string, fence uint64, o lease.Order) error {
-	return c.control(ctx, http.MethodPost, "http://"+address+"/orders", orderBody{fence, o}, nil)
+// SendOrder tells a server to load or unload a version under a fencing number.
+func (c *Client) SendOrder(ctx context.Context, address string, fence uint64, o lease.Order) error {
+	return c.doControl(ctx, http.MethodPost, "http://"+address+"/orders", orderBody{fence, o}, nil)
 }
 
-func (c *Client) control(ctx context.Context, method, target string, in, out any) error {
+func (c *Client) doControl(ctx context.Context, method, target string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var body io.Reader
@@ -203,12 +203,12 @@
 	}
 	// A pooled connection that went silent costs one timeout and is closed; the
 	// next call opens a new one.
-	resp, err := c.http.Do(req)
+	resp, err := c.pooled.Do(req)
 	if err != nil {
 		return oops.In("engine").Wrapf(err, "%s %s", method, target)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return oops.In("engine").Wrapf(err, "read %s", target)
 	}
@@ -234,11 +234,11 @@
 	// when it takes the request for idempotent. GetBody unset prevents that: a
 	// payment would run twice.
 	req.GetBody = nil
-	resp, err := c.fresh.Do(req)
+	resp, err := c.unpooled.Do(req)
 	if err != nil {
-		return 0, nil, dialError(err)
+		return 0, nil, wrapDialError(err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, data, oops.In("engine").Wrapf(err, "read reply")
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -13,8 +13,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/request"
 )
 
-// maxLine bounds one line of a stream in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a stream in bytes.
+const maxLineBytes = 1 << 20
 
 // Usage is the server's count of a finished run.
 type Usage struct {
@@ -27,28 +27,28 @@
 // Frame is a decoded event of a stream.
 type Frame struct {
 	request.Frame
-	Finish string
-	Usage  Usage
+	FinishReason string
+	Usage        Usage
 }
 
 // Stream is the answer of one run on one connection.
 type Stream struct {
-	body    io.ReadCloser
-	lines   *bufio.Scanner
-	cancel  context.CancelFunc
-	watch   *time.Timer
-	silence time.Duration
+	body        io.ReadCloser
+	scanner     *bufio.Scanner
+	cancel      context.CancelFunc
+	idleTimer   *time.Timer
+	idleTimeout time.Duration
 }
 
 func newStream(body io.ReadCloser, cancel context.CancelFunc, watch *time.Timer, silence time.Duration) *Stream {
-	s := &Stream{body: body, lines: bufio.NewScanner(body), cancel: cancel, watch: watch, silence: silence}
-	s.lines.Buffer(nil, maxLine)
+	s := &Stream{body: body, scanner: bufio.NewScanner(body), cancel: cancel, idleTimer: watch, idleTimeout: silence}
+	s.scanner.Buffer(nil, maxLineBytes)
 	return s
 }
 
 // Close ends the connection. The run goes on until it is cancelled.
 func (s *Stream) Close() {
-	s.watch.Stop()
+	s.idleTimer.Stop()
 	s.cancel()
 	_ = s.body.Close()
 }
@@ -56,11 +56,11 @@
 // Next returns the next frame. Any error means that the stream broke off or was
 // silent too long; the terminal frame alone says that an answer is complete.
 func (s *Stream) Next() (Frame, error) {
-	s.watch.Reset(s.silence)
+	s.idleTimer.Reset(s.idleTimeout)
 	event := eventBuilder{}
-	for s.lines.Scan() {
-		s.watch.Reset(s.silence)
-		if !event.add(s.lines.Bytes()) {
+	for s.scanner.Scan() {
+		s.idleTimer.Reset(s.idleTimeout)
+		if !event.addLine(s.scanner.Bytes()) {
 			continue
 		}
 		f, ok := event.frame()
@@ -69,7 +69,7 @@
 			return f, nil
 		}
 	}
-	if err := s.lines.Err(); err != nil {
+	if err := s.scanner.Err(); err != nil {
 		return Frame{}, err
 	}
 	return Frame{}, io.ErrUnexpectedEOF
@@ -81,8 +81,8 @@
 	data []byte
 }
 
-// add takes a line and reports whether the event is complete.
-func (e *eventBuilder) add(line []byte) bool {
+// addLine takes a line and reports whether the event is complete.
+func (e *eventBuilder) addLine(line []byte) bool {
 	if len(line) == 0 {
 		return true
 	}
@@ -97,8 +97,8 @@
 	return false
 }
 
-type chunk struct {
-	Run     string `json:"run"`
+type completionChunk struct {
+	RunID   string `json:"run"`
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -125,15 +125,15 @@
 	if len(data) == 0 || string(data) == "[DONE]" || id <= 0 {
 		return Frame{}, errNoFrame
 	}
-	var c chunk
+	var c completionChunk
 	if err := json.Unmarshal(data, &c); err != nil {
 		return Frame{}, err
 	}
-	f := Frame{Frame: request.Frame{Run: c.Run, Offset: id, Failed: c.Error != nil}, Usage: c.Usage}
+	f := Frame{Frame: request.Frame{Run: c.RunID, Offset: id, Failed: c.Error != nil}, Usage: c.Usage}
 	if len(c.Choices) > 0 {
 		f.Delta = c.Choices[0].Delta.Content
-		f.Finish = c.Choices[0].FinishReason
-		f.End = f.Finish != ""
+		f.FinishReason = c.Choices[0].FinishReason
+		f.End = f.FinishReason != ""
 	}
 	if f.Usage.PromptTokens < 0 || f.Usage.AnswerTokens < 0 {
 		return Frame{}, errNoFrame
--- a/internal/node/deadly_test.go
+++ b/internal/node/deadly_test.go
@@ -124,7 +124,7 @@
 		wg.Wait()
 		out.judge(e, excused)
 		f.end()
-		time.Sleep(2 * enginetest.BackAfter)
+		time.Sleep(2 * enginetest.RestartDelay)
 	})
 	return out
 }
@@ -135,7 +135,7 @@
 	var wg sync.WaitGroup
 	for i := range 60 {
 		time.Sleep(time.Duration(40+rng.IntN(260)) * time.Millisecond)
-		to, body := rng.IntN(p.daemons), fmt.Sprint(enginetest.Deadly, " ", which)
+		to, body := rng.IntN(p.daemons), fmt.Sprint(enginetest.CrashPrefix, " ", which)
 		wg.Go(func() {
 			a := f.ask(to, fmt.Sprint("d", which, ".", i), body)
 			mu.Lock()
@@ -175,7 +175,7 @@
 
 func (r *deadlyResult) judge(e *enginetest.Engines, excused time.Time) {
 	sends := e.Sends()
-	for body, ends := range e.Ends() {
+	for body, ends := range e.Crashes() {
 		r.ends += len(ends)
 		if len(ends) < 3 {
 			continue
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -224,9 +224,9 @@
 func (x *exchange) sendFailed(t *target, began time.Time, err error) request.SendOutcome {
 	var e *upstream.Error
 	if !errors.As(err, &e) {
-		e = &upstream.Error{Reason: upstream.Broken, Sent: true, Err: err}
+		e = &upstream.Error{Reason: upstream.ConnectionLost, Sent: true, Err: err}
 	}
-	failed := e.Reason != upstream.Canceled && e.Reason != upstream.Full
+	failed := e.Reason != upstream.Canceled && e.Reason != upstream.ConnectionLimit
 	x.relay.State.ended(t, time.Since(began), failed)
 	if e.Reason == upstream.Unreachable {
 		x.relay.State.unreachable(t)
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -75,7 +75,7 @@
 func TestEveryWayToAServerLeadsPastTheCheck(t *testing.T) {
 	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
 		"first send":   nil,
-		"repeat":       failed(upstream.Broken, true),
+		"repeat":       failed(upstream.ConnectionLost, true),
 		"larger model": streamingFrom(0, nil, 1, 2),
 		"stream":       streamingFrom(90, errors.New("reset"), 1, 2),
 		"not run":      notRun,
@@ -143,14 +143,14 @@
 // had said that it leaves is gone.
 // Cause: a broken connection looks the same.
 func TestBrokenConnectionAloneIsNoEnd(t *testing.T) {
-	w := newWorld(t, failed(upstream.Broken, true))
+	w := newWorld(t, failed(upstream.ConnectionLost, true))
 	for range 4 {
 		w.ask("/s/1", "x")
 	}
 	if s := w.relay.Guard.Check(printOf("/s/1", "x")); s.Crashes != 0 {
 		t.Errorf("servers that are well: %+v", s)
 	}
-	w = newWorld(t, failed(upstream.Broken, true))
+	w = newWorld(t, failed(upstream.ConnectionLost, true))
 	w.relay.backend = refusing{w.backend}
 	w.relay.State.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for _, id := range []string{"e0", "e1", "e2"} {
@@ -173,7 +173,7 @@
 // connection; its entry tells later that it has started again.
 // Cause: only refused connections told of an end.
 func TestServerThatIsBackAtOnceHasEnded(t *testing.T) {
-	w := newWorld(t, failed(upstream.Broken, true))
+	w := newWorld(t, failed(upstream.ConnectionLost, true))
 	w.ask("/s/1", "x")
 	for _, s := range w.backend.sends {
 		w.relay.ServerRestarted(s.Server)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -187,7 +187,7 @@
 // another server.
 // Cause: a broken connection proves nothing.
 func TestLostPaymentIsNotSentAgain(t *testing.T) {
-	w := newWorld(t, failed(upstream.Broken, true), answering(200, "paid"))
+	w := newWorld(t, failed(upstream.ConnectionLost, true), answering(200, "paid"))
 	out := w.call("/p/1")
 	if len(w.backend.sends) != 1 {
 		t.Fatalf("sent %d times", len(w.backend.sends))
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,29 +25,29 @@
 	// milliseconds; a dropped first packet is repeated after a second only, and
 	// another server answers sooner than that.
 	dialTimeout = 400 * time.Millisecond
-	// defaultKeep is how long an idle connection is kept if the server names no
+	// defaultKeepAlive is how long an idle connection is kept if the server names no
 	// time of its own.
-	defaultKeep = 4 * time.Second
-	// keepMargin is taken off a server's keep-alive time, stated in whole
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is taken off a server's keep-alive time, stated in whole
 	// seconds: a request sent as the server closes the connection would be
 	// lost, and nobody could tell whether it ran.
-	keepMargin = 800 * time.Millisecond
-	// probeIdle, probeEvery and probeCount make the kernel notice within about
+	keepAliveMargin = 800 * time.Millisecond
+	// tcpKeepAliveIdle, probeEvery and probeCount make the kernel notice within about
 	// 2 s that the other end of a silent connection is gone.
-	probeIdle  = time.Second
-	probeEvery = 400 * time.Millisecond
-	probeCount = 3
-	// readBuffer is the size of a connection's read buffer in bytes: an answer
+	tcpKeepAliveIdle     = time.Second
+	tcpKeepAliveInterval = 400 * time.Millisecond
+	tcpKeepAliveCount    = 3
+	// readBufferBytes is the size of a connection's read buffer in bytes: an answer
 	// of a plain service or some events of a stream.
-	readBuffer = 2048
-	// inlineBody is the largest body written before the answer is read, in
+	readBufferBytes = 2048
+	// maxInlineBodyBytes is the largest body written before the answer is read, in
 	// bytes. A longer one is written beside, since a server may answer early.
-	inlineBody = 4096
-	// strayAnswers bounds the answers to other requests passed over on one
+	maxInlineBodyBytes = 4096
+	// maxUnmatchedResponses bounds the answers to other requests passed over on one
 	// connection before it is given up.
-	strayAnswers = 2
-	// strayBody bounds the body of such an answer, in bytes.
-	strayBody = 64 << 10
+	maxUnmatchedResponses = 2
+	// maxUnmatchedBodyBytes bounds the body of such an answer, in bytes.
+	maxUnmatchedBodyBytes = 64 << 10
 )
 
 // Reason classifies a failure.
@@ -57,12 +57,12 @@
 const (
 	// Unreachable: no connection could be opened.
 	Unreachable Reason = "unreachable"
-	// Full: the connections allowed to the server are all in use.
-	Full Reason = "full"
-	// Broken: the connection ended before an answer.
-	Broken Reason = "broken"
-	// Garbled: what came is not an answer to the request.
-	Garbled Reason = "garbled"
+	// ConnectionLimit: the connections allowed to the server are all in use.
+	ConnectionLimit Reason = "full"
+	// ConnectionLost: the connection ended before an answer.
+	ConnectionLost Reason = "broken"
+	// InvalidResponse: what came is not an answer to the request.
+	InvalidResponse Reason = "garbled"
 	// Canceled: the caller of Do gave up.
 	Canceled Reason = "canceled"
 )
@@ -86,15 +86,15 @@
 	mu   sync.Mutex
 	idle map[string][]*conn
 	open map[string]int
-	// Opened is called for every new connection.
-	Opened func(address string)
-	// Heard is called for every read that brought bytes from an address.
-	Heard func(address string)
+	// OnDial is called for every new connection.
+	OnDial func(address string)
+	// OnRead is called for every read that brought bytes from an address.
+	OnRead func(address string)
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
-	return &Pool{idle: map[string][]*conn{}, open: map[string]int{}, Opened: func(string) {}, Heard: func(string) {}}
+	return &Pool{idle: map[string][]*conn{}, open: map[string]int{}, OnDial: func(string) {}, OnRead: func(string) {}}
 }
 
 type conn struct {
@@ -102,22 +102,22 @@
 	pool    *Pool
 	address string
 	reader  *bufio.Reader
-	// until ends the connection's idle life.
-	until  time.Time
-	reused bool
-	closed sync.Once
+	// expires ends the connection's idle life.
+	expires time.Time
+	reused  bool
+	closed  sync.Once
 }
 
 // Read implements io.Reader and reports life signs.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.pool.Heard(c.address)
+		c.pool.OnRead(c.address)
 	}
 	return n, err
 }
 
-func (c *conn) shut() {
+func (c *conn) close() {
 	c.closed.Do(func() {
 		_ = c.Conn.Close() // the connection is of no more use; there is nothing to do about an error
 		c.pool.mu.Lock()
@@ -133,69 +133,69 @@
 type Call struct {
 	Address string
 	Request *http.Request
-	// Limit is the most connections to the address; zero is unbounded.
-	Limit int
-	// Mine tells whether an answer belongs to this request. A server may send a
+	// MaxConnections is the most connections to the address; zero is unbounded.
+	MaxConnections int
+	// Match tells whether an answer belongs to this request. A server may send a
 	// second answer to an earlier request where ours is due.
-	Mine func(*http.Response) bool
+	Match func(*http.Response) bool
 }
 
 // Do sends a request and returns the head of its answer. Closing the body before
 // its end closes the connection, which cancels the run. The context bounds the
 // whole exchange, body included.
 func (p *Pool) Do(ctx context.Context, call Call) (*http.Response, error) {
-	c, err := p.get(ctx, call)
+	c, err := p.acquire(ctx, call)
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, c.shut)
+	stop := context.AfterFunc(ctx, c.close)
 	written, err := send(c, call.Request)
 	if err != nil {
 		stop()
-		c.shut()
-		return nil, failure(ctx, Broken, true, err)
+		c.close()
+		return nil, newError(ctx, ConnectionLost, true, err)
 	}
 	resp, err := receive(c, call)
 	if err != nil {
 		stop()
-		c.shut()
-		return nil, failure(ctx, reasonOf(err), true, err)
+		c.close()
+		return nil, newError(ctx, classify(err), true, err)
 	}
-	resp.Body = &body{ReadCloser: resp.Body, conn: c, resp: resp, stop: stop, written: written}
+	resp.Body = &responseBody{ReadCloser: resp.Body, conn: c, resp: resp, stopCancel: stop, written: written}
 	return resp, nil
 }
 
-func failure(ctx context.Context, r Reason, sent bool, err error) *Error {
+func newError(ctx context.Context, r Reason, sent bool, err error) *Error {
 	if ctx.Err() != nil {
 		return &Error{Canceled, sent, context.Cause(ctx)}
 	}
 	return &Error{r, sent, err}
 }
 
-var errStray = errors.New("only answers to other requests came")
+var errUnmatchedResponse = errors.New("only answers to other requests came")
 
-// reasonOf tells an end of the connection from bytes that are no answer.
-func reasonOf(err error) Reason {
+// classify tells an end of the connection from bytes that are no answer.
+func classify(err error) Reason {
 	var network net.Error
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed),
 		errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.As(err, &network):
-		return Broken
+		return ConnectionLost
 	}
-	return Garbled
+	return InvalidResponse
 }
 
 // send writes the request. A long body is written beside the reading; the
 // channel then tells its end.
 func send(c *conn, r *http.Request) (<-chan error, error) {
-	w := bufio.NewWriterSize(c.Conn, inlineBody)
+	w := bufio.NewWriterSize(c.Conn, maxInlineBodyBytes)
 	write := func() error {
 		if err := r.Write(w); err != nil {
 			return err
 		}
 		return w.Flush()
 	}
-	if r.ContentLength <= inlineBody {
+	if r.ContentLength <= maxInlineBodyBytes {
 		return nil, write()
 	}
 	done := make(chan error, 1)
@@ -205,7 +205,7 @@
 
 // receive reads heads until the one that answers the request.
 func receive(c *conn, call Call) (*http.Response, error) {
-	for stray := 0; stray <= strayAnswers; {
+	for stray := 0; stray <= maxUnmatchedResponses; {
 		resp, err := http.ReadResponse(c.reader, call.Request)
 		if err != nil {
 			return nil, err
@@ -213,29 +213,29 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if call.Mine == nil || call.Mine(resp) {
+		if call.Match == nil || call.Match(resp) {
 			return resp, nil
 		}
 		stray++
-		if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, strayBody)); err != nil || n == strayBody || resp.Close {
-			return nil, errStray
+		if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxUnmatchedBodyBytes)); err != nil || n == maxUnmatchedBodyBytes || resp.Close {
+			return nil, errUnmatchedResponse
 		}
 	}
-	return nil, errStray
+	return nil, errUnmatchedResponse
 }
 
-// body gives the connection back when it was read to its end.
-type body struct {
+// responseBody gives the connection back when it was read to its end.
+type responseBody struct {
 	io.ReadCloser
-	conn    *conn
-	resp    *http.Response
-	stop    func() bool
-	written <-chan error
-	ended   bool
+	conn       *conn
+	resp       *http.Response
+	stopCancel func() bool
+	written    <-chan error
+	finished   bool
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
 		b.finish(true)
@@ -246,27 +246,27 @@
 }
 
 // Close implements io.Closer.
-func (b *body) Close() error {
+func (b *responseBody) Close() error {
 	b.finish(false)
 	return nil
 }
 
-func (b *body) finish(whole bool) {
-	if b.ended {
+func (b *responseBody) finish(whole bool) {
+	if b.finished {
 		return
 	}
-	b.ended = true
-	alive := b.stop()
-	if whole && alive && !b.resp.Close && b.bodyWritten() {
-		b.conn.keep(b.resp.Header)
+	b.finished = true
+	alive := b.stopCancel()
+	if whole && alive && !b.resp.Close && b.requestWritten() {
+		b.conn.recycle(b.resp.Header)
 		return
 	}
-	b.conn.shut()
+	b.conn.close()
 }
 
-// bodyWritten reports whether the whole request was sent. A server that answered
+// requestWritten reports whether the whole request was sent. A server that answered
 // before it read all would take our next request for the rest of the body.
-func (b *body) bodyWritten() bool {
+func (b *responseBody) requestWritten() bool {
 	if b.written == nil {
 		return true
 	}
@@ -278,85 +278,85 @@
 	}
 }
 
-// keep puts a connection among the idle ones for as long as the server keeps it.
-func (c *conn) keep(h http.Header) {
-	life := keepAlive(h) - keepMargin
+// recycle puts a connection among the idle ones for as long as the server keeps it.
+func (c *conn) recycle(h http.Header) {
+	life := keepAliveTimeout(h) - keepAliveMargin
 	if life <= 0 || c.reader.Buffered() > 0 {
-		c.shut()
+		c.close()
 		return
 	}
 	c.reused = true
-	c.rest(life)
+	c.putIdle(life)
 }
 
-// rest puts a connection among the idle ones for some time.
-func (c *conn) rest(life time.Duration) {
-	c.until = time.Now().Add(life)
+// putIdle puts a connection among the idle ones for some time.
+func (c *conn) putIdle(life time.Duration) {
+	c.expires = time.Now().Add(life)
 	c.pool.mu.Lock()
 	c.pool.idle[c.address] = append(c.pool.idle[c.address], c)
 	c.pool.mu.Unlock()
 }
 
-func keepAlive(h http.Header) time.Duration {
+func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
 			return time.Duration(seconds) * time.Second
 		}
 	}
-	return defaultKeep
+	return defaultKeepAlive
 }
 
-// get returns an idle connection that is still good, or a new one.
-func (p *Pool) get(ctx context.Context, call Call) (*conn, error) {
+// acquire returns an idle connection that is still good, or a new one.
+func (p *Pool) acquire(ctx context.Context, call Call) (*conn, error) {
 	for {
-		c := p.pop(call.Address)
+		c := p.popIdle(call.Address)
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.until) && quiet(c.Conn) {
+		if time.Now().Before(c.expires) && isReusable(c.Conn) {
 			return c, nil
 		}
-		c.shut()
+		c.close()
 	}
 	p.mu.Lock()
-	full := call.Limit > 0 && p.open[call.Address] >= call.Limit
+	full := call.MaxConnections > 0 && p.open[call.Address] >= call.MaxConnections
 	if !full {
 		p.open[call.Address]++
 	}
 	p.mu.Unlock()
 	if full {
-		return nil, &Error{Full, false, errors.New("too many connections to " + call.Address)}
+		return nil, &Error{ConnectionLimit, false, errors.New("too many connections to " + call.Address)}
 	}
 	return p.dial(ctx, call.Address)
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	c := &conn{pool: p, address: address}
-	p.Opened(address)
+	p.OnDial(address)
 	raw, err := dial(ctx, address)
 	if err != nil {
 		p.mu.Lock()
 		p.open[address]--
 		p.mu.Unlock()
-		return nil, failure(ctx, Unreachable, false, err)
+		return nil, newError(ctx, Unreachable, false, err)
 	}
 	c.Conn = raw
-	c.reader = bufio.NewReaderSize(c, readBuffer)
+	c.reader = bufio.NewReaderSize(c, readBufferBytes)
 	return c, nil
 }
 
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: tcpKeepAliveIdle, Interval: tcpKeepAliveInterval, Count: tcpKeepAliveCount},
 	}
 	return d.DialContext(ctx, "tcp4", address)
 }
 
-// Reach opens and closes a connection, to learn whether a server answers at all.
-func (p *Pool) Reach(ctx context.Context, address string) error {
-	p.Opened(address)
+// Probe opens and closes a connection, to learn whether a server answers at all.
+func (p *Pool) Probe(ctx context.Context, address string) error {
+	p.OnDial(address)
 	c, err := dial(ctx, address)
 	if err != nil {
 		return err
@@ -364,9 +364,9 @@
 	return c.Close()
 }
 
-// Refuses reports whether the VM at an address refuses connections: no process listens
+// ConnectionRefused reports whether the VM at an address refuses connections: no process listens
 // there. A connection that it takes instead is kept for the next call.
-func (p *Pool) Refuses(ctx context.Context, address string) bool {
+func (p *Pool) ConnectionRefused(ctx context.Context, address string) bool {
 	p.mu.Lock()
 	p.open[address]++
 	p.mu.Unlock()
@@ -374,11 +374,11 @@
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	c.rest(defaultKeep - keepMargin)
+	c.putIdle(defaultKeepAlive - keepAliveMargin)
 	return false
 }
 
-func (p *Pool) pop(address string) *conn {
+func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -391,26 +391,26 @@
 	return c
 }
 
-// Forget closes the idle connections to an address: the server there has started again,
+// CloseIdle closes the idle connections to an address: the server there has started again,
 // and what is sent on one of them is lost.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
 	for _, c := range list {
-		c.shut()
+		c.close()
 	}
 }
 
-// Sweep closes idle connections whose time is over.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes idle connections whose time is over.
+func (p *Pool) CloseExpired(now time.Time) {
 	var over []*conn
 	p.mu.Lock()
 	for address, list := range p.idle {
 		good := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.expires) {
 				good = append(good, c)
 			} else {
 				over = append(over, c)
@@ -424,14 +424,14 @@
 	}
 	p.mu.Unlock()
 	for _, c := range over {
-		c.shut()
+		c.close()
 	}
 }
 
-// quiet reports whether an idle connection is open and has no bytes waiting.
+// isReusable reports whether an idle connection is open and has no bytes waiting.
 // Bytes there belong to no request: a second answer, or the end of the
 // connection. Our next request would meet them in place of its own answer.
-func quiet(c net.Conn) bool {
+func isReusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,9 +13,9 @@
 	"testing"
 )
 
-// serve answers each request on each connection by a function that writes to it
+// startServer answers each request on each connection by a function that writes to it
 // and says whether the connection goes on.
-func serve(t *testing.T, answer func(n int, r *http.Request, w io.Writer) bool) string {
+func startServer(t *testing.T, answer func(n int, r *http.Request, w io.Writer) bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -47,14 +47,14 @@
 	return l.Addr().String()
 }
 
-func call(p *Pool, address, id string) (string, error) {
+func do(p *Pool, address, id string) (string, error) {
 	req := &http.Request{
 		Method: "POST", URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{"Id": {id}},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: 1, Body: io.NopCloser(strings.NewReader("b")),
 	}
 	resp, err := p.Do(context.Background(), Call{
 		Address: address, Request: req,
-		Mine: func(r *http.Response) bool { return r.Header.Get("Id") == id },
+		Match: func(r *http.Response) bool { return r.Header.Get("Id") == id },
 	})
 	if err != nil {
 		return "", err
@@ -64,25 +64,25 @@
 	return string(body), err
 }
 
-func answer(w io.Writer, id, body string) {
+func writeResponse(w io.Writer, id, body string) {
 	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func counting(p *Pool) *int {
+func countDials(p *Pool) *int {
 	n := 0
-	p.Opened = func(string) { n++ }
+	p.OnDial = func(string) { n++ }
 	return &n
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	address := serve(t, func(_ int, r *http.Request, w io.Writer) bool {
-		answer(w, r.Header.Get("Id"), "ok")
+func TestConnectionsAreReused(t *testing.T) {
+	address := startServer(t, func(_ int, r *http.Request, w io.Writer) bool {
+		writeResponse(w, r.Header.Get("Id"), "ok")
 		return true
 	})
 	p := NewPool()
-	opened := counting(p)
+	opened := countDials(p)
 	for i := range 5 {
-		if body, err := call(p, address, fmt.Sprint(i)); err != nil || body != "ok" {
+		if body, err := do(p, address, fmt.Sprint(i)); err != nil || body != "ok" {
 			t.Fatalf("got %q, %v", body, err)
 		}
 	}
@@ -95,56 +95,56 @@
 // Sequence: a server sends a second answer to a request; the next request on the
 // connection meets it where its own answer is due.
 // Cause: answers were matched by their place alone.
-func TestAnswerToAnotherRequestIsPassedOver(t *testing.T) {
-	address := serve(t, func(n int, r *http.Request, w io.Writer) bool {
+func TestUnmatchedResponseIsSkipped(t *testing.T) {
+	address := startServer(t, func(n int, r *http.Request, w io.Writer) bool {
 		if n == 1 {
-			answer(w, "0", "late")
+			writeResponse(w, "0", "late")
 		}
-		answer(w, r.Header.Get("Id"), "own")
+		writeResponse(w, r.Header.Get("Id"), "own")
 		return true
 	})
 	p := NewPool()
 	for i := range 3 {
-		if body, err := call(p, address, fmt.Sprint(i)); err != nil || body != "own" {
+		if body, err := do(p, address, fmt.Sprint(i)); err != nil || body != "own" {
 			t.Fatalf("request %d: got %q, %v", i, body, err)
 		}
 	}
 }
 
 // Symptom: as above, with bytes that came before the next request was sent.
-func TestConnectionWithBytesWaitingIsNotUsed(t *testing.T) {
+func TestConnectionWithPendingBytesIsNotReused(t *testing.T) {
 	strayed := make(chan struct{})
-	address := serve(t, func(_ int, r *http.Request, w io.Writer) bool {
-		answer(w, r.Header.Get("Id"), "own")
+	address := startServer(t, func(_ int, r *http.Request, w io.Writer) bool {
+		writeResponse(w, r.Header.Get("Id"), "own")
 		_, _ = io.WriteString(w, "stray") // the pool must notice
 		strayed <- struct{}{}
 		return true
 	})
 	p := NewPool()
 	for i := range 3 {
-		if body, err := call(p, address, fmt.Sprint(i)); err != nil || body != "own" {
+		if body, err := do(p, address, fmt.Sprint(i)); err != nil || body != "own" {
 			t.Fatalf("request %d: got %q, %v", i, body, err)
 		}
 		<-strayed // or the next request might be sent before these bytes are
 	}
 }
 
-func TestErrorsTellWhetherAnythingWasSent(t *testing.T) {
+func TestErrorsReportReasonAndSent(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	nobody := l.Addr().String()
 	_ = l.Close()
-	closes := serve(t, func(int, *http.Request, io.Writer) bool { return false })
-	garbles := serve(t, func(_ int, _ *http.Request, w io.Writer) bool {
+	closes := startServer(t, func(int, *http.Request, io.Writer) bool { return false })
+	garbles := startServer(t, func(_ int, _ *http.Request, w io.Writer) bool {
 		_, _ = io.WriteString(w, "what is this\r\n\r\n")
 		return false
 	})
 	for address, want := range map[string]Error{
-		nobody: {Reason: Unreachable, Sent: false}, closes: {Reason: Broken, Sent: true}, garbles: {Reason: Garbled, Sent: true},
+		nobody: {Reason: Unreachable, Sent: false}, closes: {Reason: ConnectionLost, Sent: true}, garbles: {Reason: InvalidResponse, Sent: true},
 	} {
-		_, err := call(NewPool(), address, "1")
+		_, err := do(NewPool(), address, "1")
 		var e *Error
 		if !errors.As(err, &e) || e.Reason != want.Reason || e.Sent != want.Sent {
 			t.Errorf("got %v, want %s, sent %t", err, want.Reason, want.Sent)
@@ -152,34 +152,34 @@
 	}
 }
 
-func TestShortBodyIsAnError(t *testing.T) {
-	address := serve(t, func(_ int, r *http.Request, w io.Writer) bool {
+func TestTruncatedBodyIsAnError(t *testing.T) {
+	address := startServer(t, func(_ int, r *http.Request, w io.Writer) bool {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 10\r\n\r\nhalf", r.Header.Get("Id"))
 		return false
 	})
-	if body, err := call(NewPool(), address, "1"); err == nil {
+	if body, err := do(NewPool(), address, "1"); err == nil {
 		t.Fatalf("took %q for whole", body)
 	}
 }
 
-func TestLimitOfConnections(t *testing.T) {
+func TestMaxConnections(t *testing.T) {
 	block := make(chan struct{})
-	address := serve(t, func(_ int, r *http.Request, w io.Writer) bool { <-block; return false })
+	address := startServer(t, func(_ int, r *http.Request, w io.Writer) bool { <-block; return false })
 	defer close(block)
 	p := NewPool()
 	ctx, cancel := context.WithCancel(context.Background())
 	busy := make(chan struct{})
-	p.Opened = func(string) { close(busy) }
+	p.OnDial = func(string) { close(busy) }
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		req := &http.Request{Method: "GET", URL: &url.URL{Opaque: "/"}, Host: "h", Header: http.Header{}}
-		_, _ = p.Do(ctx, Call{Address: address, Request: req, Limit: 1}) // ends by the context
+		_, _ = p.Do(ctx, Call{Address: address, Request: req, MaxConnections: 1}) // ends by the context
 	}()
 	<-busy
-	_, err := p.Do(context.Background(), Call{Address: address, Request: &http.Request{Method: "GET", URL: &url.URL{Opaque: "/"}}, Limit: 1})
+	_, err := p.Do(context.Background(), Call{Address: address, Request: &http.Request{Method: "GET", URL: &url.URL{Opaque: "/"}}, MaxConnections: 1})
 	var e *Error
-	if !errors.As(err, &e) || e.Reason != Full || e.Sent {
+	if !errors.As(err, &e) || e.Reason != ConnectionLimit || e.Sent {
 		t.Fatalf("got %v", err)
 	}
 	cancel()
@@ -190,7 +190,7 @@
 // and in the middle of a stream.
 // Sequence: a caller leaves while its request waits at a server, or while events come.
 // Cause: a server stops a run only when its connection ends.
-func TestCancelEndsTheConnection(t *testing.T) {
+func TestCancelClosesTheConnection(t *testing.T) {
 	for _, begun := range []bool{false, true} {
 		running, ended := make(chan struct{}), make(chan error, 1)
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
