--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream keeps HTTP/1.1 connections to backend servers. It tells
-// exactly whether anything of a request was sent, which net/http's client does
-// not, and it finds the answer that belongs to a request among late ones.
+// Package upstream is an HTTP/1.1 client with a connection pool for backend servers.
+// Unlike net/http's client it reports whether any part of a request was sent, and it
+// skips responses that belong to earlier requests on the same connection.
 package upstream
 
 import (
@@ -21,58 +21,58 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. Round trips are some
-	// milliseconds; a dropped first packet is repeated after a second only, and
-	// another server answers sooner than that.
+	// dialTimeout is shorter than TCP's first SYN retransmission after 1 s: trying
+	// another server is faster than waiting for it.
 	dialTimeout = 400 * time.Millisecond
-	// defaultKeepAlive is how long an idle connection is kept if the server names no
-	// time of its own.
+	// defaultKeepAlive is the idle timeout if the server's response states none.
 	defaultKeepAlive = 4 * time.Second
-	// keepAliveMargin is taken off a server's keep-alive time, stated in whole
-	// seconds: a request sent as the server closes the connection would be
-	// lost, and nobody could tell whether it ran.
+	// keepAliveMargin is subtracted from the idle timeout of a server, so that no
+	// request is sent while the server closes the connection. It would be unknown
+	// whether such a request ran.
 	keepAliveMargin = 800 * time.Millisecond
-	// tcpKeepAliveIdle, probeEvery and probeCount make the kernel notice within about
-	// 2 s that the other end of a silent connection is gone.
+	// With these TCP keep-alive parameters the kernel detects a dead peer within
+	// about 2 s.
 	tcpKeepAliveIdle     = time.Second
 	tcpKeepAliveInterval = 400 * time.Millisecond
 	tcpKeepAliveCount    = 3
-	// readBufferBytes is the size of a connection's read buffer in bytes: an answer
-	// of a plain service or some events of a stream.
+	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 2048
-	// maxInlineBodyBytes is the largest body written before the answer is read, in
-	// bytes. A longer one is written beside, since a server may answer early.
+	// maxInlineBodyBytes is the largest request body that is written before the
+	// response is read. A longer one is written concurrently, since a server may
+	// respond early.
 	maxInlineBodyBytes = 4096
-	// maxUnmatchedResponses bounds the answers to other requests passed over on one
-	// connection before it is given up.
+	// maxUnmatchedResponses is the number of responses to other requests that are
+	// skipped before a connection is closed.
 	maxUnmatchedResponses = 2
-	// maxUnmatchedBodyBytes bounds the body of such an answer, in bytes.
+	// maxUnmatchedBodyBytes bounds the body of a skipped response.
 	maxUnmatchedBodyBytes = 64 << 10
 )
 
 // Reason classifies a failure.
 type Reason string
 
-// The reasons for which a call fails.
+// Reasons for which a call fails.
 const (
-	// Unreachable: no connection could be opened.
+	// Unreachable means that no connection could be opened.
 	Unreachable Reason = "unreachable"
-	// ConnectionLimit: the connections allowed to the server are all in use.
+	// ConnectionLimit means that the maximum number of connections is open.
 	ConnectionLimit Reason = "full"
-	// ConnectionLost: the connection ended before an answer.
+	// ConnectionLost means that the connection ended before the response.
 	ConnectionLost Reason = "broken"
-	// InvalidResponse: what came is not an answer to the request.
+	// InvalidResponse means that the received data is not a response to the request.
 	InvalidResponse Reason = "garbled"
-	// Canceled: the caller of Do gave up.
+	// Canceled means that the context of the call was done.
 	Canceled Reason = "canceled"
 )
 
 // Error is a failed call.
 type Error struct {
 	Reason Reason
-	// Sent says whether any byte of the request left; if not, it has not run.
+	// Sent reports whether any part of the request may have been sent. If it is
+	// false, the request has not run.
 	Sent bool
-	Err  error
+	// Err is the cause.
+	Err error
 }
 
 // Error implements error.
@@ -81,14 +81,17 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Pool holds the connections of one daemon, by address.
+// Pool holds connections to backend servers. It is safe for concurrent use.
 type Pool struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle holds the idle connections by address, the most recently used last.
 	idle map[string][]*conn
+	// open is the number of connections by address, idle ones included.
 	open map[string]int
-	// OnDial is called for every new connection.
+	// OnDial is called before a connection is opened. Set it before the first call.
 	OnDial func(address string)
-	// OnRead is called for every read that brought bytes from an address.
+	// OnRead is called after each read that returned data. Set it before the first
+	// call.
 	OnRead func(address string)
 }
 
@@ -102,13 +105,13 @@
 	pool    *Pool
 	address string
 	reader  *bufio.Reader
-	// expires ends the connection's idle life.
+	// expires is the time after which an idle connection must not be used.
 	expires time.Time
 	reused  bool
 	closed  sync.Once
 }
 
-// Read implements io.Reader and reports life signs.
+// Read implements io.Reader and calls OnRead.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -117,9 +120,11 @@
 	return n, err
 }
 
-func (c *conn) close() {
+// discard closes the connection and removes it from the count of open ones. Further
+// calls have no effect.
+func (c *conn) discard() {
 	c.closed.Do(func() {
-		_ = c.Conn.Close() // the connection is of no more use; there is nothing to do about an error
+		_ = c.Conn.Close() // an error has no consequence
 		c.pool.mu.Lock()
 		c.pool.open[c.address]--
 		if c.pool.open[c.address] <= 0 {
@@ -133,38 +138,39 @@
 type Call struct {
 	Address string
 	Request *http.Request
-	// MaxConnections is the most connections to the address; zero is unbounded.
+	// MaxConnections limits the connections to the address; 0 means no limit.
 	MaxConnections int
-	// Match tells whether an answer belongs to this request. A server may send a
-	// second answer to an earlier request where ours is due.
+	// Match reports whether a response belongs to this request; nil accepts any. A
+	// server may send a duplicate response to an earlier request first.
 	Match func(*http.Response) bool
 }
 
-// Do sends a request and returns the head of its answer. Closing the body before
-// its end closes the connection, which cancels the run. The context bounds the
-// whole exchange, body included.
+// Do sends a request and returns its response once the header has been read. ctx
+// applies until the body has been read. Closing the body earlier closes the
+// connection, which makes the server cancel the request. Errors are of type *Error.
 func (p *Pool) Do(ctx context.Context, call Call) (*http.Response, error) {
 	c, err := p.acquire(ctx, call)
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, c.close)
+	stop := context.AfterFunc(ctx, c.discard)
 	written, err := send(c, call.Request)
 	if err != nil {
 		stop()
-		c.close()
+		c.discard()
 		return nil, newError(ctx, ConnectionLost, true, err)
 	}
 	resp, err := receive(c, call)
 	if err != nil {
 		stop()
-		c.close()
+		c.discard()
 		return nil, newError(ctx, classify(err), true, err)
 	}
 	resp.Body = &responseBody{ReadCloser: resp.Body, conn: c, resp: resp, stopCancel: stop, written: written}
 	return resp, nil
 }
 
+// newError returns an error with the given reason, or with Canceled if ctx is done.
 func newError(ctx context.Context, r Reason, sent bool, err error) *Error {
 	if ctx.Err() != nil {
 		return &Error{Canceled, sent, context.Cause(ctx)}
@@ -172,21 +178,21 @@
 	return &Error{r, sent, err}
 }
 
-var errUnmatchedResponse = errors.New("only answers to other requests came")
+var errUnmatchedResponse = errors.New("received only responses to other requests")
 
-// classify tells an end of the connection from bytes that are no answer.
+// classify distinguishes a lost connection from an invalid response.
 func classify(err error) Reason {
-	var network net.Error
+	var netErr net.Error
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed),
-		errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.As(err, &network):
+		errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.As(err, &netErr):
 		return ConnectionLost
 	}
 	return InvalidResponse
 }
 
-// send writes the request. A long body is written beside the reading; the
-// channel then tells its end.
+// send writes the request. A request with a long body is written in the background;
+// the returned channel, otherwise nil, then receives the result.
 func send(c *conn, r *http.Request) (<-chan error, error) {
 	w := bufio.NewWriterSize(c.Conn, maxInlineBodyBytes)
 	write := func() error {
@@ -203,9 +209,9 @@
 	return done, nil
 }
 
-// receive reads heads until the one that answers the request.
+// receive reads responses until one matches the request.
 func receive(c *conn, call Call) (*http.Response, error) {
-	for stray := 0; stray <= maxUnmatchedResponses; {
+	for unmatched := 0; unmatched <= maxUnmatchedResponses; {
 		resp, err := http.ReadResponse(c.reader, call.Request)
 		if err != nil {
 			return nil, err
@@ -216,7 +222,7 @@
 		if call.Match == nil || call.Match(resp) {
 			return resp, nil
 		}
-		stray++
+		unmatched++
 		if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxUnmatchedBodyBytes)); err != nil || n == maxUnmatchedBodyBytes || resp.Close {
 			return nil, errUnmatchedResponse
 		}
@@ -224,7 +230,7 @@
 	return nil, errUnmatchedResponse
 }
 
-// responseBody gives the connection back when it was read to its end.
+// responseBody returns its connection to the pool after it has been read completely.
 type responseBody struct {
 	io.ReadCloser
 	conn       *conn
@@ -251,21 +257,21 @@
 	return nil
 }
 
-func (b *responseBody) finish(whole bool) {
+func (b *responseBody) finish(complete bool) {
 	if b.finished {
 		return
 	}
 	b.finished = true
-	alive := b.stopCancel()
-	if whole && alive && !b.resp.Close && b.requestWritten() {
+	notCanceled := b.stopCancel()
+	if complete && notCanceled && !b.resp.Close && b.requestWritten() {
 		b.conn.recycle(b.resp.Header)
 		return
 	}
-	b.conn.close()
+	b.conn.discard()
 }
 
-// requestWritten reports whether the whole request was sent. A server that answered
-// before it read all would take our next request for the rest of the body.
+// requestWritten reports whether the request has been written completely. Otherwise the
+// server would read the next request on the connection as the rest of the body.
 func (b *responseBody) requestWritten() bool {
 	if b.written == nil {
 		return true
@@ -278,25 +284,27 @@
 	}
 }
 
-// recycle puts a connection among the idle ones for as long as the server keeps it.
+// recycle returns a connection to the pool for the idle timeout of the server, or
+// discards it if it cannot be reused.
 func (c *conn) recycle(h http.Header) {
-	life := keepAliveTimeout(h) - keepAliveMargin
-	if life <= 0 || c.reader.Buffered() > 0 {
-		c.close()
+	idleTimeout := keepAliveTimeout(h) - keepAliveMargin
+	if idleTimeout <= 0 || c.reader.Buffered() > 0 {
+		c.discard()
 		return
 	}
 	c.reused = true
-	c.putIdle(life)
+	c.putIdle(idleTimeout)
 }
 
-// putIdle puts a connection among the idle ones for some time.
-func (c *conn) putIdle(life time.Duration) {
-	c.expires = time.Now().Add(life)
+// putIdle adds a connection to the idle ones.
+func (c *conn) putIdle(idleTimeout time.Duration) {
+	c.expires = time.Now().Add(idleTimeout)
 	c.pool.mu.Lock()
 	c.pool.idle[c.address] = append(c.pool.idle[c.address], c)
 	c.pool.mu.Unlock()
 }
 
+// keepAliveTimeout returns the idle timeout in a Keep-Alive header field.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -307,7 +315,7 @@
 	return defaultKeepAlive
 }
 
-// acquire returns an idle connection that is still good, or a new one.
+// acquire returns a reusable idle connection or opens a new one.
 func (p *Pool) acquire(ctx context.Context, call Call) (*conn, error) {
 	for {
 		c := p.popIdle(call.Address)
@@ -317,20 +325,21 @@
 		if time.Now().Before(c.expires) && isReusable(c.Conn) {
 			return c, nil
 		}
-		c.close()
+		c.discard()
 	}
 	p.mu.Lock()
-	full := call.MaxConnections > 0 && p.open[call.Address] >= call.MaxConnections
-	if !full {
+	limitReached := call.MaxConnections > 0 && p.open[call.Address] >= call.MaxConnections
+	if !limitReached {
 		p.open[call.Address]++
 	}
 	p.mu.Unlock()
-	if full {
+	if limitReached {
 		return nil, &Error{ConnectionLimit, false, errors.New("too many connections to " + call.Address)}
 	}
 	return p.dial(ctx, call.Address)
 }
 
+// dial opens a connection that the caller has already counted in p.open.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	c := &conn{pool: p, address: address}
 	p.OnDial(address)
@@ -354,7 +363,7 @@
 	return d.DialContext(ctx, "tcp4", address)
 }
 
-// Probe opens and closes a connection, to learn whether a server answers at all.
+// Probe opens and closes a connection to check that a server accepts connections.
 func (p *Pool) Probe(ctx context.Context, address string) error {
 	p.OnDial(address)
 	c, err := dial(ctx, address)
@@ -364,8 +373,8 @@
 	return c.Close()
 }
 
-// ConnectionRefused reports whether the VM at an address refuses connections: no process listens
-// there. A connection that it takes instead is kept for the next call.
+// ConnectionRefused reports whether the VM refuses connections to an address because no
+// process listens there. A successful connection is kept in the pool.
 func (p *Pool) ConnectionRefused(ctx context.Context, address string) bool {
 	p.mu.Lock()
 	p.open[address]++
@@ -381,56 +390,55 @@
 func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[address]
-	if len(list) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		delete(p.idle, address)
 		return nil
 	}
-	c := list[len(list)-1]
-	p.idle[address] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c
 }
 
-// CloseIdle closes the idle connections to an address: the server there has started again,
-// and what is sent on one of them is lost.
+// CloseIdle closes the idle connections to an address. It is used after the server has
+// restarted, when requests on them would be lost.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
-	list := p.idle[address]
+	conns := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	for _, c := range list {
-		c.close()
+	for _, c := range conns {
+		c.discard()
 	}
 }
 
-// CloseExpired closes idle connections whose time is over.
+// CloseExpired closes the idle connections that have expired.
 func (p *Pool) CloseExpired(now time.Time) {
-	var over []*conn
+	var expired []*conn
 	p.mu.Lock()
-	for address, list := range p.idle {
-		good := list[:0]
-		for _, c := range list {
+	for address, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
 			if now.Before(c.expires) {
-				good = append(good, c)
+				kept = append(kept, c)
 			} else {
-				over = append(over, c)
+				expired = append(expired, c)
 			}
 		}
-		if len(good) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, address)
 		} else {
-			p.idle[address] = good
+			p.idle[address] = kept
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range over {
-		c.close()
+	for _, c := range expired {
+		c.discard()
 	}
 }
 
-// isReusable reports whether an idle connection is open and has no bytes waiting.
-// Bytes there belong to no request: a second answer, or the end of the
-// connection. Our next request would meet them in place of its own answer.
+// isReusable reports whether an idle connection is open and has no unread data. Unread
+// data would be a duplicate response, which the next request would read as its own.
 func isReusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -440,12 +448,12 @@
 	if err != nil {
 		return false
 	}
-	clean := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		clean = errors.Is(err, unix.EAGAIN)
+		empty = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && clean
+	return err == nil && empty
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,9 +13,9 @@
 	"testing"
 )
 
-// startServer answers each request on each connection by a function that writes to it
-// and says whether the connection goes on.
-func startServer(t *testing.T, answer func(n int, r *http.Request, w io.Writer) bool) string {
+// startServer runs a server that calls a handler for the nth request of each connection
+// and closes the connection if it returns false. It returns the server's address.
+func startServer(t *testing.T, handle func(n int, r *http.Request, w io.Writer) bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -36,8 +36,8 @@
 					if err != nil {
 						return
 					}
-					_, _ = io.Copy(io.Discard, req.Body) // the test's own request
-					if !answer(n, req, c) {
+					_, _ = io.Copy(io.Discard, req.Body) // a short read fails the test later
+					if !handle(n, req, c) {
 						return
 					}
 				}
@@ -69,9 +69,9 @@
 }
 
 func countDials(p *Pool) *int {
-	n := 0
-	p.OnDial = func(string) { n++ }
-	return &n
+	dials := 0
+	p.OnDial = func(string) { dials++ }
+	return &dials
 }
 
 func TestConnectionsAreReused(t *testing.T) {
@@ -80,21 +80,19 @@
 		return true
 	})
 	p := NewPool()
-	opened := countDials(p)
+	dials := countDials(p)
 	for i := range 5 {
 		if body, err := do(p, address, fmt.Sprint(i)); err != nil || body != "ok" {
 			t.Fatalf("got %q, %v", body, err)
 		}
 	}
-	if *opened != 1 {
-		t.Errorf("opened %d connections for 5 requests in turn", *opened)
+	if *dials != 1 {
+		t.Errorf("opened %d connections for 5 sequential requests", *dials)
 	}
 }
 
-// Symptom: a caller got the answer to another caller's request.
-// Sequence: a server sends a second answer to a request; the next request on the
-// connection meets it where its own answer is due.
-// Cause: answers were matched by their place alone.
+// Guards against returning a duplicate response to an earlier request on the same
+// connection.
 func TestUnmatchedResponseIsSkipped(t *testing.T) {
 	address := startServer(t, func(n int, r *http.Request, w io.Writer) bool {
 		if n == 1 {
@@ -111,13 +109,13 @@
 	}
 }
 
-// Symptom: as above, with bytes that came before the next request was sent.
+// Guards against sending a request on a connection that holds unread data.
 func TestConnectionWithPendingBytesIsNotReused(t *testing.T) {
-	strayed := make(chan struct{})
+	sent := make(chan struct{})
 	address := startServer(t, func(_ int, r *http.Request, w io.Writer) bool {
 		writeResponse(w, r.Header.Get("Id"), "own")
-		_, _ = io.WriteString(w, "stray") // the pool must notice
-		strayed <- struct{}{}
+		_, _ = io.WriteString(w, "stray") // unread data that the pool must detect
+		sent <- struct{}{}
 		return true
 	})
 	p := NewPool()
@@ -125,7 +123,7 @@
 		if body, err := do(p, address, fmt.Sprint(i)); err != nil || body != "own" {
 			t.Fatalf("request %d: got %q, %v", i, body, err)
 		}
-		<-strayed // or the next request might be sent before these bytes are
+		<-sent // ensures that the data precedes the next request
 	}
 }
 
@@ -134,15 +132,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := l.Addr().String()
+	refusing := l.Addr().String()
 	_ = l.Close()
-	closes := startServer(t, func(int, *http.Request, io.Writer) bool { return false })
-	garbles := startServer(t, func(_ int, _ *http.Request, w io.Writer) bool {
+	closing := startServer(t, func(int, *http.Request, io.Writer) bool { return false })
+	invalid := startServer(t, func(_ int, _ *http.Request, w io.Writer) bool {
 		_, _ = io.WriteString(w, "what is this\r\n\r\n")
 		return false
 	})
 	for address, want := range map[string]Error{
-		nobody: {Reason: Unreachable, Sent: false}, closes: {Reason: ConnectionLost, Sent: true}, garbles: {Reason: InvalidResponse, Sent: true},
+		refusing: {Reason: Unreachable, Sent: false}, closing: {Reason: ConnectionLost, Sent: true}, invalid: {Reason: InvalidResponse, Sent: true},
 	} {
 		_, err := do(NewPool(), address, "1")
 		var e *Error
@@ -158,7 +156,7 @@
 		return false
 	})
 	if body, err := do(NewPool(), address, "1"); err == nil {
-		t.Fatalf("took %q for whole", body)
+		t.Fatalf("truncated body %q returned without error", body)
 	}
 }
 
@@ -174,7 +172,7 @@
 	go func() {
 		defer close(done)
 		req := &http.Request{Method: "GET", URL: &url.URL{Opaque: "/"}, Host: "h", Header: http.Header{}}
-		_, _ = p.Do(ctx, Call{Address: address, Request: req, MaxConnections: 1}) // ends by the context
+		_, _ = p.Do(ctx, Call{Address: address, Request: req, MaxConnections: 1}) // returns when ctx is canceled
 	}()
 	<-busy
 	_, err := p.Do(context.Background(), Call{Address: address, Request: &http.Request{Method: "GET", URL: &url.URL{Opaque: "/"}}, MaxConnections: 1})
@@ -186,13 +184,11 @@
 	<-done
 }
 
-// Symptom: servers worked on for callers who had left, before the first byte of an answer
-// and in the middle of a stream.
-// Sequence: a caller leaves while its request waits at a server, or while events come.
-// Cause: a server stops a run only when its connection ends.
+// Guards against a connection that stays open after a cancellation before or within a
+// response: servers stop a run only when its connection is closed.
 func TestCancelClosesTheConnection(t *testing.T) {
-	for _, begun := range []bool{false, true} {
-		running, ended := make(chan struct{}), make(chan error, 1)
+	for _, responseStarted := range []bool{false, true} {
+		received, closed := make(chan struct{}), make(chan error, 1)
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -205,15 +201,15 @@
 			}
 			r := bufio.NewReader(c)
 			if _, err := http.ReadRequest(r); err != nil {
-				ended <- err
+				closed <- err
 				return
 			}
-			if begun {
+			if responseStarted {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
 			}
-			close(running)
-			_, err = io.Copy(io.Discard, r) // returns when the connection ends
-			ended <- err
+			close(received)
+			_, err = io.Copy(io.Discard, r) // returns when the connection is closed
+			closed <- err
 		}()
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
@@ -225,11 +221,11 @@
 			}
 			done <- err
 		}()
-		<-running
+		<-received
 		cancel()
-		<-ended
+		<-closed
 		if err := <-done; err == nil {
-			t.Errorf("begun %t: the call ended well though it was given up", begun)
+			t.Errorf("response started %t: canceled call returned no error", responseStarted)
 		}
 	}
 }
