--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine speaks to backend servers: model engines with an
-// OpenAI-compatible API, server-sent events that can be resumed, cancellation,
-// load reports and orders; and plain HTTP services.
+// Package engine is the client of backend servers. These are model engines with an
+// OpenAI-compatible API, extended by resumable streams of server-sent events,
+// cancellation, load reports and orders, and plain HTTP services.
 package engine
 
 import (
@@ -24,77 +24,77 @@
 
 // Run is one attempt to execute a request.
 type Run struct {
-	// ID is the attempt's own; a server that sees it twice runs it once.
+	// ID identifies the attempt. A server that receives it twice runs it once.
 	ID string
 	// Version is "model@version".
 	Version string
-	// Priority orders waiting work, 0 first.
+	// Priority orders queued runs; 0 is the highest.
 	Priority int
-	// Body is the caller's request; its model is replaced by Version.
+	// Body is the client's request. Its model is replaced by Version.
 	Body map[string]json.RawMessage
 }
 
-// ErrNotStarted is the server's proof that it did not start the run.
-var ErrNotStarted = errors.New("the server did not start the run")
+// ErrNotStarted means that the server stated that it did not start the run.
+var ErrNotStarted = errors.New("run was not started by the server")
 
-// ErrNotConnected means that nothing was sent.
-var ErrNotConnected = errors.New("no connection to the server")
+// ErrNotConnected means that no connection was opened, so nothing was sent.
+var ErrNotConnected = errors.New("cannot connect to the server")
 
-// ErrRunNotFound means that the server knows no such run.
-var ErrRunNotFound = errors.New("the server knows no such run")
+// ErrRunNotFound means that the server has no run with the requested ID.
+var ErrRunNotFound = errors.New("run not found on the server")
 
-// Client talks to backend servers.
+// Client sends requests to backend servers.
 type Client struct {
 	pooled *http.Client
-	// unpooled never reuses a connection; see Resume.
-	unpooled    *http.Client
+	// unpooled opens a new connection for each request.
+	unpooled *http.Client
+	// idleTimeout is the longest time between two lines of a stream.
 	idleTimeout time.Duration
 }
 
 const (
 	dialTimeout = 2 * time.Second
-	// controlTimeout bounds a load report, an order or a cancellation.
-	controlTimeout = 2 * time.Second
-	// maxIdleConnsPerHost keeps connections for the usual concurrency on one server.
+	// controlTimeout applies to load reports, orders and cancellations.
+	controlTimeout      = 2 * time.Second
 	maxIdleConnsPerHost = 64
-	// maxResponseBytes bounds a plain service's reply in bytes.
+	// maxResponseBytes bounds the body of responses that are not streams.
 	maxResponseBytes = 1 << 20
 )
 
-// NewClient returns a client that takes a stream for silent after silence.
-func NewClient(silence time.Duration) *Client {
+// NewClient returns a client that closes streams without data for idleTimeout.
+func NewClient(idleTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	pooled := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: time.Minute}
-	single := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
-	return &Client{pooled: &http.Client{Transport: pooled}, unpooled: &http.Client{Transport: single}, idleTimeout: silence}
+	unpooled := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
+	return &Client{pooled: &http.Client{Transport: pooled}, unpooled: &http.Client{Transport: unpooled}, idleTimeout: idleTimeout}
 }
 
-// Start sends a run and returns its stream. The error is ErrNotConnected or
-// ErrNotStarted when the run is proven not to have started; any other error
-// leaves that open.
-func (c *Client) Start(ctx context.Context, address string, r Run) (*Stream, error) {
-	body := make(map[string]json.RawMessage, len(r.Body)+2)
-	for k, v := range r.Body {
+// Start starts a run and returns its stream. The run has certainly not started if the
+// error is ErrNotConnected or ErrNotStarted; after other errors it may have.
+func (c *Client) Start(ctx context.Context, address string, run Run) (*Stream, error) {
+	body := make(map[string]json.RawMessage, len(run.Body)+2)
+	for k, v := range run.Body {
 		body[k] = v
 	}
-	body["model"], _ = json.Marshal(r.Version)
+	body["model"], _ = json.Marshal(run.Version)
 	body["stream"] = json.RawMessage("true")
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, oops.In("engine").Wrapf(err, "encode run")
 	}
-	header := http.Header{"X-Run-Id": {r.ID}, "X-Priority": {strconv.Itoa(r.Priority)}, "Content-Type": {"application/json"}}
+	header := http.Header{"X-Run-Id": {run.ID}, "X-Priority": {strconv.Itoa(run.Priority)}, "Content-Type": {"application/json"}}
 	return c.stream(ctx, c.pooled, http.MethodPost, "http://"+address+"/v1/chat/completions", header, data)
 }
 
-// Resume continues a run after an event. It always opens a new connection: the
-// old one may be one of those that something between the two ends forgot, on
-// which writes succeed and nothing ever comes back.
-func (c *Client) Resume(ctx context.Context, address, run string, after int) (*Stream, error) {
-	header := http.Header{"Last-Event-ID": {strconv.Itoa(after)}}
-	return c.stream(ctx, c.unpooled, http.MethodGet, "http://"+address+"/v1/runs/"+url.PathEscape(run)+"/events", header, nil)
+// Resume continues the stream of a run after the event with an offset. It always opens
+// a new connection, since a pooled one may have been dropped silently by a middlebox.
+func (c *Client) Resume(ctx context.Context, address, runID string, lastEvent int) (*Stream, error) {
+	header := http.Header{"Last-Event-ID": {strconv.Itoa(lastEvent)}}
+	return c.stream(ctx, c.unpooled, http.MethodGet, "http://"+address+"/v1/runs/"+url.PathEscape(runID)+"/events", header, nil)
 }
 
+// stream sends a request whose response is a stream. The idle timeout also applies to
+// the wait for the response header.
 func (c *Client) stream(ctx context.Context, client *http.Client, method, target string, header http.Header, body []byte) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
@@ -103,31 +103,31 @@
 		return nil, oops.In("engine").Wrapf(err, "build request")
 	}
 	req.Header = header
-	watch := time.AfterFunc(c.idleTimeout, cancel)
+	idleTimer := time.AfterFunc(c.idleTimeout, cancel)
 	resp, err := client.Do(req)
 	if err != nil {
-		watch.Stop()
+		idleTimer.Stop()
 		cancel()
 		return nil, wrapDialError(err)
 	}
 	if err := checkStatus(resp); err != nil {
-		watch.Stop()
+		idleTimer.Stop()
 		_ = resp.Body.Close()
 		cancel()
 		return nil, err
 	}
-	return newStream(resp.Body, cancel, watch, c.idleTimeout), nil
+	return newStream(resp.Body, cancel, idleTimer, c.idleTimeout), nil
 }
 
-// ConnectionRefused reports whether the VM at an address refuses connections: what listened there has
-// ended.
+// ConnectionRefused reports whether the VM refuses connections to an address because no
+// process listens there.
 func (c *Client) ConnectionRefused(ctx context.Context, address string) bool {
 	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	_ = conn.Close() // it was opened for the question alone
+	_ = conn.Close() // an error has no consequence
 	return false
 }
 
@@ -148,32 +148,34 @@
 	case resp.StatusCode == http.StatusNotFound:
 		return ErrRunNotFound
 	}
-	return oops.In("engine").Errorf("server answered %s", resp.Status)
+	return oops.In("engine").Errorf("server returned %s", resp.Status)
 }
 
-// Cancel ends a run on its server.
-func (c *Client) Cancel(address, run string) error {
-	return c.doControl(context.Background(), http.MethodDelete, "http://"+address+"/v1/runs/"+url.PathEscape(run), nil, nil)
+// Cancel cancels a run on its server.
+func (c *Client) Cancel(address, runID string) error {
+	return c.doControl(context.Background(), http.MethodDelete, "http://"+address+"/v1/runs/"+url.PathEscape(runID), nil, nil)
 }
 
-// LoadReport is a server's lagged report.
+// LoadReport is the load that a server reports. It may lag behind the actual load.
 type LoadReport struct {
-	Running  int      `json:"running"`
-	Waiting  int      `json:"waiting"`
+	// Running and Waiting count the server's runs.
+	Running int `json:"running"`
+	Waiting int `json:"waiting"`
+	// Versions lists the loaded versions as "model@version".
 	Versions []string `json:"versions"`
-	Fence    uint64   `json:"fence"`
-	// Draining is set by a server that wants no new work.
+	// Fence is the highest fencing number of the orders that the server received.
+	Fence uint64 `json:"fence"`
+	// Draining reports that the server accepts no new runs.
 	Draining bool `json:"draining"`
-	// WarmUpMillis is how much longer the server bears little; negative values count as
-	// none.
+	// WarmUpMillis is the remaining warm-up time; negative values mean none.
 	WarmUpMillis int64 `json:"warming_ms"`
 }
 
-// Load fetches a server's report.
+// Load fetches the load report of a server.
 func (c *Client) Load(ctx context.Context, address string) (LoadReport, error) {
-	var l LoadReport
-	err := c.doControl(ctx, http.MethodGet, "http://"+address+"/load", nil, &l)
-	return l, err
+	var report LoadReport
+	err := c.doControl(ctx, http.MethodGet, "http://"+address+"/load", nil, &report)
+	return report, err
 }
 
 type orderBody struct {
@@ -181,17 +183,18 @@
 	lease.Order
 }
 
-// SendOrder tells a server to load or unload a version under a fencing number.
-func (c *Client) SendOrder(ctx context.Context, address string, fence uint64, o lease.Order) error {
-	return c.doControl(ctx, http.MethodPost, "http://"+address+"/orders", orderBody{fence, o}, nil)
+// SendOrder orders a server to load or unload a version under a fencing number.
+func (c *Client) SendOrder(ctx context.Context, address string, fence uint64, order lease.Order) error {
+	return c.doControl(ctx, http.MethodPost, "http://"+address+"/orders", orderBody{fence, order}, nil)
 }
 
-func (c *Client) doControl(ctx context.Context, method, target string, in, out any) error {
+// doControl sends a JSON request and decodes the response into out unless it is nil.
+func (c *Client) doControl(ctx context.Context, method, target string, payload, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var body io.Reader
-	if in != nil {
-		data, err := json.Marshal(in)
+	if payload != nil {
+		data, err := json.Marshal(payload)
 		if err != nil {
 			return oops.In("engine").Wrapf(err, "encode %s", target)
 		}
@@ -201,8 +204,8 @@
 	if err != nil {
 		return oops.In("engine").Wrapf(err, "build %s", target)
 	}
-	// A pooled connection that went silent costs one timeout and is closed; the
-	// next call opens a new one.
+	// A stalled pooled connection costs one timeout: it is then closed, and the next
+	// call opens a new one.
 	resp, err := c.pooled.Do(req)
 	if err != nil {
 		return oops.In("engine").Wrapf(err, "%s %s", method, target)
@@ -213,7 +216,7 @@
 		return oops.In("engine").Wrapf(err, "read %s", target)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return oops.In("engine").With("status", resp.StatusCode).Errorf("%s %s answered %s", method, target, resp.Status)
+		return oops.In("engine").With("status", resp.StatusCode).Errorf("%s %s returned %s", method, target, resp.Status)
 	}
 	if out == nil {
 		return nil
@@ -221,18 +224,17 @@
 	return oops.In("engine").Wrapf(json.Unmarshal(data, out), "decode %s", target)
 }
 
-// Call sends a plain service call and returns its status and body. The error is
-// ErrNotConnected when nothing was sent.
-func (c *Client) Call(ctx context.Context, address, run string, body []byte) (int, []byte, error) {
+// Call sends a request to a plain service and returns the status and body of the
+// response. The error is ErrNotConnected if nothing was sent.
+func (c *Client) Call(ctx context.Context, address, runID string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/call", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, oops.In("engine").Wrapf(err, "build call")
 	}
-	req.Header.Set("X-Run-Id", run)
+	req.Header.Set("X-Run-Id", runID)
 	req.Header.Set("Content-Type", "application/json")
-	// A transport repeats a request on a connection that was closed under it
-	// when it takes the request for idempotent. GetBody unset prevents that: a
-	// payment would run twice.
+	// Without GetBody the transport cannot resend the request after a lost
+	// connection, so that a non-idempotent request does not runID twice.
 	req.GetBody = nil
 	resp, err := c.unpooled.Do(req)
 	if err != nil {
@@ -240,5 +242,5 @@
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	return resp.StatusCode, data, oops.In("engine").Wrapf(err, "read reply")
+	return resp.StatusCode, data, oops.In("engine").Wrapf(err, "read response")
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -13,10 +13,10 @@
 	"github.com/damaskrudder/damaskrudder/internal/request"
 )
 
-// maxLineBytes bounds one line of a stream in bytes.
+// maxLineBytes bounds a line of a stream.
 const maxLineBytes = 1 << 20
 
-// Usage is the server's count of a finished run.
+// Usage is the server's token count of a finished run.
 type Usage struct {
 	PromptTokens int64 `json:"prompt_tokens"`
 	AnswerTokens int64 `json:"completion_tokens"`
@@ -31,7 +31,7 @@
 	Usage        Usage
 }
 
-// Stream is the answer of one run on one connection.
+// Stream reads the events of a run from one connection.
 type Stream struct {
 	body        io.ReadCloser
 	scanner     *bufio.Scanner
@@ -40,21 +40,21 @@
 	idleTimeout time.Duration
 }
 
-func newStream(body io.ReadCloser, cancel context.CancelFunc, watch *time.Timer, silence time.Duration) *Stream {
-	s := &Stream{body: body, scanner: bufio.NewScanner(body), cancel: cancel, idleTimer: watch, idleTimeout: silence}
+func newStream(body io.ReadCloser, cancel context.CancelFunc, idleTimer *time.Timer, idleTimeout time.Duration) *Stream {
+	s := &Stream{body: body, scanner: bufio.NewScanner(body), cancel: cancel, idleTimer: idleTimer, idleTimeout: idleTimeout}
 	s.scanner.Buffer(nil, maxLineBytes)
 	return s
 }
 
-// Close ends the connection. The run goes on until it is cancelled.
+// Close closes the connection. The run continues on the server until it is canceled.
 func (s *Stream) Close() {
 	s.idleTimer.Stop()
 	s.cancel()
 	_ = s.body.Close()
 }
 
-// Next returns the next frame. Any error means that the stream broke off or was
-// silent too long; the terminal frame alone says that an answer is complete.
+// Next returns the next frame. An error means that the stream broke off or exceeded the
+// idle timeout. The answer is complete only if a frame with End set was received.
 func (s *Stream) Next() (Frame, error) {
 	s.idleTimer.Reset(s.idleTimeout)
 	event := eventBuilder{}
@@ -81,7 +81,7 @@
 	data []byte
 }
 
-// addLine takes a line and reports whether the event is complete.
+// addLine adds a line and reports whether the event is complete.
 func (e *eventBuilder) addLine(line []byte) bool {
 	if len(line) == 0 {
 		return true
@@ -111,16 +111,17 @@
 	} `json:"error"`
 }
 
-// frame decodes a collected event; comments, [DONE] and undecodable events give
-// none. A damaged event leaves a gap in the offsets, which the assembler finds.
+// frame decodes the event. It returns false for comments, the [DONE] event and invalid
+// events; a skipped invalid event leaves a gap in the offsets, which request.Assembler
+// detects.
 func (e *eventBuilder) frame() (Frame, bool) {
 	f, err := DecodeEvent(e.id, e.data)
 	return f, err == nil
 }
 
-var errNoFrame = errors.New("no frame")
+var errNoFrame = errors.New("event contains no frame")
 
-// DecodeEvent decodes the data of one event.
+// DecodeEvent decodes the data of an event with an ID, which must be positive.
 func DecodeEvent(id int, data []byte) (Frame, error) {
 	if len(data) == 0 || string(data) == "[DONE]" || id <= 0 {
 		return Frame{}, errNoFrame
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -17,11 +17,11 @@
 	}
 	for _, bad := range []string{"", "[DONE]", `{"run":`, `{"run":"r","usage":{"prompt_tokens":-1}}`} {
 		if _, err := DecodeEvent(1, []byte(bad)); err == nil {
-			t.Errorf("%q gave a frame", bad)
+			t.Errorf("%q decoded without error", bad)
 		}
 	}
 	if _, err := DecodeEvent(0, []byte(`{"run":"r"}`)); err == nil {
-		t.Error("an event without id gave a frame")
+		t.Error("event without ID decoded without error")
 	}
 }
 
@@ -30,9 +30,9 @@
 	f.Add(2, []byte(`{"run":"r","choices":[{"finish_reason":"stop"}],"usage":{"confidence":2}}`))
 	f.Add(-1, []byte("[DONE]"))
 	f.Fuzz(func(t *testing.T, id int, data []byte) {
-		fr, err := DecodeEvent(id, data)
-		if err == nil && (fr.Offset <= 0 || fr.Usage.AnswerTokens < 0 || fr.Usage.PromptTokens < 0) {
-			t.Fatalf("%+v", fr)
+		frame, err := DecodeEvent(id, data)
+		if err == nil && (frame.Offset <= 0 || frame.Usage.AnswerTokens < 0 || frame.Usage.PromptTokens < 0) {
+			t.Fatalf("%+v", frame)
 		}
 	})
 }
