--- a/internal/enginetest/engines.go
+++ b/internal/enginetest/engines.go
@@ -1,5 +1,5 @@
-// Package enginetest has backend servers for tests in virtual time: they serve streams, and end
-// by requests that say so.
+// Package enginetest simulates backend servers for tests in virtual time. They serve
+// streams and crash on requests that are marked for it.
 package enginetest
 
 import (
@@ -18,40 +18,43 @@
 	"github.com/damaskrudder/damaskrudder/internal/upstream"
 )
 
-// Engines are backend servers that end when they run a request whose body begins with Deadly,
-// and are back some seconds later under another id. They implement relay.Backend.
+// Engines is a set of simulated backend servers. A server that runs a request whose body
+// begins with CrashPrefix crashes and restarts after RestartDelay under a new ID. It
+// implements relay.Backend.
 type Engines struct {
-	// register writes a server's entry, or removes it.
+	// register writes a server's entry, or removes it if the value is nil.
 	register func(id string, value []byte)
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// running holds the servers by ID; crashes and sends hold times by request body.
 	running map[string]*engine
 	crashes map[string][]time.Time
 	sends   map[string][]time.Time
 }
 
-// engine is one run of a server.
+// engine is an incarnation of a server.
 type engine struct {
 	id string
-	// stopped is closed at its end.
+	// stopped is closed when the server crashes.
 	stopped chan struct{}
 }
 
 const (
-	// CrashPrefix begins the bodies that end a server.
+	// CrashPrefix begins the request bodies that crash a server.
 	CrashPrefix = "deadly"
-	// networkDelay is the time to a server.
+	// networkDelay is the one-way delay to a server.
 	networkDelay = time.Millisecond
-	// headerDelay is the time to the head of an answer, untilEnd the time from there to the
-	// end of a server that runs a deadly body, and BackAfter the time until it is back.
-	headerDelay  = 40 * time.Millisecond
-	crashDelay   = 100 * time.Millisecond
+	// headerDelay is the time from the arrival of a request to its response header.
+	headerDelay = 40 * time.Millisecond
+	// crashDelay is the time from the response header to the crash.
+	crashDelay = 100 * time.Millisecond
+	// RestartDelay is the time from a crash to the server's restart.
 	RestartDelay = 3500 * time.Millisecond
-	// responseDuration is the time from the head to the end of an answer.
+	// responseDuration is the time from the response header to the end of the body.
 	responseDuration = 600 * time.Millisecond
 )
 
-// New starts some servers and writes their entries.
+// New starts a number of servers and registers them.
 func New(servers int, register func(id string, value []byte)) *Engines {
 	e := &Engines{register: register, running: map[string]*engine{}, crashes: map[string][]time.Time{}, sends: map[string][]time.Time{}}
 	for i := range servers {
@@ -60,47 +63,48 @@
 	return e
 }
 
-// Crashes returns when servers ended by each deadly body.
+// Crashes returns the times of the crashes by request body.
 func (e *Engines) Crashes() map[string][]time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.crashes)
 }
 
-// Sends returns when each deadly body reached a server.
+// Sends returns the times at which a request that crashes servers reached one, by
+// request body.
 func (e *Engines) Sends() map[string][]time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.sends)
 }
 
-func (e *Engines) start(name string, life int) {
-	id := fmt.Sprint(name, ".", life)
+func (e *Engines) start(name string, restarts int) {
+	id := fmt.Sprint(name, ".", restarts)
 	e.mu.Lock()
 	e.running[id] = &engine{id: id, stopped: make(chan struct{})}
 	e.mu.Unlock()
 	e.register(id, []byte("ready"))
 }
 
-// crash ends a run of a server by a body, once.
+// crash stops a server, unless it is stopped already, and restarts it later.
 func (e *Engines) crash(id, body string) {
 	e.mu.Lock()
-	run := e.running[id]
+	server := e.running[id]
 	delete(e.running, id)
-	if run != nil {
+	if server != nil {
 		e.crashes[body] = append(e.crashes[body], time.Now())
-		close(run.stopped)
+		close(server.stopped)
 	}
 	e.mu.Unlock()
-	if run == nil {
+	if server == nil {
 		return
 	}
-	name, life, _ := strings.Cut(id, ".")
+	name, incarnation, _ := strings.Cut(id, ".")
 	time.AfterFunc(RestartDelay, func() {
-		var n int
-		_, _ = fmt.Sscan(life, &n)
+		var restarts int
+		_, _ = fmt.Sscan(incarnation, &restarts)
 		e.register(id, nil)
-		e.start(name, n+1)
+		e.start(name, restarts+1)
 	})
 }
 
@@ -111,10 +115,10 @@
 }
 
 // Send implements relay.Backend.
-func (e *Engines) Send(ctx context.Context, s relay.BackendRequest) (*relay.BackendResponse, error) {
+func (e *Engines) Send(ctx context.Context, send relay.BackendRequest) (*relay.BackendResponse, error) {
 	time.Sleep(networkDelay)
-	run, body := e.lookup(s.Server.Incarnation.Name), string(s.Call.Body)
-	if run == nil {
+	server, body := e.lookup(send.Server.Incarnation.Name), string(send.Call.Body)
+	if server == nil {
 		return nil, &upstream.Error{Reason: upstream.Unreachable, Err: syscall.ECONNREFUSED}
 	}
 	if strings.HasPrefix(body, CrashPrefix) {
@@ -124,17 +128,17 @@
 	}
 	select {
 	case <-time.After(headerDelay):
-	case <-run.stopped:
+	case <-server.stopped:
 		return nil, &upstream.Error{Reason: upstream.ConnectionLost, Sent: true, Err: io.EOF}
 	case <-ctx.Done():
 		return nil, &upstream.Error{Reason: upstream.Canceled, Sent: true, Err: context.Cause(ctx)}
 	}
 	if strings.HasPrefix(body, CrashPrefix) {
-		// A run that has begun ends its server also if it is cancelled.
-		time.AfterFunc(crashDelay, func() { e.crash(run.id, body) })
+		// The server crashes even if the request is canceled.
+		time.AfterFunc(crashDelay, func() { e.crash(server.id, body) })
 	}
-	answer := &responseBody{server: run, ctx: ctx, completeAt: time.Now().Add(responseDuration)}
-	return &relay.BackendResponse{Status: http.StatusOK, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: -1, Body: answer}, nil
+	stream := &responseBody{server: server, ctx: ctx, completeAt: time.Now().Add(responseDuration)}
+	return &relay.BackendResponse{Status: http.StatusOK, Header: http.Header{}, Authenticated: true, Confidence: -1, ContentLength: -1, Body: stream}, nil
 }
 
 // Alive implements relay.Backend.
@@ -154,7 +158,8 @@
 // Forget implements relay.Backend.
 func (e *Engines) Forget(string) {}
 
-// responseBody is a stream of one event that ends when it is whole, or broken off with its server.
+// responseBody is a stream of one event. Reads fail if the server crashes before
+// completeAt.
 type responseBody struct {
 	server     *engine
 	ctx        context.Context
@@ -162,19 +167,19 @@
 	event      io.Reader
 }
 
-func (a *responseBody) Read(p []byte) (int, error) {
-	if a.event != nil {
-		return a.event.Read(p)
+func (b *responseBody) Read(p []byte) (int, error) {
+	if b.event != nil {
+		return b.event.Read(p)
 	}
 	select {
-	case <-time.After(time.Until(a.completeAt)):
-		a.event = strings.NewReader("id: 1\ndata: x\n\n")
-		return a.event.Read(p)
-	case <-a.server.stopped:
+	case <-time.After(time.Until(b.completeAt)):
+		b.event = strings.NewReader("id: 1\ndata: x\n\n")
+		return b.event.Read(p)
+	case <-b.server.stopped:
 		return 0, io.ErrUnexpectedEOF
-	case <-a.ctx.Done():
-		return 0, context.Cause(a.ctx)
+	case <-b.ctx.Done():
+		return 0, context.Cause(b.ctx)
 	}
 }
 
-func (a *responseBody) Close() error { return nil }
+func (b *responseBody) Close() error { return nil }
