--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -234,7 +234,7 @@
 	req.Header.Set("X-Run-Id", runID)
 	req.Header.Set("Content-Type", "application/json")
 	// Without GetBody the transport cannot resend the request after a lost
-	// connection, so that a non-idempotent request does not runID twice.
+	// connection, so that a non-idempotent request does not run twice.
 	req.GetBody = nil
 	resp, err := c.unpooled.Do(req)
 	if err != nil {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -36,7 +36,7 @@
 					if err != nil {
 						return
 					}
-					_, _ = io.Copy(io.Discard, req.Body) // a short read fails the test later
+					_, _ = io.Copy(io.Discard, req.Body) // the test controls the body
 					if !handle(n, req, c) {
 						return
 					}
