--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -230,7 +230,7 @@
 		return request.AttemptRefused
 	case errors.Is(err, engine.ErrNotConnected):
 		return request.ConnectFailed
-	case errors.Is(err, engine.ErrRunGone):
+	case errors.Is(err, engine.ErrRunNotFound):
 		return request.RunNotFound
 	}
 	return request.ConnectionLost
@@ -244,7 +244,7 @@
 		d.metrics.firstToken.RecordDuration(res.firstToken)
 	}
 	if frame.End {
-		res.complete, res.usage, res.finishReason = true, frame.Usage, frame.Finish
+		res.complete, res.usage, res.finishReason = true, frame.Usage, frame.FinishReason
 		d.recordRun(s, picked, false, res.firstToken)
 		return nil
 	}
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -127,7 +127,7 @@
 		if !ok {
 			return
 		}
-		if o.d.engine.Order(ctx, s.Address, fence, order) == nil {
+		if o.d.engine.SendOrder(ctx, s.Address, fence, order) == nil {
 			o.d.metrics.ordersSent.Inc(1)
 			o.d.log.Info("ordered", "server", s.ID, "action", order.Action, "version", order.Version, "fence", fence)
 		}
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -233,8 +233,8 @@
 			p.versions[cand.ID] = load.Versions
 		}
 		p.load.SetLeaving(cand.ID, load.Draining || b.leaving[cand.ID])
-		if load.WarmingMillis > 0 {
-			p.warmAt[cand.ID] = b.uptime() + time.Duration(load.WarmingMillis)*time.Millisecond
+		if load.WarmUpMillis > 0 {
+			p.warmAt[cand.ID] = b.uptime() + time.Duration(load.WarmUpMillis)*time.Millisecond
 		}
 	})
 }
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -123,7 +123,7 @@
 		wg.Wait()
 		out.evaluate(e, excusedUntil)
 		f.stopAll()
-		time.Sleep(2 * enginetest.BackAfter)
+		time.Sleep(2 * enginetest.RestartDelay)
 	})
 	return out
 }
@@ -134,7 +134,7 @@
 	var wg sync.WaitGroup
 	for i := range 60 {
 		time.Sleep(time.Duration(40+rng.IntN(260)) * time.Millisecond)
-		to, body := rng.IntN(p.daemons), fmt.Sprint(enginetest.Deadly, " ", which)
+		to, body := rng.IntN(p.daemons), fmt.Sprint(enginetest.CrashPrefix, " ", which)
 		wg.Go(func() {
 			a := f.send(to, fmt.Sprint("d", which, ".", i), body)
 			mu.Lock()
@@ -174,7 +174,7 @@
 
 func (r *crashResult) evaluate(e *enginetest.Engines, excusedUntil time.Time) {
 	sends := e.Sends()
-	for body, crashTimes := range e.Ends() {
+	for body, crashTimes := range e.Crashes() {
 		r.crashes += len(crashTimes)
 		if len(crashTimes) < 3 {
 			continue
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -222,9 +222,9 @@
 func (x *exchange) handleSendError(t *target, sentAt time.Time, err error) request.SendOutcome {
 	var e *upstream.Error
 	if !errors.As(err, &e) {
-		e = &upstream.Error{Reason: upstream.Broken, Sent: true, Err: err}
+		e = &upstream.Error{Reason: upstream.ConnectionLost, Sent: true, Err: err}
 	}
-	failed := e.Reason != upstream.Canceled && e.Reason != upstream.Full
+	failed := e.Reason != upstream.Canceled && e.Reason != upstream.ConnectionLimit
 	x.relay.State.recordSendEnd(t, time.Since(sentAt), failed)
 	if e.Reason == upstream.Unreachable {
 		x.relay.State.markUnreachable(t)
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -75,7 +75,7 @@
 func TestHoldIsCheckedBeforeEverySend(t *testing.T) {
 	for name, first := range map[string]func(BackendRequest) (*BackendResponse, error){
 		"first send":   nil,
-		"repeat":       failSend(upstream.Broken, true),
+		"repeat":       failSend(upstream.ConnectionLost, true),
 		"larger model": respondStream(0, nil, 1, 2),
 		"stream":       respondStream(90, errors.New("reset"), 1, 2),
 		"not run":      respondNotRun,
@@ -138,14 +138,14 @@
 // Guards against counting broken connections to healthy servers, or the end of servers
 // that had announced it, as ends caused by the request.
 func TestBrokenConnectionIsNotAServerEnd(t *testing.T) {
-	h := newHarness(t, failSend(upstream.Broken, true))
+	h := newHarness(t, failSend(upstream.ConnectionLost, true))
 	for range 4 {
 		h.callWithBody("/s/1", "x")
 	}
 	if s := h.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Crashes != 0 {
 		t.Errorf("healthy servers: %+v", s)
 	}
-	h = newHarness(t, failSend(upstream.Broken, true))
+	h = newHarness(t, failSend(upstream.ConnectionLost, true))
 	h.relay.backend = refusingBackend{h.backend}
 	h.relay.State.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for _, id := range []string{"e0", "e1", "e2"} {
@@ -166,7 +166,7 @@
 // Guards against missing the end of a server that is back before its VM refuses a
 // connection; only its entry shows the restart.
 func TestImmediateRestartCountsAsServerEnd(t *testing.T) {
-	h := newHarness(t, failSend(upstream.Broken, true))
+	h := newHarness(t, failSend(upstream.ConnectionLost, true))
 	h.callWithBody("/s/1", "x")
 	for _, s := range h.backend.sends {
 		h.relay.ServerRestarted(s.Server)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -181,7 +181,7 @@
 
 // Guards against running a payment twice after a connection broke.
 func TestNonIdempotentRequestIsNotRetriedAfterLoss(t *testing.T) {
-	h := newHarness(t, failSend(upstream.Broken, true), respond(200, "paid"))
+	h := newHarness(t, failSend(upstream.ConnectionLost, true), respond(200, "paid"))
 	out := h.call("/p/1")
 	if len(h.backend.sends) != 1 {
 		t.Fatalf("sent %d times", len(h.backend.sends))
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream keeps HTTP/1.1 connections to backend servers. It tells
-// exactly whether anything of a request was sent, which net/http's client does
-// not, and it finds the answer that belongs to a request among late ones.
+// Package upstream is an HTTP/1.1 client with a connection pool for backend servers.
+// Unlike net/http's client it reports whether any part of a request was sent, and it
+// skips responses that belong to earlier requests on the same connection.
 package upstream
 
 import (
@@ -21,58 +21,58 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. Round trips are some
-	// milliseconds; a dropped first packet is repeated after a second only, and
-	// another server answers sooner than that.
+	// dialTimeout is shorter than TCP's first SYN retransmission after 1 s: trying
+	// another server is faster than waiting for it.
 	dialTimeout = 400 * time.Millisecond
-	// defaultKeep is how long an idle connection is kept if the server names no
-	// time of its own.
-	defaultKeep = 4 * time.Second
-	// keepMargin is taken off a server's keep-alive time, stated in whole
-	// seconds: a request sent as the server closes the connection would be
-	// lost, and nobody could tell whether it ran.
-	keepMargin = 800 * time.Millisecond
-	// probeIdle, probeEvery and probeCount make the kernel notice within about
-	// 2 s that the other end of a silent connection is gone.
-	probeIdle  = time.Second
-	probeEvery = 400 * time.Millisecond
-	probeCount = 3
-	// readBuffer is the size of a connection's read buffer in bytes: an answer
-	// of a plain service or some events of a stream.
-	readBuffer = 2048
-	// inlineBody is the largest body written before the answer is read, in
-	// bytes. A longer one is written beside, since a server may answer early.
-	inlineBody = 4096
-	// strayAnswers bounds the answers to other requests passed over on one
-	// connection before it is given up.
-	strayAnswers = 2
-	// strayBody bounds the body of such an answer, in bytes.
-	strayBody = 64 << 10
+	// defaultKeepAlive is the idle timeout if the server's response states none.
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is subtracted from the idle timeout of a server, so that no
+	// request is sent while the server closes the connection. It would be unknown
+	// whether such a request ran.
+	keepAliveMargin = 800 * time.Millisecond
+	// With these TCP keep-alive parameters the kernel detects a dead peer within
+	// about 2 s.
+	tcpKeepAliveIdle     = time.Second
+	tcpKeepAliveInterval = 400 * time.Millisecond
+	tcpKeepAliveCount    = 3
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 2048
+	// maxInlineBodyBytes is the largest request body that is written before the
+	// response is read. A longer one is written concurrently, since a server may
+	// respond early.
+	maxInlineBodyBytes = 4096
+	// maxUnmatchedResponses is the number of responses to other requests that are
+	// skipped before a connection is closed.
+	maxUnmatchedResponses = 2
+	// maxUnmatchedBodyBytes bounds the body of a skipped response.
+	maxUnmatchedBodyBytes = 64 << 10
 )
 
 // Reason classifies a failure.
 type Reason string
 
-// The reasons for which a call fails.
+// Reasons for which a call fails.
 const (
-	// Unreachable: no connection could be opened.
+	// Unreachable means that no connection could be opened.
 	Unreachable Reason = "unreachable"
-	// Full: the connections allowed to the server are all in use.
-	Full Reason = "full"
-	// Broken: the connection ended before an answer.
-	Broken Reason = "broken"
-	// Garbled: what came is not an answer to the request.
-	Garbled Reason = "garbled"
-	// Canceled: the caller of Do gave up.
+	// ConnectionLimit means that the maximum number of connections is open.
+	ConnectionLimit Reason = "full"
+	// ConnectionLost means that the connection ended before the response.
+	ConnectionLost Reason = "broken"
+	// InvalidResponse means that the received data is not a response to the request.
+	InvalidResponse Reason = "garbled"
+	// Canceled means that the context of the call was done.
 	Canceled Reason = "canceled"
 )
 
 // Error is a failed call.
 type Error struct {
 	Reason Reason
-	// Sent says whether any byte of the request left; if not, it has not run.
+	// Sent reports whether any part of the request may have been sent. If it is
+	// false, the request has not run.
 	Sent bool
-	Err  error
+	// Err is the cause.
+	Err error
 }
 
 // Error implements error.
@@ -81,20 +81,23 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Pool holds the connections of one daemon, by address.
+// Pool holds connections to backend servers. It is safe for concurrent use.
 type Pool struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle holds the idle connections by address, the most recently used last.
 	idle map[string][]*conn
+	// open is the number of connections by address, idle ones included.
 	open map[string]int
-	// Opened is called for every new connection.
-	Opened func(address string)
-	// Heard is called for every read that brought bytes from an address.
-	Heard func(address string)
+	// OnDial is called before a connection is opened. Set it before the first call.
+	OnDial func(address string)
+	// OnRead is called after each read that returned data. Set it before the first
+	// call.
+	OnRead func(address string)
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
-	return &Pool{idle: map[string][]*conn{}, open: map[string]int{}, Opened: func(string) {}, Heard: func(string) {}}
+	return &Pool{idle: map[string][]*conn{}, open: map[string]int{}, OnDial: func(string) {}, OnRead: func(string) {}}
 }
 
 type conn struct {
@@ -102,24 +105,26 @@
 	pool    *Pool
 	address string
 	reader  *bufio.Reader
-	// until ends the connection's idle life.
-	until  time.Time
-	reused bool
-	closed sync.Once
+	// expires is the time after which an idle connection must not be used.
+	expires time.Time
+	reused  bool
+	closed  sync.Once
 }
 
-// Read implements io.Reader and reports life signs.
+// Read implements io.Reader and calls OnRead.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.pool.Heard(c.address)
+		c.pool.OnRead(c.address)
 	}
 	return n, err
 }
 
-func (c *conn) shut() {
+// discard closes the connection and removes it from the count of open ones. Further
+// calls have no effect.
+func (c *conn) discard() {
 	c.closed.Do(func() {
-		_ = c.Conn.Close() // the connection is of no more use; there is nothing to do about an error
+		_ = c.Conn.Close() // an error has no consequence
 		c.pool.mu.Lock()
 		c.pool.open[c.address]--
 		if c.pool.open[c.address] <= 0 {
@@ -133,69 +138,70 @@
 type Call struct {
 	Address string
 	Request *http.Request
-	// Limit is the most connections to the address; zero is unbounded.
-	Limit int
-	// Mine tells whether an answer belongs to this request. A server may send a
-	// second answer to an earlier request where ours is due.
-	Mine func(*http.Response) bool
+	// MaxConnections limits the connections to the address; 0 means no limit.
+	MaxConnections int
+	// Match reports whether a response belongs to this request; nil accepts any. A
+	// server may send a duplicate response to an earlier request first.
+	Match func(*http.Response) bool
 }
 
-// Do sends a request and returns the head of its answer. Closing the body before
-// its end closes the connection, which cancels the run. The context bounds the
-// whole exchange, body included.
+// Do sends a request and returns its response once the header has been read. ctx
+// applies until the body has been read. Closing the body earlier closes the
+// connection, which makes the server cancel the request. Errors are of type *Error.
 func (p *Pool) Do(ctx context.Context, call Call) (*http.Response, error) {
-	c, err := p.get(ctx, call)
+	c, err := p.acquire(ctx, call)
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, c.shut)
+	stop := context.AfterFunc(ctx, c.discard)
 	written, err := send(c, call.Request)
 	if err != nil {
 		stop()
-		c.shut()
-		return nil, failure(ctx, Broken, true, err)
+		c.discard()
+		return nil, newError(ctx, ConnectionLost, true, err)
 	}
 	resp, err := receive(c, call)
 	if err != nil {
 		stop()
-		c.shut()
-		return nil, failure(ctx, reasonOf(err), true, err)
+		c.discard()
+		return nil, newError(ctx, classify(err), true, err)
 	}
-	resp.Body = &body{ReadCloser: resp.Body, conn: c, resp: resp, stop: stop, written: written}
+	resp.Body = &responseBody{ReadCloser: resp.Body, conn: c, resp: resp, stopCancel: stop, written: written}
 	return resp, nil
 }
 
-func failure(ctx context.Context, r Reason, sent bool, err error) *Error {
+// newError returns an error with the given reason, or with Canceled if ctx is done.
+func newError(ctx context.Context, r Reason, sent bool, err error) *Error {
 	if ctx.Err() != nil {
 		return &Error{Canceled, sent, context.Cause(ctx)}
 	}
 	return &Error{r, sent, err}
 }
 
-var errStray = errors.New("only answers to other requests came")
+var errUnmatchedResponse = errors.New("received only responses to other requests")
 
-// reasonOf tells an end of the connection from bytes that are no answer.
-func reasonOf(err error) Reason {
-	var network net.Error
+// classify distinguishes a lost connection from an invalid response.
+func classify(err error) Reason {
+	var netErr net.Error
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed),
-		errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.As(err, &network):
-		return Broken
+		errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.As(err, &netErr):
+		return ConnectionLost
 	}
-	return Garbled
+	return InvalidResponse
 }
 
-// send writes the request. A long body is written beside the reading; the
-// channel then tells its end.
+// send writes the request. A request with a long body is written in the background;
+// the returned channel, otherwise nil, then receives the result.
 func send(c *conn, r *http.Request) (<-chan error, error) {
-	w := bufio.NewWriterSize(c.Conn, inlineBody)
+	w := bufio.NewWriterSize(c.Conn, maxInlineBodyBytes)
 	write := func() error {
 		if err := r.Write(w); err != nil {
 			return err
 		}
 		return w.Flush()
 	}
-	if r.ContentLength <= inlineBody {
+	if r.ContentLength <= maxInlineBodyBytes {
 		return nil, write()
 	}
 	done := make(chan error, 1)
@@ -203,9 +209,9 @@
 	return done, nil
 }
 
-// receive reads heads until the one that answers the request.
+// receive reads responses until one matches the request.
 func receive(c *conn, call Call) (*http.Response, error) {
-	for stray := 0; stray <= strayAnswers; {
+	for unmatched := 0; unmatched <= maxUnmatchedResponses; {
 		resp, err := http.ReadResponse(c.reader, call.Request)
 		if err != nil {
 			return nil, err
@@ -213,29 +219,29 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if call.Mine == nil || call.Mine(resp) {
+		if call.Match == nil || call.Match(resp) {
 			return resp, nil
 		}
-		stray++
-		if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, strayBody)); err != nil || n == strayBody || resp.Close {
-			return nil, errStray
+		unmatched++
+		if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxUnmatchedBodyBytes)); err != nil || n == maxUnmatchedBodyBytes || resp.Close {
+			return nil, errUnmatchedResponse
 		}
 	}
-	return nil, errStray
+	return nil, errUnmatchedResponse
 }
 
-// body gives the connection back when it was read to its end.
-type body struct {
+// responseBody returns its connection to the pool after it has been read completely.
+type responseBody struct {
 	io.ReadCloser
-	conn    *conn
-	resp    *http.Response
-	stop    func() bool
-	written <-chan error
-	ended   bool
+	conn       *conn
+	resp       *http.Response
+	stopCancel func() bool
+	written    <-chan error
+	finished   bool
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
 		b.finish(true)
@@ -246,27 +252,27 @@
 }
 
 // Close implements io.Closer.
-func (b *body) Close() error {
+func (b *responseBody) Close() error {
 	b.finish(false)
 	return nil
 }
 
-func (b *body) finish(whole bool) {
-	if b.ended {
+func (b *responseBody) finish(complete bool) {
+	if b.finished {
 		return
 	}
-	b.ended = true
-	alive := b.stop()
-	if whole && alive && !b.resp.Close && b.bodyWritten() {
-		b.conn.keep(b.resp.Header)
+	b.finished = true
+	notCanceled := b.stopCancel()
+	if complete && notCanceled && !b.resp.Close && b.requestWritten() {
+		b.conn.recycle(b.resp.Header)
 		return
 	}
-	b.conn.shut()
+	b.conn.discard()
 }
 
-// bodyWritten reports whether the whole request was sent. A server that answered
-// before it read all would take our next request for the rest of the body.
-func (b *body) bodyWritten() bool {
+// requestWritten reports whether the request has been written completely. Otherwise the
+// server would read the next request on the connection as the rest of the body.
+func (b *responseBody) requestWritten() bool {
 	if b.written == nil {
 		return true
 	}
@@ -278,85 +284,88 @@
 	}
 }
 
-// keep puts a connection among the idle ones for as long as the server keeps it.
-func (c *conn) keep(h http.Header) {
-	life := keepAlive(h) - keepMargin
-	if life <= 0 || c.reader.Buffered() > 0 {
-		c.shut()
+// recycle returns a connection to the pool for the idle timeout of the server, or
+// discards it if it cannot be reused.
+func (c *conn) recycle(h http.Header) {
+	idleTimeout := keepAliveTimeout(h) - keepAliveMargin
+	if idleTimeout <= 0 || c.reader.Buffered() > 0 {
+		c.discard()
 		return
 	}
 	c.reused = true
-	c.rest(life)
+	c.putIdle(idleTimeout)
 }
 
-// rest puts a connection among the idle ones for some time.
-func (c *conn) rest(life time.Duration) {
-	c.until = time.Now().Add(life)
+// putIdle adds a connection to the idle ones.
+func (c *conn) putIdle(idleTimeout time.Duration) {
+	c.expires = time.Now().Add(idleTimeout)
 	c.pool.mu.Lock()
 	c.pool.idle[c.address] = append(c.pool.idle[c.address], c)
 	c.pool.mu.Unlock()
 }
 
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns the idle timeout in a Keep-Alive header field.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
 			return time.Duration(seconds) * time.Second
 		}
 	}
-	return defaultKeep
+	return defaultKeepAlive
 }
 
-// get returns an idle connection that is still good, or a new one.
-func (p *Pool) get(ctx context.Context, call Call) (*conn, error) {
+// acquire returns a reusable idle connection or opens a new one.
+func (p *Pool) acquire(ctx context.Context, call Call) (*conn, error) {
 	for {
-		c := p.pop(call.Address)
+		c := p.popIdle(call.Address)
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.until) && quiet(c.Conn) {
+		if time.Now().Before(c.expires) && isReusable(c.Conn) {
 			return c, nil
 		}
-		c.shut()
+		c.discard()
 	}
 	p.mu.Lock()
-	full := call.Limit > 0 && p.open[call.Address] >= call.Limit
-	if !full {
+	limitReached := call.MaxConnections > 0 && p.open[call.Address] >= call.MaxConnections
+	if !limitReached {
 		p.open[call.Address]++
 	}
 	p.mu.Unlock()
-	if full {
-		return nil, &Error{Full, false, errors.New("too many connections to " + call.Address)}
+	if limitReached {
+		return nil, &Error{ConnectionLimit, false, errors.New("too many connections to " + call.Address)}
 	}
 	return p.dial(ctx, call.Address)
 }
 
+// dial opens a connection that the caller has already counted in p.open.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	c := &conn{pool: p, address: address}
-	p.Opened(address)
+	p.OnDial(address)
 	raw, err := dial(ctx, address)
 	if err != nil {
 		p.mu.Lock()
 		p.open[address]--
 		p.mu.Unlock()
-		return nil, failure(ctx, Unreachable, false, err)
+		return nil, newError(ctx, Unreachable, false, err)
 	}
 	c.Conn = raw
-	c.reader = bufio.NewReaderSize(c, readBuffer)
+	c.reader = bufio.NewReaderSize(c, readBufferBytes)
 	return c, nil
 }
 
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: tcpKeepAliveIdle, Interval: tcpKeepAliveInterval, Count: tcpKeepAliveCount},
 	}
 	return d.DialContext(ctx, "tcp4", address)
 }
 
-// Reach opens and closes a connection, to learn whether a server answers at all.
-func (p *Pool) Reach(ctx context.Context, address string) error {
-	p.Opened(address)
+// Probe opens and closes a connection to check that a server accepts connections.
+func (p *Pool) Probe(ctx context.Context, address string) error {
+	p.OnDial(address)
 	c, err := dial(ctx, address)
 	if err != nil {
 		return err
@@ -364,9 +373,9 @@
 	return c.Close()
 }
 
-// Refuses reports whether the VM at an address refuses connections: no process listens
-// there. A connection that it takes instead is kept for the next call.
-func (p *Pool) Refuses(ctx context.Context, address string) bool {
+// ConnectionRefused reports whether the VM refuses connections to an address because no
+// process listens there. A successful connection is kept in the pool.
+func (p *Pool) ConnectionRefused(ctx context.Context, address string) bool {
 	p.mu.Lock()
 	p.open[address]++
 	p.mu.Unlock()
@@ -374,64 +383,63 @@
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	c.rest(defaultKeep - keepMargin)
+	c.putIdle(defaultKeepAlive - keepAliveMargin)
 	return false
 }
 
-func (p *Pool) pop(address string) *conn {
+func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[address]
-	if len(list) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		delete(p.idle, address)
 		return nil
 	}
-	c := list[len(list)-1]
-	p.idle[address] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c
 }
 
-// Forget closes the idle connections to an address: the server there has started again,
-// and what is sent on one of them is lost.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address. It is used after the server has
+// restarted, when requests on them would be lost.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
-	list := p.idle[address]
+	conns := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	for _, c := range list {
-		c.shut()
+	for _, c := range conns {
+		c.discard()
 	}
 }
 
-// Sweep closes idle connections whose time is over.
-func (p *Pool) Sweep(now time.Time) {
-	var over []*conn
+// CloseExpired closes the idle connections that have expired.
+func (p *Pool) CloseExpired(now time.Time) {
+	var expired []*conn
 	p.mu.Lock()
-	for address, list := range p.idle {
-		good := list[:0]
-		for _, c := range list {
-			if now.Before(c.until) {
-				good = append(good, c)
+	for address, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if now.Before(c.expires) {
+				kept = append(kept, c)
 			} else {
-				over = append(over, c)
+				expired = append(expired, c)
 			}
 		}
-		if len(good) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, address)
 		} else {
-			p.idle[address] = good
+			p.idle[address] = kept
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range over {
-		c.shut()
+	for _, c := range expired {
+		c.discard()
 	}
 }
 
-// quiet reports whether an idle connection is open and has no bytes waiting.
-// Bytes there belong to no request: a second answer, or the end of the
-// connection. Our next request would meet them in place of its own answer.
-func quiet(c net.Conn) bool {
+// isReusable reports whether an idle connection is open and has no unread data. Unread
+// data would be a duplicate response, which the next request would read as its own.
+func isReusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -440,12 +448,12 @@
 	if err != nil {
 		return false
 	}
-	clean := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		clean = errors.Is(err, unix.EAGAIN)
+		empty = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && clean
+	return err == nil && empty
 }
