--- a/internal/routing/firsttoken.go
+++ b/internal/routing/firsttoken.go
@@ -12,8 +12,7 @@
 }
 
 const (
-	// sampleDecay is the factor applied to the weight of older samples at each new one:
-	// about the last 60 count.
+	// sampleDecay is the factor by which each new sample reduces the weight of older ones.
 	sampleDecay = 0.983
 	// priorSamples is the number of times that the initial values are entered.
 	priorSamples = 4
--- a/internal/routing/partition.go
+++ b/internal/routing/partition.go
@@ -29,8 +29,8 @@
 // NewPartition returns a partition for the expected work by model.
 func NewPartition(expected map[string]float64) *Partition {
 	p := &Partition{workByModel: map[string]float64{}, shareByModel: map[string]float64{}}
-	for m, w := range expected {
-		p.workByModel[m] = w
+	for model, work := range expected {
+		p.workByModel[model] = work
 	}
 	p.setShares(p.currentShares())
 	return p
@@ -40,21 +40,21 @@
 func (p *Partition) RecordWork(model string, spent time.Duration, now time.Time) {
 	decayFactor := decay(now.Sub(p.updatedAt), workHalfLife)
 	p.updatedAt = now
-	for m := range p.workByModel {
-		p.workByModel[m] *= decayFactor
+	for other := range p.workByModel {
+		p.workByModel[other] *= decayFactor
 	}
 	p.workByModel[model] += spent.Seconds()
 }
 
 func (p *Partition) currentShares() map[string]float64 {
 	sum := 0.0
-	for _, w := range p.workByModel {
-		sum += w
+	for _, work := range p.workByModel {
+		sum += work
 	}
 	shares := make(map[string]float64, len(p.workByModel))
-	for m, w := range p.workByModel {
-		if sum > 0 && w/sum >= minShare {
-			shares[m] = w / sum
+	for model, work := range p.workByModel {
+		if sum > 0 && work/sum >= minShare {
+			shares[model] = work / sum
 		}
 	}
 	return shares
@@ -82,8 +82,8 @@
 // rebalance recomputes the shares if one has changed by more than rebalanceThreshold.
 func (p *Partition) rebalance(engines int) {
 	current := p.currentShares()
-	for m := range p.workByModel {
-		if math.Abs(current[m]-p.shareByModel[m])*float64(engines) > rebalanceThreshold {
+	for model := range p.workByModel {
+		if math.Abs(current[model]-p.shareByModel[model])*float64(engines) > rebalanceThreshold {
 			p.setShares(current)
 			return
 		}
@@ -94,22 +94,22 @@
 // per model, the rest by share.
 func (p *Partition) indexRange(model string, n int) (from, to int) {
 	names := make([]string, 0, len(p.shareByModel))
-	for m := range p.shareByModel {
-		names = append(names, m)
+	for name := range p.shareByModel {
+		names = append(names, name)
 	}
 	slices.Sort(names)
 	remaining, start, remainingShare := n, 0, 1.0
-	for i, m := range names {
+	for i, name := range names {
 		others := len(names) - i - 1
 		count := remaining
 		if others > 0 {
-			count = int(math.Round(p.shareByModel[m] / remainingShare * float64(remaining)))
+			count = int(math.Round(p.shareByModel[name] / remainingShare * float64(remaining)))
 			count = min(max(count, 1), remaining-others)
 		}
-		if m == model {
+		if name == model {
 			return start, start + count
 		}
-		start, remaining, remainingShare = start+count, remaining-count, max(remainingShare-p.shareByModel[m], minShare)
+		start, remaining, remainingShare = start+count, remaining-count, max(remainingShare-p.shareByModel[name], minShare)
 	}
 	return 0, n
 }
--- a/internal/routing/partition_test.go
+++ b/internal/routing/partition_test.go
@@ -110,7 +110,7 @@
 }
 
 // Preferences must not be part of the expected time, or the server of a request outside
-// its partition is taken for late.
+// its partition counts as late.
 func TestPreferencesDoNotCountAsExpectedTime(t *testing.T) {
 	c := []Candidate{{ID: "a", Slots: 8, PrefillPerToken: time.Millisecond, PendingPrefill: 5000}, {ID: "b", Slots: 8, PrefillPerToken: time.Millisecond}}
 	r := &Request{PromptTokens: 10, OutsidePartition: SetOf(1)}
--- a/internal/routing/pipeline.go
+++ b/internal/routing/pipeline.go
@@ -65,8 +65,7 @@
 	// interrupted.
 	prefillDelayedPerSecond = 4
 	// partitionPenalty is the delay from running among another model's requests, whose
-	// steps alternate with the request's own. A lower penalty lets busy partitions spill
-	// over and slows both models.
+	// steps alternate with the request's own.
 	partitionPenalty = 1200 * time.Millisecond
 )
 
--- a/internal/routing/rate.go
+++ b/internal/routing/rate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// PromptRate estimates the rate of a model's prompts, from which follows how many requests
-// a prefill delays.
+// PromptRate estimates the rate of a model's prompts, to predict how many requests a
+// prefill delays.
 type PromptRate struct {
 	// decayedCount is the exponentially decaying number of prompts sent.
 	decayedCount float64
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -56,11 +56,11 @@
 		}, 2},
 		{"failing servers", func(c []Candidate, _ *Request) { c[0].ErrorRate, c[2].ErrorRate, c[3].ErrorRate = 0.5, 0.5, 0.5 }, 1},
 	}
-	for _, x := range cases {
+	for _, tt := range cases {
 		c, r := idleServers(4), Request{PromptTokens: 1000}
-		x.change(c, &r)
-		if got := countPicks(t, r, c); got[x.want] != 400 {
-			t.Errorf("%s: picks by index: %v", x.name, got)
+		tt.change(c, &r)
+		if got := countPicks(t, r, c); got[tt.want] != 400 {
+			t.Errorf("%s: picks by index: %v", tt.name, got)
 		}
 	}
 }
@@ -180,11 +180,11 @@
 }
 
 func TestPrefixIndexIsBounded(t *testing.T) {
-	x := NewPrefixIndex()
+	index := NewPrefixIndex()
 	for i := range 4 * prefixCapacity {
-		x.Add(i%8, []uint64{uint64(i)})
+		index.Add(i%8, []uint64{uint64(i)})
 	}
-	if n := len(x.recent) + len(x.previous); n > prefixCapacity {
+	if n := len(index.recent) + len(index.previous); n > prefixCapacity {
 		t.Fatalf("%d blocks kept", n)
 	}
 }
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -14,12 +14,8 @@
 }
 
 // Queue is the expected wait for a slot by Sakasegawa's approximation for multi-server
-// queues (Annals of the Institute of Statistical Mathematics 29, 1977). Since the load of
-// other daemons is an average, the wait grows smoothly before all slots are taken. An
-// urgent request waits behind urgent requests only.
-//
-// The result is the larger of the estimate from lagging reports and the recent first-token
-// delay: both measure the same queue.
+// queues (Annals of the Institute of Statistical Mathematics 29, 1977), or the recent
+// first-token delay if that is larger. An urgent request waits behind urgent requests only.
 type Queue struct{}
 
 // maxUtilization caps the utilization in the approximation; requests beyond the slots are
@@ -96,8 +92,8 @@
 }
 
 // HomeAffinity sends prompts with a common prefix to the same servers. All daemons rank
-// the servers of a prefix alike, so its prefill is repeated on few servers although
-// daemons know each other's placements only partly and late.
+// the servers of a prefix alike, so its prefill is repeated on few servers although the
+// placements of other daemons are known only in part and with a delay.
 type HomeAffinity struct {
 	// RankCost is the cost per rank.
 	RankCost time.Duration
@@ -117,7 +113,7 @@
 	return time.Duration(rank)*h.RankCost + time.Duration(h.PrefillShare*prefill*float64(rank)/MaxHomeRank)
 }
 
-// MaxHomeRank is the rank of all candidates that are not among the first homes.
+// MaxHomeRank is the rank of every candidate that is not a home of the prefix.
 const MaxHomeRank = 4
 
 // PrefillImpact is the delay that the request's prefill causes to other requests. It
@@ -193,8 +189,8 @@
 func (Reliability) Name() string { return "reliability" }
 
 // Cost implements Scorer.
-func (s Reliability) Cost(_ *Request, c *Candidate, _ int) time.Duration {
-	return time.Duration(c.ErrorRate * float64(s.RetryCost))
+func (r Reliability) Cost(_ *Request, c *Candidate, _ int) time.Duration {
+	return time.Duration(c.ErrorRate * float64(r.RetryCost))
 }
 
 // Batch is the delay that the requests running on an engine add to each step of the batch.
@@ -226,8 +222,8 @@
 	return time.Duration(excess / float64(max(c.Slots, 1)) * float64(c.ServiceTime))
 }
 
-// Lateness is the recent delay of first tokens beyond their expected time. It reveals
-// problems that request counts don't show, such as a slow VM or exhausted memory.
+// Lateness is the recent delay of first tokens beyond their expected time. It covers
+// problems that request counts do not show, such as a slow VM or exhausted memory.
 type Lateness struct{}
 
 // Name implements Scorer.
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -45,12 +45,9 @@
 const meanShardSize = 184
 
 // Shard returns the servers of a service that a daemon uses: all up to MaxCandidates,
-// beyond that the servers of the daemon's shard. All daemons of a shard use the same
-// servers, so that decisions based on a common order (partitions, canary shares, homes)
-// agree.
-//
-// The number of shards is a power of two: growing it splits each shard in two and moves no
-// server between others.
+// beyond that those of its shard. All daemons of a shard use the same servers, so that
+// partitions, canary shares and homes agree. The number of shards is a power of two:
+// doubling it splits each shard and moves no server between others.
 func Shard(daemon string, members []Member) []Member {
 	if len(members) <= MaxCandidates {
 		return members
