--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -1,5 +1,5 @@
 // Package rollout compares a new version with the running one while both serve traffic,
-// and decides the next step of a roll-out. It does no I/O.
+// and decides the next step of a rollout. It does no I/O.
 package rollout
 
 import (
@@ -24,7 +24,7 @@
 // String returns the name of the signal.
 func (s Signal) String() string { return [...]string{"errors", "slowness", "quality"}[s] }
 
-// Counts holds totals since the start of a roll-out stage.
+// Counts holds totals since the start of a rollout stage.
 type Counts struct {
 	Requests int64 `cbor:"1,keyasint" json:"requests"`
 	Errors   int64 `cbor:"2,keyasint" json:"errors"`
@@ -61,7 +61,7 @@
 	Counts Counts `cbor:"4,keyasint" json:"counts"`
 }
 
-// Evidence holds the counts of one roll-out stage by server and version.
+// Evidence holds the counts of one rollout stage by server and version.
 type Evidence []ServerCounts
 
 // Merge returns the sum of the evidence of two daemons.
@@ -113,30 +113,26 @@
 var oddsRatios = [...]float64{2, 4, 16, 64}
 
 // LogEValue returns the natural logarithm of the e-value of a signal against the null
-// hypothesis that the new version is no worse than the running one.
+// hypothesis that the new version is no worse than the running one. It may be evaluated
+// after every event with a false alarm rate of at most 1/threshold (Ville's inequality).
 //
-// Given a bad event, its probability to fall on the new version under the null hypothesis
-// is the new version's share of the trials, whatever the common rate. A cause that affects
-// both versions, such as a lost failure domain, thus gives no evidence. The e-value may be
-// evaluated after every event with a false alarm rate of at most 1/threshold (Ville's
-// inequality).
-//
-// The test is stratified by server where a server ran both versions, so that a failing
-// server with an uneven share of the new version doesn't bias the result.
+// Under the null hypothesis, bad events fall on the new version in proportion to its
+// trials, so a cause that affects both versions gives no evidence. Servers that ran both
+// versions are separate strata, so that a failing server does not bias the result.
 func (e Evidence) LogEValue(s Signal, keep func(ServerCounts) bool) float64 {
 	logRatios := make([]float64, len(oddsRatios))
 	var restNew, restRunning Counts
 	events := int64(0)
-	for _, p := range e.strata(keep) {
-		if n0, _ := p.runningCounts.forSignal(s); n0 == 0 {
-			restNew = restNew.Add(p.newCounts)
+	for _, st := range e.strata(keep) {
+		if n0, _ := st.runningCounts.forSignal(s); n0 == 0 {
+			restNew = restNew.Add(st.newCounts)
 			continue
 		}
-		if n1, _ := p.newCounts.forSignal(s); n1 == 0 {
-			restRunning = restRunning.Add(p.runningCounts)
+		if n1, _ := st.newCounts.forSignal(s); n1 == 0 {
+			restRunning = restRunning.Add(st.runningCounts)
 			continue
 		}
-		events += addLogLikelihoods(logRatios, p.newCounts, p.runningCounts, s)
+		events += addLogLikelihoods(logRatios, st.newCounts, st.runningCounts, s)
 	}
 	events += addLogLikelihoods(logRatios, restNew, restRunning, s)
 	if events == 0 {
@@ -197,21 +193,21 @@
 
 // MinLeaveOneOut returns the lowest LogEValue when any one server or failure domain of the
 // new version is left out, and which one that is. A single bad server or failure domain
-// can thus not fail a version. The result is 0 if the new version runs on one server only.
+// therefore cannot cause a rollback. The result is 0 if only one server runs it.
 func (e Evidence) MinLeaveOneOut(s Signal) (lowest float64, omitted string) {
 	lowest = e.LogEValue(s, nil)
 	servers, domains := e.newVersionPlacement()
 	for _, name := range servers {
-		if l := e.LogEValue(s, func(c ServerCounts) bool { return c.Server != name }); l < lowest {
-			lowest, omitted = l, "server "+name
+		if logE := e.LogEValue(s, func(c ServerCounts) bool { return c.Server != name }); logE < lowest {
+			lowest, omitted = logE, "server "+name
 		}
 	}
 	if len(domains) < 2 {
 		return lowest, omitted
 	}
 	for _, name := range domains {
-		if l := e.LogEValue(s, func(c ServerCounts) bool { return c.FailureDomain != name }); l < lowest {
-			lowest, omitted = l, "failure domain "+name
+		if logE := e.LogEValue(s, func(c ServerCounts) bool { return c.FailureDomain != name }); logE < lowest {
+			lowest, omitted = logE, "failure domain "+name
 		}
 	}
 	return lowest, omitted
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -59,17 +59,17 @@
 	MinRequests int64
 	// RollBackThreshold is the e-value at which the order is rolled back; see StagePolicy.
 	RollBackThreshold float64
-	// LeaveOneOutThreshold is the e-value that must remain for a roll-back without any one
+	// LeaveOneOutThreshold is the e-value that must remain for a rollback without any one
 	// server or failure domain; see StagePolicy.
 	LeaveOneOutThreshold float64
 	// MinSlowShare is the fraction of slow answers of the new version required for a
-	// roll-back due to slowness; see LatencyBaseline.
+	// rollback due to slowness; see LatencyBaseline.
 	MinSlowShare float64
-	// MinBadEvents is the number of bad answers required for a roll-back.
+	// MinBadEvents is the number of bad answers required for a rollback.
 	MinBadEvents int64
 }
 
-// DefaultOrderPolicy returns the policy in use.
+// DefaultOrderPolicy returns the default policy.
 func DefaultOrderPolicy() OrderPolicy {
 	return OrderPolicy{
 		CanaryShare: 0.1, RampShare: 0.4,
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -24,10 +24,10 @@
 func TestEvaluate(t *testing.T) {
 	good := Counts{Requests: 50, Timed: 50}
 	old := Counts{Requests: 450, Errors: 1, Timed: 450}
-	onOne := evidenceOnServers(4, good, old)
-	onOne[0].Counts.Errors = 40
-	both := evidenceOnServers(4, good, old)
-	both[0].Counts.Errors, both[1].Counts.Errors = 25, 225
+	oneFailing := evidenceOnServers(4, good, old)
+	oneFailing[0].Counts.Errors = 40
+	failingServer := evidenceOnServers(4, good, old)
+	failingServer[0].Counts.Errors, failingServer[1].Counts.Errors = 25, 225
 	held := runningRollout
 	held.State = fleet.RolloutHeld
 	cases := []struct {
@@ -43,10 +43,10 @@
 		{"slow on all servers", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Timed: 50, Slow: 20}, old), RollBack},
 		{"bad ratings", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Rated: 20, Bad: 10}, Counts{Requests: 450, Rated: 100, Bad: 4}), RollBack},
 		{"same error rate on both versions", runningRollout, evidenceOnServers(4, Counts{Requests: 50, Errors: 10}, Counts{Requests: 450, Errors: 90}), Advance},
-		{"new version fails on one server", runningRollout, onOne, Hold},
-		{"server that fails both versions", runningRollout, both, Advance},
-		{"held roll-out with good version", held, evidenceOnServers(4, good, old), Wait},
-		{"held roll-out with errors", held, evidenceOnServers(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
+		{"new version fails on one server", runningRollout, oneFailing, Hold},
+		{"server that fails both versions", runningRollout, failingServer, Advance},
+		{"held rollout with good version", held, evidenceOnServers(4, good, old), Wait},
+		{"held rollout with errors", held, evidenceOnServers(4, Counts{Requests: 50, Errors: 5}, old), RollBack},
 		{"too few ratings", runningRollout, evidenceOnServers(4, Counts{Requests: 50}, Counts{Requests: 450, Rated: 100, Bad: 4}), Wait},
 	}
 	for _, c := range cases {
@@ -54,9 +54,9 @@
 			t.Errorf("%s: %s (%s), want %s", c.name, v.Step, v.Reason, c.want)
 		}
 	}
-	starved := DefaultStagePolicy().Evaluate(runningRollout, evidenceOnServers(4, Counts{Requests: 2}, old), time.Hour)
-	if starved.Step != Hold {
-		t.Errorf("too few requests after MaxWait: %+v, want hold", starved)
+	afterMaxWait := DefaultStagePolicy().Evaluate(runningRollout, evidenceOnServers(4, Counts{Requests: 2}, old), time.Hour)
+	if afterMaxWait.Step != Hold {
+		t.Errorf("too few requests after MaxWait: %+v, want hold", afterMaxWait)
 	}
 }
 
@@ -66,8 +66,8 @@
 	e := evidenceOnServers(4, Counts{Requests: 50}, Counts{Requests: 950})
 	e[0].Counts = Counts{Requests: 150, Errors: 75}
 	e[1].Counts = Counts{Requests: 850, Errors: 425}
-	if l := e.LogEValue(Errors, nil); l > 1 {
-		t.Fatalf("log e-value %v, want at most 1", l)
+	if logE := e.LogEValue(Errors, nil); logE > 1 {
+		t.Fatalf("log e-value %v, want at most 1", logE)
 	}
 }
 
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -8,13 +8,13 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// Step is an action on a roll-out.
+// Step is an action on a rollout.
 type Step uint8
 
 const (
 	// Wait changes nothing.
 	Wait Step = iota
-	// Advance starts the next stage, or completes the roll-out after the last.
+	// Advance starts the next stage, or completes the rollout after the last.
 	Advance
 	// Hold stops at the current stage until an operator decides.
 	Hold
@@ -32,25 +32,25 @@
 }
 
 // StagePolicy holds the thresholds for advancing, holding and rolling back a staged
-// roll-out.
+// rollout.
 type StagePolicy struct {
 	// RollBackThreshold is the e-value at which the fleet rolls back. The false alarm rate
 	// of each signal is at most its inverse.
 	RollBackThreshold float64
-	// LocalThreshold is the e-value of its own evidence at which a daemon stops using the
-	// new version before the fleet has decided.
+	// LocalThreshold is the e-value of a daemon's own evidence at which it stops using the
+	// new version before the fleet rolls back.
 	LocalThreshold float64
-	// LeaveOneOutThreshold is the e-value that must remain for a roll-back without any one
+	// LeaveOneOutThreshold is the e-value that must remain for a rollback without any one
 	// server or failure domain. It may be low, since RollBackThreshold bounds the false
 	// alarms.
 	LeaveOneOutThreshold float64
 	// HoldThreshold is the e-value at which evidence from a single server or failure
-	// domain holds the roll-out.
+	// domain holds the rollout.
 	HoldThreshold float64
 	// MinStageDuration is the minimum duration of a stage.
 	MinStageDuration time.Duration
 	// MinRequests is the minimum number of requests to the new version per stage, if the
-	// roll-out sets none.
+	// rollout sets none.
 	MinRequests int64
 	// MinRated is the minimum number of rated answers of the new version per stage, if
 	// answers of the running version are rated.
@@ -61,7 +61,7 @@
 	MaxWait time.Duration
 }
 
-// DefaultStagePolicy returns the policy in use; see docs/design/rollout.md.
+// DefaultStagePolicy returns the default policy; see docs/design/rollout.md.
 func DefaultStagePolicy() StagePolicy {
 	return StagePolicy{
 		RollBackThreshold:    1000,
@@ -76,8 +76,8 @@
 	}
 }
 
-// Evaluate returns the next step of a roll-out from the fleet's evidence of its current
-// stage and the time since the stage began. A held roll-out can be rolled back but does
+// Evaluate returns the next step of a rollout from the fleet's evidence of its current
+// stage and the time since the stage began. A held rollout can be rolled back but does
 // not advance.
 func (p StagePolicy) Evaluate(ro fleet.Rollout, e Evidence, elapsed time.Duration) Decision {
 	if !CarriesTraffic(ro) {
@@ -97,7 +97,7 @@
 	return p.evaluateProgress(ro, e, elapsed, maxLogE)
 }
 
-// CarriesTraffic reports whether the new version of a roll-out may receive requests.
+// CarriesTraffic reports whether the new version of a rollout may receive requests.
 func CarriesTraffic(ro fleet.Rollout) bool {
 	return ro.State == fleet.RolloutRunning || ro.State == fleet.RolloutHeld
 }
@@ -157,8 +157,8 @@
 // parts detect a difference soonest.
 const newRatingShare = 0.5
 
-// RatingShare returns the fraction of a version's answers to rate, given the fraction
-// budget of all the model's answers and the percentage of answers from the new version.
+// RatingShare returns the fraction of a version's answers to rate, given the budget as a
+// fraction of all the model's answers and the percentage of answers from the new version.
 // Uniform sampling would yield too few ratings of the new version in the first stages.
 func RatingShare(budget, percent float64, isNew bool) float64 {
 	share := percent / 100
@@ -172,7 +172,7 @@
 	return max(0, (budget-newShare*share)/(1-share))
 }
 
-// ApplyStep returns the roll-out after a step.
+// ApplyStep returns the rollout after a step.
 func ApplyStep(ro fleet.Rollout, s Step) fleet.Rollout {
 	switch s {
 	case Advance:
