--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -28,9 +28,9 @@
 
 // Observe counts one rating.
 func (r *PassRate) Observe(good bool) {
-	fade := 1 - 1.0/ratingWindow
-	r.Good *= fade
-	r.Total *= fade
+	decay := 1 - 1.0/ratingWindow
+	r.Good *= decay
+	r.Total *= decay
 	r.Total++
 	if good {
 		r.Good++
@@ -99,9 +99,9 @@
 
 // RecordConfidence counts a cheap answer by its confidence.
 func (c *Class) RecordConfidence(confidence float64) {
-	fade := 1 - 1.0/(ratingWindow*ConfidenceBands)
+	decay := 1 - 1.0/(ratingWindow*ConfidenceBands)
 	for i := range c.BandCounts {
-		c.BandCounts[i] *= fade
+		c.BandCounts[i] *= decay
 	}
 	c.BandCounts[Band(confidence)]++
 }
@@ -135,7 +135,7 @@
 type Plan struct {
 	// CheapFirst contains the classes whose requests go to the cheap model first.
 	CheapFirst map[string]bool
-	// Accept tells, by class and band, whether a cheap answer is accepted.
+	// Accept reports, by class and band, whether a cheap answer is accepted.
 	Accept map[string][ConfidenceBands]bool
 	// Quality and Cost are the expected values per request: pass rate and micros.
 	Quality, Cost float64
@@ -151,8 +151,8 @@
 
 // cheapPrior returns the prior pass rate of a band, interpolated linearly.
 func cheapPrior(band int) float64 {
-	f := (float64(band) + 0.5) / ConfidenceBands
-	return cheapPriorLow + f*(cheapPriorHigh-cheapPriorLow)
+	fraction := (float64(band) + 0.5) / ConfidenceBands
+	return cheapPriorLow + fraction*(cheapPriorHigh-cheapPriorLow)
 }
 
 type bandOption struct {
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// A silent drop of the cheap model's quality must be detected within a few ratings.
+// A drop of the cheap model's quality must be detected within a few ratings.
 func TestQualityDropIsDetected(t *testing.T) {
 	c := uniformClass(1, 0.97, 0.98)
 	for i := range 200 {
--- a/internal/cascade/escalator.go
+++ b/internal/cascade/escalator.go
@@ -6,10 +6,9 @@
 )
 
 // Escalator decides whether a request is escalated to a larger model before any of a
-// smaller model's answer is passed on. It relies on the confidence that the model states
-// at the start of its answer and maximizes the expected net value: the answer's value
-// times the probability that it is correct and in time, less the price of the run and the
-// delay it causes to other requests.
+// smaller model's answer is passed on. From the confidence stated at the start of the
+// answer, it maximizes the expected net value: the value of a correct answer in time, less
+// the price of the run and the delay to other requests.
 type Escalator struct {
 	firstEvent, remainder LatencyForecast
 	calibration           confidenceCalibration
@@ -119,12 +118,12 @@
 
 // expectedShare returns the expected fraction of its value that a correct answer yields,
 // given the probabilities of being in time and complete.
-func (e *Escalator) expectedShare(r Request, o Estimate) float64 {
+func (e *Escalator) expectedShare(r Request, estimate Estimate) float64 {
 	inTime := 1.0
 	if r.FirstEventTarget != 0 {
-		inTime = e.firstEvent.Within(o.FirstEvent, r.FirstEventTarget)
+		inTime = e.firstEvent.Within(estimate.FirstEvent, r.FirstEventTarget)
 	}
-	complete := e.remainder.Within(o.Remainder, r.Remaining-o.FirstEvent)
+	complete := e.remainder.Within(estimate.Remainder, r.Remaining-estimate.FirstEvent)
 	return complete * (lateValueShare + (1-lateValueShare)*inTime)
 }
 
@@ -142,24 +141,24 @@
 	models    []Model
 	estimates []Estimate
 	value     float64
-	correct   func(at int) float64
+	correct   func(model int) float64
 }
 
 // escalationValue returns the expected net value of a run of a model, including further
 // escalations while runs are left. Before is the estimate of the preceding run.
-func (e *evaluation) escalationValue(at int, before Estimate, runs int) float64 {
-	o := e.estimates[at].startingAfter(before)
-	if o.Unavailable || runs < 1 {
+func (e *evaluation) escalationValue(model int, before Estimate, runs int) float64 {
+	estimate := e.estimates[model].startingAfter(before)
+	if estimate.Unavailable || runs < 1 {
 		return math.Inf(-1)
 	}
-	m, r := e.models[at], e.request
-	cost := m.cost(float64(r.PromptTokens), float64(r.AnswerTokens)) + o.EngineTime.Seconds()*o.DelayedPerSecond*e.delayCostByModel[m.Name]
+	m, r := e.models[model], e.request
+	cost := m.cost(float64(r.PromptTokens), float64(r.AnswerTokens)) + estimate.EngineTime.Seconds()*estimate.DelayedPerSecond*e.delayCostByModel[m.Name]
 	next := 0.0
-	for to := at + 1; to < len(e.models); to++ {
-		next = max(next, e.escalationValue(to, o, runs-1))
+	for to := model + 1; to < len(e.models); to++ {
+		next = max(next, e.escalationValue(to, estimate, runs-1))
 	}
-	probability := e.correct(at)
-	return probability*e.value*e.expectedShare(r, o) + (1-probability)*next - cost
+	probability := e.correct(model)
+	return probability*e.value*e.expectedShare(r, estimate) + (1-probability)*next - cost
 }
 
 // ObserveRequest adds a request to the mean size of its route.
@@ -169,20 +168,20 @@
 	size.answer += requestSizeWeight * (float64(r.AnswerTokens) - size.answer)
 }
 
-// Decide decides on an answer by the confidence its model states, before any of it is
-// passed on. Current is the estimate for the rest of that answer. An answer without a
-// stated confidence, given as a negative value, is kept.
-func (e *Escalator) Decide(r Request, models []Model, estimates []Estimate, at int, confidence float64, current Estimate, runs int) Decision {
+// Decide decides whether the answer of a model, given by index, is kept or escalated.
+// Current is the estimate for the rest of that answer. An answer without a stated
+// confidence, given as a negative value, is kept.
+func (e *Escalator) Decide(r Request, models []Model, estimates []Estimate, model int, confidence float64, current Estimate, runs int) Decision {
 	if confidence < 0 {
-		return Decision{Model: at}
+		return Decision{Model: model}
 	}
-	decision := Decision{Model: at, CorrectProbability: correctProbability(confidence), EscalateValue: math.Inf(-1)}
+	decision := Decision{Model: model, CorrectProbability: correctProbability(confidence), EscalateValue: math.Inf(-1)}
 	eval := evaluation{
 		Escalator: e, request: r, models: models, estimates: estimates, value: e.AnswerValue(r, models),
-		correct: func(to int) float64 { return e.calibration.predict(models[at], models[to], confidence) },
+		correct: func(to int) float64 { return e.calibration.predict(models[model], models[to], confidence) },
 	}
 	decision.KeepValue = decision.CorrectProbability * eval.value * e.expectedShare(r, current)
-	for to := at + 1; to < len(models); to++ {
+	for to := model + 1; to < len(models); to++ {
 		escalateValue := eval.escalationValue(to, Estimate{}, runs)
 		if escalateValue > decision.KeepValue && escalateValue > decision.EscalateValue {
 			decision.Model = to
@@ -197,11 +196,10 @@
 	e.calibration.observe(from, to, before, after)
 }
 
-// ObserveDispatch updates the cost of delay from a dispatched request. The cost is the
-// larger of the marginal cost of a delay and the average cost per second of the expected
-// delay. The marginal cost alone vanishes once all requests are late, which would keep an
-// overload going.
-func (e *Escalator) ObserveDispatch(r Request, models []Model, at int, estimate Estimate) {
+// ObserveDispatch updates the cost of delay from a dispatched request: the larger of its
+// marginal cost and the average cost per second of the expected delay. The marginal cost
+// alone vanishes once all requests are late, which would prolong an overload.
+func (e *Escalator) ObserveDispatch(r Request, models []Model, model int, estimate Estimate) {
 	if e.delayCostByModel == nil {
 		e.delayCostByModel = map[string]float64{}
 	}
@@ -212,7 +210,7 @@
 		immediate.FirstEvent = 0
 		perSecond = max(perSecond, (e.expectedShare(r, immediate)-share)/estimate.FirstEvent.Seconds())
 	}
-	name := models[at].Name
+	name := models[model].Name
 	e.delayCostByModel[name] += delayWeight * (e.AnswerValue(r, models)*perSecond - e.delayCostByModel[name])
 }
 
--- a/internal/cascade/escalator_test.go
+++ b/internal/cascade/escalator_test.go
@@ -17,8 +17,8 @@
 
 // fastEstimates returns estimates of three models on servers without a queue.
 func fastEstimates() []Estimate {
-	o := Estimate{FirstEvent: 300 * time.Millisecond, Remainder: time.Second, EngineTime: 200 * time.Millisecond}
-	return []Estimate{o, o, o}
+	estimate := Estimate{FirstEvent: 300 * time.Millisecond, Remainder: time.Second, EngineTime: 200 * time.Millisecond}
+	return []Estimate{estimate, estimate, estimate}
 }
 
 const maxRuns = 3
@@ -150,13 +150,13 @@
 	for now := 0.0; now < until; now += step {
 		delay := queued / capacity
 		first := seconds(0.3 + delay)
-		offer := Estimate{FirstEvent: first, EngineTime: seconds(1 / capacity), DelayedPerSecond: escalationRate * delay}
+		estimate := Estimate{FirstEvent: first, EngineTime: seconds(1 / capacity), DelayedPerSecond: escalationRate * delay}
 		escalations := 0.0
 		for i := range int(load * step) {
 			escalator.ObserveRequest(request)
 			confidence := 100 * (float64(i) + 0.5) / (load * step)
-			if escalator.Decide(request, models, []Estimate{{Unavailable: true}, offer}, 0, confidence, Estimate{}, maxRuns).Model == 1 {
-				escalator.ObserveDispatch(request, models, 1, offer)
+			if escalator.Decide(request, models, []Estimate{{Unavailable: true}, estimate}, 0, confidence, Estimate{}, maxRuns).Model == 1 {
+				escalator.ObserveDispatch(request, models, 1, estimate)
 				escalator.ObserveFirstEvent(first, first)
 				escalations++
 			}
--- a/internal/cascade/forecast.go
+++ b/internal/cascade/forecast.go
@@ -6,7 +6,7 @@
 )
 
 // LatencyForecast estimates the distribution of the ratio of actual to expected times, to
-// predict the probability that a deadline is met. The ratio is modelled as log-normal. The
+// predict the probability that a deadline is met. The ratio is modeled as log-normal. The
 // zero value assumes no bias and a deviation of priorStdDev.
 type LatencyForecast struct {
 	weight, bias, variance float64
