--- a/internal/quarantine/attribution.go
+++ b/internal/quarantine/attribution.go
@@ -37,11 +37,10 @@
 	return at
 }
 
-// attributeCrashes returns the requests to which crashes are attributed. Each crash is
-// attributed to one request, the one with the most crashes first, so that a harmless request
-// that ran beside the crashing one is not held. A tie at exactly crashThreshold is ambiguous
-// unless one of the requests is already held: a further crash, a success or
-// ambiguityTimeout resolves it.
+// attributeCrashes returns the requests to which crashes are attributed, each crash to the
+// request with the most crashes, so that a harmless request that ran beside it is not held.
+// A tie at exactly crashThreshold between requests that are not held is ambiguous until a
+// further crash, a success or ambiguityTimeout.
 func (t *Tracker) attributeCrashes(now time.Duration) (out []Fingerprint) {
 	explained := map[crashID]bool{}
 	ambiguous := map[Fingerprint]bool{}
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -124,7 +124,7 @@
 }
 
 func TestNewPeerReceivesAllHolds(t *testing.T) {
-	old, fresh := NewTracker(), NewTracker()
+	old, newPeer := NewTracker(), NewTracker()
 	for key := range IncarnationKey(3) {
 		recordCrash(old, key, 0, 7)
 	}
@@ -132,8 +132,8 @@
 	if u := old.Update(now, false); !u.Empty() {
 		t.Fatalf("an expired entry is broadcast: %+v", u)
 	}
-	fresh.Merge(old.Update(now, true), 5*time.Minute)
-	s := fresh.Status(7, 5*time.Minute)
+	newPeer.Merge(old.Update(now, true), 5*time.Minute)
+	s := newPeer.Status(7, 5*time.Minute)
 	if !s.Held || s.Remaining != HoldTTL-now {
 		t.Fatalf("status: %+v", s)
 	}
@@ -191,9 +191,9 @@
 			t.Errorf("a different %s gives the same fingerprint", name)
 		}
 	}
-	back, err := ParseFingerprint(f.String())
-	if err != nil || back != f {
-		t.Errorf("%s parses as %s, error %v", f, back, err)
+	parsed, err := ParseFingerprint(f.String())
+	if err != nil || parsed != f {
+		t.Errorf("%s parses as %s, error %v", f, parsed, err)
 	}
 	if _, err := ParseFingerprint("12"); err == nil {
 		t.Error("a text that is too short is accepted")
