--- a/internal/containment/guard.go
+++ b/internal/containment/guard.go
@@ -93,12 +93,12 @@
 	}
 }
 
-// apply runs f on the tracker and carries out the change: it cancels sends of newly held
+// apply runs update on the tracker and carries out the change: it cancels sends of newly held
 // requests, logs, updates metrics and schedules a broadcast.
-func (g *Guard) apply(f func(t *quarantine.Tracker, now time.Duration) quarantine.Change) {
+func (g *Guard) apply(update func(t *quarantine.Tracker, now time.Duration) quarantine.Change) {
 	now := g.opts.BootTime()
 	g.mu.Lock()
-	c := f(g.tracker, now)
+	c := update(g.tracker, now)
 	g.mu.Unlock()
 	for _, f := range c.Held {
 		canceled := g.attempts.cancel(f)
--- a/internal/containment/guard_test.go
+++ b/internal/containment/guard_test.go
@@ -29,13 +29,13 @@
 	fx.Guard = New(Options{
 		BootTime: func() time.Duration { return time.Since(began) }, Logger: log.New(io.Discard),
 		RefusesConnections: func(context.Context, Server) bool { fx.probes.Add(1); time.Sleep(time.Millisecond); return fx.refuses },
-		Leaving:            func(Server) bool { return false }, OnTerminated: func(r quarantine.IncarnationKey) { fx.terminated = append(fx.terminated, r) },
+		Leaving:            func(Server) bool { return false }, OnTerminated: func(key quarantine.IncarnationKey) { fx.terminated = append(fx.terminated, key) },
 		ServersTerminated: tally.NoopScope.Counter("e"), RequestsHeld: tally.NoopScope.Gauge("h"),
 	})
 	return fx
 }
 
-// Guards against repeated reports of one crash that keep a restarted server marked as terminated.
+// Repeated reports of one crash must not keep a restarted server marked as terminated.
 func TestRepeatedCrashReportsAreDeduplicated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture()
