--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -46,7 +46,7 @@
 	Limit slowstart.Limit
 }
 
-// Request is what the gate needs to know about a request.
+// Request holds the properties of a request that the gate checks.
 type Request struct {
 	Held bool
 	// Regions are the allowed regions; empty allows all.
@@ -89,7 +89,7 @@
 	return &Gate{evacuated: map[string]time.Duration{}, readmitted: map[string]time.Duration{}, pacers: map[string]*pacer{}, restarts: map[string]*restart{}}
 }
 
-// Evacuate closes a failure domain and reports whether it was open.
+// Evacuate stops sends to a failure domain and reports whether they were allowed before.
 func (g *Gate) Evacuate(domain string, now time.Duration) bool {
 	if _, evacuated := g.evacuated[domain]; evacuated {
 		return false
@@ -98,8 +98,8 @@
 	return true
 }
 
-// Readmit reopens a failure domain and reports whether it was closed. Its servers are
-// treated as just started, because they are idle and their entries may be outdated.
+// Readmit ends the evacuation of a failure domain and reports whether there was one. Its
+// servers are treated as just started, because they are idle.
 func (g *Gate) Readmit(domain string, now time.Duration) bool {
 	if _, evacuated := g.evacuated[domain]; !evacuated {
 		return false
@@ -109,7 +109,7 @@
 	return true
 }
 
-// Evacuation is an evacuated failure domain. Since is when this daemon learned of it.
+// Evacuation is an evacuated failure domain. Since is when this daemon applied it.
 type Evacuation struct {
 	FailureDomain string
 	Since         time.Duration
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -16,7 +16,7 @@
 	return g
 }
 
-// Guards against sends to an evacuated domain, and against a domain that stays closed.
+// An evacuated domain must get no requests, and a readmitted one must get them again.
 func TestEvacuatedDomainRefusedUntilReadmitted(t *testing.T) {
 	g := soleDaemonGate()
 	s := Server{ID: "a", FailureDomain: "east", Limit: limit}
@@ -88,7 +88,6 @@
 	}
 }
 
-// Check returns the reason that applies.
 func TestEachReasonRefuses(t *testing.T) {
 	g := soleDaemonGate()
 	g.Evacuate("east", 0)
