--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,10 +1,8 @@
 // Package slowstart divides the request limit of a warming backend server among daemons.
 //
-// A server that has just started serves a limited rate of requests, summed over all daemons,
-// and crashes well above it. Daemons do not coordinate each send. Instead, rendezvous hashing
-// selects a few senders for each server, each with a fixed share of the limit; other daemons
-// do not send until the server is warm. The shares add up to half of the limit, so that it
-// holds while daemons disagree on the senders, as on both sides of a partition.
+// Rendezvous hashing selects a few senders for each server, each with a fixed share of the
+// limit; other daemons do not send until the server is warm. The shares add up to half of the
+// limit, so that it holds while daemons disagree on the senders, as during a partition.
 package slowstart
 
 import (
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -13,7 +13,7 @@
 
 func hash(i int) uint64 { return uint64(i+1) * 0x9E3779B97F4A7C15 }
 
-// viewOf returns the view of daemon i, which knows daemons from to to-1.
+// viewOf returns the view of daemon i, whose peers are the daemons from to to-1.
 func viewOf(i, from, to int, trusted bool) View {
 	v := View{Self: hash(i), Trusted: trusted}
 	for peer := from; peer < to; peer++ {
@@ -84,7 +84,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{
 			PerSecond:   rapid.Float64Range(0.01, 500).Draw(t, "per second"),
-			BurstFactor: rapid.Float64Range(1, 3).Draw(t, "excess"), BurstSlack: rapid.Float64Range(0, 20).Draw(t, "slack"),
+			BurstFactor: rapid.Float64Range(1, 3).Draw(t, "burst factor"), BurstSlack: rapid.Float64Range(0, 20).Draw(t, "burst slack"),
 		}
 		s := l.Share()
 		inASecond := int(time.Second/s.Interval) + 1
@@ -100,7 +100,7 @@
 	})
 }
 
-// Guards against servers without senders, and with too many.
+// Every server must have exactly as many senders as there are shares.
 func TestEachServerHasFourSenders(t *testing.T) {
 	const n = 59
 	for server := range 50 {
