--- a/internal/freshness/refresh.go
+++ b/internal/freshness/refresh.go
@@ -3,10 +3,10 @@
 import "time"
 
 // RefreshPolicy determines when a daemon polls the store for a subject in addition to its
-// watch. A silent watch does not confirm anything, since its connection may be dead.
+// watch. An idle watch confirms nothing, since its connection may be broken.
 //
-// Daemons poll in the order of their ranks and share the result with its age, so that usually
-// one poll serves all of them.
+// Daemons poll in the order of their ranks and share the results, so that usually one poll
+// serves all.
 type RefreshPolicy struct {
 	// MaxAge is the greatest age of the subject that its users accept.
 	MaxAge time.Duration
@@ -27,7 +27,7 @@
 
 // outageFraction is the fraction of MaxAge from which a gap between confirmations counts as
 // an outage of the store. It exceeds the age at which every daemon polls by the response
-// time, and is shorter than the three heartbeats after which entries lapse.
+// time, and is less than the time after which entries lapse.
 const outageFraction = 0.75
 
 // IsOutage reports whether a gap between confirmations means that the store was down.
@@ -43,9 +43,9 @@
 type Plan map[Subject]RefreshPolicy
 
 // Next returns the subject to poll next and the time until the poll is due; zero or negative
-// means now. storeDue is the time until this daemon needs any response from the store
-// itself. If that is earlier, it polls the subject that is due next at rank 0, which saves
-// that daemon its poll. any is false while no subject has been confirmed.
+// means now. storeDue is the time until a response from the store itself is required; if
+// that is earlier, the subject due next at rank 0 is polled in place of that daemon. any is
+// false while no subject has been confirmed.
 func (p Plan) Next(t *Tracker, now time.Duration, rank int, storeDue time.Duration) (subject Subject, due time.Duration, any bool) {
 	subject, due, any = p.earliest(t, now, rank)
 	if any && storeDue < due {
--- a/internal/freshness/refresh_test.go
+++ b/internal/freshness/refresh_test.go
@@ -11,9 +11,9 @@
 }
 
 func TestRefreshAgeByRank(t *testing.T) {
-	u := plan[Servers]
+	policy := plan[Servers]
 	for rank, want := range map[int]time.Duration{0: 500, 1: 750, 2: 1000, 3: 1200, 300: 1200} {
-		if got := u.RefreshAge(rank); got != want*time.Millisecond {
+		if got := policy.RefreshAge(rank); got != want*time.Millisecond {
 			t.Errorf("rank %d polls at an age of %s", rank, got)
 		}
 	}
@@ -52,8 +52,8 @@
 }
 
 func TestIsOutage(t *testing.T) {
-	u := plan[Servers]
-	if u.IsOutage(u.RefreshAge(300)+200*time.Millisecond) || !u.IsOutage(1500*time.Millisecond) {
+	policy := plan[Servers]
+	if policy.IsOutage(policy.RefreshAge(300)+200*time.Millisecond) || !policy.IsOutage(1500*time.Millisecond) {
 		t.Error("IsOutage does not separate polls from outages")
 	}
 }
