--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -19,13 +19,13 @@
 type Record struct {
 	Name  string `cbor:"1,keyasint"`
 	Owner string `cbor:"2,keyasint"`
-	// Supersedes is the fencing token of the lease that the author saw in force, or 0.
-	// Claims that supersede an older lease are void, so the racing claim with the lowest
-	// offset wins.
+	// Supersedes is the fencing token of the lease known to the owner, or 0. A record that
+	// supersedes an older lease is void, so of racing claims the one with the lowest offset
+	// wins.
 	Supersedes uint64 `cbor:"3,keyasint"`
 }
 
-// Lease is the lease in force.
+// Lease is the lease in force under one name.
 type Lease struct {
 	Owner string
 	// FencingToken increases with every accepted record; 0 means that there was no lease yet.
