--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// recoveryGrace is how long after the store recovers a server whose entry lapsed during the
-// outage may still renew it. Live servers do so within about two seconds.
+// recoveryGrace is the time after a recovery of the store within which servers may renew
+// entries that lapsed during the outage.
 const recoveryGrace = 2300 * time.Millisecond
 
-// maxLapse bounds how long a server without an entry stays in use. A server that terminated
-// unannounced must get no new requests two seconds after its entry is gone.
+// maxLapse bounds how long a server without an entry stays in use, since it may have
+// terminated.
 const maxLapse = 1700 * time.Millisecond
 
 // entry is the latest incarnation of a server. expiresAt is set if its record lapsed around an
@@ -55,8 +55,8 @@
 // incarnation if the server has restarted.
 //
 // An entry of an older incarnation is rejected with Superseded, since the store may apply
-// writes out of order. An entry without a start is rejected with FieldMissing if the known
-// incarnation has one, and makes the server unusable: another process must have written it.
+// writes out of order. An entry without a start, if the known one has a start, is rejected
+// with FieldMissing and makes the server unusable: another process must have written it.
 func (r *Registry) Put(s Server) (replaced *Server, err error) {
 	s.ID = s.Incarnation.ID()
 	old := r.entries[s.Incarnation.Name]
@@ -83,8 +83,8 @@
 }
 
 // Remove removes a server whose record is gone. Entries that lapsed during an outage of the
-// store disappear all at once when it recovers although most servers are alive, so these
-// servers stay in use during recoveryGrace, for at most maxLapse.
+// store are all deleted when it recovers although most servers are alive, so these servers
+// stay in use during recoveryGrace, for at most maxLapse.
 func (r *Registry) Remove(name string, now time.Duration) {
 	e := r.entries[name]
 	if e == nil {
@@ -99,8 +99,8 @@
 
 // evict removes a server and remembers its incarnation for removedRetention.
 func (r *Registry) evict(name string, now time.Duration) {
-	for other, g := range r.removed {
-		if now-g.removedAt > removedRetention {
+	for other, removed := range r.removed {
+		if now-removed.removedAt > removedRetention {
 			delete(r.removed, other)
 		}
 	}
@@ -115,8 +115,8 @@
 	if e := r.entries[s.Incarnation.Name]; e != nil && !r.expired(e, now) {
 		return e.server.Incarnation == s.Incarnation && e.server.Leaving && !s.Leaving
 	}
-	g, known := r.removed[s.Incarnation.Name]
-	return known && now-g.removedAt <= removedRetention && !g.incarnation.Before(s.Incarnation)
+	removed, known := r.removed[s.Incarnation.Name]
+	return known && now-removed.removedAt <= removedRetention && !removed.incarnation.Before(s.Incarnation)
 }
 
 // StoreRecovered records that the store has recovered from an outage.
@@ -169,9 +169,8 @@
 }
 
 // addressReused reports whether a server that started later has the same address, which
-// may be reassigned while the old entry still exists. Servers without a start are never
-// displaced: a send to the wrong server is refused without being executed, while excluding
-// the right one would fail all sends.
+// may be reassigned while the old entry still exists. Servers without a start are not
+// excluded: a send to the wrong server is refused without being executed.
 func (e *entry) addressReused(starts map[string]int64) bool {
 	return e.server.Incarnation.StartMillis != 0 && e.server.Incarnation.StartMillis < starts[e.server.Address]
 }
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -16,9 +16,9 @@
 	StartMillis int64
 }
 
-// ID returns the key of the incarnation, by which all packages and daemons store what they
-// know of it. A restarted server therefore starts without state, and late messages about an
-// earlier incarnation do not affect it.
+// ID returns the key under which packages and daemons keep the state of the incarnation. A
+// restarted server therefore starts without state, and late messages about an earlier
+// incarnation do not affect it.
 func (i Incarnation) ID() string {
 	if i.StartMillis == 0 {
 		return i.Name
