--- a/internal/slo/burn.go
+++ b/internal/slo/burn.go
@@ -46,21 +46,21 @@
 func NewCounters() *Counters { return &Counters{minutes: map[int64]map[Key]Counts{}} }
 
 // Observe adds the counts of requests that ended at a time.
-func (c *Counters) Observe(now time.Time, k Key, n Counts) {
-	m := now.Unix() / 60
-	row := c.minutes[m]
+func (c *Counters) Observe(now time.Time, key Key, n Counts) {
+	minute := now.Unix() / 60
+	row := c.minutes[minute]
 	if row == nil {
 		row = map[Key]Counts{}
-		c.minutes[m] = row
-		c.expire(m)
+		c.minutes[minute] = row
+		c.expire(minute)
 	}
-	row[k] = row[k].Add(n)
+	row[key] = row[key].Add(n)
 }
 
 func (c *Counters) expire(newest int64) {
-	for m := range c.minutes {
-		if m <= newest-int64(retentionMinutes) {
-			delete(c.minutes, m)
+	for minute := range c.minutes {
+		if minute <= newest-int64(retentionMinutes) {
+			delete(c.minutes, minute)
 		}
 	}
 }
@@ -78,15 +78,15 @@
 	newest := now.Unix() / 60
 	for _, w := range Windows {
 		sums := map[Key]Counts{}
-		for m, row := range c.minutes {
-			if m > newest-int64(w/time.Minute) && m <= newest {
-				for k, n := range row {
-					sums[k] = sums[k].Add(n)
+		for minute, row := range c.minutes {
+			if minute > newest-int64(w/time.Minute) && minute <= newest {
+				for key, n := range row {
+					sums[key] = sums[key].Add(n)
 				}
 			}
 		}
-		for k, n := range sums {
-			out = append(out, WindowCounts{w, k, n})
+		for key, n := range sums {
+			out = append(out, WindowCounts{w, key, n})
 		}
 	}
 	slices.SortFunc(out, func(a, b WindowCounts) int {
@@ -126,13 +126,13 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		o := c.Workspaces[name].Objectives
+		objectives := c.Workspaces[name].Objectives
 		for _, w := range Windows {
-			if o.Availability > 0 {
-				out = append(out, computeBurn(name, "availability", w, o.Availability, counts, func(n Counts) int64 { return n.Failed }))
+			if objectives.Availability > 0 {
+				out = append(out, computeBurn(name, "availability", w, objectives.Availability, counts, func(n Counts) int64 { return n.Failed }))
 			}
-			if o.FirstTokenFraction > 0 {
-				out = append(out, computeBurn(name, "first_token", w, o.FirstTokenFraction, counts, func(n Counts) int64 { return n.Late }))
+			if objectives.FirstTokenFraction > 0 {
+				out = append(out, computeBurn(name, "first_token", w, objectives.FirstTokenFraction, counts, func(n Counts) int64 { return n.Late }))
 			}
 		}
 	}
--- a/internal/slo/burn_test.go
+++ b/internal/slo/burn_test.go
@@ -8,9 +8,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// A target of 0.99 allows 1 bad request in 100. In the last five minutes 4 of 200 failed: a
-// burn rate of 2. In the last hour 6 of 1,000 failed: a burn rate of 0.6, with 40% of the
-// budget left, which lasts 40 minutes at that rate.
+// At a target of 0.99, 4 failed of 200 in five minutes are a burn rate of 2, and 6 of 1,000
+// in an hour one of 0.6, which leaves 40% of the budget: 40 minutes at that rate.
 func TestReport(t *testing.T) {
 	c := fleet.NewConfig()
 	c.Workspaces["w"] = fleet.Workspace{Objectives: fleet.Objectives{Availability: 0.99, FirstTokenMillis: 1500, FirstTokenFraction: 0.9}}
@@ -39,9 +38,9 @@
 	}
 	fast, hour := find("availability", 5*time.Minute), find("availability", time.Hour)
 	near("fast burn", fast.Burn, 2)
-	near("fast left", fast.Remaining, -1)
+	near("fast remaining", fast.Remaining, -1)
 	near("hour burn", hour.Burn, 0.6)
-	near("hour left", hour.Remaining, 0.4)
+	near("hour remaining", hour.Remaining, 0.4)
 	near("hour exhausted", hour.ExhaustedIn.Minutes(), 40)
 	near("late burn", find("first_token", time.Hour).Burn, 1)
 	if fast.Worst != "m@v2 in fd2" || fast.Requests != 200 || hour.Requests != 1000 || fast.ExhaustedIn != 0 {
