--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// largePatch adds 11 models with 3 versions each, 20 pools with 80 servers each, and 200
-// workspaces.
+// largePatch returns a patch that adds many pools, models and workspaces.
 func largePatch(tb testing.TB) json.RawMessage {
 	pools, models, workspaces := map[string]Pool{}, map[string]Model{}, map[string]Workspace{}
 	var names []string
@@ -45,7 +44,7 @@
 	return data
 }
 
-// BenchmarkApply applies 3,400 patches to a large configuration.
+// BenchmarkApply applies many small patches to a large configuration.
 func BenchmarkApply(b *testing.B) {
 	records := [][]byte{record(b, "first", 0, largePatch(b))}
 	for i := range 3400 {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -232,8 +232,8 @@
 
 // Allows reports whether workspace w may use a version of a model.
 func (w Workspace) Allows(model, version string) bool {
-	for _, e := range w.Models {
-		name, single, hasVersion := strings.Cut(e, "@")
+	for _, entitlement := range w.Models {
+		name, single, hasVersion := strings.Cut(entitlement, "@")
 		if name == model && (!hasVersion || single == version) {
 			return true
 		}
@@ -264,12 +264,12 @@
 func (c *Config) UsableNames(workspace string) []string {
 	w := c.Workspaces[workspace]
 	var out []string
-	for _, e := range w.Models {
-		model, version, hasVersion := strings.Cut(e, "@")
+	for _, entitlement := range w.Models {
+		model, version, hasVersion := strings.Cut(entitlement, "@")
 		if !hasVersion {
 			out = append(out, model)
 		} else if c.MayDispatch(workspace, model, version) {
-			out = append(out, e)
+			out = append(out, entitlement)
 		}
 	}
 	out = append(out, w.Cascades...)
--- a/internal/fleet/diff.go
+++ b/internal/fleet/diff.go
@@ -109,11 +109,11 @@
 // and serving in the desired configuration, sorted.
 func ReinstatedVersions(current, desired *Config) []string {
 	var out []string
-	for mn, m := range current.Models {
-		for vn, v := range m.Versions {
-			next, ok := desired.Version(mn, vn)
+	for model, m := range current.Models {
+		for version, v := range m.Versions {
+			next, ok := desired.Version(model, version)
 			if v.State == Withdrawn && ok && next.State != Withdrawn {
-				out = append(out, mn+"@"+vn)
+				out = append(out, model+"@"+version)
 			}
 		}
 	}
--- a/internal/fleet/state_machine.go
+++ b/internal/fleet/state_machine.go
@@ -120,10 +120,8 @@
 }
 
 // Apply applies the record at an offset. Offsets that were already applied are ignored,
-// because a reader that reconnects may deliver them twice. An offset beyond the next one
-// means that records were deleted from the log before they were read. Further records
-// are then kept pending until a checkpoint covers the gap, because the missing ones may
-// contain accepted patches.
+// because a reader that reconnects may deliver them twice. After a gap, as when the log
+// was truncated, records stay pending until a checkpoint covers the gap.
 func (s *StateMachine) Apply(offset uint64, data []byte) {
 	if offset < s.nextOffset {
 		return
--- a/internal/fleet/state_machine_test.go
+++ b/internal/fleet/state_machine_test.go
@@ -99,9 +99,8 @@
 	}
 }
 
-// With concurrent, repeated and invalid patches, a truncated log with checkpoints, and
-// daemons that lag or restart, every number is assigned to one patch, no daemon returns
-// to an earlier number, and all daemons reach the state of a reader of the whole log.
+// Concurrent, repeated and invalid patches, log truncation, lag and restarts must not
+// assign a number twice, return a daemon to an earlier number or make daemons diverge.
 func TestDaemonsConvergeUnderConcurrentPatches(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep = 12
@@ -122,7 +121,7 @@
 			}
 		}
 		appendRecord(rapidRecord(t, "base", 0, base))
-		winners := map[uint64]string{}
+		patchByNumber := map[uint64]string{}
 		for step := range rapid.IntRange(5, 60).Draw(t, "steps") {
 			d := rapid.IntRange(0, 2).Draw(t, "daemon")
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
@@ -151,10 +150,10 @@
 			if !o.Accepted {
 				continue
 			}
-			if other := winners[o.Number]; other != "" {
+			if other := patchByNumber[o.Number]; other != "" {
 				t.Fatalf("number %d was assigned to %s and %s", o.Number, other, o.PatchID)
 			}
-			winners[o.Number] = o.PatchID
+			patchByNumber[o.Number] = o.PatchID
 		}
 		checkpoint, _ := json.Marshal(Record{Checkpoint: reference.Checkpoint()})
 		appendRecord(checkpoint)
--- a/internal/fleet/validate.go
+++ b/internal/fleet/validate.go
@@ -200,12 +200,12 @@
 	if _, ok := m.Versions[m.Stable]; !ok {
 		return invalidField(path+"/stable", "version %q does not exist", m.Stable)
 	}
-	for vn, v := range m.Versions {
-		versionPath := path + "/versions/" + vn
-		if err := checkEntityName(versionPath, vn); err != nil {
+	for version, v := range m.Versions {
+		versionPath := path + "/versions/" + version
+		if err := checkEntityName(versionPath, version); err != nil {
 			return err
 		}
-		if err := c.checkVersion(versionPath, m, vn, v); err != nil {
+		if err := c.checkVersion(versionPath, m, version, v); err != nil {
 			return err
 		}
 	}
@@ -336,8 +336,8 @@
 }
 
 func (c *Config) checkEntitlements(path string, w Workspace) error {
-	for _, e := range w.Models {
-		model, version, hasVersion := strings.Cut(e, "@")
+	for _, entitlement := range w.Models {
+		model, version, hasVersion := strings.Cut(entitlement, "@")
 		m, ok := c.Models[model]
 		if !ok {
 			return invalidField(path+"/models", "model %q does not exist", model)
@@ -346,9 +346,9 @@
 			return invalidField(path+"/models", "version %q of model %q does not exist", version, model)
 		}
 	}
-	for _, k := range w.Cascades {
-		if _, ok := c.Cascades[k]; !ok {
-			return invalidField(path+"/cascades", "cascade %q does not exist", k)
+	for _, cascade := range w.Cascades {
+		if _, ok := c.Cascades[cascade]; !ok {
+			return invalidField(path+"/cascades", "cascade %q does not exist", cascade)
 		}
 	}
 	for _, s := range w.Services {
