--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -86,9 +86,9 @@
 		{"a rollout does not extend the entitlement", only, Pin{Name: "s"}, "v1"},
 		{"a successor does not extend the entitlement", only, Pin{Model: "m", Version: "v0"}, "v1"},
 	}
-	for _, x := range cases {
-		if got, err := ResolveVersion(c, x.w, "m", x.pin); err != nil || got != x.want {
-			t.Errorf("%s: %q %v", x.name, got, err)
+	for _, tt := range cases {
+		if got, err := ResolveVersion(c, tt.w, "m", tt.pin); err != nil || got != tt.want {
+			t.Errorf("%s: %q %v", tt.name, got, err)
 		}
 	}
 	if _, err := ResolveVersion(c, fleet.Workspace{}, "m", Pin{}); !fault.Is(err, fault.NotEntitled) {
