--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestPickRefusals(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := idleServers(2)
 	c[0].Leaving, c[1].Leaving = true, true
