--- a/internal/rollout/order_test.go
+++ b/internal/rollout/order_test.go
@@ -25,11 +25,11 @@
 }
 
 func splitByThree(n int64, i int) int64 {
-	p := n / 3
+	part := n / 3
 	if int64(i) < n%3 {
-		p++
+		part++
 	}
-	return p
+	return part
 }
 
 func TestNextPhase(t *testing.T) {
@@ -61,8 +61,8 @@
 		{"as slow as the old version", Canary, 3 * time.Second, evidenceOf(5, 20, 50, 200, true), 9, Canary},
 		{"already completed", Completed, 30 * time.Second, evidenceOf(30, 90, 3, 600, false), 0, Completed},
 	} {
-		if got, why := DefaultOrderPolicy().NextPhase(o, tt.at, tt.since, tt.evidence, tt.oldRunning); got != tt.want {
-			t.Errorf("%s: %s (%s), want %s", tt.name, got, why, tt.want)
+		if got, reason := DefaultOrderPolicy().NextPhase(o, tt.at, tt.since, tt.evidence, tt.oldRunning); got != tt.want {
+			t.Errorf("%s: %s (%s), want %s", tt.name, got, reason, tt.want)
 		}
 	}
 }
@@ -72,16 +72,16 @@
 func TestNoRollBackForSlownessUnderFullLoad(t *testing.T) {
 	o := Order{Duration: 24 * time.Second}
 	e := evidenceOf(102, 676, 10, 700, true)
-	if got, why := DefaultOrderPolicy().NextPhase(o, Full, 20*time.Second, e, 3); got != Full {
-		t.Fatalf("went to %s: %s", got, why)
+	if got, reason := DefaultOrderPolicy().NextPhase(o, Full, 20*time.Second, e, 3); got != Full {
+		t.Fatalf("went to %s: %s", got, reason)
 	}
 }
 
 func TestOneFailingServerDoesNotRollBack(t *testing.T) {
 	e := evidenceOf(0, 60, 0, 600, false)
 	e[0].Counts.Errors = 12
-	if got, why := DefaultOrderPolicy().NextPhase(Order{Duration: 24 * time.Second}, Canary, 5*time.Second, e, 3); got != Canary {
-		t.Fatalf("went to %s: %s", got, why)
+	if got, reason := DefaultOrderPolicy().NextPhase(Order{Duration: 24 * time.Second}, Canary, 5*time.Second, e, 3); got != Canary {
+		t.Fatalf("went to %s: %s", got, reason)
 	}
 }
 
