--- a/internal/containment/attempts.go
+++ b/internal/containment/attempts.go
@@ -20,7 +20,7 @@
 	attemptRetention = 10 * time.Second
 )
 
-// Outcome is the outcome of a send.
+// Outcome is how a send ended, or that it is still running.
 type Outcome uint8
 
 const (
--- a/internal/containment/guard.go
+++ b/internal/containment/guard.go
@@ -115,7 +115,6 @@
 	}
 }
 
-// status returns the status of a request.
 func (g *Guard) status(f quarantine.Fingerprint) quarantine.Status {
 	now := g.opts.BootTime()
 	g.mu.Lock()
@@ -123,7 +122,8 @@
 	return g.tracker.Status(f, now)
 }
 
-// Check returns the status of a request before it is sent.
+// Check returns the status of a request that is about to be sent. If the request is a
+// suspect but not held, it re-evaluates the attribution of crashes first.
 func (g *Guard) Check(f quarantine.Fingerprint) quarantine.Status {
 	s := g.status(f)
 	if s.Crashes == 0 || s.Held {
@@ -188,7 +188,8 @@
 	}
 }
 
-// serverTerminated handles the termination of a server.
+// serverTerminated reports a termination, and records it as a crash unless the server has
+// announced that it leaves.
 func (g *Guard) serverTerminated(s Server) {
 	list, leaving := g.attempts.suspects(s.ID, 0), g.opts.Leaving(s)
 	how := "refuses connections"
