--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -97,5 +97,5 @@
 	return !p.sent || now-p.lastSend >= s.Interval
 }
 
-// RecordSend records a send.
+// RecordSend records the time of a send.
 func (p *Pacer) RecordSend(now time.Duration) { p.lastSend, p.sent = now, true }
