--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -53,8 +53,8 @@
 		return
 	}
 	s.nextOffset = offset + 1
-	cur, known := s.leases[r.Name]
-	if known && r.Supersedes != cur.FencingToken {
+	current, known := s.leases[r.Name]
+	if known && r.Supersedes != current.FencingToken {
 		return
 	}
 	s.leases[r.Name] = Lease{Owner: r.Owner, FencingToken: offset + 1, ObservedAt: now}
@@ -66,13 +66,13 @@
 // Claim returns the record to append now, if any: a renewal by the holder, or a takeover of
 // a lease that was not renewed for Duration + TakeoverDelay.
 func (s *State) Claim(name, owner string, now time.Time) (Record, bool) {
-	cur := s.leases[name]
-	age := now.Sub(cur.ObservedAt)
-	r := Record{Name: name, Owner: owner, Supersedes: cur.FencingToken}
+	current := s.leases[name]
+	age := now.Sub(current.ObservedAt)
+	r := Record{Name: name, Owner: owner, Supersedes: current.FencingToken}
 	switch {
-	case cur.FencingToken == 0:
+	case current.FencingToken == 0:
 		return r, true
-	case cur.Owner == owner:
+	case current.Owner == owner:
 		return r, age >= RenewAfter
 	}
 	return r, age >= Duration+TakeoverDelay
@@ -82,8 +82,8 @@
 // returns its fencing token. It is checked before each order, so that a holder that was paused
 // does not act on an expired lease.
 func (s *State) MayAct(name, owner string, requestedAt, now time.Time) (token uint64, ok bool) {
-	cur := s.leases[name]
-	return cur.FencingToken, cur.Owner == owner && now.Sub(requestedAt) < Duration
+	current := s.leases[name]
+	return current.FencingToken, current.Owner == owner && now.Sub(requestedAt) < Duration
 }
 
 // Order is a change to the loaded versions of one server.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -10,7 +10,7 @@
 
 // Guards against conflicting orders of two holders: a holder that was paused past the end of
 // its lease must not act after another daemon has taken over.
-func TestPausedHolder(t *testing.T) {
+func TestPausedHolderMayNotAct(t *testing.T) {
 	s := NewState()
 	claim, ok := s.Claim("p", "a", start)
 	if !ok {
@@ -44,14 +44,14 @@
 }
 
 // Of two claims that supersede the same lease, the one with the lower offset wins.
-func TestRacingClaims(t *testing.T) {
+func TestLowestOffsetWinsRacingClaims(t *testing.T) {
 	s := NewState()
 	s.Apply(0, Record{Name: "p", Owner: "a"}, start)
 	s.Apply(1, Record{Name: "p", Owner: "b", Supersedes: 1}, start)
 	s.Apply(2, Record{Name: "p", Owner: "c", Supersedes: 1}, start)
 	s.Apply(1, Record{Name: "p", Owner: "x", Supersedes: 2}, start)
-	if cur := s.Current("p"); cur.Owner != "b" || cur.FencingToken != 2 {
-		t.Fatalf("%+v", cur)
+	if current := s.Current("p"); current.Owner != "b" || current.FencingToken != 2 {
+		t.Fatalf("%+v", current)
 	}
 	if _, ok := s.Claim("p", "b", start.Add(RenewAfter)); !ok {
 		t.Fatal("the holder cannot renew")
