--- a/internal/backend/registry_test.go
+++ b/internal/backend/registry_test.go
@@ -111,14 +111,14 @@
 	if replaced == nil || replaced.Incarnation.StartMillis != 100 {
 		t.Fatalf("replaced: %+v", replaced)
 	}
-	all := r.ForService("s", 0)
-	if len(all) != 1 || all[0].Leaving || all[0].ID == replaced.ID || all[0].Incarnation.Name != "a" {
-		t.Errorf("got %+v", all)
+	servers := r.ForService("s", 0)
+	if len(servers) != 1 || servers[0].Leaving || servers[0].ID == replaced.ID || servers[0].Incarnation.Name != "a" {
+		t.Errorf("got %+v", servers)
 	}
 	again := testServer("a", 300)
 	again.Leaving = true
 	mustPut(t, r, again)
-	if all := r.ForService("s", 0); !all[0].Leaving {
+	if servers := r.ForService("s", 0); !servers[0].Leaving {
 		t.Error("a new incarnation that leaves is not marked as leaving")
 	}
 }
@@ -141,8 +141,8 @@
 	if _, err := r.Put(testServer("a", 100)); InvalidReasonOf(err) != Superseded {
 		t.Errorf("error: %v", err)
 	}
-	if all := r.ForService("s", 0); len(all) != 1 || all[0].Incarnation.StartMillis != 200 {
-		t.Errorf("got %+v", all)
+	if servers := r.ForService("s", 0); len(servers) != 1 || servers[0].Incarnation.StartMillis != 200 {
+		t.Errorf("got %+v", servers)
 	}
 }
 
@@ -153,11 +153,11 @@
 	if _, err := r.Put(testServer("a", 0)); InvalidReasonOf(err) != FieldMissing {
 		t.Errorf("error: %v", err)
 	}
-	if all := r.ForService("s", 0); len(all) != 0 {
-		t.Errorf("got %+v", all)
+	if servers := r.ForService("s", 0); len(servers) != 0 {
+		t.Errorf("got %+v", servers)
 	}
 	mustPut(t, r, testServer("a", 200))
-	if all := r.ForService("s", 0); len(all) != 1 {
+	if servers := r.ForService("s", 0); len(servers) != 1 {
 		t.Error("a valid entry does not make the server usable again")
 	}
 }
@@ -187,8 +187,8 @@
 		r := NewRegistry()
 		mustPut(t, r, order[0])
 		mustPut(t, r, order[1])
-		if all := r.ForService("s", 0); len(all) != 1 || all[0].Incarnation != later.Incarnation {
-			t.Errorf("got %+v", all)
+		if servers := r.ForService("s", 0); len(servers) != 1 || servers[0].Incarnation != later.Incarnation {
+			t.Errorf("got %+v", servers)
 		}
 	}
 }
@@ -200,7 +200,7 @@
 	r := NewRegistry()
 	mustPut(t, r, first)
 	mustPut(t, r, later)
-	if all := r.ForService("s", 0); len(all) != 2 {
-		t.Errorf("got %+v", all)
+	if servers := r.ForService("s", 0); len(servers) != 2 {
+		t.Errorf("got %+v", servers)
 	}
 }
