--- a/internal/slo/burn.go
+++ b/internal/slo/burn.go
@@ -9,7 +9,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// Key identifies a counter.
+// Key is the set of labels of a counter.
 type Key struct {
 	Workspace     string `cbor:"1,keyasint" json:"workspace"`
 	Model         string `cbor:"2,keyasint" json:"model"`
