--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -86,12 +86,11 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// Server is one backend server.
+// Server is one backend server of a pool.
 type Server struct {
 	ID string `json:"id"`
 	// Address is ip:port.
-	Address string `json:"address"`
-	// FailureDomain is the failure domain of the server.
+	Address       string `json:"address"`
 	FailureDomain string `json:"failure_domain"`
 	// Slots is the maximum number of concurrent requests; default 8.
 	Slots int `json:"slots,omitempty"`
@@ -220,7 +219,7 @@
 	return "", Workspace{}, false
 }
 
-// Version returns a version of a model.
+// Version returns a version of a model, and whether it exists.
 func (c *Config) Version(model, version string) (Version, bool) {
 	m, ok := c.Models[model]
 	if !ok {
@@ -253,7 +252,7 @@
 	return ok && v.State != Withdrawn
 }
 
-// RolloutFor returns the rollout of a model.
+// RolloutFor returns the rollout of a model, and whether there is one.
 func (c *Config) RolloutFor(model string) (Rollout, bool) {
 	r, ok := c.Rollouts[model]
 	return r, ok
