--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -72,9 +72,9 @@
 	if p.Model == model {
 		return p.Version
 	}
-	for _, o := range strings.Fields(p.OtherModels) {
-		if m, v, _ := strings.Cut(o, "@"); m == model {
-			return v
+	for _, other := range strings.Fields(p.OtherModels) {
+		if name, version, _ := strings.Cut(other, "@"); name == model {
+			return version
 		}
 	}
 	return ""
@@ -82,7 +82,7 @@
 
 // WithVersion returns the pin after a response from the given version of a model.
 func (p Pin) WithVersion(model, version string) Pin {
-	others := slices.DeleteFunc(strings.Fields(p.OtherModels), func(o string) bool { return strings.HasPrefix(o, model+"@") })
+	others := slices.DeleteFunc(strings.Fields(p.OtherModels), func(other string) bool { return strings.HasPrefix(other, model+"@") })
 	if p.Model != "" && p.Model != model {
 		others = slices.Insert(others, 0, p.Model+"@"+p.Version)
 	}
