--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -210,7 +210,7 @@
 // KeyRequired reports whether requests must have an API key.
 func (t *Table) KeyRequired() bool { return t.keyRequired }
 
-// WorkspaceByKey returns the owner of an API key.
+// WorkspaceByKey returns the owner of an API key, and whether the key is known.
 func (t *Table) WorkspaceByKey(key string) (Workspace, bool) {
 	w, ok := t.byKey[key]
 	return w, ok
