--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -40,8 +40,8 @@
 	return subset
 }
 
-// meanShardSize bounds the average size of a shard. Sizes vary by their square root, so
-// that exceeding MaxCandidates is improbable.
+// meanShardSize bounds the average size of a shard, so that a single shard is unlikely to
+// exceed MaxCandidates.
 const meanShardSize = 184
 
 // Shard returns the servers of a service that a daemon uses: all up to MaxCandidates,
