--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -19,13 +19,13 @@
 type Record struct {
 	Name  string `cbor:"1,keyasint"`
 	Owner string `cbor:"2,keyasint"`
-	// Supersedes is the fencing token of the lease that the author saw in force, or 0.
-	// Claims that supersede an older lease are void, so the racing claim with the lowest
-	// offset wins.
+	// Supersedes is the fencing token of the lease known to the owner, or 0. A record that
+	// supersedes an older lease is void, so of racing claims the one with the lowest offset
+	// wins.
 	Supersedes uint64 `cbor:"3,keyasint"`
 }
 
-// Lease is the lease in force.
+// Lease is the lease in force under one name.
 type Lease struct {
 	Owner string
 	// FencingToken increases with every accepted record; 0 means that there was no lease yet.
@@ -53,8 +53,8 @@
 		return
 	}
 	s.nextOffset = offset + 1
-	cur, known := s.leases[r.Name]
-	if known && r.Supersedes != cur.FencingToken {
+	current, known := s.leases[r.Name]
+	if known && r.Supersedes != current.FencingToken {
 		return
 	}
 	s.leases[r.Name] = Lease{Owner: r.Owner, FencingToken: offset + 1, ObservedAt: now}
@@ -66,13 +66,13 @@
 // Claim returns the record to append now, if any: a renewal by the holder, or a takeover of
 // a lease that was not renewed for Duration + TakeoverDelay.
 func (s *State) Claim(name, owner string, now time.Time) (Record, bool) {
-	cur := s.leases[name]
-	age := now.Sub(cur.ObservedAt)
-	r := Record{Name: name, Owner: owner, Supersedes: cur.FencingToken}
+	current := s.leases[name]
+	age := now.Sub(current.ObservedAt)
+	r := Record{Name: name, Owner: owner, Supersedes: current.FencingToken}
 	switch {
-	case cur.FencingToken == 0:
+	case current.FencingToken == 0:
 		return r, true
-	case cur.Owner == owner:
+	case current.Owner == owner:
 		return r, age >= RenewAfter
 	}
 	return r, age >= Duration+TakeoverDelay
@@ -82,8 +82,8 @@
 // returns its fencing token. It is checked before each order, so that a holder that was paused
 // does not act on an expired lease.
 func (s *State) MayAct(name, owner string, requestedAt, now time.Time) (token uint64, ok bool) {
-	cur := s.leases[name]
-	return cur.FencingToken, cur.Owner == owner && now.Sub(requestedAt) < Duration
+	current := s.leases[name]
+	return current.FencingToken, current.Owner == owner && now.Sub(requestedAt) < Duration
 }
 
 // Order is a change to the loaded versions of one server.
