--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -92,8 +92,8 @@
 	MaxConnections int
 }
 
-// BackendResponse is the head of a server's response and its body. Closing the
-// body before its end cancels the run.
+// BackendResponse is a server's response header and body. Closing the body before
+// its end cancels the request on the server.
 type BackendResponse struct {
 	Status int
 	// Header holds the fields forwarded to the client.
@@ -126,7 +126,7 @@
 type ResponseWriter interface {
 	// Refuse ends the request with an error. Nothing has been written before.
 	Refuse(e *fault.Error)
-	// WriteHeader sends the head of a response; length is in bytes, or -1.
+	// WriteHeader sends the response header; length is in bytes, or -1.
 	WriteHeader(status int, h http.Header, length int64)
 	// WriteBody sends bytes without buffering them.
 	WriteBody(p []byte) error
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -36,7 +36,7 @@
 	fingerprint quarantine.Fingerprint
 	// standing is the request's quarantine state before the last send.
 	standing quarantine.Status
-	// run is the run of the last send.
+	// run is the containment record of the last send.
 	run *containment.Attempt
 	// succeeded is set once a server has sent a complete, successful response.
 	succeeded bool
@@ -46,14 +46,13 @@
 	lastConfidence modelConfidence
 	// lastEvent is the number of the last event forwarded, or NoEvent.
 	lastEvent int64
-	// headerSent is set once the head of a response has been sent to the client.
+	// headerSent is set once the response header has been sent to the client.
 	headerSent bool
 	// serverFailure is a server's error response, forwarded if no attempt succeeds.
 	serverFailure *bufferedResponse
 	// firstEventAt is when the first event was forwarded.
 	firstEventAt time.Time
-	// retryTaken is set if the retry after a reroute has been taken from the budget
-	// already.
+	// retryTaken is set if the budget was already charged for the retry after a reroute.
 	retryTaken atomic.Bool
 }
 
@@ -90,8 +89,8 @@
 			x.relay.Metrics.ClientsDisconnected.Inc(1)
 			return
 		}
-		// A request that may end servers asks the larger model of the same server:
-		// its cancelled run may still end that one, and should not end a second.
+		// A request suspected of crashing servers is escalated on the same server:
+		// its cancelled run may still crash that one, and must not crash a second.
 		if outcome != request.LowConfidence || x.standing.Crashes == 0 {
 			x.tried = append(x.tried, t.server.ID)
 		}
@@ -106,7 +105,7 @@
 	}
 }
 
-// modelOverride is the model to request from the server; empty keeps the call's.
+// modelOverride returns the model to request from the server; empty keeps the call's.
 func (x *exchange) modelOverride() string {
 	if x.choosesModel() {
 		return x.route.Models[x.modelIndex]
@@ -114,7 +113,7 @@
 	return ""
 }
 
-// effectiveModel is the model that will run.
+// effectiveModel returns the model that will run.
 func (x *exchange) effectiveModel() string {
 	if m := x.modelOverride(); m != "" {
 		return m
@@ -152,7 +151,7 @@
 	}
 }
 
-// attempt sends the request to a server and reports the result to the guard.
+// attempt sends the request to a server and records the result in the guard.
 func (x *exchange) attempt(ctx context.Context, t *target) (request.SendOutcome, bool) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -195,9 +194,9 @@
 	return outcome, done
 }
 
-// mayReroute reports whether the request may continue on another server, and
-// takes the retry from the budget. Without budget, it only leaves a lost server:
-// a stream whose server is merely slow would be aborted.
+// mayReroute reports whether the request may continue on another server, and takes
+// the retry from the budget. Without budget, only requests of a lost server are
+// rerouted; streams of a slow one would be aborted.
 func (x *exchange) mayReroute(lost bool) bool {
 	if !x.journey.Repeatable || x.journey.RunsLeft() <= 0 {
 		return false
@@ -218,7 +217,7 @@
 	return x.priority
 }
 
-// handleSendError derives from an error whether the request may have run.
+// handleSendError records a failed send and derives whether the request may have run.
 func (x *exchange) handleSendError(t *target, sentAt time.Time, err error) request.SendOutcome {
 	var e *upstream.Error
 	if !errors.As(err, &e) {
@@ -240,7 +239,7 @@
 	return request.ResponseLost
 }
 
-// handleReply checks the head of a reply and forwards the response.
+// handleReply checks the header of a reply and forwards the response.
 func (x *exchange) handleReply(ctx context.Context, t *target, a *attempt, reply *BackendResponse, sentAt time.Time) (request.SendOutcome, bool) {
 	defer func() { _ = reply.Body.Close() }() // cancels an unfinished run; an error has no effect on the call
 	if reply.NotRun {
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -40,20 +40,20 @@
 	s.gate.SetView(v, now)
 }
 
-// gateServer converts a server for the gate.
+// gateServer converts a server to the gate's type.
 func gateServer(b backend.Server, hash uint64, limit slowstart.Limit) gate.Server {
 	return gate.Server{ID: b.ID, Hash: hash, FailureDomain: b.FailureDomain, Leaving: b.Leaving, WarmAt: b.WarmAt, Limit: limit}
 }
 
-// excludeRefused excludes the servers that the gate refuses, and counts the reasons.
+// excludeRefused excludes the servers that the gate refuses, and counts the refusals by reason.
 func (s *State) excludeRefused(sel *selection, req *requirements, now time.Duration) {
 	sel.refusals = gate.Refusals{}
 	for i := range sel.candidates {
-		b, known := sel.service.servers[sel.candidates[i].ID]
+		server, known := sel.service.servers[sel.candidates[i].ID]
 		if !known {
 			continue
 		}
-		if !s.gate.Admit(req.gateRequest, gateServer(b, sel.candidates[i].Hash, req.slowStart), now, &sel.refusals) {
+		if !s.gate.Admit(req.gateRequest, gateServer(server, sel.candidates[i].Hash, req.slowStart), now, &sel.refusals) {
 			sel.request.Tried.Add(i)
 		}
 	}
@@ -62,10 +62,10 @@
 // recordSend records a send to the selected server at the gate, and reports whether
 // that server is warming up.
 func (s *State) recordSend(sel *selection, req *requirements, now time.Duration) (warming bool) {
-	c := &sel.candidates[sel.decision.Index]
-	g := gateServer(sel.service.servers[c.ID], c.Hash, req.slowStart)
-	s.gate.RecordSend(g, now)
-	return now < s.gate.WarmAt(g, now)
+	candidate := &sel.candidates[sel.decision.Index]
+	server := gateServer(sel.service.servers[candidate.ID], candidate.Hash, req.slowStart)
+	s.gate.RecordSend(server, now)
+	return now < s.gate.WarmAt(server, now)
 }
 
 // recordServerEnd records that a server's run has ended, as its VM refuses connections.
@@ -102,8 +102,8 @@
 	return fault.New(fault.NoServer, "no server of %s is left", req.service)
 }
 
-// minWarmingRetryAfter is the least Retry-After while servers are warming up: their
-// limit admits further requests meanwhile.
+// minWarmingRetryAfter is the least Retry-After while servers are warming up. It is
+// short, as their limit admits further requests meanwhile.
 const minWarmingRetryAfter = 100 * time.Millisecond
 
 // slowStartLimit returns the limit of a warming server of the call's service.
--- a/internal/relay/latency.go
+++ b/internal/relay/latency.go
@@ -54,19 +54,20 @@
 		return 1
 	}
 	lowest := e.CostPer1kTokens[model]
-	for _, c := range e.CostPer1kTokens {
-		if c > 0 {
-			lowest = min(lowest, c)
+	for _, cost := range e.CostPer1kTokens {
+		if cost > 0 {
+			lowest = min(lowest, cost)
 		}
 	}
 	return math.Pow(e.CostPer1kTokens[model]/lowest, costExponent)
 }
 
-// prefillScale is the prefill time per token relative to referenceTokenTime.
+// prefillScale returns the prefill time per token relative to referenceTokenTime.
 func (l *modelLatency) prefillScale() float64 {
 	return float64(l.prefill.PerToken()) / float64(referenceTokenTime)
 }
 
+// updateMean adds a sample to a moving average; the first sample sets it.
 func updateMean(mean *float64, sample float64) {
 	if *mean == 0 {
 		*mean = sample
--- a/internal/relay/liveness.go
+++ b/internal/relay/liveness.go
@@ -75,19 +75,19 @@
 	stallTimeout time.Duration
 	// priority is the priority sent to the server; 0 is the highest.
 	priority int
-	// overtakenTimeout is how long to wait for the head once overtaken, headerTimeout
-	// how long otherwise.
+	// overtakenTimeout is how long to wait for the response header once overtaken,
+	// headerTimeout how long otherwise.
 	overtakenTimeout, headerTimeout time.Duration
 	// overtaken counts later sends to the server that were responded to first.
 	overtaken int
-	// progressNanos is when the last bytes arrived, from sentAt; 0 before the head.
+	// progressNanos is when the last bytes arrived, in ns after sentAt; 0 before the header.
 	progressNanos atomic.Int64
 	rerouted      bool
 }
 
 func (a *attempt) recordProgress() { a.progressNanos.Store(time.Since(a.sentAt).Nanoseconds() + 1) }
 
-// lastProgress returns when the attempt last made progress, and whether the head has arrived.
+// lastProgress returns when the attempt last made progress, and whether the header has arrived.
 func (a *attempt) lastProgress() (time.Time, bool) {
 	n := a.progressNanos.Load()
 	return a.sentAt.Add(time.Duration(n)), n > 0
@@ -103,9 +103,9 @@
 	m.mu.Unlock()
 }
 
-// recordHeader records the head of a response. Earlier requests of the same or a higher
-// priority without a response have been overtaken: their responses may be lost on a
-// connection that stays open.
+// recordHeader records the arrival of a response header. Earlier requests of the same or
+// a higher priority without a response have been overtaken: their responses may be lost
+// on a connection that stays open.
 func (m *livenessMonitor) recordHeader(a *attempt) {
 	a.recordProgress()
 	m.mu.Lock()
@@ -159,8 +159,8 @@
 	}
 }
 
-// rerouteWaiting reroutes the requests that wait for a run that has ended, since the
-// restarted server will not respond to them. A stream that still makes progress stays.
+// rerouteWaiting reroutes the requests that wait for a server that has restarted, which
+// will not respond to them. A stream that still makes progress is not rerouted.
 func (m *livenessMonitor) rerouteWaiting(id string, now time.Time) (rerouted int) {
 	m.mu.Lock()
 	var waiting []*attempt
@@ -210,9 +210,9 @@
 	}
 }
 
-// stuck reports whether to continue an attempt elsewhere although its server is alive:
-// its stream has stalled while others progress, or its response is lost. If all
-// streams of a server stall, the server is busy and rerouting would only add load.
+// stuck reports whether to reroute an attempt although its server is alive: its response
+// is overdue, or its stream has stalled while others progress. If all streams of a server
+// stall, the server is busy and rerouting would only add load.
 func (a *attempt) stuck(now time.Time, othersProgress bool) bool {
 	progressAt, responded := a.lastProgress()
 	switch {
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -51,13 +51,14 @@
 // expectedEvents returns the expected number of events of the answer.
 func (x *exchange) expectedEvents() float64 {
 	perEvent := 1
-	if e := x.service.Engine; e != nil {
-		perEvent = max(e.EventTokens, 1)
+	if engine := x.service.Engine; engine != nil {
+		perEvent = max(engine.EventTokens, 1)
 	}
 	return float64(x.call.Prompt.ExpectedAnswerTokens()) / float64(perEvent)
 }
 
-// modelOffers estimates the latency and cost of each model from an index on.
+// modelOffers estimates the latency and cost of each model from an index on. Smaller
+// models are marked unavailable.
 func (x *exchange) modelOffers(from int) []cascade.Estimate {
 	out := make([]cascade.Estimate, len(x.route.Models))
 	for i := range out {
@@ -81,7 +82,7 @@
 	}
 }
 
-// escalate decides whether to ask a larger model instead, and switches to it.
+// escalate decides whether to retry the call with a larger model, and switches to it.
 func (x *exchange) escalate(t *target, confidence float64, sentAt time.Time) bool {
 	if !x.choosesModel() || x.headerSent {
 		return false
@@ -121,8 +122,8 @@
 		return
 	}
 	r, models := x.cascadeRequest(), x.models()
-	o := cascade.Estimate{FirstEvent: t.expectedLatency, Remainder: x.relay.State.remainingStreamTime(t, x.expectedEvents())}
-	x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveDispatch(r, models, x.modelIndex, o) })
+	estimate := cascade.Estimate{FirstEvent: t.expectedLatency, Remainder: x.relay.State.remainingStreamTime(t, x.expectedEvents())}
+	x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveDispatch(r, models, x.modelIndex, estimate) })
 }
 
 // recordFirstEvent records the time to the first event.
--- a/internal/relay/peerwork.go
+++ b/internal/relay/peerwork.go
@@ -14,14 +14,14 @@
 // add applies deltas.
 func (p *peerWork) add(deltas []ServerWork) {
 	p.version++
-	for _, c := range deltas {
-		w := p.byServer[c.Server]
-		w = ServerWork{Server: c.Server, InFlight: w.InFlight + c.InFlight, PendingPrefill: w.PendingPrefill + c.PendingPrefill}
-		if w.InFlight == 0 && w.PendingPrefill == 0 {
-			delete(p.byServer, c.Server)
+	for _, delta := range deltas {
+		work := p.byServer[delta.Server]
+		work = ServerWork{Server: delta.Server, InFlight: work.InFlight + delta.InFlight, PendingPrefill: work.PendingPrefill + delta.PendingPrefill}
+		if work.InFlight == 0 && work.PendingPrefill == 0 {
+			delete(p.byServer, delta.Server)
 			continue
 		}
-		p.byServer[c.Server] = w
+		p.byServer[delta.Server] = work
 	}
 }
 
@@ -30,7 +30,7 @@
 	sv.peerWorkVersion = p.version
 	now := time.Now()
 	for key, id := range sv.idByKey {
-		w := p.byServer[key]
-		sv.tracker.SetPeerLoad(id, float64(w.InFlight), float64(w.PendingPrefill), now)
+		work := p.byServer[key]
+		sv.tracker.SetPeerLoad(id, float64(work.InFlight), float64(work.PendingPrefill), now)
 	}
 }
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -112,14 +112,13 @@
 	return sel
 }
 
-// pickByFingerprint selects a server for a request that was running on servers that
-// ended, by rendezvous hashing of its fingerprint. Requests that shared such a server
-// are spread, which isolates the one that ended it, and all daemons send the retries
-// of one request to the same server.
+// pickByFingerprint selects a server for a request suspected of crashing servers, by
+// rendezvous hashing of its fingerprint. This spreads the suspects of one crash over the
+// servers, while all daemons send the retries of one request to the same server.
 func (s *State) pickByFingerprint(p routing.Pipeline, r routing.Request, sel *selection, req *requirements) routing.Decision {
 	var eligible []int
 	for _, i := range sel.service.tracker.IndicesByHash() {
-		if c := &sel.candidates[i]; c.ID != "" && !c.Suspect && !c.Leaving && !r.Tried.Has(i) {
+		if candidate := &sel.candidates[i]; candidate.ID != "" && !candidate.Suspect && !candidate.Leaving && !r.Tried.Has(i) {
 			eligible = append(eligible, i)
 		}
 	}
@@ -154,12 +153,12 @@
 	}
 }
 
-// prefillTime is the time to process the prompt on the selected server.
+// prefillTime returns the time to process the prompt on the selected server.
 func (sel *selection) prefillTime() time.Duration {
 	return time.Duration(float64(sel.request.UncachedTokens(sel.decision.Index)) * sel.request.PrefillScale * float64(referenceTokenTime))
 }
 
-// laneSize is the number of engines that serve the model's requests.
+// laneSize returns the number of engines that serve the model's requests.
 func (sel *selection) laneSize() int {
 	n := 0
 	excluded := sel.request.OutsidePartition.Union(sel.request.Tried)
@@ -171,10 +170,10 @@
 	return n
 }
 
-// backlog is the prefill time of the requests queued on the selected server.
+// backlog returns the prefill time of the requests queued on the selected server.
 func (sel *selection) backlog() time.Duration {
-	c := &sel.candidates[sel.decision.Index]
-	return time.Duration((c.PendingPrefill + c.OthersPending) * float64(referenceTokenTime))
+	candidate := &sel.candidates[sel.decision.Index]
+	return time.Duration((candidate.PendingPrefill + candidate.OthersPending) * float64(referenceTokenTime))
 }
 
 // pick selects a server and records the work there.
@@ -189,20 +188,20 @@
 	if sel.decision.Index < 0 {
 		return nil, noServerError(&sel, req)
 	}
-	c := sel.candidates[sel.decision.Index]
+	candidate := sel.candidates[sel.decision.Index]
 	tracker, blocks := sel.service.tracker, sel.request.Blocks
-	tracker.RecordDispatch(c.ID, blocks, req.urgent, now)
+	tracker.RecordDispatch(candidate.ID, blocks, req.urgent, now)
 	t := &target{
-		server: sel.service.servers[c.ID], service: req.service, model: req.model, urgent: req.urgent, slowStart: req.slowStart,
+		server: sel.service.servers[candidate.ID], service: req.service, model: req.model, urgent: req.urgent, slowStart: req.slowStart,
 		expectedLatency: sel.decision.Expected,
 		uncached:        sel.request.UncachedTokens(sel.decision.Index),
-		idle:            c.PendingPrefill+c.OthersPending == 0,
+		idle:            candidate.PendingPrefill+candidate.OthersPending == 0,
 		backlog:         sel.backlog(),
 		maxConnections:  max(minConnections, maxConns/(s.daemons+1)),
 	}
 	t.warming = s.recordSend(&sel, req, s.bootTime())
 	t.pendingPrefill = float64(t.uncached) * sel.request.PrefillScale
-	tracker.AddPendingPrefill(c.ID, t.pendingPrefill)
+	tracker.AddPendingPrefill(candidate.ID, t.pendingPrefill)
 	if req.engine != nil {
 		sel.service.models.get(req.model, req.engine).load.Record(now)
 	}
@@ -211,7 +210,7 @@
 	}
 	if shared := len(blocks) - 1; shared > 0 && len(s.pendingPlacements) < maxPendingPlacements {
 		// The last part is unique to the request, so peers do not need it.
-		s.pendingPlacements = append(s.pendingPlacements, Placement{Server: ServerKeyOf(c.ID), Blocks: blocks[:shared]})
+		s.pendingPlacements = append(s.pendingPlacements, Placement{Server: ServerKeyOf(candidate.ID), Blocks: blocks[:shared]})
 	}
 	return t, nil
 }
@@ -231,12 +230,12 @@
 // expectedWork returns the relative work of the smallest and the largest model.
 func expectedWork(e *route.Engine) map[string]float64 {
 	var small, large string
-	for m, c := range e.CostPer1kTokens {
-		if small == "" || c < e.CostPer1kTokens[small] {
-			small = m
+	for model, cost := range e.CostPer1kTokens {
+		if small == "" || cost < e.CostPer1kTokens[small] {
+			small = model
 		}
-		if large == "" || c > e.CostPer1kTokens[large] {
-			large = m
+		if large == "" || cost > e.CostPer1kTokens[large] {
+			large = model
 		}
 	}
 	if small == large {
@@ -288,6 +287,7 @@
 	return model == "" || len(s.Models) == 0 || slices.Contains(s.Models, model)
 }
 
+// clearSuspicion clears the suspicion of all candidates and reports whether there was any.
 func clearSuspicion(candidates []routing.Candidate) bool {
 	changed := false
 	for i := range candidates {
--- a/internal/relay/pick_test.go
+++ b/internal/relay/pick_test.go
@@ -57,8 +57,8 @@
 func TestCanaryServersAreTheSameForAllDaemons(t *testing.T) {
 	for _, engines := range []int{12, 63, 126, 240} {
 		used := map[string]bool{}
-		for d := range 195 {
-			s, rng := engineState(fmt.Sprint("d", d), engines), rand.New(rand.NewPCG(uint64(d), 2))
+		for daemon := range 195 {
+			s, rng := engineState(fmt.Sprint("d", daemon), engines), rand.New(rand.NewPCG(uint64(daemon), 2))
 			for range 40 {
 				req := engineRequirements(rng)
 				req.versions = VersionChoice{Preferred: func(v string) bool { return v == "v2" }, Fallback: anyVersion, Fraction: 0.125}
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/request"
 )
 
-// newGuard returns the guard that quarantines requests suspected of ending servers.
+// newGuard returns the guard that quarantines requests suspected of crashing servers.
 func newGuard(r *Relay) *containment.Guard {
 	return containment.New(containment.Options{
 		BootTime: r.State.bootTime, Logger: r.log, ServersTerminated: r.Metrics.ServersEnded, RequestsHeld: r.Metrics.RequestsHeld,
@@ -23,7 +23,7 @@
 	})
 }
 
-// containmentServer converts a server for the guard.
+// containmentServer converts a server to the guard's type.
 func containmentServer(b backend.Server) containment.Server {
 	return containment.Server{ID: b.ID, Address: b.Address}
 }
@@ -39,7 +39,7 @@
 	return x.journey.Fail(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(x.standing))
 }
 
-// fateOf maps the outcome of a send to the fate of its run.
+// fateOf maps the outcome of a send to the containment outcome of its run.
 func fateOf(ctx context.Context, o request.SendOutcome, done bool) containment.Outcome {
 	switch {
 	case done, o == request.NotStarted:
@@ -52,7 +52,7 @@
 	return containment.Completed
 }
 
-// recordLostServer records the end of a server, given by its key between daemons.
+// recordLostServer records the end of a server, identified by its key in reports of peers.
 func (s *State) recordLostServer(run quarantine.IncarnationKey) {
 	now := time.Now()
 	s.mu.Lock()
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -31,7 +31,7 @@
 	return c
 }
 
-// fingerprintOf is the fingerprint of a request that callWithBody sends.
+// fingerprintOf returns the fingerprint of a request that callWithBody sends.
 func fingerprintOf(path, body string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf("w", "h", "POST", path, []byte(body))
 }
@@ -102,8 +102,8 @@
 	}
 }
 
-// Guards against missing the request that ended a server because its run was cancelled
-// shortly before the end, as by an escalation.
+// Guards against missing the request that crashed a server because its run was cancelled
+// shortly before the crash, as by an escalation.
 func TestRunCancelledJustBeforeServerEndIsSuspected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, respondStream(0, nil, 1, 2), respondStream(90, nil, 1, 2, 3))
@@ -155,8 +155,8 @@
 		}
 	})
 	for _, id := range []string{"e0", "e1", "e2"} {
-		u := h.relay.Guard.Begin(containment.Server{ID: id}, 7, func(error) {})
-		h.relay.Guard.End(t.Context(), u, containment.Server{ID: id}, containment.ConnectionLost)
+		run := h.relay.Guard.Begin(containment.Server{ID: id}, 7, func(error) {})
+		h.relay.Guard.End(t.Context(), run, containment.Server{ID: id}, containment.ConnectionLost)
 	}
 	if s := h.relay.Guard.Check(7); s.Crashes != 0 {
 		t.Errorf("leaving servers: %+v", s)
@@ -173,7 +173,7 @@
 		h.relay.ServerRestarted(s.Server)
 	}
 	if s := h.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Crashes != 3 || !s.Held {
-		t.Errorf("standing %+v", s)
+		t.Errorf("quarantine status %+v", s)
 	}
 }
 
@@ -182,12 +182,12 @@
 func TestHoldCancelsWaitingSends(t *testing.T) {
 	h := newHarness(t, respond(200, ""))
 	var causes []error
-	enterRun := func(server string) *containment.Attempt {
+	begin := func(server string) *containment.Attempt {
 		return h.relay.Guard.Begin(containment.Server{ID: server}, 7, func(err error) { causes = append(causes, err) })
 	}
-	enterRun("e0")
-	h.relay.Guard.MarkForwarded(enterRun("e1"))
-	h.relay.Guard.End(t.Context(), enterRun("e2"), containment.Server{ID: "e2"}, containment.Completed)
+	begin("e0")
+	h.relay.Guard.MarkForwarded(begin("e1"))
+	h.relay.Guard.End(t.Context(), begin("e2"), containment.Server{ID: "e2"}, containment.Completed)
 	h.relay.Guard.ApplyHold(7, time.Minute)
 	if len(causes) != 1 || !errors.Is(causes[0], containment.ErrHeld) {
 		t.Errorf("cancelled with %v", causes)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -57,7 +57,7 @@
 	options  Options
 	log      *log.Logger
 	liveness *livenessMonitor
-	// Guard quarantines requests that are suspected of ending servers.
+	// Guard quarantines requests that are suspected of crashing servers.
 	Guard *containment.Guard
 	// ConfigOutdated reports whether other daemons have a newer configuration than the store.
 	ConfigOutdated func() bool
@@ -89,8 +89,8 @@
 func (r *Relay) Run(ctx context.Context) { r.liveness.run(ctx) }
 
 // ServerRestarted handles the end of a server's run, known from its restart.
-// Requests that wait for the run are rerouted and its connections are closed.
-// State is keyed by the run's id, so that nothing carries over to the new run.
+// Requests that wait for the run are rerouted, and its connections are closed. State
+// is keyed by the run's ID, so none is applied to the new run.
 func (r *Relay) ServerRestarted(run backend.Server) {
 	r.Guard.ServerRestarted(containmentServer(run))
 	rerouted := r.liveness.rerouteWaiting(run.ID, time.Now())
@@ -140,8 +140,8 @@
 // counted by all others yet.
 const usableReserveFraction = 0.6
 
-// takeRetry takes a retry out of the budget of a service, and leaves reserveFraction of
-// its reserve.
+// takeRetry takes a retry out of the budget of a service, unless less than
+// reserveFraction of its reserve would be left.
 func (r *Relay) takeRetry(service string, reserveFraction float64) bool {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
@@ -157,7 +157,7 @@
 	r.retryBudget(service, daemons).Deposit(time.Since(r.started))
 }
 
-// withValuer runs f on the model estimates of a service, under the lock.
+// withValuer calls update on the escalator of a service, under the lock.
 func (r *Relay) withValuer(service string, update func(v *cascade.Escalator)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -264,7 +264,7 @@
 	return r.options.MaxKeyStaleness == 0 || r.State.ConfirmedWithin(freshness.Configuration, r.options.MaxKeyStaleness)
 }
 
-// requestDeadline is the earlier of the client's and the route's timeout.
+// requestDeadline returns the deadline by the shorter of the client's and the route's timeout.
 func requestDeadline(c *Call, rt *route.Route) time.Time {
 	timeout := defaultTimeout
 	if c.Timeout > 0 {
@@ -278,11 +278,11 @@
 
 // enginePriority maps configured priorities, 0 the highest, to those of engines, 0 to 9.
 func enginePriority(rt *route.Route, workspace route.Workspace) int {
-	p := rt.Priority
+	priority := rt.Priority
 	if workspace.HasPriority {
-		p = workspace.Priority
+		priority = workspace.Priority
 	}
-	return min(max(p, 0)+basePriority, lowestPriority)
+	return min(max(priority, 0)+basePriority, lowestPriority)
 }
 
 const (
--- a/internal/relay/response.go
+++ b/internal/relay/response.go
@@ -72,7 +72,7 @@
 	}
 	if err != nil {
 		x.logEvent("unbuffered response truncated", t, "status", reply.Status, "bytes", n, "err", err)
-		x.journey.Repeatable = false // the client already has part of this response
+		x.journey.Repeatable = false // part of this response was already sent
 		return request.ResponseLost, false
 	}
 	x.succeeded = true
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -38,9 +38,8 @@
 type orderState struct {
 	rollout.Order
 	phase rollout.Phase
-	// suspended is set if this daemon has stopped using the new version. A phase in
-	// the store overrides it: daemons may decide differently, and a completed order
-	// leaves no old server to return to.
+	// suspended is set if this daemon has stopped using the new version. A final phase
+	// in the store overrides it, as no old server is left after a completed order.
 	suspended bool
 	// orderedAt is when the order was given, by this daemon's clock.
 	orderedAt   time.Time
@@ -117,37 +116,37 @@
 }
 
 // AddOrder adds an order. A known or older order is ignored.
-func (r *Rollouts) AddOrder(o rollout.Order) {
+func (r *Rollouts) AddOrder(order rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.orders[o.Service]
-	if known != nil && known.Offset >= o.Offset {
+	known := r.orders[order.Service]
+	if known != nil && known.Offset >= order.Offset {
 		return
 	}
-	if known != nil && laterEra(o.Offset, known.Offset) && o.Target == known.Target {
+	if known != nil && laterEra(order.Offset, known.Offset) && order.Target == known.Target {
 		// The store was restored from an older copy. This is the known order, read or
 		// written again; a finished one must not restart.
-		known.Offset = o.Offset
-		r.reconcile(o.Service)
+		known.Offset = order.Offset
+		r.reconcile(order.Service)
 		return
 	}
-	o.SessionWindow = r.sessions.idleTimeout
-	r.orders[o.Service] = &orderState{
-		Order: o, orderedAt: r.now(),
+	order.SessionWindow = r.sessions.idleTimeout
+	r.orders[order.Service] = &orderState{
+		Order: order, orderedAt: r.now(),
 		ownEvidence: map[string]*rollout.ServerCounts{}, peerReports: map[string]OrderReport{},
 	}
-	r.log.Info("roll-out ordered", "service", o.Service, "target", o.Target, "offset", o.Offset, "duration", o.Duration)
-	r.reconcile(o.Service)
+	r.log.Info("roll-out ordered", "service", order.Service, "target", order.Target, "offset", order.Offset, "duration", order.Duration)
+	r.reconcile(order.Service)
 }
 
 // advance moves an order to a later phase. Callers hold mu.
-func (r *Rollouts) advance(o *orderState, p rollout.Phase, reason string) {
-	if p <= o.phase || o.phase.Final() {
+func (r *Rollouts) advance(order *orderState, phase rollout.Phase, reason string) {
+	if phase <= order.phase || order.phase.Final() {
 		return
 	}
-	o.suspended = o.suspended && !p.Final()
-	r.log.Info("roll-out phase", "service", o.Service, "target", o.Target, "from", o.phase, "to", p, "why", reason, "since_ms", r.now().Sub(o.orderedAt).Milliseconds())
-	o.phase = p
+	order.suspended = order.suspended && !phase.Final()
+	r.log.Info("roll-out phase", "service", order.Service, "target", order.Target, "from", order.phase, "to", phase, "why", reason, "since_ms", r.now().Sub(order.orderedAt).Milliseconds())
+	order.phase = phase
 }
 
 // VersionChoice is the set of server versions that a request may use.
@@ -164,12 +163,9 @@
 
 func anyVersion(string) bool { return true }
 
-// ChooseVersion selects the server versions for a request.
-//
-// A session must not move to the new version in the first half of an order's duration.
-// Sessions seen shortly before the canary stay on the old version during it; new
-// sessions are assigned by their hash, which is the same on every daemon. The share
-// never shrinks, so no session moves back.
+// ChooseVersion selects the server versions for a request. Sessions seen shortly before
+// the canary stay on the old version during it. Others are assigned by their hash, which
+// is the same on every daemon; as the share never shrinks, no session moves back.
 func (r *Rollouts) ChooseVersion(service, session string, hash uint64) VersionChoice {
 	now := r.now()
 	r.mu.Lock()
@@ -178,25 +174,25 @@
 		hash = xxhash.Sum64String(session)
 		defer r.sessions.add(service, hash, now)
 	}
-	o := r.orders[service]
-	if o == nil {
+	order := r.orders[service]
+	if order == nil {
 		return VersionChoice{Preferred: anyVersion, Fallback: anyVersion}
 	}
-	target := o.Target
+	target := order.Target
 	onNew := func(v string) bool { return v == target }
 	onOld := func(v string) bool { return v != target }
-	if o.phase == rollout.RolledBack {
+	if order.phase == rollout.RolledBack {
 		return VersionChoice{Preferred: onOld, Fallback: onOld}
 	}
-	if o.suspended {
+	if order.suspended {
 		return VersionChoice{Preferred: onOld, Fallback: anyVersion}
 	}
-	share := rollout.DefaultOrderPolicy().Share(o.phase)
-	if o.phase == rollout.Canary && (now.Sub(o.orderedAt) < canaryDelay || session != "" && o.pinned(hash)) {
+	share := rollout.DefaultOrderPolicy().Share(order.phase)
+	if order.phase == rollout.Canary && (now.Sub(order.orderedAt) < canaryDelay || session != "" && order.pinned(hash)) {
 		share = 0
 	}
 	if float64(hash>>versionHashShift%shareResolution) >= share*shareResolution {
-		if o.phase == rollout.Canary && session != "" {
+		if order.phase == rollout.Canary && session != "" {
 			return VersionChoice{Preferred: onOld, Fallback: onOld}
 		}
 		return VersionChoice{Preferred: onOld, Fallback: anyVersion}
@@ -213,8 +209,8 @@
 	if o.pinnedSessions[session] {
 		return true
 	}
-	for _, p := range o.peerReports {
-		if slices.Contains(p.PinnedSessions, session) {
+	for _, report := range o.peerReports {
+		if slices.Contains(report.PinnedSessions, session) {
 			return true
 		}
 	}
@@ -238,28 +234,28 @@
 		baseline = &rollout.LatencyBaseline{}
 		r.baselines[t.service] = baseline
 	}
-	o := r.orders[t.service]
-	if o == nil || o.phase.Final() {
+	order := r.orders[t.service]
+	if order == nil || order.phase.Final() {
 		baseline.Observe(ratio)
 		return
 	}
-	c := o.ownEvidence[t.server.ID]
-	if c == nil {
-		c = &rollout.ServerCounts{Server: t.server.ID, FailureDomain: t.server.FailureDomain, New: t.server.Version == o.Target}
-		o.ownEvidence[t.server.ID] = c
+	counts := order.ownEvidence[t.server.ID]
+	if counts == nil {
+		counts = &rollout.ServerCounts{Server: t.server.ID, FailureDomain: t.server.FailureDomain, New: t.server.Version == order.Target}
+		order.ownEvidence[t.server.ID] = counts
 	}
-	if !c.New {
+	if !counts.New {
 		baseline.Observe(ratio)
 	}
-	c.Counts.Requests++
+	counts.Counts.Requests++
 	if failed {
-		c.Counts.Errors++
+		counts.Counts.Errors++
 		return
 	}
 	if ratio > 0 {
-		c.Counts.Timed++
-		if baseline.IsSlow(ratio, o.phase) {
-			c.Counts.Slow++
+		counts.Counts.Timed++
+		if baseline.IsSlow(ratio, order.phase) {
+			counts.Counts.Slow++
 		}
 	}
 }
@@ -271,23 +267,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []OrderReport
-	for _, o := range r.orders {
-		if o.phase.Final() {
+	for _, order := range r.orders {
+		if order.phase.Final() {
 			continue
 		}
-		o.oldInFlight = oldInFlight(o.Service, o.Target)
-		if o.phase == rollout.Canary && r.now().Sub(o.orderedAt) < canaryDelay {
+		order.oldInFlight = oldInFlight(order.Service, order.Target)
+		if order.phase == rollout.Canary && r.now().Sub(order.orderedAt) < canaryDelay {
 			// Until the canary begins, every session is on the old version.
-			o.pinnedSessions = r.sessions.canarySessions(o.Service, r.now())
+			order.pinnedSessions = r.sessions.canarySessions(order.Service, r.now())
 		}
-		p := OrderReport{
-			Service: o.Service, Offset: o.Offset, Phase: o.phase, AgeMs: r.now().Sub(o.orderedAt).Milliseconds(),
-			OldInFlight: o.oldInFlight, PinnedSessions: slices.Collect(maps.Keys(o.pinnedSessions)), Suspended: evaluates && o.suspended,
+		report := OrderReport{
+			Service: order.Service, Offset: order.Offset, Phase: order.phase, AgeMs: r.now().Sub(order.orderedAt).Milliseconds(),
+			OldInFlight: order.oldInFlight, PinnedSessions: slices.Collect(maps.Keys(order.pinnedSessions)), Suspended: evaluates && order.suspended,
 		}
 		if evidence {
-			p.Evidence = o.evidence()
+			report.Evidence = order.evidence()
 		}
-		out = append(out, p)
+		out = append(out, report)
 	}
 	return out
 }
@@ -305,24 +301,24 @@
 func (r *Rollouts) ApplyReports(incarnation string, reports []OrderReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range reports {
-		o := r.orders[p.Service]
-		if o == nil || o.Offset != p.Offset {
+	for _, report := range reports {
+		order := r.orders[report.Service]
+		if order == nil || order.Offset != report.Offset {
 			continue
 		}
-		if p.Evidence == nil {
+		if report.Evidence == nil {
 			// A report without evidence keeps the evidence reported before.
-			p.Evidence = o.peerReports[incarnation].Evidence
+			report.Evidence = order.peerReports[incarnation].Evidence
 		}
-		o.peerReports[incarnation] = p
-		if p.Suspended {
-			r.suspend(o, "suspended by an evaluating daemon")
+		order.peerReports[incarnation] = report
+		if report.Suspended {
+			r.suspend(order, "suspended by an evaluating daemon")
 		}
-		if age := time.Duration(p.AgeMs) * time.Millisecond; age > r.now().Sub(o.orderedAt) {
-			o.orderedAt = r.now().Add(-age)
+		if age := time.Duration(report.AgeMs) * time.Millisecond; age > r.now().Sub(order.orderedAt) {
+			order.orderedAt = r.now().Add(-age)
 		}
-		if !p.Phase.Final() {
-			r.advance(o, p.Phase, "reported by another daemon")
+		if !report.Phase.Final() {
+			r.advance(order, report.Phase, "reported by another daemon")
 		}
 	}
 }
@@ -335,8 +331,8 @@
 	Reason string
 }
 
-// NextPhases lists the due phase changes, by the evidence of all daemons. Alive reports
-// whether an incarnation is running; only then its requests in flight count.
+// NextPhases lists the due phase changes, by the evidence of all daemons. Only requests in
+// flight of incarnations that alive reports as running are counted.
 func (r *Rollouts) NextPhases(alive func(incarnation string) bool) []PhaseChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -366,16 +362,16 @@
 func (r *Rollouts) Suspend(service string, offset uint64, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if o := r.orders[service]; o != nil && o.Offset == offset {
-		r.suspend(o, reason)
+	if order := r.orders[service]; order != nil && order.Offset == offset {
+		r.suspend(order, reason)
 	}
 }
 
 // suspend stops this daemon's use of an order's target version. Callers hold mu.
-func (r *Rollouts) suspend(o *orderState, reason string) {
-	if o.phase.Final() || o.suspended {
+func (r *Rollouts) suspend(order *orderState, reason string) {
+	if order.phase.Final() || order.suspended {
 		return
 	}
-	o.suspended = true
-	r.log.Warn("new version not used any more", "service", o.Service, "target", o.Target, "why", reason)
+	order.suspended = true
+	r.log.Warn("new version not used any more", "service", order.Service, "target", order.Target, "why", reason)
 }
--- a/internal/relay/rollouts_bench_test.go
+++ b/internal/relay/rollouts_bench_test.go
@@ -10,13 +10,13 @@
 // rolloutsWithEvidence has the evidence of other daemons, each on a sixth of 126 servers.
 func rolloutsWithEvidence(daemons int) *Rollouts {
 	r := testRollouts()
-	for d := range daemons - 1 {
-		var cells rollout.Evidence
+	for daemon := range daemons - 1 {
+		var evidence rollout.Evidence
 		for i := range 21 {
-			server := (d + 6*i) % 126
-			cells = append(cells, rollout.ServerCounts{Server: fmt.Sprintf("i-%08x", server), FailureDomain: "d", New: server%2 == 0, Counts: rollout.Counts{Requests: 3}})
+			server := (daemon + 6*i) % 126
+			evidence = append(evidence, rollout.ServerCounts{Server: fmt.Sprintf("i-%08x", server), FailureDomain: "d", New: server%2 == 0, Counts: rollout.Counts{Requests: 3}})
 		}
-		r.ApplyReports(fmt.Sprint("d", d), []OrderReport{{Service: "s", Offset: 7, Evidence: cells}})
+		r.ApplyReports(fmt.Sprint("d", daemon), []OrderReport{{Service: "s", Offset: 7, Evidence: evidence}})
 	}
 	return r
 }
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Guards against moving a session to the new version in the first half of an order, when
-// its next request arrives at another daemon.
+// Guards against moving a session to the new version during the canary, when its next
+// request arrives at another daemon.
 func TestSessionsSeenByPeersStayOnOldVersion(t *testing.T) {
 	one, other := testRollouts(), testRollouts()
 	name := canarySession(t)
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -30,8 +30,7 @@
 	readySignaled bool
 	services      map[string]*service
 	rng           *rand.Rand
-	// candidateBuf is reused for the candidates of each selection, which saves most of
-	// a daemon's allocations.
+	// candidateBuf is reused for the candidates of each selection, to save allocations.
 	candidateBuf []routing.Candidate
 	daemon       string
 	// failureDomain is the failure domain of this daemon.
@@ -56,7 +55,7 @@
 	// idByKey maps the keys in peers' reports to the members' ids.
 	idByKey map[ServerKey]string
 	models  modelLatencies
-	// peerWorkVersion is the version of the peer work that the tracker shows.
+	// peerWorkVersion is the version of the peer work applied to the tracker.
 	peerWorkVersion uint64
 	// lanes assigns engines to models; nil until the first selection.
 	lanes *routing.Partition
@@ -150,8 +149,8 @@
 }
 
 // WaitReady waits until the configuration and the servers have been loaded, up to a
-// limit. A daemon that has just started loads them soon, while a refusal would use
-// up a retry of the client.
+// limit. A daemon that has just started loads them soon, while a refusal would cost
+// the client a retry.
 func (s *State) WaitReady(ctx context.Context, limit time.Duration) {
 	t := time.NewTimer(limit)
 	defer t.Stop()
@@ -281,9 +280,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sv := range s.services {
-		for _, p := range list {
-			if id, known := sv.idByKey[p.Server]; known {
-				sv.tracker.RecordCachedBlocks(id, p.Blocks)
+		for _, placement := range list {
+			if id, known := sv.idByKey[placement.Server]; known {
+				sv.tracker.RecordCachedBlocks(id, placement.Blocks)
 			}
 		}
 	}
--- a/internal/relay/storedphases.go
+++ b/internal/relay/storedphases.go
@@ -18,6 +18,7 @@
 	OrderAge time.Duration
 }
 
+// datedPhase is a stored phase with the time of its order.
 type datedPhase struct {
 	StoredPhase
 	// orderedAt is when the order was given, according to the store.
@@ -50,8 +51,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storedPhases, r.storeRestored = map[string]datedPhase{}, true
-	for service, o := range r.orders {
-		if o.phase > 0 {
+	for service, order := range r.orders {
+		if order.phase > 0 {
 			r.lostPhases[service] = r.now()
 		}
 	}
@@ -62,8 +63,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for service, lostAt := range r.lostPhases {
-		if o := r.orders[service]; o != nil && r.now().Sub(lostAt) >= minAge {
-			out = append(out, PhaseChange{o.Order, o.phase, r.now().Sub(o.orderedAt), "phase missing from the restored store"})
+		if order := r.orders[service]; order != nil && r.now().Sub(lostAt) >= minAge {
+			out = append(out, PhaseChange{order.Order, order.phase, r.now().Sub(order.orderedAt), "phase missing from the restored store"})
 		}
 	}
 	return out
@@ -71,15 +72,15 @@
 
 // reconcile applies the phase in the store to an order. Callers hold mu.
 func (r *Rollouts) reconcile(service string) {
-	o, s := r.orders[service], r.storedPhases[service]
-	if o == nil || !s.appliesTo(o.Order) {
+	order, stored := r.orders[service], r.storedPhases[service]
+	if order == nil || !stored.appliesTo(order.Order) {
 		return
 	}
-	if s.orderedAt.Before(o.orderedAt) {
-		o.orderedAt = s.orderedAt
+	if stored.orderedAt.Before(order.orderedAt) {
+		order.orderedAt = stored.orderedAt
 	}
-	if o.phase > s.Phase && r.storeRestored {
+	if order.phase > stored.Phase && r.storeRestored {
 		r.lostPhases[service] = r.now() // the restored copy is older
 	}
-	r.advance(o, s.Phase, "phase in the store")
+	r.advance(order, stored.Phase, "phase in the store")
 }
