--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -186,7 +186,7 @@
 				cancel()
 			}
 		},
-		FetchTail: func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("nobody") },
+		FetchTail: func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("no peer is ahead") },
 		ReadsLog:  func() bool { return false },
 	})
 	go f.Run(ctx)
@@ -226,13 +226,13 @@
 	}
 }
 
-// A follower must not wait for one that gave up on the log and follows peers instead, which
-// would never become available again.
+// A follower must not wait for one that follows peers instead of the log, as that one would
+// never become available again.
 func TestFollowerDoesNotWaitForDependencyOnPeers(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	dependency := New(&Follower{Logger: log.New(io.Discard), BootTime: func() time.Duration { return 0 }, ReadsLog: func() bool { return false }})
-	dependency.FetchTail = func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("nobody") }
+	dependency.FetchTail = func(context.Context, string, Position) (Tail, error) { return Tail{}, errors.New("no peer is ahead") }
 	dependency.loaded.Store(true)
 	dependency.recordFailure(ctx, errors.New("log unreachable"))
 	dependent := New(&Follower{Logger: log.New(io.Discard), DependsOn: dependency})
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -17,8 +17,8 @@
 	// not answer. They are short, so that missed changes are applied soon after recovery.
 	initialBackoff = 60 * time.Millisecond
 	maxBackoff     = 400 * time.Millisecond
-	// maxSoleReaderBackoff is the maximum for a follower that reads records which peers
-	// cannot pass on, since the store may recover for it alone.
+	// maxSoleReaderBackoff is the maximum for a follower whose records cannot be fetched
+	// from peers, since it does not learn of the recovery from them.
 	maxSoleReaderBackoff = 1500 * time.Millisecond
 	// minStandbyBackoff is the minimum for a standby follower, which learns of the
 	// recovery from designated readers. Its initial backoff is at least the maximum
@@ -36,15 +36,15 @@
 	// BatchDelay is the pause after a read that returned records, so that a burst is read
 	// in few calls.
 	BatchDelay time.Duration
-	// BootTime reads a monotonic clock that includes the time of a suspended VM.
+	// BootTime reads a monotonic clock that also counts while the VM is suspended.
 	BootTime func() time.Duration
-	// Apply is called with records in log order. Snapshot reports that they are all keys
+	// Apply is called with records in log order. Snapshot reports that they hold all keys
 	// of the topic.
 	Apply func(records []Record, snapshot bool)
 	// OnEraChange is called before Apply if the records are the first of a later era.
 	OnEraChange func()
-	// OnConfirmed is called with the reading of BootTime before a read that found the follower
-	// current.
+	// OnConfirmed is called after a read that found the follower current, with the BootTime
+	// at which the read was sent.
 	OnConfirmed func(sentAt time.Duration)
 	// OnReadFailed is called when a read fails.
 	OnReadFailed func()
@@ -177,8 +177,8 @@
 }
 
 // backOff pauses after a failed read, and keeps fetching from peers. A standby follower
-// returns early when it is no longer needed or becomes a designated reader, so that it does
-// not miss changes for its long pauses. A sole reader is needed throughout.
+// returns early when it no longer has to read the log or becomes a designated reader, as its
+// pauses are long. A sole reader always has to read the log.
 func (f *Follower) backOff(ctx context.Context, pause time.Duration, soleReader bool) {
 	standby := f.isStandby() && !soleReader
 	if soleReader {
--- a/internal/feed/peers.go
+++ b/internal/feed/peers.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Followers of the same topic in other daemons: detecting that they have read further, and
-// fetching their records instead of reading the log.
+// This file detects that followers of the same topic in other daemons have read further, and
+// fetches their records instead of reading the log.
 
 // lagTimeout is how long a follower may lag behind another reader before it abandons its
 // pending read. A longer lag indicates a dead connection to the log.
--- a/internal/feed/pending.go
+++ b/internal/feed/pending.go
@@ -15,7 +15,7 @@
 var (
 	// errNoResponse ends a read without a response in time.
 	errNoResponse = errors.New("no response in time")
-	// errReadAbandoned ends a read that is overtaken by other readers or an outage.
+	// errReadAbandoned ends a read that is behind other readers or predates an outage.
 	errReadAbandoned = errors.New("read abandoned as stale")
 )
 
