--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -35,8 +35,8 @@
 	// callTimeout bounds one call.
 	callTimeout = 700 * time.Millisecond
 	// minLivenessTimeout is the minimum silence after which a daemon counts as gone; it
-	// tolerates a lost packet. livenessTimeoutCycles is the timeout in cycles of calling
-	// all others, which take longer than a round in large deployments.
+	// tolerates a lost packet. livenessTimeoutCycles is the timeout as a number of cycles
+	// in which every other daemon is called once.
 	minLivenessTimeout    = 950 * time.Millisecond
 	livenessTimeoutCycles = 3
 	// addressRetention is how long an address without any contact is kept.
@@ -52,7 +52,7 @@
 	// the number of failures reported at a time.
 	suspectReportPeriod = 2 * time.Second
 	maxSuspects         = 8
-	// leavingRetention is how long a run that announced to leave is remembered.
+	// leavingRetention is how long a run that announced its shutdown is remembered.
 	leavingRetention = 30 * time.Second
 )
 
@@ -83,7 +83,7 @@
 	// OnMessage is called with every message. After is a reading of BootTime that precedes
 	// the sending of the message, or zero if none is known.
 	OnMessage func(msg Message, after time.Duration)
-	// BootTime reads a monotonic clock that includes the time of a suspended VM.
+	// BootTime reads a monotonic clock that also counts while the VM is suspended.
 	BootTime func() time.Duration
 	// OnWorkChanged is called with changes of the other daemons' work at backend servers.
 	OnWorkChanged func(changes []relay.ServerWork)
@@ -109,7 +109,7 @@
 	addressesSentAt time.Time
 }
 
-// New returns members without any other daemon. LocalMessage builds the local part of a
+// New returns an empty set of members. LocalMessage builds the local part of a
 // message, with the evidence on new versions if requested.
 func New(name, address, incarnation string, localMessage func(evidence bool) Message, transport Transport, bootTime func() time.Duration, l *log.Logger) *Members {
 	return &Members{
@@ -138,11 +138,11 @@
 func (m *Members) AddAddresses(addresses ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, a := range addresses {
-		if a == "" || a == m.address || m.members[a] != nil {
+	for _, address := range addresses {
+		if address == "" || address == m.address || m.members[address] != nil {
 			continue
 		}
-		m.members[a] = &member{address: a, added: time.Now(), tiebreak: xxhash.Sum64String(m.address + "\x00" + a)}
+		m.members[address] = &member{address: address, added: time.Now(), tiebreak: xxhash.Sum64String(m.address + "\x00" + address)}
 	}
 }
 
@@ -155,11 +155,11 @@
 	m.expireSilent(now)
 	msg.Suspects = m.recentFailures(now)
 	msg.Quarantine = m.QuarantineUpdate(m.recentlyJoined(to, now))
-	switch o := m.members[to]; {
+	switch other := m.members[to]; {
 	case now.Sub(m.addressesSentAt) >= addressesInterval:
 		m.addressesSentAt = now
 		msg.KnownAddresses = m.sampleLiveAddresses(len(m.members))
-	case o != nil && now.Sub(o.added) < introductionPeriod:
+	case other != nil && now.Sub(other.added) < introductionPeriod:
 		msg.KnownAddresses = m.sampleLiveAddresses(introductionSize)
 	}
 	return msg
@@ -167,19 +167,19 @@
 
 // recentlyJoined reports whether the run at an address is new or unknown. Callers hold mu.
 func (m *Members) recentlyJoined(address string, now time.Time) bool {
-	o := m.members[address]
-	return o == nil || o.incarnationSince.IsZero() || now.Sub(o.incarnationSince) < introductionPeriod
+	other := m.members[address]
+	return other == nil || other.incarnationSince.IsZero() || now.Sub(other.incarnationSince) < introductionPeriod
 }
 
 // sampleLiveAddresses returns the addresses of up to n live members. Callers hold mu.
 func (m *Members) sampleLiveAddresses(n int) []string {
 	out := make([]string, 0, min(n, len(m.members)))
-	for a := range m.members {
+	for address := range m.members {
 		if len(out) == n {
 			break
 		}
-		if m.live.Contains(a) {
-			out = append(out, a)
+		if m.live.Contains(address) {
+			out = append(out, address)
 		}
 	}
 	return out
@@ -217,16 +217,16 @@
 	m.AddAddresses(msg.KnownAddresses...)
 	now := time.Now()
 	m.mu.Lock()
-	o := m.members[address]
-	if o == nil || msg.Incarnation == m.incarnation {
+	other := m.members[address]
+	if other == nil || msg.Incarnation == m.incarnation {
 		m.mu.Unlock()
 		return
 	}
 	m.expireSilent(now)
-	if !m.live.Contains(address) || o.latest.Incarnation != msg.Incarnation {
+	if !m.live.Contains(address) || other.latest.Incarnation != msg.Incarnation {
 		m.log.Info("daemon discovered", "daemon", msg.Name, "address", address, "incarnation", msg.Incarnation, "config", msg.ConfigVersion, "ready", msg.Ready)
 	}
-	if msg.Leaving && !o.latest.Leaving {
+	if msg.Leaving && !other.latest.Leaving {
 		m.log.Info("daemon leaves", "daemon", msg.Name, "address", address)
 	}
 	if msg.Leaving {
@@ -239,16 +239,16 @@
 	if m.firstContact.IsZero() {
 		m.firstContact = now
 	}
-	if o.incarnationSince.IsZero() || o.latest.Incarnation != msg.Incarnation {
-		o.incarnationSince = now
+	if other.incarnationSince.IsZero() || other.latest.Incarnation != msg.Incarnation {
+		other.incarnationSince = now
 	}
-	changes := workDelta(o.latest.Work, msg.Work)
+	changes := workDelta(other.latest.Work, msg.Work)
 	m.live.Update(address, membership.PeerStatus{Name: msg.Name, Incarnation: msg.Incarnation, Eligible: msg.Eligible, Leaving: msg.Leaving}, now)
-	o.latest, o.lastContact, o.lastCallFailed, o.suspected = msg, now, false, false
+	other.latest, other.lastContact, other.lastCallFailed, other.suspected = msg, now, false, false
 	m.markSuspected(msg.Suspects, now)
 	// Fields that are passed on at once are not retained, to save memory.
-	o.latest.KnownAddresses, o.latest.Placed, o.latest.Orders, o.latest.Suspects = nil, nil, nil, nil
-	o.latest.Quarantine = quarantine.Update{}
+	other.latest.KnownAddresses, other.latest.Placed, other.latest.Orders, other.latest.Suspects = nil, nil, nil, nil
+	other.latest.Quarantine = quarantine.Update{}
 	m.mu.Unlock()
 	m.OnWorkChanged(changes)
 	m.OnMessage(msg, m.sentAfter(msg))
@@ -258,9 +258,9 @@
 // hold mu.
 func (m *Members) expireSilent(now time.Time) {
 	m.live.ExpireSilent(now, m.livenessTimeout(), func(address string) {
-		o := m.members[address]
-		m.expiredWork = append(m.expiredWork, workDelta(o.latest.Work, nil)...)
-		o.latest.Work = nil
+		other := m.members[address]
+		m.expiredWork = append(m.expiredWork, workDelta(other.latest.Work, nil)...)
+		other.latest.Work = nil
 	})
 }
 
@@ -305,9 +305,9 @@
 	defer m.mu.Unlock()
 	m.expireSilent(time.Now())
 	out := make([]Message, 0, m.live.Len())
-	for _, o := range m.members {
-		if m.live.Contains(o.address) {
-			out = append(out, o.latest)
+	for _, other := range m.members {
+		if m.live.Contains(other.address) {
+			out = append(out, other.latest)
 		}
 	}
 	slices.SortFunc(out, func(a, b Message) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -25,8 +25,8 @@
 		t.Fatalf("live daemons %v", live)
 	}
 	var calls []string
-	for _, o := range m.nextCalls(time.Now().Add(time.Second)) {
-		calls = append(calls, o.address)
+	for _, other := range m.nextCalls(time.Now().Add(time.Second)) {
+		calls = append(calls, other.address)
 	}
 	if !slices.Contains(calls, "b:1") || slices.Contains(calls, "self:1") {
 		t.Fatalf("calls %v", calls)
@@ -93,7 +93,7 @@
 	})
 }
 
-// Guards against counting the age of confirmations from their receipt, which kept revoked
+// Guards against counting the age of confirmations from their receipt, which keeps revoked
 // keys valid for too long.
 func TestSentAfterUsesEchoedTimestamp(t *testing.T) {
 	m := newTestMembers()
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -47,7 +47,7 @@
 	// the others.
 	WantsEvidence bool `cbor:"19,keyasint,omitempty"`
 	// Suspects lists addresses that did not answer the sender recently. The receiver calls
-	// them next, and relies on its own result.
+	// them next.
 	Suspects []string `cbor:"20,keyasint,omitempty"`
 	// Quarantine holds recent changes of the quarantine.
 	Quarantine quarantine.Update `cbor:"22,keyasint,omitempty"`
--- a/internal/gossip/rounds.go
+++ b/internal/gossip/rounds.go
@@ -21,22 +21,22 @@
 	m.mu.Lock()
 	m.expireSilent(time.Now())
 	var targets []*member
-	for a, o := range m.members {
-		if len(targets) < fanout && !o.callPending && m.live.Contains(a) {
-			o.callPending = true
-			targets = append(targets, o)
+	for address, other := range m.members {
+		if len(targets) < fanout && !other.callPending && m.live.Contains(address) {
+			other.callPending = true
+			targets = append(targets, other)
 		}
 	}
 	m.mu.Unlock()
-	for _, o := range targets {
-		go m.call(ctx, o)
+	for _, other := range targets {
+		go m.call(ctx, other)
 	}
 }
 
 func (m *Members) round(ctx context.Context) {
 	m.reportExpiredWork()
-	for _, o := range m.nextCalls(time.Now()) {
-		go m.call(ctx, o)
+	for _, other := range m.nextCalls(time.Now()) {
+		go m.call(ctx, other)
 	}
 }
 
@@ -56,24 +56,24 @@
 	defer m.mu.Unlock()
 	m.expireSilent(now)
 	var due []*member
-	for a, o := range m.members {
-		lastEvidence := o.lastContact
-		if o.added.After(lastEvidence) {
-			lastEvidence = o.added
+	for address, other := range m.members {
+		lastEvidence := other.lastContact
+		if other.added.After(lastEvidence) {
+			lastEvidence = other.added
 		}
 		if now.Sub(lastEvidence) > addressRetention {
-			delete(m.members, a)
+			delete(m.members, address)
 			continue
 		}
-		silent := !m.live.Contains(a)
-		if now.Sub(o.lastContact) < recentContactWindow {
+		silent := !m.live.Contains(address)
+		if now.Sub(other.lastContact) < recentContactWindow {
 			continue // a call exchanges messages in both directions
 		}
-		backingOff := silent && now.Sub(o.added) > startupWindow && now.Sub(o.lastAttempt) < retryInterval
-		if o.callPending || backingOff {
+		backingOff := silent && now.Sub(other.added) > startupWindow && now.Sub(other.lastAttempt) < retryInterval
+		if other.callPending || backingOff {
 			continue
 		}
-		due = append(due, o)
+		due = append(due, other)
 	}
 	for incarnation, at := range m.leavingSince {
 		if now.Sub(at) > leavingRetention {
@@ -82,32 +82,32 @@
 	}
 	slices.SortFunc(due, compareCallPriority)
 	due = due[:min(fanout, len(due))]
-	for _, o := range due {
-		o.callPending, o.lastAttempt = true, now
+	for _, other := range due {
+		other.callPending, other.lastAttempt = true, now
 	}
 	return due
 }
 
-func (m *Members) call(ctx context.Context, o *member) {
+func (m *Members) call(ctx context.Context, other *member) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sentAt := time.Now()
 	m.mu.Lock()
-	last := o.latest
+	last := other.latest
 	m.mu.Unlock()
-	msg, err := m.transport.Exchange(ctx, o.address, m.newStampedMessage(o.address, last.Incarnation, last.Timestamp, last.WantsEvidence))
+	msg, err := m.transport.Exchange(ctx, other.address, m.newStampedMessage(other.address, last.Incarnation, last.Timestamp, last.WantsEvidence))
 	m.mu.Lock()
-	o.callPending = false
-	o.lastCallFailed, o.suspected = err != nil && o.lastContact.Before(sentAt), false
-	m.updateFailedMembers(o)
+	other.callPending = false
+	other.lastCallFailed, other.suspected = err != nil && other.lastContact.Before(sentAt), false
+	m.updateFailedMembers(other)
 	m.expireSilent(time.Now())
-	lost := err != nil && !o.lastContact.IsZero() && !m.live.Contains(o.address) && sentAt.Sub(o.lastContact) <= m.livenessTimeout()
+	lost := err != nil && !other.lastContact.IsZero() && !m.live.Contains(other.address) && sentAt.Sub(other.lastContact) <= m.livenessTimeout()
 	m.mu.Unlock()
 	if lost {
-		m.log.Warn("daemon lost", "daemon", o.latest.Name, "address", o.address, "err", err)
+		m.log.Warn("daemon lost", "daemon", other.latest.Name, "address", other.address, "err", err)
 	}
 	if err == nil {
-		m.Receive(o.address, msg)
+		m.Receive(other.address, msg)
 	}
 }
 
--- a/internal/gossip/suspects.go
+++ b/internal/gossip/suspects.go
@@ -6,14 +6,14 @@
 )
 
 // An unanswered call is reported to the other daemons, which call the suspect next. This
-// detects failures long before the liveness timeout of large deployments. A daemon only
-// relies on its own calls, since the reporter may itself be partitioned from the suspect.
+// detects failures before the liveness timeout, which is long in large deployments. A report
+// alone marks no daemon as failed, since its sender may be partitioned from the suspect.
 
 // markSuspected marks the members that another daemon reported. Callers hold mu.
 func (m *Members) markSuspected(addresses []string, now time.Time) {
-	for _, a := range addresses {
-		if o := m.members[a]; o != nil && m.live.Contains(a) && !o.lastCallFailed && now.Sub(o.lastContact) >= Interval {
-			o.suspected = true
+	for _, address := range addresses {
+		if other := m.members[address]; other != nil && m.live.Contains(address) && !other.lastCallFailed && now.Sub(other.lastContact) >= Interval {
+			other.suspected = true
 		}
 	}
 }
@@ -21,19 +21,19 @@
 // recentFailures returns up to maxSuspects addresses that recently failed to answer.
 // Callers hold mu.
 func (m *Members) recentFailures(now time.Time) (out []string) {
-	for _, o := range m.failedMembers {
-		if o.lastCallFailed && now.Sub(o.lastAttempt) < suspectReportPeriod && len(out) < maxSuspects {
-			out = append(out, o.address)
+	for _, other := range m.failedMembers {
+		if other.lastCallFailed && now.Sub(other.lastAttempt) < suspectReportPeriod && len(out) < maxSuspects {
+			out = append(out, other.address)
 		}
 	}
 	return out
 }
 
 // updateFailedMembers updates failedMembers after a call. Callers hold mu.
-func (m *Members) updateFailedMembers(o *member) {
-	m.failedMembers = slices.DeleteFunc(m.failedMembers, func(f *member) bool { return f == o || !f.lastCallFailed })
-	if o.lastCallFailed {
-		m.failedMembers = append(m.failedMembers, o)
+func (m *Members) updateFailedMembers(other *member) {
+	m.failedMembers = slices.DeleteFunc(m.failedMembers, func(f *member) bool { return f == other || !f.lastCallFailed })
+	if other.lastCallFailed {
+		m.failedMembers = append(m.failedMembers, other)
 	}
 	m.failedMembers = m.failedMembers[max(0, len(m.failedMembers)-maxSuspects):]
 }
--- a/internal/gossip/views.go
+++ b/internal/gossip/views.go
@@ -35,9 +35,9 @@
 	defer m.mu.Unlock()
 	m.expireSilent(time.Now())
 	out := make([]membership.Endpoint, 0, m.live.Len()+1)
-	for a, o := range m.members {
-		if m.live.Contains(a) && !o.lastCallFailed {
-			msg := o.latest
+	for address, other := range m.members {
+		if m.live.Contains(address) && !other.lastCallFailed {
+			msg := other.latest
 			out = append(out, membership.Endpoint{Address: msg.ClientAddress, FailureDomain: msg.FailureDomain, Ready: msg.Ready, Leaving: msg.Leaving})
 		}
 	}
