--- a/internal/membership/endpoints.go
+++ b/internal/membership/endpoints.go
@@ -15,7 +15,7 @@
 	Ready, Leaving bool
 }
 
-// Client identifies the client that asks for endpoints; either field may be empty.
+// Client identifies the client that requests endpoints; either field may be empty.
 type Client struct {
 	// Address is the address of the client, without a port.
 	Address       string
@@ -25,14 +25,13 @@
 // SelectEndpoints returns up to limit addresses of ready daemons for a client. If none is
 // ready, it returns those that are not leaving; if all are leaving, it returns these.
 //
-// If there are more than limit, those in the client's failure domain come first, in an
-// order hashed from the client's address. Clients thus spread evenly over the daemons of
-// a failure domain, and every daemon returns the same list to a client, which closes its
-// connections to addresses that are missing from an answer.
-func SelectEndpoints(all []Endpoint, c Client, limit int) []string {
+// If there are more than limit, those in the client's failure domain come first, ordered by
+// rendezvous hashing of the client's address. Every daemon returns the same list to a client,
+// which closes its connections to addresses that are missing from a response.
+func SelectEndpoints(all []Endpoint, client Client, limit int) []string {
 	list := bestAvailable(all)
 	if len(list) > limit {
-		sortForClient(list, c)
+		sortForClient(list, client)
 		list = list[:limit]
 	}
 	out := make([]string, len(list))
@@ -59,7 +58,7 @@
 
 // sortForClient sorts endpoints by failure domain, the client's first, then by rendezvous
 // hash.
-func sortForClient(list []Endpoint, c Client) {
+func sortForClient(list []Endpoint, client Client) {
 	type ranked struct {
 		remote   bool
 		weight   uint64
@@ -67,7 +66,7 @@
 	}
 	order := make([]ranked, len(list))
 	for i, e := range list {
-		order[i] = ranked{e.FailureDomain != c.FailureDomain, xxhash.Sum64String(c.Address + "\x00" + e.Address), e}
+		order[i] = ranked{e.FailureDomain != client.FailureDomain, xxhash.Sum64String(client.Address + "\x00" + e.Address), e}
 	}
 	slices.SortFunc(order, func(a, b ranked) int {
 		if a.remote != b.remote {
--- a/internal/membership/endpoints_test.go
+++ b/internal/membership/endpoints_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// clientEndpoints is the number of addresses that a client asks for.
+// clientEndpoints is the number of addresses that a client requests.
 const clientEndpoints = 64
 
 // readyEndpoints returns ready endpoints, spread evenly over failure domains.
@@ -18,7 +18,7 @@
 	return out
 }
 
-// Guards against answers in a fixed order, which sent all clients to the same daemons.
+// Guards against responses in a fixed order, which send all clients to the same daemons.
 func TestSelectEndpointsSpreadsClientsEvenly(t *testing.T) {
 	const domains, clients = 6, 1200
 	for _, n := range []int{6, 60, 195, 520} {
--- a/internal/membership/livepeers.go
+++ b/internal/membership/livepeers.go
@@ -50,8 +50,8 @@
 
 // Update records the status of the daemon at an address. Times must not decrease.
 func (l *LivePeers) Update(address string, status PeerStatus, now time.Time) {
-	if e := l.byAddress[address]; e != nil {
-		old := e.Value.(*livePeer)
+	if element := l.byAddress[address]; element != nil {
+		old := element.Value.(*livePeer)
 		l.adjustCounts(old, -1)
 		old.lastSeen = now
 		if old.Name != status.Name {
@@ -59,7 +59,7 @@
 		}
 		old.PeerStatus = status
 		l.adjustCounts(old, 1)
-		l.byLastSeen.MoveToBack(e)
+		l.byLastSeen.MoveToBack(element)
 		return
 	}
 	fresh := &livePeer{address: address, lastSeen: now, PeerStatus: status}
@@ -70,38 +70,38 @@
 
 // setName updates the hash of a peer's name and its order relative to the own daemon.
 // Hashing makes the order independent of failure domains, which may fail as a whole.
-func (l *LivePeers) setName(p *livePeer, name string) {
-	p.hash = xxhash.Sum64String(name)
-	p.precedesSelf = p.hash < l.ownHash
+func (l *LivePeers) setName(peer *livePeer, name string) {
+	peer.hash = xxhash.Sum64String(name)
+	peer.precedesSelf = peer.hash < l.ownHash
 }
 
 // adjustCounts adds delta for a peer to the counts.
-func (l *LivePeers) adjustCounts(p *livePeer, delta int) {
-	if l.incarnations[p.Incarnation] += delta; l.incarnations[p.Incarnation] == 0 {
-		delete(l.incarnations, p.Incarnation)
+func (l *LivePeers) adjustCounts(peer *livePeer, delta int) {
+	if l.incarnations[peer.Incarnation] += delta; l.incarnations[peer.Incarnation] == 0 {
+		delete(l.incarnations, peer.Incarnation)
 	}
-	if p.Leaving {
+	if peer.Leaving {
 		return
 	}
-	c := &l.ineligible
-	if p.Eligible {
-		c = &l.eligible
+	counts := &l.ineligible
+	if peer.Eligible {
+		counts = &l.eligible
 	}
-	c.total += delta
-	if p.precedesSelf {
-		c.preceding += delta
+	counts.total += delta
+	if peer.precedesSelf {
+		counts.preceding += delta
 	}
 }
 
 // ExpireSilent removes the daemons that were not seen for longer than timeout, and calls
 // expired with the address of each.
 func (l *LivePeers) ExpireSilent(now time.Time, timeout time.Duration, expired func(address string)) {
-	for e := l.byLastSeen.Front(); e != nil && now.Sub(e.Value.(*livePeer).lastSeen) > timeout; e = l.byLastSeen.Front() {
-		p := e.Value.(*livePeer)
-		l.byLastSeen.Remove(e)
-		l.adjustCounts(p, -1)
-		delete(l.byAddress, p.address)
-		expired(p.address)
+	for element := l.byLastSeen.Front(); element != nil && now.Sub(element.Value.(*livePeer).lastSeen) > timeout; element = l.byLastSeen.Front() {
+		peer := element.Value.(*livePeer)
+		l.byLastSeen.Remove(element)
+		l.adjustCounts(peer, -1)
+		delete(l.byAddress, peer.address)
+		expired(peer.address)
 	}
 }
 
@@ -112,9 +112,9 @@
 // leaving.
 func (l *LivePeers) Hashes() (own uint64, others []uint64) {
 	others = make([]uint64, 0, len(l.byAddress))
-	for _, e := range l.byAddress {
-		if p := e.Value.(*livePeer); !p.Leaving {
-			others = append(others, p.hash)
+	for _, element := range l.byAddress {
+		if peer := element.Value.(*livePeer); !peer.Leaving {
+			others = append(others, peer.hash)
 		}
 	}
 	return l.ownHash, others
@@ -127,8 +127,8 @@
 func (l *LivePeers) HasIncarnation(incarnation string) bool { return l.incarnations[incarnation] > 0 }
 
 // Rank returns the position of the own daemon among those that are not leaving, eligible
-// ones first. Readiness is not used for the order: in an outage of the store it reaches
-// the others late, and several daemons would rank themselves first meanwhile.
+// ones first. Readiness does not affect the order: in an outage of the store, its changes
+// reach the others late, and several daemons would rank themselves first.
 func (l *LivePeers) Rank(eligible bool) int {
 	if eligible {
 		return l.eligible.preceding
--- a/internal/membership/livepeers_test.go
+++ b/internal/membership/livepeers_test.go
@@ -15,12 +15,12 @@
 type statusMap map[string]PeerStatus
 
 func (s statusMap) rank(ownName string, eligible bool) (rank int) {
-	for _, o := range s {
-		before := xxhash.Sum64String(o.Name) < xxhash.Sum64String(ownName)
-		if o.Eligible != eligible {
-			before = o.Eligible
+	for _, other := range s {
+		before := xxhash.Sum64String(other.Name) < xxhash.Sum64String(ownName)
+		if other.Eligible != eligible {
+			before = other.Eligible
 		}
-		if before && !o.Leaving {
+		if before && !other.Leaving {
 			rank++
 		}
 	}
@@ -90,9 +90,9 @@
 		first, ranks := 0, map[int]bool{}
 		for _, own := range all {
 			live := NewLivePeers(own.Name)
-			for _, o := range all {
-				if o != own {
-					live.Update(o.Name, o, time.Unix(1, 0))
+			for _, status := range all {
+				if status != own {
+					live.Update(status.Name, status, time.Unix(1, 0))
 				}
 			}
 			if own.Leaving {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// A VM replaced at the same address must not be displaced by a delayed rumor of its
-// predecessor: the higher incarnation owns the address.
+// A delayed rumor about the previous VM at an address must not replace the present one: the
+// higher incarnation owns the address.
 func TestReplacementAtSameAddress(t *testing.T) {
 	table := NewTable(testInfo(0, 1), rand.New(rand.NewPCG(1, 1)))
 	old, replacement := testInfo(1, 1), testInfo(2, 9)
@@ -218,9 +218,9 @@
 		{"resumed after a pause", Readiness{LogReadAt: ago(5), MajorityAt: ago(5), ServersUpdatedAt: ago(5), ConfigLoaded: true}, false},
 		{"leaving servers unknown", Readiness{LogReadAt: ago(1), MajorityAt: ago(1), ConfigLoaded: true}, false},
 	}
-	for _, c := range cases {
-		if got := c.readiness.CanServe(now); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+	for _, tt := range cases {
+		if got := tt.readiness.CanServe(now); got != tt.want {
+			t.Errorf("%s: %v", tt.name, got)
 		}
 	}
 }
--- a/internal/membership/readiness.go
+++ b/internal/membership/readiness.go
@@ -10,7 +10,7 @@
 	// be in force everywhere.
 	IsolationTimeout = 15 * time.Second
 	// ServersMaxAge is the maximum age of the information on leaving servers. It allows
-	// for a missed read of the platform's list, which is polled every second.
+	// for one missed poll of the platform's list.
 	ServersMaxAge = 2500 * time.Millisecond
 )
 
@@ -29,15 +29,12 @@
 	ConfigLoaded bool
 }
 
-// CanServe reports whether the daemon may dispatch requests at a time.
+// CanServe reports whether the daemon may dispatch requests at a time. It requires a
+// configuration and a current list of leaving servers.
 //
-// A log that is down for everyone cannot have changed, so a daemon in the majority goes
-// on without it. A daemon that reaches neither may have missed a withdrawal, and stops
-// after IsolationTimeout. If a partition leaves the log with the minority, the majority
-// serves an outdated configuration until it heals; RequireLog rules that out at the
-// cost of availability.
-//
-// After a start or a pause, a daemon does not serve before it knows which servers leave.
+// A daemon in the majority serves without the log, and one that reaches neither stops
+// after IsolationTimeout. If only a minority reaches the log, the majority serves an
+// outdated configuration; RequireLog prevents this at the cost of availability.
 func (r Readiness) CanServe(now time.Time) bool {
 	if !r.ConfigLoaded || now.Sub(r.ServersUpdatedAt) > ServersMaxAge {
 		return false
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -40,8 +40,8 @@
 	// of both the suspicion and the refutation.
 	SuspicionTimeout = 6 * time.Second
 	// GoneRetention is how long a gone daemon stays in the table. Until then it counts
-	// as unreachable in InMajority, so that an isolated daemon does not mistake the
-	// few that it still reaches for the whole fleet.
+	// as unreachable in InMajority; otherwise an isolated daemon would be in the
+	// majority of the few that it still reaches.
 	GoneRetention = time.Hour
 	// probeHistorySize is the number of recent probes that InMajority considers.
 	probeHistorySize = 8
