--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -31,6 +31,7 @@
 	idleTimeout = 30 * time.Second
 )
 
+// envelope is the encoding of a request or response. Seq matches a response to its request.
 type envelope struct {
 	Seq   uint64          `cbor:"1,keyasint"`
 	Kind  string          `cbor:"2,keyasint,omitempty"`
@@ -47,6 +48,7 @@
 	return m
 }()
 
+// sign returns a header value with an ID, a time and their HMAC under the key.
 func sign(key, id string, now time.Time) string {
 	timestamp := strconv.FormatInt(now.Unix(), 10)
 	mac := hmac.New(sha256.New, []byte(key))
@@ -54,8 +56,8 @@
 	return id + " " + timestamp + " " + hex.EncodeToString(mac.Sum(nil))
 }
 
-// verify returns the ID of the signer. Without a key the network is trusted, and only the ID
-// is read: checking the time would only lock out daemons with a wrong clock.
+// verify returns the ID of the signer, and whether the signature is valid and recent. Without
+// a key the network is trusted, and neither the signature nor its time is checked.
 func verify(key, header string, now time.Time) (string, bool) {
 	parts := strings.Split(header, " ")
 	if len(parts) != 3 {
@@ -88,6 +90,7 @@
 	return &Client{self: self, key: key, tls: t, conns: map[string]*clientConn{}, OnBytes: func(int) {}}
 }
 
+// clientConn is a connection to one peer, shared by concurrent calls.
 type clientConn struct {
 	ws        *websocket.Conn
 	writeMu   sync.Mutex
