--- a/internal/feedtest/store.go
+++ b/internal/feedtest/store.go
@@ -55,7 +55,7 @@
 // Call identifies a kind of call to a topic.
 type Call struct{ Kind, Topic string }
 
-// The kinds of calls.
+// Kinds of calls, as in Call.Kind.
 const (
 	CallNewest, CallRead, CallEnd, CallAppend = "newest", "read", "end", "append"
 )
@@ -189,8 +189,8 @@
 	c.store.notifyChanged()
 }
 
-// HangPending makes the connections of waiting reads go silent forever, without a reset. New
-// calls work.
+// HangPending leaves the waiting reads unanswered forever, without a reset. New calls are
+// answered.
 func (c *Client) HangPending() {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
