--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -51,8 +51,8 @@
 	// Tokens is the prompt's length, MaxAnswerTokens the limit on generated tokens.
 	Tokens          int
 	MaxAnswerTokens int
-	// AnswerTokensHint is the client's estimate of the answer's length, correct at
-	// the median with a large variance; zero means no estimate.
+	// AnswerTokensHint is the client's rough estimate of the answer's length; zero
+	// means none.
 	AnswerTokensHint int
 	// Parts are the prompt's parts in order; requests share leading parts.
 	Parts []PromptPart
--- a/internal/relay/latency.go
+++ b/internal/relay/latency.go
@@ -31,7 +31,7 @@
 	// faster than their latency.
 	costExponent = 0.85
 	// referenceTokenTime is the prefill time per token in which pending work is
-	// measured: a model that takes twice as long counts double.
+	// expressed: the work of a model that takes twice as long counts double.
 	referenceTokenTime = 10 * time.Microsecond
 )
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -104,7 +104,7 @@
 func (r *Relay) RecordActivity(address string) { r.liveness.recordActivity(address) }
 
 // Drain makes the relay refuse requests whose deadline is after shutdownAt: a client
-// cannot tell whether a request that is aborted by the shutdown has run.
+// cannot determine whether a request that is aborted by the shutdown has run.
 func (r *Relay) Drain(shutdownAt time.Time) {
 	r.mu.Lock()
 	r.shutdownAt = shutdownAt
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -271,7 +271,7 @@
 		for _, s := range h.backend.sends {
 			models = append(models, s.Model)
 			if s.LastEvent != 7 {
-				t.Errorf("%s was asked to resume after %d", s.Model, s.LastEvent)
+				t.Errorf("request to %s resumes after %d", s.Model, s.LastEvent)
 			}
 		}
 		if out.body.String() != events(8, 9) || !slices.Equal(models, tt.want) {
@@ -375,7 +375,7 @@
 }
 
 // Guards against a reserve for failovers that exceeds the budget of one daemon of many,
-// so that no answer is escalated.
+// so that no response is escalated.
 func TestEscalationWithinSmallReserve(t *testing.T) {
 	h := newHarness(t, respondStream(10, nil, 0, 1), respondStream(90, nil, 0, 1))
 	h.relay.State.SetDaemons(30)
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -22,8 +22,8 @@
 	orders map[string]*orderState
 	// sessions holds the sessions seen within the idle timeout.
 	sessions sessionTracker
-	// baselines are the typical latency ratios of services on the version that carries
-	// the traffic.
+	// baselines are the typical latency ratios of services, without the responses of
+	// versions being rolled out.
 	baselines map[string]*rollout.LatencyBaseline
 	// storedPhases are the phases in the store, by service. A phase may be read before
 	// its order.
