--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -14,7 +14,7 @@
 
 const (
 	// initialBackoff and maxBackoff bound the pauses between reads while the store does
-	// not answer. They are short, so that missed changes are applied soon after recovery.
+	// not respond. They are short, so that missed changes are applied soon after recovery.
 	initialBackoff = 60 * time.Millisecond
 	maxBackoff     = 400 * time.Millisecond
 	// maxSoleReaderBackoff is the maximum for a follower whose records cannot be fetched
@@ -163,7 +163,7 @@
 		soleReader := f.mustReadLog.Swap(false)
 		f.skipWait = errors.Is(err, errReadAbandoned)
 		if f.skipWait {
-			// The log may answer other readers only.
+			// The log may respond to other readers only.
 			f.catchUp(ctx)
 			continue
 		}
--- a/internal/feed/pending.go
+++ b/internal/feed/pending.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// responseTimeout is how long the log may take to begin a response once it is due, and to
-// continue it. It does not limit the total time of a response, since a long record may take
-// longer over a slow link.
+// responseTimeout limits the delay of a due response and of each of its parts. The total time
+// of a response is not limited, since a long record may take longer over a slow link.
 const responseTimeout = 900 * time.Millisecond
 
 var (
--- a/internal/feed/pending_test.go
+++ b/internal/feed/pending_test.go
@@ -11,7 +11,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// chunkedLog answers reads in chunks, and then completes the response or goes silent.
+// chunkedLog responds to reads in chunks, and then completes the response or sends nothing more.
 type chunkedLog struct {
 	Log
 	chunks   int
