--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -41,7 +41,7 @@
 	livenessTimeoutCycles = 3
 	// addressRetention is how long an address without any contact is kept.
 	addressRetention = 60 * time.Second
-	// retryInterval is the pause between calls to an address that does not answer. An
+	// retryInterval is the pause between calls to an address that does not respond. An
 	// address added within startupWindow may belong to a starting daemon, and is called
 	// in every round.
 	retryInterval = time.Second
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -106,6 +106,6 @@
 		t.Errorf("sent after %s, want 5s", got)
 	}
 	if got := m.sentAfter(other.newStampedMessage("self:1", "self/0", 5000, false)); got != 0 {
-		t.Error("the clock of an earlier run was trusted")
+		t.Error("the clock of an earlier run was used")
 	}
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -46,7 +46,7 @@
 	// WantsEvidence reports that the daemon evaluates roll-outs and needs the evidence of
 	// the others.
 	WantsEvidence bool `cbor:"19,keyasint,omitempty"`
-	// Suspects lists addresses that did not answer the sender recently. The receiver calls
+	// Suspects lists addresses that recently did not respond to the sender. The receiver calls
 	// them next.
 	Suspects []string `cbor:"20,keyasint,omitempty"`
 	// Quarantine holds recent changes of the quarantine.
--- a/internal/gossip/suspects.go
+++ b/internal/gossip/suspects.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// recentFailures returns up to maxSuspects addresses that recently failed to answer.
+// recentFailures returns up to maxSuspects addresses that recently did not respond.
 // Callers hold mu.
 func (m *Members) recentFailures(now time.Time) (out []string) {
 	for _, other := range m.failedMembers {
