--- a/internal/membership/endpoints_test.go
+++ b/internal/membership/endpoints_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Clients close connections to addresses missing from an answer, so all daemons have to
+// Clients close connections to addresses missing from a response, so all daemons have to
 // return the same list, and the loss of a daemon must not change the rest of it.
 func TestSelectEndpointsIsConsistentAcrossDaemons(t *testing.T) {
 	all := readyEndpoints(195, 6)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -64,8 +64,8 @@
 // enqueueRumor schedules the state of a daemon for dissemination.
 func (t *Table) enqueueRumor(id string, s State) { t.rumors[id] = &pendingRumor{state: s} }
 
-// MarkAlive applies the info that a daemon sent itself, in a probe or its answer. Direct
-// contact marks it alive here; for others it has to refute a suspicion itself.
+// MarkAlive applies the info that a daemon sent itself, in a probe or its response. Direct
+// contact marks it alive in this table only; it refutes a suspicion to the others itself.
 func (t *Table) MarkAlive(info DaemonInfo, now time.Time) {
 	old, admitted := t.admit(info)
 	if !admitted {
@@ -175,7 +175,7 @@
 	delete(t.rumors, id)
 }
 
-// RecordProbe records the outcome of a probe. An alive daemon that did not answer becomes
+// RecordProbe records the outcome of a probe. An alive daemon that did not respond becomes
 // suspect, and the suspicion is announced.
 func (t *Table) RecordProbe(id string, ok bool, now time.Time) {
 	t.probeResults = append(t.probeResults, probeResult{now, ok})
