--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// track adds an open connection or removes a closed one, and reports whether the server is open.
 func (s *Server) track(c *websocket.Conn, open bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
