--- a/internal/feedtest/store.go
+++ b/internal/feedtest/store.go
@@ -287,7 +287,7 @@
 	if err := c.startCall(ctx, CallRead, topicName); err != nil {
 		return nil, 0, err
 	}
-	var expired <-chan time.Time // nil without a wait: see loop.Pause
+	var expired <-chan time.Time // nil without a wait: see loop.Sleep
 	if wait > 0 {
 		expired = time.After(wait)
 	}
