--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -15,15 +15,15 @@
 // gatedState returns the state of the only daemon, with servers a in "east" and b in "west".
 func gatedState(t *testing.T, warmAt time.Duration) (*State, *fakeClock) {
 	t.Helper()
-	c := &fakeClock{now: time.Minute}
-	s := NewState("d1", "", c.read)
+	clock := &fakeClock{now: time.Minute}
+	s := NewState("d1", "", clock.read)
 	s.SetSlowStartView(slowstart.View{Self: 1, Trusted: true})
 	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		for id, domain := range map[string]string{"a": "east", "b": "west"} {
 			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: id}, Service: "s", Address: id, FailureDomain: domain, Slots: 4, WarmAt: warmAt})
 		}
 	})
-	return s, c
+	return s, clock
 }
 
 func gatedRequirements() requirements {
@@ -72,7 +72,7 @@
 // Guards against exceeding the limit of warming servers, and against refusals without a
 // Retry-After.
 func TestWarmingServersAreRateLimited(t *testing.T) {
-	s, c := gatedState(t, time.Minute+2*time.Second)
+	s, clock := gatedState(t, time.Minute+2*time.Second)
 	sent, refused := 0, 0
 	for range 100 {
 		req := gatedRequirements()
@@ -85,12 +85,12 @@
 		default:
 			refused++
 		}
-		c.now += 10 * time.Millisecond
+		clock.now += 10 * time.Millisecond
 	}
 	if most := 2 * warmUpLimit.Bound() / 2; sent == 0 || sent > most || refused == 0 {
 		t.Errorf("%d requests sent to two servers in one second, %d refused", sent, refused)
 	}
-	c.now = time.Minute + 2*time.Second
+	clock.now = time.Minute + 2*time.Second
 	for range 100 {
 		req := gatedRequirements()
 		if _, err := s.pick(&req, 10); err != nil {
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -24,11 +24,11 @@
 }
 
 func newCall(path, body string) *Call {
-	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Body: []byte(body), Key: "k", LastEvent: NoEvent, Received: time.Now()}
+	call := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Body: []byte(body), Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
-		c.Model, c.Prompt = AnyModel, Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
+		call.Model, call.Prompt = AnyModel, Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
-	return c
+	return call
 }
 
 // fingerprintOf returns the fingerprint of a request that callWithBody sends.
@@ -108,7 +108,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, respondStream(0, nil, 1, 2), respondStream(90, nil, 1, 2, 3))
 		h.callWithBody("/s/1", "x")
-		f := fingerprintOf("/s/1", "x")
+		fingerprint := fingerprintOf("/s/1", "x")
 		server := h.backend.sends[0].Server
 		mergeEnd := func(age time.Duration) {
 			h.relay.Guard.Merge(quarantine.Update{Crashes: []quarantine.Crash{{
@@ -118,7 +118,7 @@
 		*h.clock = fakeClock{now: h.clock.now + 2*time.Second}
 		time.Sleep(2 * time.Second)
 		mergeEnd(1900 * time.Millisecond)
-		if n := h.relay.Guard.Check(f).Crashes; n != 0 {
+		if n := h.relay.Guard.Check(fingerprint).Crashes; n != 0 {
 			t.Fatalf("completed request is suspected for %d ends", n)
 		}
 	})
@@ -199,8 +199,8 @@
 func TestSuspectRequestsAreSpreadOverServers(t *testing.T) {
 	h := newHarness(t, respond(200, ""))
 	perServer := map[string]int{}
-	for f := quarantine.Fingerprint(1); f <= 60; f++ {
-		req := &requirements{service: "app", fingerprint: f, standing: quarantine.Status{Crashes: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
+	for fingerprint := quarantine.Fingerprint(1); fingerprint <= 60; fingerprint++ {
+		req := &requirements{service: "app", fingerprint: fingerprint, standing: quarantine.Status{Crashes: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
 		first := ""
 		for range 3 {
 			got, err := h.relay.State.pick(req, 100)
@@ -208,7 +208,7 @@
 				t.Fatal(err)
 			}
 			if first != "" && got.server.ID != first {
-				t.Fatalf("request %d is sent to %s and %s", f, first, got.server.ID)
+				t.Fatalf("request %d is sent to %s and %s", fingerprint, first, got.server.ID)
 			}
 			first = got.server.ID
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -101,8 +101,8 @@
 
 func newHarness(t *testing.T, script ...func(BackendRequest) (*BackendResponse, error)) *harness {
 	t.Helper()
-	c := &fakeClock{now: time.Minute}
-	s := NewState("d1", "", c.read)
+	clock := &fakeClock{now: time.Minute}
+	s := NewState("d1", "", clock.read)
 	b := &fakeBackend{script: script}
 	models := []string{"small", "middle", "large"}
 	table, err := route.NewTable(route.Document{
@@ -127,19 +127,19 @@
 			_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: fmt.Sprint("a", i)}, Service: "app", Address: fmt.Sprintf("10.0.1.%d:1", i), Slots: 4, Version: "v1"})
 		}
 	})
-	s.Confirm(freshness.Configuration, freshness.Confirmation{At: c.now, Source: freshness.FromStore})
+	s.Confirm(freshness.Configuration, freshness.Confirmation{At: clock.now, Source: freshness.FromStore})
 	options := Options{MaxKeyStaleness: 4 * time.Second, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50}
-	return &harness{New(s, b, options, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
+	return &harness{New(s, b, options, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, clock}
 }
 
 func (h *harness) call(path string) *fakeResponseWriter {
 	out := &fakeResponseWriter{}
-	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Key: "k", LastEvent: NoEvent, Received: time.Now()}
+	call := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
-		c.Model = AnyModel
-		c.Prompt = Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
+		call.Model = AnyModel
+		call.Prompt = Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
-	h.relay.Serve(context.Background(), c, out)
+	h.relay.Serve(context.Background(), call, out)
 	return out
 }
 
@@ -389,8 +389,8 @@
 func TestSendTimeoutIsTimeLeft(t *testing.T) {
 	h := newHarness(t, respond(500, "x"), respond(200, "y"))
 	out := &fakeResponseWriter{}
-	c := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Timeout: time.Second}
-	h.relay.Serve(context.Background(), c, out)
+	call := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Timeout: time.Second}
+	h.relay.Serve(context.Background(), call, out)
 	if len(h.backend.sends) != 2 {
 		t.Fatalf("%d sends", len(h.backend.sends))
 	}
@@ -407,8 +407,8 @@
 		return nil, &upstream.Error{Reason: upstream.Canceled, Sent: true, Err: context.DeadlineExceeded}
 	}
 	out := &fakeResponseWriter{}
-	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Timeout: time.Minute}
-	h.relay.Serve(context.Background(), c, out)
+	call := &Call{ID: "id1", Host: "h", Method: "POST", Target: "/p/x", Path: "/p/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-3 * time.Second), Timeout: time.Minute}
+	h.relay.Serve(context.Background(), call, out)
 	if out.refusal == nil || out.refusal.Kind != fault.DeadlineExceeded || out.refusal.ExecutionState() == fault.NotRun {
 		t.Errorf("refused with %+v after the route timeout", out.refusal)
 	}
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -290,8 +290,8 @@
 
 func (o *orderState) evidence() rollout.Evidence {
 	var e rollout.Evidence
-	for _, c := range o.ownEvidence {
-		e = append(e, *c)
+	for _, counts := range o.ownEvidence {
+		e = append(e, *counts)
 	}
 	return e
 }
@@ -337,21 +337,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []PhaseChange
-	for _, o := range r.orders {
-		if o.phase.Final() {
+	for _, order := range r.orders {
+		if order.phase.Final() {
 			continue
 		}
-		allEvidence, oldInFlight := []rollout.Evidence{o.evidence()}, o.oldInFlight
-		for incarnation, p := range o.peerReports {
+		allEvidence, oldInFlight := []rollout.Evidence{order.evidence()}, order.oldInFlight
+		for incarnation, p := range order.peerReports {
 			allEvidence = append(allEvidence, p.Evidence)
 			if alive(incarnation) {
 				oldInFlight += p.OldInFlight
 			}
 		}
 		total := rollout.Sum(allEvidence...)
-		age := r.now().Sub(o.orderedAt)
-		if p, reason := rollout.DefaultOrderPolicy().NextPhase(o.Order, o.phase, age, total, oldInFlight); p != o.phase {
-			out = append(out, PhaseChange{o.Order, p, age, reason})
+		age := r.now().Sub(order.orderedAt)
+		if p, reason := rollout.DefaultOrderPolicy().NextPhase(order.Order, order.phase, age, total, oldInFlight); p != order.phase {
+			out = append(out, PhaseChange{order.Order, p, age, reason})
 		}
 	}
 	return out
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -26,15 +26,15 @@
 	r := testRollouts()
 	r.ApplyStoredPhase(StoredPhase{Service: "s", OrderOffset: 7, Phase: rollout.Full, OrderAge: 15 * time.Second})
 	r.Suspend("s", 7, "slow")
-	if c := r.ChooseVersion("s", "", 1); !c.Preferred("v1") || c.Preferred("v2") {
+	if choice := r.ChooseVersion("s", "", 1); !choice.Preferred("v1") || choice.Preferred("v2") {
 		t.Fatal("suspended version is preferred")
 	}
 	r.ApplyStoredPhase(StoredPhase{Service: "s", OrderOffset: 7, Phase: rollout.Completed, OrderAge: 20 * time.Second})
-	if c := r.ChooseVersion("s", "", 1); !c.Preferred("v2") || c.Preferred("v1") {
+	if choice := r.ChooseVersion("s", "", 1); !choice.Preferred("v2") || choice.Preferred("v1") {
 		t.Fatal("old version is preferred after completion")
 	}
 	r.Suspend("s", 7, "slow")
-	if c := r.ChooseVersion("s", "", 1); !c.Preferred("v2") {
+	if choice := r.ChooseVersion("s", "", 1); !choice.Preferred("v2") {
 		t.Fatal("finished order was suspended")
 	}
 }
@@ -107,7 +107,7 @@
 	none := func(string, string) int { return 0 }
 	evaluator.Suspend("s", 7, "errors")
 	other.ApplyReports("judge/1", evaluator.Reports(none, false, true))
-	if c := other.ChooseVersion("s", "", 1); c.Preferred("v2") {
+	if choice := other.ChooseVersion("s", "", 1); choice.Preferred("v2") {
 		t.Error("suspended version is preferred")
 	}
 	third.ApplyReports("other/1", other.Reports(none, false, false))
@@ -162,7 +162,7 @@
 	r.AddOrder(rollout.Order{Service: "s", Target: "v3", Offset: uint64(feed.NewPosition(1, 12))})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if o := r.orders["s"]; o.Target != "v3" || o.phase.Final() {
-		t.Errorf("order with another target was matched: %+v", o)
+	if order := r.orders["s"]; order.Target != "v3" || order.phase.Final() {
+		t.Errorf("order with another target was matched: %+v", order)
 	}
 }
--- a/internal/relay/state_test.go
+++ b/internal/relay/state_test.go
@@ -20,8 +20,8 @@
 // Guards against keeping a lapsed server until the next record: its grace period ends
 // without one.
 func TestLapsedServerIsDroppedAtExpiry(t *testing.T) {
-	c := &fakeClock{now: time.Minute}
-	s := NewState("d1", "", c.read)
+	clock := &fakeClock{now: time.Minute}
+	s := NewState("d1", "", clock.read)
 	s.UpdateServers(func(r *backend.Registry, _ time.Duration) {
 		_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
 	})
@@ -31,7 +31,7 @@
 	if _, err := s.pick(&req, 10); err != nil {
 		t.Fatalf("server that lapsed in an outage was dropped at once: %v", err)
 	}
-	c.now += 2400 * time.Millisecond
+	clock.now += 2400 * time.Millisecond
 	if _, err := s.pick(&req, 10); err == nil {
 		t.Fatal("picked a lapsed server")
 	}
@@ -40,17 +40,17 @@
 // Guards against dropping all servers whose entries expired during an outage of the store,
 // before they can register again.
 func TestServersReregisteredAfterOutageAreKept(t *testing.T) {
-	c := &fakeClock{now: time.Minute}
-	s := NewState("d1", "", c.read)
+	clock := &fakeClock{now: time.Minute}
+	s := NewState("d1", "", clock.read)
 	put := func(r *backend.Registry, _ time.Duration) {
 		_, _ = r.Put(backend.Server{Incarnation: backend.Incarnation{Name: "a"}, Service: "s", Address: "10.0.0.1:80", Slots: 4})
 	}
 	s.UpdateServers(put)
 	s.StoreRecovered()
 	s.UpdateServers(func(r *backend.Registry, now time.Duration) { r.Remove("a", now) })
-	c.now += time.Second
+	clock.now += time.Second
 	s.UpdateServers(put)
-	c.now += time.Hour
+	clock.now += time.Hour
 	req := requirements{service: "s", versions: anyVersionChoice()}
 	if _, err := s.pick(&req, 10); err != nil {
 		t.Fatalf("reregistered server was dropped: %v", err)
