--- a/internal/node/config_version.go
+++ b/internal/node/config_version.go
@@ -46,10 +46,10 @@
 }
 
 // observeConfigVersion records a peer's version if it is newer and the peer has read no further.
-func (n *Node) observeConfigVersion(p gossip.Message) {
-	next := p.NextPosition(n.topicIndex(n.topics.Operator))
-	if p.ConfigVersion > n.configVersion() && n.operatorFollower.Loaded() && next > 0 && n.operatorFollower.Next() >= next {
-		n.newerConfig.observe(p.ConfigVersion, n.deps.BootTime())
+func (n *Node) observeConfigVersion(message gossip.Message) {
+	next := message.NextPosition(n.topicIndex(n.topics.Operator))
+	if message.ConfigVersion > n.configVersion() && n.operatorFollower.Loaded() && next > 0 && n.operatorFollower.Next() >= next {
+		n.newerConfig.observe(message.ConfigVersion, n.deps.BootTime())
 	}
 }
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// minDrainTime is the shortest time for which a leaving daemon keeps serving: callers
-	// cache the directory's answer for its TTL.
+	// minDrainTime is the shortest time for which a leaving daemon keeps serving: clients
+	// cache the directory's response for its TTL.
 	minDrainTime = 2500 * time.Millisecond
 	// minIdleTime is the time without an accepted request after which the daemon may exit
-	// before the end of the grace period. Refused requests do not count: their callers fail
+	// before the end of the grace period. Refused requests do not count: their clients fail
 	// over faster once the daemon is gone.
 	minIdleTime = 600 * time.Millisecond
 	// refuseLongAfter is the time after which requests that could outlast the daemon are refused.
 	refuseLongAfter = 2700 * time.Millisecond
-	// responseMargin is the time between the limit response and the end of the drain.
+	// responseMargin is the time between the latest deadline of an accepted request and the
+	// end of the drain.
 	responseMargin = 100 * time.Millisecond
 	// killMargin is the time between the end of the drain and SIGKILL.
 	killMargin = 300 * time.Millisecond
@@ -23,7 +24,8 @@
 	drainPollInterval = 50 * time.Millisecond
 )
 
-// Drain keeps serving until callers have moved on and no request is active, or the grace period ends.
+// Drain keeps serving until no request is active and clients no longer send any, or the grace
+// period ends.
 func (n *Node) Drain(ctx context.Context) {
 	start := time.Now()
 	n.leaving.Store(true)
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -16,25 +16,25 @@
 	restored := n.restored.consume(freshness.Configuration)
 	listed := map[string]bool{}
 	for _, r := range records {
-		e, ok := n.deps.Codec.DecodeEvacuation(r)
+		evacuation, ok := n.deps.Codec.DecodeEvacuation(r)
 		if !ok {
 			continue
 		}
-		listed[e.FailureDomain] = !e.Revoked
-		if e.Revoked {
-			n.readmit(e.FailureDomain, r.At)
+		listed[evacuation.FailureDomain] = !evacuation.Revoked
+		if evacuation.Revoked {
+			n.readmit(evacuation.FailureDomain, r.At)
 			continue
 		}
-		if n.state.Evacuate(e.FailureDomain) {
-			n.log.Warn("failure domain evacuated", "failure_domain", e.FailureDomain, "at", r.At)
+		if n.state.Evacuate(evacuation.FailureDomain) {
+			n.log.Warn("failure domain evacuated", "failure_domain", evacuation.FailureDomain, "at", r.At)
 		}
 	}
 	if !complete || restored {
 		return
 	}
-	for _, e := range n.state.Evacuations() {
-		if !listed[e.FailureDomain] {
-			n.readmit(e.FailureDomain, 0)
+	for _, evacuation := range n.state.Evacuations() {
+		if !listed[evacuation.FailureDomain] {
+			n.readmit(evacuation.FailureDomain, 0)
 		}
 	}
 }
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -13,8 +13,8 @@
 
 // evacuated reports whether the daemon has a failure domain marked as evacuated.
 func (n *Node) evacuated(domain string) bool {
-	for _, e := range n.state.Evacuations() {
-		if e.FailureDomain == domain {
+	for _, evacuation := range n.state.Evacuations() {
+		if evacuation.FailureDomain == domain {
 			return true
 		}
 	}
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -19,7 +19,7 @@
 	fallbackReadFraction = 0.9
 	// minCheckRetryDelay is the shortest delay after a failed store check.
 	minCheckRetryDelay = time.Second
-	// minOutage is the shortest time without an answer that counts as an outage. Server
+	// minOutage is the shortest time without a response that counts as an outage. Server
 	// entries expire after a few missed heartbeats only.
 	minOutage = 1500 * time.Millisecond
 	// maxReadyAge is the confirmation age from which the daemon is not ready.
@@ -67,7 +67,7 @@
 	return time.Duration(fraction * float64(n.config.ConfigPropagationLimit))
 }
 
-// Ready reports whether callers should be sent to this daemon. A daemon that is partitioned from
+// Ready reports whether clients should be sent to this daemon. A daemon that is partitioned from
 // the store still serves with confirmations from peers, but is not ready.
 func (n *Node) Ready() bool {
 	return !n.leaving.Load() && n.state.Ready() && !n.configOutdated() && n.state.ConfirmedWithin(freshness.Configuration, maxReadyAge) && n.storeContactAge() < n.ownCheckInterval()+ownCheckGrace
@@ -136,7 +136,7 @@
 	n.partitioned.Store(false)
 }
 
-// recordUnanswered records a call that the store did not answer. If a peer's confirmation is
+// recordUnanswered records a call without a response of the store. If a peer's confirmation is
 // newer than the first such call, this daemon is partitioned from the store.
 func (n *Node) recordUnanswered() {
 	now := n.deps.BootTime()
@@ -169,11 +169,10 @@
 	}
 }
 
-// detectOutageEnd restores expired server entries at the end of an outage, which is a long time in
-// which no daemon confirmed the entries and this daemon's calls were unanswered. Neither
-// condition is enough alone: a partitioned daemon's calls fail although peers confirm, and an
-// isolated or busy daemon hears no confirmations although the store is up. Both would keep
-// removed servers in use.
+// detectOutageEnd restores expired server entries at the end of an outage: no daemon confirmed the
+// entries for long, and this daemon's calls were unanswered for at least minOutage. One condition
+// alone also holds for a partitioned, isolated or busy daemon while the store is up, and removed
+// servers would stay in use.
 func (n *Node) detectOutageEnd(gap time.Duration) {
 	since := time.Duration(n.unansweredSince.Load())
 	if since == 0 || n.deps.BootTime()-since < minOutage || !n.checkPlan[freshness.Servers].IsOutage(gap) {
@@ -200,14 +199,14 @@
 	return n.ownCheckInterval() - n.storeContactAge()
 }
 
-// applyPeerConfirmations applies another daemon's confirmations. Their ages count from a boot
-// time before which the message was not built, so delay in transit cannot make them look
-// fresher. A confirmation counts only if this daemon has read at least as far as the peer.
-func (n *Node) applyPeerConfirmations(p gossip.Message, after time.Duration) {
+// applyPeerConfirmations applies another daemon's confirmations, if this daemon has read at least
+// as far. Their ages count from after, a boot time before which the message was not built, so that
+// delay in transit does not make them appear fresher.
+func (n *Node) applyPeerConfirmations(message gossip.Message, after time.Duration) {
 	for subject := range freshness.Subjects {
-		age, known := p.Age(subject)
-		if known && n.followers[subject].Next() >= p.NextPosition(int(subject)) {
-			n.applyConfirmation(subject, freshness.Confirmation{At: after - age, Source: p.Name})
+		age, known := message.Age(subject)
+		if known && n.followers[subject].Next() >= message.NextPosition(int(subject)) {
+			n.applyConfirmation(subject, freshness.Confirmation{At: after - age, Source: message.Name})
 		}
 	}
 }
--- a/internal/node/gossip_cost_test.go
+++ b/internal/node/gossip_cost_test.go
@@ -33,8 +33,8 @@
 			messages := addPeers(n, daemons-1)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				p := messages[i%len(messages)]
-				n.members.Receive(p.Address, p)
+				message := messages[i%len(messages)]
+				n.members.Receive(message.Address, message)
 				_, _ = n.rank(), n.buildMessage(false)
 			}
 		})
@@ -48,16 +48,16 @@
 		n.loadTestState()
 		messages, i := addPeers(n, daemons-1), 0
 		return testing.AllocsPerRun(2000, func() {
-			p := messages[i%len(messages)]
-			n.members.Receive(p.Address, p)
+			message := messages[i%len(messages)]
+			n.members.Receive(message.Address, message)
 			_, _ = n.rank(), n.buildMessage(false)
 			i++
 		})
 	}
 	small := cost(6)
 	for _, daemons := range []int{60, 195, 520} {
-		if c := cost(daemons); c > small {
-			t.Errorf("%.0f allocations with %d daemons, %.0f with 6", c, daemons, small)
+		if allocs := cost(daemons); allocs > small {
+			t.Errorf("%.0f allocations with %d daemons, %.0f with 6", allocs, daemons, small)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,7 +28,7 @@
 	// Name is stable across restarts.
 	Name          string
 	FailureDomain string
-	// ClientAddress is the address for callers, ControlAddress the one for other daemons.
+	// ClientAddress is the address for clients, ControlAddress the one for other daemons.
 	ClientAddress, ControlAddress string
 	// Seeds are control addresses of other daemons; they may be stale.
 	Seeds []string
@@ -81,7 +81,7 @@
 	DecodeOperator(r feed.Record) (OperatorRecord, error)
 	// DecodeEvacuation returns false for a record of another kind.
 	DecodeEvacuation(r feed.Record) (Evacuation, bool)
-	// DecodeServer returns the server of an entry. The error is a *backend.BadEntry.
+	// DecodeServer returns the server of an entry. The error is a *backend.InvalidEntryError.
 	DecodeServer(r feed.Record) (backend.Server, error)
 	// DecodeStatus returns false for a record of another kind.
 	DecodeStatus(r feed.Record) (RolloutStatus, bool, error)
@@ -130,13 +130,13 @@
 	invalidEntries invalidEntries
 	registered     atomic.Bool
 	leaving        atomic.Bool
-	// lastStoreContact is the boot time, in ns, at which the newest read was sent that the
-	// store itself answered and that found this daemon up to date.
+	// lastStoreContact is the boot time, in ns, at which this daemon sent its last read that
+	// the store itself confirmed as current.
 	lastStoreContact atomic.Int64
 	// unansweredSince is the boot time, in ns, of the first unanswered call to the store;
 	// zero once a call is answered.
 	unansweredSince atomic.Int64
-	// partitioned is set while the store answers other daemons but not this one.
+	// partitioned is set while the store responds to other daemons but not to this one.
 	partitioned atomic.Bool
 	// lastFallbackRead is the boot time, in ns, at which the store last confirmed a configuration whose
 	// confirmation was overdue; zero if it never did.
@@ -157,21 +157,21 @@
 }
 
 // New returns a daemon that is not running yet.
-func New(ctx context.Context, c Config, p Dependencies) *Node {
-	n := &Node{config: c, deps: p, log: p.Logger, topics: p.Codec.Topics(), checkPlan: newCheckPlan(c.ConfigPropagationLimit, c.ServerDrainLimit), invalidEntries: invalidEntries{}, startedAt: p.BootTime(), storedHolds: newStoredHolds()}
-	n.incarnation = c.Name + "/" + strconv.FormatUint(rand.Uint64(), 36)
-	n.state = relay.NewState(c.Name, c.FailureDomain, p.BootTime)
-	n.Relay = relay.New(n.state, p.Backend, c.RelayOptions, p.Metrics, p.Logger)
-	n.peerClient = peer.NewClient(c.Name, "", nil)
+func New(ctx context.Context, config Config, deps Dependencies) *Node {
+	n := &Node{config: config, deps: deps, log: deps.Logger, topics: deps.Codec.Topics(), checkPlan: newCheckPlan(config.ConfigPropagationLimit, config.ServerDrainLimit), invalidEntries: invalidEntries{}, startedAt: deps.BootTime(), storedHolds: newStoredHolds()}
+	n.incarnation = config.Name + "/" + strconv.FormatUint(rand.Uint64(), 36)
+	n.state = relay.NewState(config.Name, config.FailureDomain, deps.BootTime)
+	n.Relay = relay.New(n.state, deps.Backend, config.RelayOptions, deps.Metrics, deps.Logger)
+	n.peerClient = peer.NewClient(config.Name, "", nil)
 	var peers gossip.Transport = gossip.PeerTransport{Client: n.peerClient}
-	if p.PeerTransport != nil {
-		peers = p.PeerTransport
+	if deps.PeerTransport != nil {
+		peers = deps.PeerTransport
 	}
-	n.members = gossip.New(c.Name, c.ControlAddress, n.incarnation, n.buildMessage, peers, p.BootTime, p.Logger)
+	n.members = gossip.New(config.Name, config.ControlAddress, n.incarnation, n.buildMessage, peers, deps.BootTime, deps.Logger)
 	n.members.OnMessage, n.members.OnWorkChanged = n.handleMessage, n.state.AddPeerWork
 	n.members.QuarantineUpdate = n.Relay.Guard.Update
 	n.Relay.ConfigOutdated = n.configOutdated
-	n.members.AddAddresses(c.Seeds...)
+	n.members.AddAddresses(config.Seeds...)
 	n.initFollowers(ctx)
 	return n
 }
@@ -206,17 +206,17 @@
 // buildMessage returns this daemon's gossip message, optionally with roll-out evidence.
 func (n *Node) buildMessage(evidence bool) gossip.Message {
 	evaluator := n.isEvaluator()
-	p := gossip.Message{
+	message := gossip.Message{
 		Incarnation: n.incarnation, Name: n.config.Name, Address: n.config.ControlAddress, ClientAddress: n.config.ClientAddress,
 		FailureDomain: n.config.FailureDomain, Ready: n.Ready(), Leaving: n.leaving.Load(), Eligible: n.eligible(),
 		Work: n.state.OwnWork(), Orders: n.Relay.Rollouts.Reports(n.state.InFlightOnOtherVersions, evidence, evaluator), Ages: n.confirmationAges(), WantsEvidence: evaluator,
 	}
 	for _, f := range n.followers {
-		p.NextPositions = append(p.NextPositions, f.Next())
+		message.NextPositions = append(message.NextPositions, f.Next())
 	}
-	p.Placed, p.PlacedRound = n.placements.CurrentRound(n.state.DrainPlacements, time.Now())
-	p.ConfigVersion = n.configVersion()
-	return p
+	message.Placed, message.PlacedRound = n.placements.CurrentRound(n.state.DrainPlacements, time.Now())
+	message.ConfigVersion = n.configVersion()
+	return message
 }
 
 // confirmationAges returns the age of each subject's newest confirmation in milliseconds.
@@ -233,18 +233,18 @@
 
 // handleMessage applies another daemon's message. After is a boot time before which the
 // message was not built, or zero if that is unknown.
-func (n *Node) handleMessage(p gossip.Message, after time.Duration) {
+func (n *Node) handleMessage(message gossip.Message, after time.Duration) {
 	for i, f := range n.followers {
-		f.ObservePeerPosition(p.NextPosition(i))
+		f.ObservePeerPosition(message.NextPosition(i))
 	}
-	n.observeConfigVersion(p)
+	n.observeConfigVersion(message)
 	if after != 0 {
-		n.applyPeerConfirmations(p, after)
+		n.applyPeerConfirmations(message, after)
 	}
-	n.Relay.Rollouts.ApplyReports(p.Incarnation, p.Orders)
-	n.Relay.Guard.Merge(p.Quarantine)
-	if n.placements.MarkSeen(p.Incarnation, p.PlacedRound) {
-		n.state.ApplyPlacements(p.Placed)
+	n.Relay.Rollouts.ApplyReports(message.Incarnation, message.Orders)
+	n.Relay.Guard.Merge(message.Quarantine)
+	if n.placements.MarkSeen(message.Incarnation, message.PlacedRound) {
+		n.state.ApplyPlacements(message.Placed)
 	}
 	n.state.SetDaemons(n.liveDaemons())
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// Guards against callers that are sent to a daemon which is partitioned from the store.
+// Guards against clients that are sent to a daemon which is partitioned from the store.
 func TestPeerConfirmationsAloneDoNotMakeNodeReady(t *testing.T) {
 	n, now := newTestNode(t)
 	n.loadTestState()
@@ -310,13 +310,13 @@
 		n.EachServer("s", func(string) { count++ })
 		return count
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		value string
 		want  int
 	}{{"ready 100", 1}, {"leaving 100", 0}, {"ready 200", 1}, {"leaving 100", 1}, {"leaving 200", 0}, {"leaving 300", 0}, {"ready 300", 1}} {
-		n.applyServerRecords([]feed.Record{{Key: "a", Value: []byte(c.value)}}, false)
-		if usable() != c.want {
-			t.Errorf("after %q: %d usable servers", c.value, usable())
+		n.applyServerRecords([]feed.Record{{Key: "a", Value: []byte(tt.value)}}, false)
+		if usable() != tt.want {
+			t.Errorf("after %q: %d usable servers", tt.value, usable())
 		}
 	}
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -134,7 +134,7 @@
 }
 
 // Guards against requests to a removed server from a daemon that was partitioned from the store and
-// mistakes the removal for an outage.
+// treats the removal as an outage.
 func TestPartitionedDaemonAppliesRemovals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -148,8 +148,8 @@
 	})
 }
 
-// Guards against requests to a removed server from a daemon that was isolated and mistakes the
-// removal for an outage.
+// Guards against requests to a removed server from a daemon that was isolated and treats the
+// removal as an outage.
 func TestIsolatedDaemonAppliesRemovals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -42,7 +42,7 @@
 	n.state.SetTable(t)
 }
 
-// send sends a request to a daemon and returns what its caller received.
+// send sends a request to a daemon and returns what the client received.
 func (f *fleet) send(daemon int, id, body string) *callerRecorder {
 	out := &callerRecorder{}
 	m := f.member(address(daemon))
@@ -51,8 +51,8 @@
 		time.Sleep(2 * latency)
 		return out
 	}
-	c := &relay.Call{ID: id, Host: "h", Method: http.MethodPost, Target: "/r", Path: "/r", Body: []byte(body), LastEvent: relay.NoEvent, Received: time.Now()}
-	m.Relay.Serve(f.t.Context(), c, out)
+	call := &relay.Call{ID: id, Host: "h", Method: http.MethodPost, Target: "/r", Path: "/r", Body: []byte(body), LastEvent: relay.NoEvent, Received: time.Now()}
+	m.Relay.Serve(f.t.Context(), call, out)
 	return out
 }
 
@@ -61,7 +61,7 @@
 	daemons, servers int
 	// crashingRequests is the number of distinct crashing requests; zero means one.
 	crashingRequests int
-	// backgroundCallers is the number of concurrent background callers.
+	// backgroundCallers is the number of clients that send background requests concurrently.
 	backgroundCallers int
 	seed              uint64
 	// midway is called in the middle of the scenario. Sends before the returned time are not
@@ -95,8 +95,8 @@
 		f.store.Put("op", "config", []byte("5"))
 		f.store.Put("servers", "a", nil)
 		f.store.Put("servers", "b", nil)
-		e := enginetest.New(p.servers, func(id string, value []byte) { f.store.Put("servers", id, value) })
-		f.backend = e
+		engines := enginetest.New(p.servers, func(id string, value []byte) { f.store.Put("servers", id, value) })
+		f.backend = engines
 		for i := range p.daemons {
 			f.start(i)
 		}
@@ -110,8 +110,8 @@
 		}
 		time.Sleep(time.Second)
 		var callers sync.WaitGroup
-		for d := range max(1, p.crashingRequests) {
-			callers.Go(func() { p.sendCrashing(f, d, &mu, &out) })
+		for which := range max(1, p.crashingRequests) {
+			callers.Go(func() { p.sendCrashing(f, which, &mu, &out) })
 		}
 		var excusedUntil time.Time
 		if p.midway != nil {
@@ -121,7 +121,7 @@
 		callers.Wait()
 		stop()
 		wg.Wait()
-		out.evaluate(e, excusedUntil)
+		out.evaluate(engines, excusedUntil)
 		f.stopAll()
 		time.Sleep(2 * enginetest.RestartDelay)
 	})
@@ -136,11 +136,11 @@
 		time.Sleep(time.Duration(40+rng.IntN(260)) * time.Millisecond)
 		to, body := rng.IntN(p.daemons), fmt.Sprint(enginetest.CrashPrefix, " ", which)
 		wg.Go(func() {
-			a := f.send(to, fmt.Sprint("d", which, ".", i), body)
+			response := f.send(to, fmt.Sprint("d", which, ".", i), body)
 			mu.Lock()
 			defer mu.Unlock()
-			if a.refusal != nil {
-				out.refusalKinds[a.refusal.Kind]++
+			if response.refusal != nil {
+				out.refusalKinds[response.refusal.Kind]++
 			}
 		})
 	}
@@ -153,18 +153,18 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		name := fmt.Sprint("h", caller, ".", i)
 		for range 3 { // two retries
-			a := f.send(rng.IntN(p.daemons), name, name)
+			response := f.send(rng.IntN(p.daemons), name, name)
 			mu.Lock()
 			switch {
-			case a.refusal != nil && a.refusal.Kind == "quarantined":
+			case response.refusal != nil && response.refusal.Kind == "quarantined":
 				out.quarantined++
-			case a.refusal != nil || a.cut:
+			case response.refusal != nil || response.cut:
 				out.refused++
 			default:
 				out.answered++
 			}
 			mu.Unlock()
-			if a.refusal == nil && !a.cut {
+			if response.refusal == nil && !response.cut {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -172,9 +172,9 @@
 	}
 }
 
-func (r *crashResult) evaluate(e *enginetest.Engines, excusedUntil time.Time) {
-	sends := e.Sends()
-	for body, crashTimes := range e.Crashes() {
+func (r *crashResult) evaluate(engines *enginetest.Engines, excusedUntil time.Time) {
+	sends := engines.Sends()
+	for body, crashTimes := range engines.Crashes() {
 		r.crashes += len(crashTimes)
 		if len(crashTimes) < 3 {
 			continue
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// readWait is how long a read waits for a record. The store answers as soon as one
+	// readWait is how long a read waits for a record. The store responds as soon as one
 	// arrives, so this only bounds the delay after the connection silently broke.
 	readWait = 15 * time.Second
 	// entryBatchDelay is the pause after a read that brought entries, so that servers that
@@ -129,8 +129,8 @@
 	}
 }
 
-// isStaleEntry reports whether an entry of a restored store is older than what this daemon knows.
-// Applying it would bring back a server that left.
+// isStaleEntry reports whether an entry of a restored store is older than the one that this daemon
+// has applied. Applying it would make a server that left usable again.
 func (n *Node) isStaleEntry(reg *backend.Registry, r feed.Record, now time.Duration) bool {
 	s, err := n.deps.Codec.DecodeServer(r)
 	if err != nil || !reg.Stale(s, now) {
--- a/internal/node/restore_test.go
+++ b/internal/node/restore_test.go
@@ -12,10 +12,10 @@
 
 // restoreStore restores the store from a snapshot during a short outage, and calls then before the
 // store serves again.
-func (f *fleet) restoreStore(c *feedtest.Snapshot, then func()) {
+func (f *fleet) restoreStore(snapshot *feedtest.Snapshot, then func()) {
 	f.store.SetMode(feedtest.Unresponsive)
 	time.Sleep(800 * time.Millisecond)
-	f.store.Restore(c)
+	f.store.Restore(snapshot)
 	then()
 	f.store.SetMode(feedtest.Serving)
 }
@@ -170,14 +170,14 @@
 			waitFor(t, time.Second, "restored configuration is detected as outdated", m.configOutdated)
 			for range 20 {
 				time.Sleep(100 * time.Millisecond)
-				if a := f.send(0, "x", "x"); a.refusal == nil || a.refusal.Kind != fault.ConfigurationStale || m.Ready() {
-					t.Fatalf("version %d, ready %t: %v", m.configVersion(), m.Ready(), a.refusal)
+				if response := f.send(0, "x", "x"); response.refusal == nil || response.refusal.Kind != fault.ConfigurationStale || m.Ready() {
+					t.Fatalf("version %d, ready %t: %v", m.configVersion(), m.Ready(), response.refusal)
 				}
 			}
 			f.store.Put("op", "config", []byte("9"))
 			waitFor(t, f.limit, "the daemon serves", func() bool {
-				a := f.send(0, "x", "x")
-				return m.Ready() && m.configVersion() == 9 && a.refusal.Kind == fault.NotFound
+				response := f.send(0, "x", "x")
+				return m.Ready() && m.configVersion() == 9 && response.refusal.Kind == fault.NotFound
 			})
 			if n := f.count(func(m *member) bool { return m.configOutdated() }); n > 0 {
 				t.Errorf("%d daemons are outdated", n)
--- a/internal/node/roles.go
+++ b/internal/node/roles.go
@@ -13,7 +13,7 @@
 	ownCheckIntervalPerDaemon = 300 * time.Millisecond
 	ownCheckGrace             = 1000 * time.Millisecond
 	// settleTime is how long a starting daemon waits after its first contact with a peer
-	// before it may act as a reader: its rank is wrong until it knows its peers.
+	// before it may act as a reader: its rank is wrong until it has discovered its peers.
 	// noPeersTimeout is the time after which a daemon without contact acts alone.
 	settleTime     = time.Second
 	noPeersTimeout = 1500 * time.Millisecond
@@ -30,7 +30,7 @@
 
 // The number of readers, which wait on the store for all daemons. Small deployments have more,
 // so that a partial outage rarely cuts off all of them; large ones have few, since each change
-// wakes every reader.
+// is sent to every reader.
 const (
 	maxReaders       = 9
 	daemonsPerReader = 2
@@ -56,7 +56,7 @@
 	return n.scaledBackoff(minCheckRetryDelay)
 }
 
-// scaledBackoff returns a backoff of at floor floor that grows with the number of daemons.
+// scaledBackoff returns a backoff of at least floor that grows with the number of daemons.
 func (n *Node) scaledBackoff(floor time.Duration) time.Duration {
 	return max(floor, time.Duration(n.liveDaemons())*standbyBackoffPerDaemon)
 }
@@ -67,7 +67,7 @@
 // membershipSettled reports whether this daemon has known its peers for settleTime, or has none.
 func (n *Node) membershipSettled() bool { return n.inContactFor(settleTime) }
 
-// inContactFor reports whether the first contact with a peer was at floor d ago, or no peer
+// inContactFor reports whether the first contact with a peer was at least d ago, or no peer
 // was found within noPeersTimeout.
 func (n *Node) inContactFor(d time.Duration) bool {
 	age, known := n.members.SinceFirstContact()
@@ -87,7 +87,7 @@
 func (n *Node) rank() int { return n.members.Rank(n.eligible()) }
 
 // eligible reports whether this daemon can hold roles. A daemon that is partitioned from the
-// store gives up its roles; an outage for all daemons changes no ranks.
+// store holds no roles; an outage for all daemons changes no ranks.
 func (n *Node) eligible() bool { return n.state.Ready() && !n.partitioned.Load() }
 
 // isBootstrapPeer reports whether this daemon registers its address for discovery by others.
--- a/internal/node/sequences_test.go
+++ b/internal/node/sequences_test.go
@@ -41,8 +41,8 @@
 // interval of the code, so that events meet reads, pauses and checks at varying phases.
 const eventInterval = 1370 * time.Millisecond
 
-// runSequence runs a sequence of events, heals the store, and returns how long the last daemon
-// takes to apply a change made 3 s later.
+// runSequence runs a sequence of events, ends the faults of the store, and returns how long the
+// last daemon takes to apply a change made 3 s later.
 func runSequence(t *testing.T, sequence []event, setup ...func(n *Node)) time.Duration {
 	f := newFleet(t, 3, setup...)
 	time.Sleep(readWait - 2*time.Second)
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -26,8 +26,8 @@
 // Guards against many calls to the store when all daemons start at once.
 func TestSimultaneousStartMakesFewCalls(t *testing.T) {
 	const (
-		// callsPerDaemon covers one read of three topics, and one call before it
-		// knows its peers. sharedCalls are those of the readers in 30 s.
+		// callsPerDaemon allows for one read of each of three topics, and one call before the
+		// daemon has discovered its peers. sharedCalls are those of the readers in 30 s.
 		callsPerDaemon = 4
 		sharedCalls    = 300
 		// readyLimit is the time within which all daemons must be ready.
@@ -50,7 +50,7 @@
 				}
 				f.each(func(m *member) {
 					if m.members.LiveCount() != daemons-1 {
-						t.Errorf("%s knows %d peers", m.config.Name, m.members.LiveCount())
+						t.Errorf("%s discovered %d peers", m.config.Name, m.members.LiveCount())
 					}
 				})
 			})
@@ -114,9 +114,9 @@
 	}
 }
 
-// Guards against callers that are directed to a lost daemon.
+// Guards against clients that are directed to a lost daemon.
 func TestLostDaemonIsNotListedAsEndpoint(t *testing.T) {
-	// cacheTTL is how long callers cache the directory's answer.
+	// cacheTTL is how long clients cache the directory's response.
 	const cacheTTL = 5 * time.Second
 	for _, daemons := range fleetSizes() {
 		synctest.Test(t, func(t *testing.T) {
