--- a/internal/feed/pending.go
+++ b/internal/feed/pending.go
@@ -7,15 +7,14 @@
 	"time"
 )
 
-// responseTimeout is how long the log may take to begin a response once it is due, and to
-// continue it. It does not limit the total time of a response, since a long record may take
-// longer over a slow link.
+// responseTimeout limits the delay of a due response and of each of its parts. The total time
+// of a response is not limited, since a long record may take longer over a slow link.
 const responseTimeout = 900 * time.Millisecond
 
 var (
 	// errNoResponse ends a read without a response in time.
 	errNoResponse = errors.New("no response in time")
-	// errReadAbandoned ends a read that is overtaken by other readers or an outage.
+	// errReadAbandoned ends a read that is behind other readers or predates an outage.
 	errReadAbandoned = errors.New("read abandoned as stale")
 )
 
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -46,8 +46,8 @@
 	// WantsEvidence reports that the daemon evaluates roll-outs and needs the evidence of
 	// the others.
 	WantsEvidence bool `cbor:"19,keyasint,omitempty"`
-	// Suspects lists addresses that did not answer the sender recently. The receiver calls
-	// them next, and relies on its own result.
+	// Suspects lists addresses that recently did not respond to the sender. The receiver calls
+	// them next.
 	Suspects []string `cbor:"20,keyasint,omitempty"`
 	// Quarantine holds recent changes of the quarantine.
 	Quarantine quarantine.Update `cbor:"22,keyasint,omitempty"`
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -51,8 +51,8 @@
 	// Tokens is the prompt's length, MaxAnswerTokens the limit on generated tokens.
 	Tokens          int
 	MaxAnswerTokens int
-	// AnswerTokensHint is the client's estimate of the answer's length, correct at
-	// the median with a large variance; zero means no estimate.
+	// AnswerTokensHint is the client's rough estimate of the answer's length; zero
+	// means none.
 	AnswerTokensHint int
 	// Parts are the prompt's parts in order; requests share leading parts.
 	Parts []PromptPart
@@ -92,8 +92,8 @@
 	MaxConnections int
 }
 
-// BackendResponse is the head of a server's response and its body. Closing the
-// body before its end cancels the run.
+// BackendResponse is a server's response header and body. Closing the body before
+// its end cancels the request on the server.
 type BackendResponse struct {
 	Status int
 	// Header holds the fields forwarded to the client.
@@ -126,7 +126,7 @@
 type ResponseWriter interface {
 	// Refuse ends the request with an error. Nothing has been written before.
 	Refuse(e *fault.Error)
-	// WriteHeader sends the head of a response; length is in bytes, or -1.
+	// WriteHeader sends the response header; length is in bytes, or -1.
 	WriteHeader(status int, h http.Header, length int64)
 	// WriteBody sends bytes without buffering them.
 	WriteBody(p []byte) error
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -24,14 +24,14 @@
 }
 
 func newCall(path, body string) *Call {
-	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Body: []byte(body), Key: "k", LastEvent: NoEvent, Received: time.Now()}
+	call := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Body: []byte(body), Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
-		c.Model, c.Prompt = AnyModel, Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
+		call.Model, call.Prompt = AnyModel, Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
-	return c
+	return call
 }
 
-// fingerprintOf is the fingerprint of a request that callWithBody sends.
+// fingerprintOf returns the fingerprint of a request that callWithBody sends.
 func fingerprintOf(path, body string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf("w", "h", "POST", path, []byte(body))
 }
@@ -102,13 +102,13 @@
 	}
 }
 
-// Guards against missing the request that ended a server because its run was cancelled
-// shortly before the end, as by an escalation.
+// Guards against missing the request that crashed a server because its run was cancelled
+// shortly before the crash, as by an escalation.
 func TestRunCancelledJustBeforeServerEndIsSuspected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, respondStream(0, nil, 1, 2), respondStream(90, nil, 1, 2, 3))
 		h.callWithBody("/s/1", "x")
-		f := fingerprintOf("/s/1", "x")
+		fingerprint := fingerprintOf("/s/1", "x")
 		server := h.backend.sends[0].Server
 		mergeEnd := func(age time.Duration) {
 			h.relay.Guard.Merge(quarantine.Update{Crashes: []quarantine.Crash{{
@@ -118,7 +118,7 @@
 		*h.clock = fakeClock{now: h.clock.now + 2*time.Second}
 		time.Sleep(2 * time.Second)
 		mergeEnd(1900 * time.Millisecond)
-		if n := h.relay.Guard.Check(f).Crashes; n != 0 {
+		if n := h.relay.Guard.Check(fingerprint).Crashes; n != 0 {
 			t.Fatalf("completed request is suspected for %d ends", n)
 		}
 	})
@@ -155,8 +155,8 @@
 		}
 	})
 	for _, id := range []string{"e0", "e1", "e2"} {
-		u := h.relay.Guard.Begin(containment.Server{ID: id}, 7, func(error) {})
-		h.relay.Guard.End(t.Context(), u, containment.Server{ID: id}, containment.ConnectionLost)
+		run := h.relay.Guard.Begin(containment.Server{ID: id}, 7, func(error) {})
+		h.relay.Guard.End(t.Context(), run, containment.Server{ID: id}, containment.ConnectionLost)
 	}
 	if s := h.relay.Guard.Check(7); s.Crashes != 0 {
 		t.Errorf("leaving servers: %+v", s)
@@ -173,7 +173,7 @@
 		h.relay.ServerRestarted(s.Server)
 	}
 	if s := h.relay.Guard.Check(fingerprintOf("/s/1", "x")); s.Crashes != 3 || !s.Held {
-		t.Errorf("standing %+v", s)
+		t.Errorf("quarantine status %+v", s)
 	}
 }
 
@@ -182,12 +182,12 @@
 func TestHoldCancelsWaitingSends(t *testing.T) {
 	h := newHarness(t, respond(200, ""))
 	var causes []error
-	enterRun := func(server string) *containment.Attempt {
+	begin := func(server string) *containment.Attempt {
 		return h.relay.Guard.Begin(containment.Server{ID: server}, 7, func(err error) { causes = append(causes, err) })
 	}
-	enterRun("e0")
-	h.relay.Guard.MarkForwarded(enterRun("e1"))
-	h.relay.Guard.End(t.Context(), enterRun("e2"), containment.Server{ID: "e2"}, containment.Completed)
+	begin("e0")
+	h.relay.Guard.MarkForwarded(begin("e1"))
+	h.relay.Guard.End(t.Context(), begin("e2"), containment.Server{ID: "e2"}, containment.Completed)
 	h.relay.Guard.ApplyHold(7, time.Minute)
 	if len(causes) != 1 || !errors.Is(causes[0], containment.ErrHeld) {
 		t.Errorf("cancelled with %v", causes)
@@ -199,8 +199,8 @@
 func TestSuspectRequestsAreSpreadOverServers(t *testing.T) {
 	h := newHarness(t, respond(200, ""))
 	perServer := map[string]int{}
-	for f := quarantine.Fingerprint(1); f <= 60; f++ {
-		req := &requirements{service: "app", fingerprint: f, standing: quarantine.Status{Crashes: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
+	for fingerprint := quarantine.Fingerprint(1); fingerprint <= 60; fingerprint++ {
+		req := &requirements{service: "app", fingerprint: fingerprint, standing: quarantine.Status{Crashes: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
 		first := ""
 		for range 3 {
 			got, err := h.relay.State.pick(req, 100)
@@ -208,7 +208,7 @@
 				t.Fatal(err)
 			}
 			if first != "" && got.server.ID != first {
-				t.Fatalf("request %d is sent to %s and %s", f, first, got.server.ID)
+				t.Fatalf("request %d is sent to %s and %s", fingerprint, first, got.server.ID)
 			}
 			first = got.server.ID
 		}
