--- a/internal/daemon/account.go
+++ b/internal/daemon/account.go
@@ -36,6 +36,8 @@
 // refusals, they count against service-level objectives.
 var capacityKinds = []fault.Kind{fault.Overloaded, fault.NoServer, fault.Warming, fault.Evacuated}
 
+// recordOutcome counts a finished request against the objectives of its workspace. Requests
+// that were refused before they ran count only if capacity was missing.
 func (d *Daemon) recordOutcome(workspace string, exec *execution, start time.Time, err error) {
 	if err == nil {
 		d.metrics.answered.Inc(1)
--- a/internal/daemon/cascades.go
+++ b/internal/daemon/cascades.go
@@ -48,11 +48,11 @@
 	return &cascadePlanner{d: d, state: map[string]*cascadeState{}, pending: map[string]pendingSample{}}
 }
 
-func (c *cascadePlanner) stateOf(key string) *cascadeState {
-	state := c.state[key]
+func (c *cascadePlanner) stateOf(cascadeKey string) *cascadeState {
+	state := c.state[cascadeKey]
 	if state == nil {
 		state = &cascadeState{classes: map[string]*cascade.Class{}}
-		c.state[key] = state
+		c.state[cascadeKey] = state
 	}
 	return state
 }
@@ -67,14 +67,14 @@
 }
 
 // useCheapFirst reports whether a request goes to the cheap model first.
-// cheapModel is "model@version"; a change of it discards the collected evidence.
-func (c *cascadePlanner) useCheapFirst(key, class, cheapModel string) bool {
+// cheapModel is "model@version"; the collected evidence is discarded when it changes.
+func (c *cascadePlanner) useCheapFirst(cascadeKey, class, cheapModel string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	state := c.stateOf(key)
+	state := c.stateOf(cascadeKey)
 	if state.cheapModel != cheapModel {
-		for _, cl := range state.classes {
-			cl.Reset()
+		for _, evidence := range state.classes {
+			evidence.Reset()
 		}
 		state.cheapModel = cheapModel
 	}
@@ -84,10 +84,10 @@
 
 // acceptCheap records the confidence of a response of the cheap model and reports
 // whether the response is accepted.
-func (c *cascadePlanner) acceptCheap(key, class string, confidence float64) bool {
+func (c *cascadePlanner) acceptCheap(cascadeKey, class string, confidence float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	state := c.stateOf(key)
+	state := c.stateOf(cascadeKey)
 	state.class(class).RecordConfidence(confidence)
 	return state.plan.Accepts(class, confidence)
 }
@@ -98,9 +98,8 @@
 		return
 	}
 	c.mu.Lock()
-	// Samples that are never rated would otherwise fill the map permanently and
-	// no further rating could be matched. Clearing it loses only the ratings that
-	// are outstanding.
+	// Samples that are never rated stay in the map, so it is cleared when it is full.
+	// Outstanding ratings then do not count towards the plans.
 	if len(c.pending) >= maxPendingSamples {
 		clear(c.pending)
 	}
--- a/internal/daemon/chat.go
+++ b/internal/daemon/chat.go
@@ -149,7 +149,7 @@
 	if req.IdempotencyKey == "" {
 		return f()
 	}
-	cl, replay, err := d.claims.acquire(ctx, req.Workspace, req.IdempotencyKey, req.RawBody, id)
+	granted, replay, err := d.claims.acquire(ctx, req.Workspace, req.IdempotencyKey, req.RawBody, id)
 	if err != nil {
 		return nil, err
 	}
@@ -158,12 +158,12 @@
 	}
 	resp, err := f()
 	if err != nil {
-		cl.finish(fault.FromError(err).ExecutionState(), 0, nil)
+		granted.finish(fault.FromError(err).ExecutionState(), 0, nil)
 		return nil, err
 	}
 	data, encodeErr := json.Marshal(resp)
 	if encodeErr == nil {
-		cl.finish(fault.Ran, 200, data)
+		granted.finish(fault.Ran, 200, data)
 	}
 	return resp, nil
 }
@@ -194,11 +194,11 @@
 	if class == "" {
 		class = defaultClass
 	}
-	key := req.Workspace + "/" + req.Model
+	cascadeKey := req.Workspace + "/" + req.Model
 	first := 0
 	if len(models) > 1 {
 		cfg := d.config.current()
-		if !d.cascades.useCheapFirst(key, class, models[0]+"@"+cfg.Models[models[0]].Stable) {
+		if !d.cascades.useCheapFirst(cascadeKey, class, models[0]+"@"+cfg.Models[models[0]].Stable) {
 			first = len(models) - 1
 		}
 	}
@@ -222,11 +222,11 @@
 			confidence = *res.usage.Confidence
 		}
 		if len(models) > 1 {
-			d.sampleResponse(id, req, key, class, s, res, confidence, i > 0)
+			d.sampleResponse(id, req, cascadeKey, class, s, res, confidence, i > 0)
 		} else {
 			d.sampleResponse(id, req, "", class, s, res, confidence, false)
 		}
-		if !last && !d.cascades.acceptCheap(key, class, confidence) {
+		if !last && !d.cascades.acceptCheap(cascadeKey, class, confidence) {
 			d.metrics.escalations.Inc(1)
 			continue
 		}
@@ -288,8 +288,8 @@
 	return res, err
 }
 
-func (d *Daemon) sampleResponse(id string, req *ChatRequest, key, class string, s *step, res *stepResult, confidence float64, expensive bool) {
-	d.cascades.submitSample(pendingSample{key, class, confidence, expensive}, platform.Sample{
+func (d *Daemon) sampleResponse(id string, req *ChatRequest, cascadeKey, class string, s *step, res *stepResult, confidence float64, expensive bool) {
+	d.cascades.submitSample(pendingSample{cascadeKey, class, confidence, expensive}, platform.Sample{
 		RequestID: id, Daemon: d.sampleOwnerID(), Workspace: req.Workspace, Class: class,
 		Model: s.model, Version: s.version, Server: res.pick.candidate.ID, Answer: res.text.String(),
 	})
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -71,9 +71,9 @@
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for k, state := range c.mintedKeys {
+		for key, state := range c.mintedKeys {
 			if time.Since(state.createdAt) > request.KeyRetention {
-				delete(c.mintedKeys, k)
+				delete(c.mintedKeys, key)
 			}
 		}
 	})
@@ -166,19 +166,19 @@
 		p.mu.Lock()
 		from := p.table.NextOffset()
 		p.mu.Unlock()
-		b, err := c.d.deps.Log.Read(ctx, claimStream(partition), from, readLimit, 0)
+		batch, err := c.d.deps.Log.Read(ctx, claimStream(partition), from, readLimit, 0)
 		if err != nil {
 			return err
 		}
 		p.mu.Lock()
-		for _, r := range b.Records {
+		for _, r := range batch.Records {
 			var rec request.ClaimRecord
 			if cbor.Unmarshal(r.Data, &rec) == nil {
 				p.table.Apply(r.Offset, rec)
 			}
 		}
 		p.mu.Unlock()
-		if len(b.Records) < readLimit {
+		if len(batch.Records) < readLimit {
 			return nil
 		}
 	}
@@ -264,9 +264,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == fault.NotRun {
-		for k, m := range c.mintedKeys {
-			if m == minted {
-				delete(c.mintedKeys, k)
+		for key, candidate := range c.mintedKeys {
+			if candidate == minted {
+				delete(c.mintedKeys, key)
 			}
 		}
 		return
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -30,7 +30,8 @@
 	// log continuously. The others fetch records from peers and read the log at
 	// nonReaderInterval.
 	readersPerDomain = 2
-	// nonReaderInterval is the pause between log reads of the other daemons.
+	// nonReaderInterval is the pause between log reads of the daemons that do not
+	// read the log continuously.
 	nonReaderInterval = 8 * time.Second
 	// maxTailRecords is the number of recent records kept for peers.
 	maxTailRecords = 1024
@@ -167,8 +168,9 @@
 	c.changed = make(chan struct{})
 }
 
-// checkpoint appends the state before the log drops its records. Concurrent
-// checkpoints are harmless: a synced state machine ignores them.
+// checkpoint appends the whole state to the log, so that the configuration can be read
+// after older records have been dropped. A synced state machine ignores checkpoints, so
+// concurrent ones are harmless.
 func (c *configFollower) checkpoint(ctx context.Context) {
 	c.mu.Lock()
 	c.recordsSinceCheckpoint = 0
@@ -202,8 +204,9 @@
 	return c.state.NextOffset()
 }
 
-// observePeerOffset handles the offset in a peer's heartbeat: it fetches records
-// from a peer that is ahead.
+// observePeerOffset handles the offset in a peer's heartbeat. It fetches records from a
+// peer that is ahead. A daemon that has not read the log serves once it has caught up with
+// peers in minBootstrapDomains failure domains.
 func (c *configFollower) observePeerOffset(ctx context.Context, from membership.DaemonInfo, peerOffset uint64) {
 	c.mu.Lock()
 	ownOffset, synced := c.state.NextOffset(), c.state.Synced()
@@ -250,8 +253,8 @@
 	if rec.PatchID == "" {
 		return fleet.PatchOutcome{}, fault.NewField(fault.BadRequest, "patch_id", "must not be empty")
 	}
-	if o, known := d.config.outcome(rec.PatchID); known {
-		return o, nil
+	if outcome, known := d.config.outcome(rec.PatchID); known {
+		return outcome, nil
 	}
 	cfg := d.config.current()
 	if rec.Base == cfg.Number {
@@ -282,11 +285,11 @@
 	defer cancel()
 	for {
 		c.mu.Lock()
-		o, known := c.state.LookupOutcome(id)
+		outcome, known := c.state.LookupOutcome(id)
 		changed := c.changed
 		c.mu.Unlock()
 		if known {
-			return o, nil
+			return outcome, nil
 		}
 		select {
 		case <-changed:
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon connects the decision packages to the clock, the network and
-// the platform. Each file gathers the inputs of one decision package, calls it
-// and carries out the result. No lock is held during I/O.
+// Package daemon implements the router daemon. Packages such as routing, request and
+// rollout make decisions without I/O; this package collects their inputs and carries out
+// the decisions. No lock is held during I/O, except the one that serializes lease requests.
 package daemon
 
 import (
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -23,9 +23,8 @@
 	workspace string
 	model     string
 	version   string
-	// fallbackVersion replaces version after a failed attempt. It is the stable
-	// version, for a session without a pin that a roll-out moved to the new one.
-	// Empty keeps version.
+	// fallbackVersion, if not empty, replaces version after a failed attempt. It is
+	// the stable version, set if the roll-out chose version for an unpinned session.
 	fallbackVersion string
 	priority        int
 	prompt          string
@@ -103,7 +102,7 @@
 	start := time.Now()
 	res.text.Reset()
 	runID := fmt.Sprintf("%s-%d", s.requestID, s.retryState.Attempts())
-	asm := request.NewAssembler(runID)
+	assembler := request.NewAssembler(runID)
 	d.metrics.attempts.Inc(1)
 	failed, event, started := true, request.ConnectFailed, false
 	defer func() { d.finishAttempt(s, picked, start, res, failed) }()
@@ -113,7 +112,7 @@
 	defer func() {
 		d.guard.End(ctx, guarded, containmentServer(picked.candidate), containmentOutcome(event, res.complete, started))
 	}()
-	// The configuration may have changed since the server was picked, so this is
+	// The configuration may have changed since the server was picked, so the version is
 	// checked again immediately before the request is sent.
 	if !d.config.current().MayDispatch(s.workspace, s.model, s.version) {
 		failed = false
@@ -124,7 +123,7 @@
 	})
 	for {
 		started = started || err == nil
-		event = d.readFrames(s, res, picked, asm, stream, err, start)
+		event = d.readFrames(s, res, picked, assembler, stream, err, start)
 		if res.complete {
 			failed = false
 			d.guard.RecordSuccess(s.fingerprint)
@@ -149,7 +148,7 @@
 			return decision
 		}
 		d.metrics.resumes.Inc(1)
-		stream, err = d.engine.Resume(ctx, picked.candidate.Address, runID, asm.LastOffset())
+		stream, err = d.engine.Resume(ctx, picked.candidate.Address, runID, assembler.LastOffset())
 	}
 }
 
@@ -190,7 +189,7 @@
 
 // readFrames processes the frames of one connection until the response is complete
 // or the connection cannot be used any more.
-func (d *Daemon) readFrames(s *step, res *stepResult, picked pick, asm *request.Assembler, stream *engine.Stream, err error, start time.Time) request.AttemptEvent {
+func (d *Daemon) readFrames(s *step, res *stepResult, picked pick, assembler *request.Assembler, stream *engine.Stream, err error, start time.Time) request.AttemptEvent {
 	if err != nil {
 		return startEvent(err)
 	}
@@ -202,7 +201,7 @@
 			d.balancer.recordTimeout(picked)
 			return request.ConnectionLost
 		}
-		switch asm.Accept(frame.Frame) {
+		switch assembler.Accept(frame.Frame) {
 		case request.Deliver:
 		case request.SequenceGap:
 			d.metrics.framesDropped.Inc(1)
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -40,12 +40,12 @@
 		return nil, err
 	}
 	v, _ := cfg.Version(model, version)
-	e := &Explanation{Number: cfg.Number, Model: model, Version: version, Pool: v.Pool, VersionReason: "the stable version"}
+	explanation := &Explanation{Number: cfg.Number, Model: model, Version: version, Pool: v.Pool, VersionReason: "the stable version"}
 	switch ro, active := cfg.RolloutFor(model); {
 	case pin.VersionOf(model) != "":
-		e.VersionReason = "the session is pinned"
+		explanation.VersionReason = "the session is pinned"
 	case active && version == ro.TargetVersion:
-		e.VersionReason = "the roll-out's share"
+		explanation.VersionReason = "the roll-out's share"
 	}
 	req := routing.Request{PromptTokens: len(prompt) / bytesPerToken, BlockTokens: routing.BlockTokens, Blocks: routing.Blocks(nil, model+"@"+version, prompt)}
 	d.balancer.mu.Lock()
@@ -53,13 +53,13 @@
 	d.balancer.syncConfig(cfg)
 	p := d.balancer.pools[v.Pool]
 	if p == nil {
-		return e, nil
+		return explanation, nil
 	}
 	candidates := p.load.Snapshot(nil, time.Now())
 	p.load.Prefix.Lookup(&req)
-	e.RuleResults = routing.DefaultPipeline().Explain(&req, candidates)
+	explanation.RuleResults = routing.DefaultPipeline().Explain(&req, candidates)
 	if decision := routing.DefaultPipeline().Pick(&req, candidates, d.balancer.rng); decision.Index >= 0 {
-		e.Chosen = candidates[decision.Index].ID
+		explanation.Chosen = candidates[decision.Index].ID
 	}
-	return e, nil
+	return explanation, nil
 }
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -13,8 +13,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-// peerViewInterval is the period of updating the set of daemons that share the
-// limits of warming servers.
+// peerViewInterval is the period of updating the set of daemons among which the limits
+// of warming servers are divided.
 const peerViewInterval = 250 * time.Millisecond
 
 // uptime returns the time since the start of the daemon, the clock of the gate.
@@ -33,8 +33,8 @@
 	return gate.Server{ID: cand.ID, Hash: cand.Hash, FailureDomain: cand.FailureDomain, Leaving: cand.Leaving, WarmAt: p.warmAt[cand.ID], Limit: slowStartLimit(s)}
 }
 
-// excludeRefused marks the candidates that the gate refuses as tried and returns
-// the counts of reasons. Callers hold mu.
+// excludeRefused marks the candidates that the gate refuses as tried and counts the
+// refusals by reason. Callers hold mu.
 func (b *balancer) excludeRefused(p *pool, s *fleet.SlowStart, candidates []routing.Candidate, r *routing.Request) (refused gate.Refusals) {
 	now := b.uptime()
 	for i := range candidates {
@@ -48,13 +48,12 @@
 	return refused
 }
 
-// recordResponse records at the gate that a server has responded. Callers hold mu.
+// recordResponse reports to the gate that a server has responded. Callers hold mu.
 func (b *balancer) recordResponse(picked pick) {
 	b.gate.ServerResponded(picked.candidate.ID, picked.slowStart, b.uptime())
 }
 
-// recordSend records at the gate that a request is sent to a server. Callers
-// hold mu.
+// recordSend reports to the gate that a request is sent to a server. Callers hold mu.
 func (b *balancer) recordSend(p *pool, s *fleet.SlowStart, cand *routing.Candidate) {
 	b.gate.RecordSend(b.gateServer(p, s, cand), b.uptime())
 }
@@ -63,14 +62,14 @@
 // Callers hold mu.
 func (b *balancer) syncEvacuations(cfg *fleet.Config) {
 	now := b.uptime()
-	for domain, e := range cfg.Evacuations {
+	for domain, evacuation := range cfg.Evacuations {
 		if b.gate.Evacuate(domain, now) {
-			b.d.log.Warn("failure domain evacuated", "failure_domain", domain, "reason", e.Reason, "config", cfg.Number)
+			b.d.log.Warn("failure domain evacuated", "failure_domain", domain, "reason", evacuation.Reason, "config", cfg.Number)
 		}
 	}
-	for _, e := range b.gate.Evacuations() {
-		if _, listed := cfg.Evacuations[e.FailureDomain]; !listed && b.gate.Readmit(e.FailureDomain, now) {
-			b.d.log.Warn("failure domain readmitted", "failure_domain", e.FailureDomain, "config", cfg.Number)
+	for _, evacuation := range b.gate.Evacuations() {
+		if _, listed := cfg.Evacuations[evacuation.FailureDomain]; !listed && b.gate.Readmit(evacuation.FailureDomain, now) {
+			b.d.log.Warn("failure domain readmitted", "failure_domain", evacuation.FailureDomain, "config", cfg.Number)
 		}
 	}
 }
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -17,7 +17,7 @@
 const (
 	// leaseTimeout bounds a lease request to the owner of a meter.
 	leaseTimeout = 300 * time.Millisecond
-	// settleInterval is the period of reporting unleased spend to meter owners.
+	// settleInterval is the period of reporting unleased spending to meter owners.
 	settleInterval = time.Second
 )
 
@@ -36,7 +36,7 @@
 
 type meterLimiter struct {
 	*quota.Limiter
-	// leaseMu serializes lease requests, so that one serves all waiting requests.
+	// leaseMu serializes lease requests, so that one lease serves all waiting requests.
 	leaseMu sync.Mutex
 }
 
@@ -76,7 +76,7 @@
 	})
 }
 
-// run reports spend without a lease to the owners of the meters.
+// run reports spending without a lease to the owners of the meters.
 func (l *rateLimits) run(ctx context.Context) {
 	runPeriodically(ctx, settleInterval, func(ctx context.Context) {
 		cfg := l.d.config.current()
@@ -178,9 +178,8 @@
 
 const (
 	// maxLeaseAttempts and leaseRetryDelay bound the retries of a daemon that has
-	// never had a lease of the meter. It has no usage history to fall back on, so
-	// without retries it would refuse requests within the limit while the owner
-	// restarts.
+	// never had a lease of the meter. Without retries it would refuse requests within
+	// the limit while the owner restarts.
 	maxLeaseAttempts = 4
 	leaseRetryDelay  = 100 * time.Millisecond
 )
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -25,23 +25,23 @@
 	requests    int
 }
 
-func (h *unavailableLessor) requestLease(ctx context.Context, _ membership.Member, req quota.LeaseRequest) (quota.Lease, error) {
-	h.requests++
-	if time.Now().Before(h.availableAt) {
+func (u *unavailableLessor) requestLease(ctx context.Context, _ membership.Member, req quota.LeaseRequest) (quota.Lease, error) {
+	u.requests++
+	if time.Now().Before(u.availableAt) {
 		ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 		defer cancel()
 		<-ctx.Done()
 		return quota.Lease{}, errors.New("no response")
 	}
-	return h.lessor.Grant(time.Now(), req), nil
+	return u.lessor.Grant(time.Now(), req), nil
 }
 
 // limitsWithLessor returns the rate limits of a daemon without any lease. ownerKnown
 // reports whether the owner of a meter is known.
-func limitsWithLessor(h *unavailableLessor, ownerKnown func() bool) *rateLimits {
+func limitsWithLessor(lessor *unavailableLessor, ownerKnown func() bool) *rateLimits {
 	d := New(settings.Settings{ID: "d"}, settings.Secrets{}, Dependencies{VMs: unresponsiveVMList{}, Metrics: tally.NoopScope, Logger: log.New(io.Discard)})
 	d.limits.findOwner = func(string) (membership.Member, bool) { return membership.Member{}, ownerKnown() }
-	d.limits.requestLease = h.requestLease
+	d.limits.requestLease = lessor.requestLease
 	return d.limits
 }
 
@@ -53,10 +53,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
-				h := &unavailableLessor{lessor: quota.NewLessor(7), availableAt: start.Add(500 * time.Millisecond)}
-				l := limitsWithLessor(h, func() bool { return time.Since(start) >= unknownFor })
+				lessor := &unavailableLessor{lessor: quota.NewLessor(7), availableAt: start.Add(500 * time.Millisecond)}
+				l := limitsWithLessor(lessor, func() bool { return time.Since(start) >= unknownFor })
 				if _, err := l.reserve(t.Context(), "w", w, 0); err != nil {
-					t.Errorf("after %s and %d lease requests: %v", time.Since(start), h.requests, err)
+					t.Errorf("after %s and %d lease requests: %v", time.Since(start), lessor.requests, err)
 				}
 			})
 		})
@@ -67,8 +67,8 @@
 // for an unavailable owner.
 func TestExhaustedLimitIsRefusedWithoutWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &unavailableLessor{lessor: quota.NewLessor(7)}
-		l := limitsWithLessor(h, func() bool { return true })
+		lessor := &unavailableLessor{lessor: quota.NewLessor(7)}
+		l := limitsWithLessor(lessor, func() bool { return true })
 		w := fleet.Workspace{RequestsPerMinute: 1}
 		if _, err := l.reserve(t.Context(), "w", w, 0); err != nil {
 			t.Fatal(err)
@@ -78,7 +78,7 @@
 		if !fault.Is(err, fault.RateLimited) || time.Since(start) > 0 {
 			t.Errorf("after %s: %v", time.Since(start), err)
 		}
-		h.availableAt = time.Now().Add(time.Hour)
+		lessor.availableAt = time.Now().Add(time.Hour)
 		start = time.Now()
 		_, err = l.reserve(t.Context(), "other", w, 0)
 		if elapsed := time.Since(start); !fault.Is(err, fault.RateLimited) || elapsed > 2*time.Second {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -19,8 +19,8 @@
 	d     *Daemon
 	mu    sync.Mutex
 	table *membership.Table
-	// syncedAt is when another daemon's full table was last merged. Rumors only
-	// carry recent changes, so a new daemon learns of most members this way.
+	// syncedAt is when another daemon's full table was last merged. A new daemon
+	// needs a full table, because rumors carry only recent changes.
 	syncedAt time.Time
 }
 
@@ -193,8 +193,8 @@
 }
 
 // isDomainOwner reports whether this daemon is one of the n owners of a key in its
-// failure domain. It also holds for a daemon that is starting or leaving, because
-// such a daemon cannot rely on owners.
+// failure domain. It also returns true while this daemon is starting or leaving, because
+// it cannot rely on owners then.
 func (m *memberlist) isDomainOwner(key string, n int) bool {
 	m.lockTable()
 	defer m.mu.Unlock()
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics are the metrics of a daemon; MetricDescriptions explains each.
+// metrics holds the metrics of a daemon. MetricDescriptions describes them.
 type metrics struct {
 	scope               tally.Scope
 	requests            tally.Counter
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// pick is a picked server with the expectations its outcome is compared to.
+// pick is a picked server with the estimates that the outcome is compared with.
 type pick struct {
 	pool               string
 	candidate          routing.Candidate
@@ -115,8 +115,8 @@
 	expectedFirstToken time.Duration
 	// slowStart is the limit of the server while it is warming.
 	slowStart slowstart.Limit
-	// hadFreeSlot is set if the server had a free slot. Only then is its latency
-	// evidence about the version rather than the load.
+	// hadFreeSlot is set if the server had a free slot. Otherwise its latency is
+	// attributed to the load and not to the version.
 	hadFreeSlot bool
 	urgent      bool
 }
@@ -244,8 +244,8 @@
 	defer b.mu.Unlock()
 	b.syncConfig(b.d.config.current())
 	names := make([]string, 0, len(b.pools))
-	for n := range b.pools {
-		names = append(names, n)
+	for name := range b.pools {
+		names = append(names, name)
 	}
 	slices.Sort(names)
 	type target struct {
@@ -253,10 +253,10 @@
 		c    routing.Candidate
 	}
 	var all []target
-	for _, n := range names {
-		for _, c := range b.pools[n].load.Snapshot(nil, time.Now()) {
-			if c.ID != "" {
-				all = append(all, target{n, c})
+	for _, name := range names {
+		for _, cand := range b.pools[name].load.Snapshot(nil, time.Now()) {
+			if cand.ID != "" {
+				all = append(all, target{name, cand})
 			}
 		}
 	}
@@ -361,9 +361,9 @@
 	d.balancer.syncConfig(d.config.current())
 	var out []ServerView
 	for name, p := range d.balancer.pools {
-		for _, c := range p.load.Snapshot(nil, time.Now()) {
-			if c.ID != "" {
-				out = append(out, ServerView{name, c, p.versions[c.ID]})
+		for _, cand := range p.load.Snapshot(nil, time.Now()) {
+			if cand.ID != "" {
+				out = append(out, ServerView{name, cand, p.versions[cand.ID]})
 			}
 		}
 	}
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -46,18 +46,18 @@
 	for _, member := range members {
 		if n > 0 && member.ID != m.d.settings.ID && member.State == membership.Alive {
 			n--
-			go func() { _ = m.exchangeHeartbeats(ctx, member.PeerAddress) }() // errors are ignored: updates also spread through other daemons
+			go func() { _ = m.exchangeHeartbeats(ctx, member.PeerAddress) }() // errors are ignored, as updates also spread through other daemons
 		}
 	}
 }
 
 // checkHold returns the refusal of a held request, or nil.
-func (d *Daemon) checkHold(f quarantine.Fingerprint, state *request.RetryState) *fault.Error {
-	status := d.guard.Check(f)
+func (d *Daemon) checkHold(fingerprint quarantine.Fingerprint, state *request.RetryState) *fault.Error {
+	status := d.guard.Check(fingerprint)
 	if !status.Held {
 		return nil
 	}
-	d.log.Info("held", "fingerprint", f, "left_ms", status.Remaining.Milliseconds(), "attempts", state.Attempts())
+	d.log.Info("held", "fingerprint", fingerprint, "left_ms", status.Remaining.Milliseconds(), "attempts", state.Attempts())
 	return withExecutionState(fault.New(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(status)), state)
 }
 
@@ -97,8 +97,7 @@
 	return b.leaving[id]
 }
 
-// recordTerminated records that a server has terminated. Daemons identify it by its
-// incarnation key.
+// recordTerminated records that the server with an incarnation key has terminated.
 func (b *balancer) recordTerminated(key quarantine.IncarnationKey) {
 	now := time.Now()
 	b.mu.Lock()
@@ -117,7 +116,9 @@
 func (d *Daemon) Holds() []quarantine.Hold { return d.guard.Holds() }
 
 // AddHold holds a request at all daemons, on behalf of an operator.
-func (d *Daemon) AddHold(f quarantine.Fingerprint) { d.guard.ApplyHold(f, quarantine.HoldTTL) }
+func (d *Daemon) AddHold(fingerprint quarantine.Fingerprint) {
+	d.guard.ApplyHold(fingerprint, quarantine.HoldTTL)
+}
 
 // ReleaseHold ends a hold at all daemons, on behalf of an operator.
-func (d *Daemon) ReleaseHold(f quarantine.Fingerprint) { d.guard.Release(f) }
+func (d *Daemon) ReleaseHold(fingerprint quarantine.Fingerprint) { d.guard.Release(fingerprint) }
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -70,18 +70,18 @@
 	failed, timed, slow            bool
 }
 
-func (r *rolloutController) recordRun(o runObservation) {
+func (r *rolloutController) recordRun(observation runObservation) {
 	counts := rollout.Counts{Requests: 1}
-	if o.failed {
+	if observation.failed {
 		counts.Errors = 1
 	}
-	if o.timed {
+	if observation.timed {
 		counts.Timed = 1
 	}
-	if o.timed && o.slow {
+	if observation.timed && observation.slow {
 		counts.Slow = 1
 	}
-	r.addCounts(o.model, o.version, o.server, o.domain, counts)
+	r.addCounts(observation.model, observation.version, observation.server, observation.domain, counts)
 }
 
 func (r *rolloutController) recordRating(model, version, server string, good bool) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// isStopped reports whether this daemon keeps sessions without a pin off a version.
+// isStopped reports whether this daemon assigns no more unpinned sessions to a version.
 func (r *rolloutController) isStopped(model, version string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,7 +154,7 @@
 	}
 }
 
-// clearStopped forgets stopped versions whose roll-out has ended.
+// clearStopped removes the stopped versions whose roll-out has ended.
 func (r *rolloutController) clearStopped(cfg *fleet.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,10 +192,10 @@
 	evidence.byDaemon[report.Daemon] = report.Cells
 }
 
-func (m *fleetStageEvidence) merged() rollout.Evidence {
+func (f *fleetStageEvidence) merged() rollout.Evidence {
 	var all rollout.Evidence
-	for _, e := range m.byDaemon {
-		all = all.Merge(e)
+	for _, evidence := range f.byDaemon {
+		all = all.Merge(evidence)
 	}
 	return all
 }
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -92,10 +92,10 @@
 // callWithClaim claims the idempotency key, if there is one, and dispatches the call.
 // ran reports whether a server ran the call or may have run it.
 func (d *Daemon) callWithClaim(ctx context.Context, id string, req ServiceRequest, svc fleet.Service, w fleet.Workspace) (resp *ServiceResponse, ran bool, err error) {
-	var cl *claim
+	var granted *claim
 	if req.IdempotencyKey != "" {
 		var replay *request.ClaimResult
-		cl, replay, err = d.claims.acquire(ctx, req.Workspace, req.IdempotencyKey, req.Body, id)
+		granted, replay, err = d.claims.acquire(ctx, req.Workspace, req.IdempotencyKey, req.Body, id)
 		if err != nil {
 			return nil, false, err
 		}
@@ -106,10 +106,10 @@
 	resp, err = d.dispatchCall(ctx, id, req, svc, w)
 	if err != nil {
 		state := fault.FromError(err).ExecutionState()
-		cl.finish(state, 0, nil)
+		granted.finish(state, 0, nil)
 		return nil, state != fault.NotRun, err
 	}
-	cl.finish(fault.Ran, resp.Status, resp.Body)
+	granted.finish(fault.Ran, resp.Status, resp.Body)
 	return resp, true, nil
 }
 
--- a/internal/daemon/slo.go
+++ b/internal/daemon/slo.go
@@ -40,18 +40,18 @@
 	counts := d.slo.snapshot()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, m := range d.Members() {
-		if m.ID == d.settings.ID || m.State == membership.Gone {
+	for _, member := range d.Members() {
+		if member.ID == d.settings.ID || member.State == membership.Gone {
 			continue
 		}
 		wg.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 			defer cancel()
-			resp, err := peer.Call[peer.BurnRequest, peer.BurnResponse](callCtx, d.peers, m.PeerAddress, "burn", peer.BurnRequest{})
+			resp, err := peer.Call[peer.BurnRequest, peer.BurnResponse](callCtx, d.peers, member.PeerAddress, "burn", peer.BurnRequest{})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				missing = append(missing, m.ID)
+				missing = append(missing, member.ID)
 				return
 			}
 			counts = append(counts, resp.Cells...)
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -18,8 +18,8 @@
 	UsageStream = "usage"
 	// minFlushInterval is the minimum interval between two appends of a daemon.
 	minFlushInterval = 100 * time.Millisecond
-	// maxAppendsPerSecond bounds the appends of all daemons together; the flush
-	// interval grows with their number. Until then replicas keep the records safe.
+	// maxAppendsPerSecond bounds the appends of all daemons together, so the flush
+	// interval grows with their number. Records that wait for a flush are replicated.
 	maxAppendsPerSecond = 150
 	// maxFlushRecords is the maximum number of records in one append.
 	maxFlushRecords = 2000
@@ -45,7 +45,7 @@
 	// replicaAddresses are the peers that stored records of this daemon since the
 	// last flush.
 	replicaAddresses map[string]bool
-	// flushNow triggers a flush, for a record without a replica.
+	// flushNow triggers a flush for a record that could not be replicated.
 	flushNow chan struct{}
 }
 
@@ -87,10 +87,9 @@
 	u.mu.Unlock()
 }
 
-// add stores a record and returns once it would survive the loss of this VM, because
-// a replica, preferably in another failure domain, or the log has it. It returns
-// false if neither could be reached in time; the record stays in the buffer and is
-// retried.
+// add stores a record and returns once a replica, preferably in another failure domain,
+// or the log has stored it too. It returns false if neither has in time; the record then
+// stays in the buffer and is retried.
 func (u *usageRecorder) add(ctx context.Context, rec billing.UsageRecord) bool {
 	u.mu.Lock()
 	sequence, pending := u.buffer.Add(rec), u.buffer.Len()
@@ -265,8 +264,8 @@
 	now := time.Now()
 	u.mu.Lock()
 	for _, replica := range u.replicas {
-		m, known := u.d.members.find(replica.owner)
-		gone := !known || m.State == membership.Gone || m.Incarnation != replica.incarnation
+		owner, known := u.d.members.find(replica.owner)
+		gone := !known || owner.State == membership.Gone || owner.Incarnation != replica.incarnation
 		if gone || now.Sub(replica.storedAt) > orphanTimeout {
 			batch = append(batch, replica.record)
 		}
@@ -294,11 +293,11 @@
 	ledger := billing.NewLedger()
 	var from uint64
 	for {
-		b, err := d.deps.Log.Read(ctx, UsageStream, from, readLimit, 0)
+		logBatch, err := d.deps.Log.Read(ctx, UsageStream, from, readLimit, 0)
 		if err != nil {
 			return nil, fault.New(fault.LogUnavailable, "the usage stream cannot be read").WithCause(err)
 		}
-		for _, r := range b.Records {
+		for _, r := range logBatch.Records {
 			var batch []billing.UsageRecord
 			if cbor.Unmarshal(r.Data, &batch) == nil {
 				for _, rec := range batch {
@@ -307,7 +306,7 @@
 			}
 			from = r.Offset + 1
 		}
-		if len(b.Records) == 0 {
+		if len(logBatch.Records) == 0 {
 			return ledger, nil
 		}
 	}
