--- a/internal/request/assembler.go
+++ b/internal/request/assembler.go
@@ -54,18 +54,18 @@
 func (a *Assembler) Done() bool { return a.done }
 
 // Accept returns how to handle a frame and advances the offset if it is delivered.
-func (a *Assembler) Accept(f Frame) FrameAction {
+func (a *Assembler) Accept(frame Frame) FrameAction {
 	switch {
-	case f.Run != a.run:
+	case frame.Run != a.run:
 		return DropOtherRun
 	case a.done:
 		return DropAfterEnd
-	case f.Offset <= a.lastOffset:
+	case frame.Offset <= a.lastOffset:
 		return DropDuplicate
-	case f.Offset > a.lastOffset+1:
+	case frame.Offset > a.lastOffset+1:
 		return SequenceGap
 	}
-	a.lastOffset = f.Offset
-	a.done = f.End || f.Failed
+	a.lastOffset = frame.Offset
+	a.done = frame.End || frame.Failed
 	return Deliver
 }
--- a/internal/request/claim.go
+++ b/internal/request/claim.go
@@ -34,7 +34,7 @@
 	RequestID string `cbor:"4,keyasint"`
 	// Owner is the daemon and incarnation that handles the request.
 	Owner string `cbor:"5,keyasint"`
-	// UnixSeconds is the time at the claimant, used for retention only.
+	// UnixSeconds is the time of the claimant's clock, used for retention only.
 	UnixSeconds int64 `cbor:"6,keyasint"`
 	// Status and Response are the HTTP status and body of a finished run.
 	Status   int    `cbor:"7,keyasint,omitempty"`
@@ -96,39 +96,39 @@
 func (c *ClaimTable) Len() int { return len(c.byKey) }
 
 // Apply applies the record at an offset. Offsets that were already applied are ignored.
-func (c *ClaimTable) Apply(offset uint64, r ClaimRecord) {
+func (c *ClaimTable) Apply(offset uint64, rec ClaimRecord) {
 	if offset < c.nextOffset {
 		return
 	}
 	c.nextOffset = offset + 1
-	switch r.Kind {
+	switch rec.Kind {
 	case Claimed:
-		c.applyClaim(r)
+		c.applyClaim(rec)
 	case Finished:
-		if current := c.byKey[r.Key]; current != nil && current.requestID == r.RequestID {
-			current.finished, current.status, current.response = true, r.Status, r.Response
+		if current := c.byKey[rec.Key]; current != nil && current.requestID == rec.RequestID {
+			current.finished, current.status, current.response = true, rec.Status, rec.Response
 		}
 	case Abandoned:
-		c.abandoned[r.RequestID] = r.UnixSeconds
-		if current := c.byKey[r.Key]; current != nil && current.requestID == r.RequestID && !current.finished {
-			delete(c.byKey, r.Key)
+		c.abandoned[rec.RequestID] = rec.UnixSeconds
+		if current := c.byKey[rec.Key]; current != nil && current.requestID == rec.RequestID && !current.finished {
+			delete(c.byKey, rec.Key)
 		}
 	}
 }
 
-// applyClaim grants the key if it has no unexpired claim. A claim that was not
-// granted never gets the key later: its caller may already have been told that the
-// request did not run, and nobody would release the key.
-func (c *ClaimTable) applyClaim(r ClaimRecord) {
-	c.applied[r.RequestID] = r.UnixSeconds
-	if _, abandoned := c.abandoned[r.RequestID]; abandoned {
+// applyClaim grants the key if it has no unexpired claim. A claim that was not granted
+// never gets the key later: its caller may already have received an error, and the key
+// would not be released.
+func (c *ClaimTable) applyClaim(rec ClaimRecord) {
+	c.applied[rec.RequestID] = rec.UnixSeconds
+	if _, abandoned := c.abandoned[rec.RequestID]; abandoned {
 		return
 	}
-	current := c.byKey[r.Key]
-	if current != nil && r.UnixSeconds-current.unixSeconds < int64(KeyRetention/time.Second) {
+	current := c.byKey[rec.Key]
+	if current != nil && rec.UnixSeconds-current.unixSeconds < int64(KeyRetention/time.Second) {
 		return
 	}
-	c.byKey[r.Key] = &claim{bodyHash: r.BodyHash, requestID: r.RequestID, owner: r.Owner, unixSeconds: r.UnixSeconds}
+	c.byKey[rec.Key] = &claim{bodyHash: rec.BodyHash, requestID: rec.RequestID, owner: rec.Owner, unixSeconds: rec.UnixSeconds}
 }
 
 // Resolve returns the state of a key for the claimant with the given body hash and
--- a/internal/request/minted_key.go
+++ b/internal/request/minted_key.go
@@ -26,15 +26,15 @@
 func IsMintedKey(key string) bool { return strings.HasPrefix(key, mintedKeyPurpose+".") }
 
 // Mint returns the signed key.
-func (k MintedKey) Mint(ring *session.Keyring) string {
+func (k MintedKey) Mint(keyring *session.Keyring) string {
 	payload := strings.Join([]string{k.Workspace, k.Daemon, strconv.FormatUint(k.Incarnation, 10), k.Nonce}, "/")
-	return ring.Sign(mintedKeyPurpose, payload)
+	return keyring.Sign(mintedKeyPurpose, payload)
 }
 
 // ParseMintedKey verifies the signature of a key and decodes it.
-func ParseMintedKey(ring *session.Keyring, key string) (MintedKey, error) {
+func ParseMintedKey(keyring *session.Keyring, key string) (MintedKey, error) {
 	invalid := fault.NewField(fault.BadRequest, "Idempotency-Key", "the key looks minted but its signature is wrong")
-	payload, ok := ring.Verify(mintedKeyPurpose, key)
+	payload, ok := keyring.Verify(mintedKeyPurpose, key)
 	if !ok {
 		return MintedKey{}, invalid
 	}
--- a/internal/request/proxy_retry_state_test.go
+++ b/internal/request/proxy_retry_state_test.go
@@ -111,14 +111,14 @@
 	budget := NewRetryBudget()
 	state.RecordAttempt()
 	state.RecordExecution()
-	if d := state.Next(RunNotFound, now, budget); d.Action != Retry {
-		t.Fatalf("decision %+v", d)
+	if decision := state.Next(RunNotFound, now, budget); decision.Action != Retry {
+		t.Fatalf("decision %+v", decision)
 	}
 	for range MaxAttempts - 1 {
 		state.RecordAttempt()
 	}
-	d := state.Next(ConnectFailed, now, budget)
-	if d.Action != Fail || fault.Lookup(d.Error.Kind).Execution == fault.NotRun || d.Error.ExecutionState() != fault.Ran {
-		t.Errorf("error %v, state %s", d.Error, d.Error.ExecutionState())
+	decision := state.Next(ConnectFailed, now, budget)
+	if decision.Action != Fail || fault.Lookup(decision.Error.Kind).Execution == fault.NotRun || decision.Error.ExecutionState() != fault.Ran {
+		t.Errorf("error %v, state %s", decision.Error, decision.Error.ExecutionState())
 	}
 }
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -21,26 +21,26 @@
 		for i := range len(answer) {
 			frames = append(frames, Frame{Run: "r", Offset: i + 1, Delta: answer[i : i+1], End: i == len(answer)-1})
 		}
-		a := NewAssembler("r")
+		assembler := NewAssembler("r")
 		var got strings.Builder
-		accept := func(f Frame) FrameAction {
-			v := a.Accept(f)
-			if v == Deliver {
-				got.WriteString(f.Delta)
+		accept := func(frame Frame) FrameAction {
+			action := assembler.Accept(frame)
+			if action == Deliver {
+				got.WriteString(frame.Delta)
 			}
-			return v
+			return action
 		}
-		for tries := 0; !a.Done(); tries++ {
-			for _, f := range frames[a.LastOffset():] {
+		for tries := 0; !assembler.Done(); tries++ {
+			for _, frame := range frames[assembler.LastOffset():] {
 				if rapid.IntRange(0, 9).Draw(t, "fault") == 0 && tries < 20 {
-					accept(Frame{Run: "other", Offset: f.Offset, Delta: "X"})
+					accept(Frame{Run: "other", Offset: frame.Offset, Delta: "X"})
 					accept(frames[0])
-					if v := accept(Frame{Run: "r", Offset: f.Offset + 2, Delta: "X"}); v != SequenceGap && !a.Done() {
-						t.Fatalf("action %v for a skipped frame", v)
+					if action := accept(Frame{Run: "r", Offset: frame.Offset + 2, Delta: "X"}); action != SequenceGap && !assembler.Done() {
+						t.Fatalf("action %v for a skipped frame", action)
 					}
 					break
 				}
-				accept(f)
+				accept(frame)
 			}
 		}
 		accept(Frame{Run: "r", Offset: len(frames) + 1, Delta: "X"})
@@ -73,34 +73,34 @@
 	for _, c := range cases {
 		state := RetryState{Repeatable: c.repeatable, Deadline: now.Add(time.Minute)}
 		budget := NewRetryBudget()
-		var d Decision
+		var decision Decision
 		state.RecordAttempt()
 		if c.delivered {
 			state.RecordDelivery()
 		}
-		for _, e := range c.events {
-			if d = state.Next(e, now, budget); d.Action == Retry {
+		for _, event := range c.events {
+			if decision = state.Next(event, now, budget); decision.Action == Retry {
 				state.RecordAttempt()
 			}
 		}
-		if d.Action != c.action || state.ExecutionState() != c.run || d.Error != nil && d.Error.ExecutionState() != c.run {
-			t.Errorf("%s: action %d, state %s", c.name, d.Action, state.ExecutionState())
+		if decision.Action != c.action || state.ExecutionState() != c.run || decision.Error != nil && decision.Error.ExecutionState() != c.run {
+			t.Errorf("%s: action %d, state %s", c.name, decision.Action, state.ExecutionState())
 		}
 	}
 	expired := RetryState{Repeatable: true, Deadline: now}
-	if d := expired.Next(AttemptRefused, now, NewRetryBudget()); d.Action != Fail || d.Error.Kind != fault.DeadlineExceeded || d.Error.ExecutionState() != fault.NotRun {
-		t.Errorf("after the deadline: %+v", d)
+	if decision := expired.Next(AttemptRefused, now, NewRetryBudget()); decision.Action != Fail || decision.Error.Kind != fault.DeadlineExceeded || decision.Error.ExecutionState() != fault.NotRun {
+		t.Errorf("after the deadline: %+v", decision)
 	}
 }
 
 // Guards against retries amplifying an overload when every attempt fails.
 func TestRetryBudgetLimitsRetries(t *testing.T) {
-	b := NewRetryBudget()
+	budget := NewRetryBudget()
 	retries := 0
 	const firsts = 10_000
 	for range firsts {
-		b.Deposit()
-		for b.TryWithdraw() {
+		budget.Deposit()
+		for budget.TryWithdraw() {
 			retries++
 		}
 	}
@@ -147,15 +147,15 @@
 			table.Apply(uint64(i), r)
 			table.Apply(uint64(i), r)
 		}
-		if v := table.Resolve("k", "b", c.request); v.State != c.want {
-			t.Errorf("%s: got %d, want %d", c.name, v.State, c.want)
+		if result := table.Resolve("k", "b", c.request); result.State != c.want {
+			t.Errorf("%s: got %d, want %d", c.name, result.State, c.want)
 		}
 	}
 	table := NewClaimTable()
 	table.Apply(0, claimed("a"))
 	table.Apply(1, claimed("not granted"))
-	if v := table.Resolve("k", "other body", "b"); v.State != ClaimKeyReused || v.Err().Kind != fault.KeyReused {
-		t.Errorf("different body: %+v", v)
+	if result := table.Resolve("k", "other body", "b"); result.State != ClaimKeyReused || result.Err().Kind != fault.KeyReused {
+		t.Errorf("different body: %+v", result)
 	}
 	table.Expire(time.Unix(1000, 0).Add(KeyRetention + time.Second))
 	if table.Len() != 0 || table.Applied("a") || table.Applied("not granted") {
@@ -188,14 +188,14 @@
 	})
 }
 
-func ring() *session.Keyring {
+func testKeyring() *session.Keyring {
 	return &session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte("0123456789abcdef")}}
 }
 
 // Guards against a second run of a minted key after a daemon restart.
 func TestMintedKeyIsBoundToIncarnation(t *testing.T) {
-	key := MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(ring())
-	m, err := ParseMintedKey(ring(), key)
+	key := MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(testKeyring())
+	minted, err := ParseMintedKey(testKeyring(), key)
 	if err != nil || !IsMintedKey(key) {
 		t.Fatal(err)
 	}
@@ -204,21 +204,21 @@
 		incarnation       uint64
 		kind              fault.Kind
 	}{{"w", "d", 7, ""}, {"v", "d", 7, fault.NotEntitled}, {"w", "e", 7, fault.AnswerUnavailable}, {"w", "d", 8, fault.AnswerUnavailable}} {
-		err := m.Authorize(c.workspace, c.daemon, c.incarnation)
+		err := minted.Authorize(c.workspace, c.daemon, c.incarnation)
 		if c.kind == "" && err != nil || c.kind != "" && !fault.Is(err, c.kind) {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
-	if _, err := ParseMintedKey(ring(), key+"x"); !fault.Is(err, fault.BadRequest) {
+	if _, err := ParseMintedKey(testKeyring(), key+"x"); !fault.Is(err, fault.BadRequest) {
 		t.Errorf("forged key: %v", err)
 	}
 }
 
 func FuzzParseMintedKey(f *testing.F) {
-	f.Add(MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(ring()))
+	f.Add(MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(testKeyring()))
 	f.Add("dk1.k1.e30.e30")
 	f.Fuzz(func(t *testing.T, key string) {
-		if m, err := ParseMintedKey(ring(), key); err == nil && m.Mint(ring()) != key {
+		if minted, err := ParseMintedKey(testKeyring(), key); err == nil && minted.Mint(testKeyring()) != key {
 			t.Fatalf("%q was accepted but differs from the minted form", key)
 		}
 	})
--- a/internal/request/retry_state.go
+++ b/internal/request/retry_state.go
@@ -91,40 +91,40 @@
 }
 
 // Next records an event and returns the next step. A retry is withdrawn from budget.
-func (s *RetryState) Next(e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
-	switch e {
+func (s *RetryState) Next(event AttemptEvent, now time.Time, budget *RetryBudget) Decision {
+	switch event {
 	case CallerDisconnected:
 		return Decision{Cancel, fault.New(fault.CallerLeft, "the caller left").WithExecution(s.ExecutionState())}
 	case AttemptRefused, ConnectFailed:
-		return s.retryOrFail(fault.NoServer, e, now, budget)
+		return s.retryOrFail(fault.NoServer, event, now, budget)
 	case ConnectionLost:
 		s.mayHaveRun = true
 		if s.resumes < MaxResumes && !s.expired(now) {
 			s.resumes++
 			return Decision{Action: Resume}
 		}
-		return s.retryOrFail(fault.EngineFailed, e, now, budget)
+		return s.retryOrFail(fault.EngineFailed, event, now, budget)
 	case RunNotFound:
 		s.mayHaveRun = true
-		return s.retryOrFail(fault.EngineFailed, e, now, budget)
+		return s.retryOrFail(fault.EngineFailed, event, now, budget)
 	}
 	s.ran = true
-	return s.retryOrFail(fault.EngineFailed, e, now, budget)
+	return s.retryOrFail(fault.EngineFailed, event, now, budget)
 }
 
-func (s *RetryState) retryOrFail(k fault.Kind, e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
-	notExecuted := e == AttemptRefused || e == ConnectFailed
+func (s *RetryState) retryOrFail(kind fault.Kind, event AttemptEvent, now time.Time, budget *RetryBudget) Decision {
+	notExecuted := event == AttemptRefused || event == ConnectFailed
 	switch {
 	case s.expired(now):
 		return s.fail(fault.DeadlineExceeded, "the deadline passed")
 	case s.delivered:
-		return s.fail(k, "the run was lost after part of the answer was delivered")
+		return s.fail(kind, "the run was lost after part of the answer was delivered")
 	case !notExecuted && !s.Repeatable:
-		return s.fail(k, "the request may not be repeated")
+		return s.fail(kind, "the request may not be repeated")
 	case s.attempts >= MaxAttempts:
-		return s.fail(k, "every attempt failed")
+		return s.fail(kind, "every attempt failed")
 	case !budget.TryWithdraw():
-		return s.fail(k, "the retry budget is used up")
+		return s.fail(kind, "the retry budget is used up")
 	}
 	return Decision{Action: Retry}
 }
@@ -133,8 +133,8 @@
 	return !s.Deadline.IsZero() && !now.Before(s.Deadline)
 }
 
-func (s *RetryState) fail(k fault.Kind, detail string) Decision {
-	return Decision{Fail, fault.New(consistentKind(k, s.ExecutionState()), "%s", detail).WithExecution(s.ExecutionState())}
+func (s *RetryState) fail(kind fault.Kind, detail string) Decision {
+	return Decision{Fail, fault.New(consistentKind(kind, s.ExecutionState()), "%s", detail).WithExecution(s.ExecutionState())}
 }
 
 // RetryBudget limits retries to a fraction of first attempts, so that retries do not
--- a/internal/request/windowed_retry_budget.go
+++ b/internal/request/windowed_retry_budget.go
@@ -5,11 +5,10 @@
 // budgetBuckets is the number of buckets per window.
 const budgetBuckets = 50
 
-// WindowedRetryBudget is one daemon's part of a limit shared by all daemons: in any
-// window, the retries for a service stay below Ratio times the first sends plus a
-// reserve. Each daemon applies the ratio to its own first sends and has an equal part
-// of the reserve, so that no communication is needed. Times are readings of a
-// monotonic clock.
+// WindowedRetryBudget is one daemon's share of a limit on all daemons: in any window, the
+// retries for a service stay below Ratio times the first sends plus a reserve. Each daemon
+// uses its own first sends and an equal share of the reserve, so that no communication is
+// needed. Times are readings of a monotonic clock.
 type WindowedRetryBudget struct {
 	// Window is the length of the sliding window.
 	Window time.Duration
@@ -38,10 +37,10 @@
 	slot            int64
 	firsts, retries float64
 } {
-	n := w.slot(now)
-	b := &w.buckets[n%budgetBuckets]
-	if b.slot != n {
-		b.slot, b.firsts, b.retries = n, 0, 0
+	slot := w.slot(now)
+	b := &w.buckets[slot%budgetBuckets]
+	if b.slot != slot {
+		b.slot, b.firsts, b.retries = slot, 0, 0
 	}
 	return b
 }
