--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -43,9 +43,9 @@
 // NewLessor returns a lessor with empty windows.
 func NewLessor(epoch uint64) *Lessor { return &Lessor{epoch: epoch, windows: map[string]*Window{}} }
 
-// Grant handles a lease request. An amount leased at t may be spent until t+LeaseTTL,
-// so the leases of any WindowSpan+LeaseTTL are limited: the spending in any WindowSpan
-// then stays within the limit.
+// Grant handles a lease request. It limits the sum of the leases over WindowSpan+LeaseTTL,
+// because a lease may be spent up to LeaseTTL after it was granted. The spending in any
+// WindowSpan then stays within the limit.
 func (l *Lessor) Grant(now time.Time, req LeaseRequest) Lease {
 	w := l.windows[req.Meter]
 	if w == nil {
@@ -83,11 +83,11 @@
 	offlineLimit      int64
 	unleasedSpend     int64
 	lessorUnreachable bool
-	// offlineUntil ends spending without a lease until the lessor has been tried
-	// again. Otherwise a new lessor could lease the same amount to other daemons.
+	// offlineUntil is the time after which the daemon may not spend without a lease
+	// before it has tried the lessor again. Otherwise a new lessor could lease the same
+	// amount to other daemons.
 	offlineUntil time.Time
-	// deniedUntil is the time of the next request after the lessor had nothing to
-	// lease.
+	// deniedUntil is the earliest time of a lease request after a denied one.
 	deniedUntil time.Time
 	rate        float64
 	rateAt      time.Time
@@ -170,9 +170,8 @@
 // Denied reports whether a recent lease request was denied.
 func (l *Limiter) Denied(now time.Time) bool { return now.Before(l.deniedUntil) }
 
-// HasUnleasedSpend reports whether spending without a lease is yet to be reported to the
-// lessor. It must be reported at once, or a new lessor leases amounts that are already
-// spent.
+// HasUnleasedSpend reports whether spending without a lease is not yet reported to the
+// lessor. It must be reported at once; otherwise a new lessor leases that amount again.
 func (l *Limiter) HasUnleasedSpend() bool { return l.unleasedSpend != 0 }
 
 // ApplyLease adds a lease that was requested at the given time.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -47,8 +47,8 @@
 		t.Fatal("the lease expired early")
 	}
 	again := start.Add(60800 * time.Millisecond)
-	if l := lessor.Grant(again, limiter.NewLeaseRequest(again, 100, 100, 1)); l.Amount != 0 {
-		t.Fatalf("leased %d again, want 0", l.Amount)
+	if lease := lessor.Grant(again, limiter.NewLeaseRequest(again, 100, 100, 1)); lease.Amount != 0 {
+		t.Fatalf("leased %d again, want 0", lease.Amount)
 	}
 }
 
@@ -71,20 +71,20 @@
 				lessor, down = NewLessor(epoch), 8
 			}
 			sum := int64(0)
-			for _, l := range limiters {
+			for _, limiter := range limiters {
 				n := rapid.Int64Range(0, 12).Draw(t, "spend")
 				if n == 0 {
 					continue
 				}
-				ok := l.TryAcquire(now, n)
-				if !ok || l.HasUnleasedSpend() && down == 0 {
-					a := l.NewLeaseRequest(now, n, limit, epoch)
+				ok := limiter.TryAcquire(now, n)
+				if !ok || limiter.HasUnleasedSpend() && down == 0 {
+					req := limiter.NewLeaseRequest(now, n, limit, epoch)
 					if down > 0 {
-						l.LeaseRequestFailed(now, a)
+						limiter.LeaseRequestFailed(now, req)
 					} else {
-						l.ApplyLease(now, lessor.Grant(now, a))
+						limiter.ApplyLease(now, lessor.Grant(now, req))
 					}
-					ok = ok || l.TryAcquire(now, n)
+					ok = ok || limiter.TryAcquire(now, n)
 				}
 				if ok {
 					sum += n
@@ -111,8 +111,8 @@
 		t.Fatal("the second request was admitted")
 	}
 	limiter.Settle(start, 500, 100)
-	if l := lessor.Grant(start, limiter.NewLeaseRequest(start, 400, 500, 1)); l.Amount != 400 {
-		t.Fatalf("leased %d of 400 unused tokens", l.Amount)
+	if lease := lessor.Grant(start, limiter.NewLeaseRequest(start, 400, 500, 1)); lease.Amount != 400 {
+		t.Fatalf("leased %d of 400 unused tokens", lease.Amount)
 	}
 }
 
@@ -121,10 +121,10 @@
 	w.Add(start, 60)
 	w.Add(start.Add(30*time.Second), 40)
 	now := start.Add(40 * time.Second)
-	if d := w.TimeUntilFree(now, WindowSpan, 100, 50); d < 19*time.Second || d > 22*time.Second {
-		t.Fatalf("50 available in %s", d)
+	if wait := w.TimeUntilFree(now, WindowSpan, 100, 50); wait < 19*time.Second || wait > 22*time.Second {
+		t.Fatalf("50 available in %s", wait)
 	}
-	if d := w.TimeUntilFree(now, WindowSpan, 100, 0); d != 0 {
-		t.Fatalf("0 available in %s, want 0s", d)
+	if wait := w.TimeUntilFree(now, WindowSpan, 100, 0); wait != 0 {
+		t.Fatalf("0 available in %s, want 0s", wait)
 	}
 }
