--- a/internal/billing/billing.go
+++ b/internal/billing/billing.go
@@ -79,9 +79,9 @@
 
 // Add adds a record, using one reservation, and returns its sequence number, starting
 // at 1.
-func (b *Buffer) Add(u UsageRecord) uint64 {
+func (b *Buffer) Add(rec UsageRecord) uint64 {
 	b.Release()
-	b.records = append(b.records, u)
+	b.records = append(b.records, rec)
 	b.added++
 	return b.added
 }
@@ -136,15 +136,15 @@
 func NewLedger() *Ledger { return &Ledger{records: map[string]UsageRecord{}} }
 
 // Apply adds a record. Only the first record of a request is kept.
-func (l *Ledger) Apply(u UsageRecord) {
-	old, exists := l.records[u.RequestID]
+func (l *Ledger) Apply(rec UsageRecord) {
+	old, exists := l.records[rec.RequestID]
 	if !exists {
-		l.records[u.RequestID] = u
+		l.records[rec.RequestID] = rec
 		return
 	}
 	l.Duplicates++
-	if old != u && !slices.Contains(l.Conflicting, u.RequestID) {
-		l.Conflicting = append(l.Conflicting, u.RequestID)
+	if old != rec && !slices.Contains(l.Conflicting, rec.RequestID) {
+		l.Conflicting = append(l.Conflicting, rec.RequestID)
 	}
 }
 
@@ -153,8 +153,8 @@
 
 // Record returns the record of a request.
 func (l *Ledger) Record(request string) (UsageRecord, bool) {
-	u, ok := l.records[request]
-	return u, ok
+	rec, ok := l.records[request]
+	return rec, ok
 }
 
 // Records returns all records by request ID. The map must not be modified.
@@ -174,17 +174,17 @@
 // LineItems returns the totals ordered by workspace, model and version.
 func (l *Ledger) LineItems() []LineItem {
 	totals := map[string]*LineItem{}
-	for _, u := range l.records {
-		key := fmt.Sprintf("%s\x00%s\x00%s", u.Workspace, u.Model, u.Version)
+	for _, rec := range l.records {
+		key := fmt.Sprintf("%s\x00%s\x00%s", rec.Workspace, rec.Model, rec.Version)
 		total := totals[key]
 		if total == nil {
-			total = &LineItem{Workspace: u.Workspace, Model: u.Model, Version: u.Version}
+			total = &LineItem{Workspace: rec.Workspace, Model: rec.Model, Version: rec.Version}
 			totals[key] = total
 		}
 		total.Requests++
-		total.Tokens += u.PromptTokens + u.CompletionTokens
-		total.Micros += u.Micros
-		if u.Outcome == Truncated {
+		total.Tokens += rec.PromptTokens + rec.CompletionTokens
+		total.Micros += rec.Micros
+		if rec.Outcome == Truncated {
 			total.Truncated++
 		}
 	}
--- a/internal/billing/billing_test.go
+++ b/internal/billing/billing_test.go
@@ -10,40 +10,40 @@
 // Guards against treating a record as confirmed that was added while an earlier batch was
 // in flight.
 func TestConfirmBatchConfirmsOnlyItsRecords(t *testing.T) {
-	b := NewBuffer(10)
-	first := b.Add(UsageRecord{RequestID: "a"})
-	if batch := b.NextBatch(10); len(batch) != 1 {
+	buffer := NewBuffer(10)
+	first := buffer.Add(UsageRecord{RequestID: "a"})
+	if batch := buffer.NextBatch(10); len(batch) != 1 {
 		t.Fatalf("batch %v", batch)
 	}
-	second := b.Add(UsageRecord{RequestID: "b"})
-	b.ConfirmBatch()
-	if !b.Confirmed(first) || b.Confirmed(second) || b.Len() != 1 {
-		t.Fatalf("first %v, second %v, %d unconfirmed", b.Confirmed(first), b.Confirmed(second), b.Len())
+	second := buffer.Add(UsageRecord{RequestID: "b"})
+	buffer.ConfirmBatch()
+	if !buffer.Confirmed(first) || buffer.Confirmed(second) || buffer.Len() != 1 {
+		t.Fatalf("first %v, second %v, %d unconfirmed", buffer.Confirmed(first), buffer.Confirmed(second), buffer.Len())
 	}
 }
 
 func TestBufferIsBounded(t *testing.T) {
-	b := NewBuffer(2)
+	buffer := NewBuffer(2)
 	for i := range 2 {
-		if err := b.Reserve(); err != nil {
+		if err := buffer.Reserve(); err != nil {
 			t.Fatalf("reservation %d: %v", i, err)
 		}
 	}
-	if err := b.Reserve(); !fault.Is(err, fault.BillingBacklog) {
+	if err := buffer.Reserve(); !fault.Is(err, fault.BillingBacklog) {
 		t.Fatalf("reservation over the limit: %v", err)
 	}
-	b.Release()
-	b.Add(UsageRecord{RequestID: "a"})
-	if b.Reserve() != nil {
+	buffer.Release()
+	buffer.Add(UsageRecord{RequestID: "a"})
+	if buffer.Reserve() != nil {
 		t.Fatal("released reservation cannot be reused")
 	}
-	b.SetUnprotected(true)
-	if err := b.Reserve(); !fault.Is(err, fault.UsageUnprotected) {
+	buffer.SetUnprotected(true)
+	if err := buffer.Reserve(); !fault.Is(err, fault.UsageUnprotected) {
 		t.Fatalf("unprotected: %v", err)
 	}
-	b.NextBatch(10)
-	b.ConfirmBatch()
-	if err := b.Reserve(); err != nil {
+	buffer.NextBatch(10)
+	buffer.ConfirmBatch()
+	if err := buffer.Reserve(); err != nil {
 		t.Fatalf("after confirmation: %v", err)
 	}
 }
@@ -51,26 +51,26 @@
 // Guards against billing a request twice when a batch is appended again after a lost reply
 // or by another daemon that holds a copy.
 func TestLedgerIgnoresDuplicates(t *testing.T) {
-	b, log := NewBuffer(100), []UsageRecord{}
+	buffer, log := NewBuffer(100), []UsageRecord{}
 	for i := range 5 {
-		b.Add(UsageRecord{RequestID: fmt.Sprint(i), Workspace: "w", Model: "m", Version: "v", CompletionTokens: 10, Micros: 7})
+		buffer.Add(UsageRecord{RequestID: fmt.Sprint(i), Workspace: "w", Model: "m", Version: "v", CompletionTokens: 10, Micros: 7})
 	}
-	log = append(log, b.NextBatch(3)...)
-	b.RetryBatch()
-	log = append(log, b.NextBatch(10)...)
-	b.ConfirmBatch()
+	log = append(log, buffer.NextBatch(3)...)
+	buffer.RetryBatch()
+	log = append(log, buffer.NextBatch(10)...)
+	buffer.ConfirmBatch()
 	log = append(log, log[2])
-	l := NewLedger()
-	for _, u := range log {
-		l.Apply(u)
+	ledger := NewLedger()
+	for _, rec := range log {
+		ledger.Apply(rec)
 	}
-	items := l.LineItems()
-	if l.Len() != 5 || l.Duplicates != 4 || len(items) != 1 || items[0].Requests != 5 || items[0].Micros != 35 || len(l.Conflicting) != 0 {
-		t.Fatalf("%d records, %d duplicates, %+v, conflicting %v", l.Len(), l.Duplicates, items, l.Conflicting)
+	items := ledger.LineItems()
+	if ledger.Len() != 5 || ledger.Duplicates != 4 || len(items) != 1 || items[0].Requests != 5 || items[0].Micros != 35 || len(ledger.Conflicting) != 0 {
+		t.Fatalf("%d records, %d duplicates, %+v, conflicting %v", ledger.Len(), ledger.Duplicates, items, ledger.Conflicting)
 	}
-	l.Apply(UsageRecord{RequestID: "0", Micros: 9})
-	if u, _ := l.Record("0"); u.Micros != 7 || len(l.Conflicting) != 1 {
-		t.Fatalf("conflicting duplicate: %+v, conflicting %v", u, l.Conflicting)
+	ledger.Apply(UsageRecord{RequestID: "0", Micros: 9})
+	if rec, _ := ledger.Record("0"); rec.Micros != 7 || len(ledger.Conflicting) != 1 {
+		t.Fatalf("conflicting duplicate: %+v, conflicting %v", rec, ledger.Conflicting)
 	}
 }
 
