--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -108,8 +108,8 @@
 
 var byKind = func() map[Kind]Spec {
 	m := make(map[Kind]Spec, len(specs))
-	for _, a := range specs {
-		m[a.Kind] = a
+	for _, spec := range specs {
+		m[spec.Kind] = spec
 	}
 	return m
 }()
@@ -118,9 +118,9 @@
 func Specs() []Spec { return append([]Spec(nil), specs...) }
 
 // Lookup returns the spec of a kind, or that of Internal if the kind is unknown.
-func Lookup(k Kind) Spec {
-	if a, ok := byKind[k]; ok {
-		return a
+func Lookup(kind Kind) Spec {
+	if spec, ok := byKind[kind]; ok {
+		return spec
 	}
 	return byKind[Internal]
 }
@@ -140,14 +140,14 @@
 	Cause error
 }
 
-// New returns an error of kind k with a formatted detail.
-func New(k Kind, format string, args ...any) *Error {
-	return &Error{Kind: k, Detail: fmt.Sprintf(format, args...)}
+// New returns an error of the given kind with a formatted detail.
+func New(kind Kind, format string, args ...any) *Error {
+	return &Error{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// NewField returns an error of kind k for an input field.
-func NewField(k Kind, field, format string, args ...any) *Error {
-	return &Error{Kind: k, Field: field, Detail: fmt.Sprintf(format, args...)}
+// NewField returns an error of the given kind for an input field, with a formatted detail.
+func NewField(kind Kind, field, format string, args ...any) *Error {
+	return &Error{Kind: kind, Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
 // Error implements error. The result includes the cause.
@@ -169,16 +169,16 @@
 func (e *Error) Unwrap() error { return e.Cause }
 
 // WithExecution returns a copy of e with the given execution state.
-func (e *Error) WithExecution(r ExecutionState) *Error {
+func (e *Error) WithExecution(state ExecutionState) *Error {
 	c := *e
-	c.Execution = r
+	c.Execution = state
 	return &c
 }
 
-// WithRetryAfter returns a copy of e that advises the caller to retry after d.
-func (e *Error) WithRetryAfter(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that advises the caller to retry after a delay.
+func (e *Error) WithRetryAfter(delay time.Duration) *Error {
 	c := *e
-	c.RetryAfter = d
+	c.RetryAfter = delay
 	return &c
 }
 
@@ -215,8 +215,8 @@
 	return &Error{Kind: Internal, Detail: "internal error", Cause: err}
 }
 
-// Is reports whether the chain of err contains an Error of kind k.
-func Is(err error, k Kind) bool {
+// Is reports whether the chain of err contains an Error of the given kind.
+func Is(err error, kind Kind) bool {
 	var e *Error
-	return errors.As(err, &e) && e.Kind == k
+	return errors.As(err, &e) && e.Kind == kind
 }
