--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -91,8 +91,8 @@
 	RequestID      string               `json:"request_id"`
 }
 
-func newErrorResponse(id string, f *fault.Error) errorResponse {
-	return errorResponse{errorDetail{f.Detail, f.Kind, f.Kind, f.Field, f.ExecutionState(), id}}
+func newErrorResponse(id string, faultErr *fault.Error) errorResponse {
+	return errorResponse{errorDetail{faultErr.Detail, faultErr.Kind, faultErr.Kind, faultErr.Field, faultErr.ExecutionState(), id}}
 }
 
 // handleError writes an error as an HTTP response. It maps errors of the echo framework to
@@ -105,23 +105,23 @@
 			err = fault.New(fault.TooLarge, "the body is too large")
 		}
 	}
-	f := fault.FromError(err)
-	a.daemon.RecordRefusal(string(f.Kind))
-	if f.Kind == fault.Internal {
+	faultErr := fault.FromError(err)
+	a.daemon.RecordRefusal(string(faultErr.Kind))
+	if faultErr.Kind == fault.Internal {
 		a.logger.Error("internal error", "request", requestID(c), "err", err)
 	}
 	if c.Response().Committed {
 		return
 	}
 	h := c.Response().Header()
-	h.Set(HeaderExecutionState, string(f.ExecutionState()))
-	if f.ExecutionState() != fault.NotRun {
+	h.Set(HeaderExecutionState, string(faultErr.ExecutionState()))
+	if faultErr.ExecutionState() != fault.NotRun {
 		h.Set(headerShouldRetry, "false")
 	}
-	if retryDelay := f.RetryDelay(); retryDelay > 0 {
+	if retryDelay := faultErr.RetryDelay(); retryDelay > 0 {
 		h.Set("Retry-After", strconv.Itoa(int((retryDelay+time.Second-1)/time.Second)))
 	}
-	_ = c.JSON(fault.Lookup(f.Kind).Status, newErrorResponse(requestID(c), f))
+	_ = c.JSON(fault.Lookup(faultErr.Kind).Status, newErrorResponse(requestID(c), faultErr))
 }
 
 // authenticate returns the name of the workspace that owns the request's API key.
--- a/internal/api/holds.go
+++ b/internal/api/holds.go
@@ -22,8 +22,8 @@
 
 func (a *API) listHolds(c echo.Context) error {
 	out := []HeldRequest{}
-	for _, h := range a.daemon.Holds() {
-		out = append(out, HeldRequest{h.Fingerprint.String(), millisToSeconds(h.AgeMs), millisToSeconds(h.RemainingMs)})
+	for _, hold := range a.daemon.Holds() {
+		out = append(out, HeldRequest{hold.Fingerprint.String(), millisToSeconds(hold.AgeMs), millisToSeconds(hold.RemainingMs)})
 	}
 	return c.JSON(http.StatusOK, out)
 }
@@ -33,28 +33,28 @@
 // addHold quarantines a request on behalf of an operator, for the same duration as an
 // automatic hold, and responds with all holds.
 func (a *API) addHold(c echo.Context) error {
-	f, err := parseFingerprint(c)
+	fingerprint, err := parseFingerprint(c)
 	if err != nil {
 		return err
 	}
-	a.daemon.AddHold(f)
+	a.daemon.AddHold(fingerprint)
 	return a.listHolds(c)
 }
 
 // releaseHold ends a hold and responds with the remaining ones.
 func (a *API) releaseHold(c echo.Context) error {
-	f, err := parseFingerprint(c)
+	fingerprint, err := parseFingerprint(c)
 	if err != nil {
 		return err
 	}
-	a.daemon.ReleaseHold(f)
+	a.daemon.ReleaseHold(fingerprint)
 	return a.listHolds(c)
 }
 
 func parseFingerprint(c echo.Context) (quarantine.Fingerprint, error) {
-	f, err := quarantine.ParseFingerprint(c.Param("fingerprint"))
+	fingerprint, err := quarantine.ParseFingerprint(c.Param("fingerprint"))
 	if err != nil {
 		return 0, fault.NewField(fault.BadRequest, "fingerprint", "%v", err)
 	}
-	return f, nil
+	return fingerprint, nil
 }
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -78,7 +78,7 @@
 	return c.JSON(fault.Lookup(outcome.Kind).Status, PatchErrorResponse{newErrorResponse(requestID(c), faultErr), a.daemon.Config().Number, newer})
 }
 
-// Status is the state of a daemon and of the cluster members as that daemon knows them.
+// Status is the state of a daemon and its view of the cluster members.
 type Status struct {
 	ID      string              `json:"id"`
 	Number  uint64              `json:"number"`
