--- a/internal/app/bench_test.go
+++ b/internal/app/bench_test.go
@@ -48,11 +48,11 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	w, err := demo.NewCluster(2, startDemoNode)
+	cluster, err := demo.NewCluster(2, startDemoNode)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer w.Close()
+	defer cluster.Close()
 	direct, routed := hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
 	c := &http.Client{}
 	engineBody := bytes.Replace([]byte(lookupBody), []byte("bib-lookup"), []byte("bib-lookup@v1"), 1)
@@ -61,7 +61,7 @@
 		sendChat(b, c, s.URL, "", http.Header{"X-Run-Id": {time.Now().String()}}, engineBody)
 		_ = direct.RecordValue(time.Since(start).Microseconds())
 		start = time.Now()
-		sendChat(b, c, "http://"+w.Addresses[0], demo.APIKey(demo.Largada), nil, []byte(lookupBody))
+		sendChat(b, c, "http://"+cluster.Addresses[0], demo.APIKey(demo.Largada), nil, []byte(lookupBody))
 		_ = routed.RecordValue(time.Since(start).Microseconds())
 	}
 	reportLatency(b, direct, "alone")
@@ -75,18 +75,18 @@
 	model := demo.EngineConfig
 	defer func() { demo.EngineConfig = model }()
 	demo.EngineConfig.AnswerTokens, demo.EngineConfig.DecodePerToken, demo.EngineConfig.PrefillPerToken = 1, 0, 0
-	w, err := demo.NewCluster(2, startDemoNode)
+	cluster, err := demo.NewCluster(2, startDemoNode)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer w.Close()
+	defer cluster.Close()
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	b.ReportAllocs()
 	b.SetParallelism(8)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			sendChat(b, c, "http://"+w.Addresses[0], demo.APIKey(demo.Largada), nil, []byte(lookupBody))
+			sendChat(b, c, "http://"+cluster.Addresses[0], demo.APIKey(demo.Largada), nil, []byte(lookupBody))
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
--- a/internal/app/command.go
+++ b/internal/app/command.go
@@ -141,12 +141,12 @@
 	return node.Shutdown(ctx)
 }
 
-// reloadSecrets applies the current secrets. If they cannot be loaded, the old ones stay
-// in effect.
+// reloadSecrets loads the secrets again and applies the session keys. If loading fails, the
+// previous ones stay in effect.
 func (n *Node) reloadSecrets(s settings.Settings) {
 	secrets, err := settings.LoadSecrets(s)
 	if err != nil {
-		n.logger.Error("kept the old secrets", "err", err)
+		n.logger.Error("cannot reload secrets, previous ones stay in effect", "err", err)
 		return
 	}
 	n.Daemon.SetSecrets(secrets)
--- a/internal/app/end_to_end_test.go
+++ b/internal/app/end_to_end_test.go
@@ -22,15 +22,15 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// newWorld starts daemons and fake services on loopback and stops them when the test ends.
-func newWorld(t *testing.T, daemons int) *demo.Cluster {
+// newCluster starts daemons and fake services on loopback and stops them when the test ends.
+func newCluster(t *testing.T, daemons int) *demo.Cluster {
 	t.Helper()
-	w, err := demo.NewCluster(daemons, startDemoNode)
+	cluster, err := demo.NewCluster(daemons, startDemoNode)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	return w
+	t.Cleanup(cluster.Close)
+	return cluster
 }
 
 // waitUntil polls a condition and fails the test if it does not hold within a minute.
@@ -72,8 +72,8 @@
 const lookupBody = `{"model":"bib-lookup","messages":[{"role":"user","content":"status of bib 7"}]}`
 
 func TestOpenAIClient(t *testing.T) {
-	w := newWorld(t, 1)
-	c := openai.NewClient(option.WithBaseURL("http://"+w.Addresses[0]+"/v1/"), option.WithAPIKey(demo.APIKey(demo.Largada)))
+	cluster := newCluster(t, 1)
+	c := openai.NewClient(option.WithBaseURL("http://"+cluster.Addresses[0]+"/v1/"), option.WithAPIKey(demo.APIKey(demo.Largada)))
 	params := openai.ChatCompletionNewParams{
 		Model:    "bib-lookup",
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("status of bib 7")},
@@ -86,15 +86,15 @@
 		t.Fatalf("plain answer: %+v", plain)
 	}
 	stream := c.Chat.Completions.NewStreaming(t.Context(), params)
-	acc := openai.ChatCompletionAccumulator{}
+	accumulator := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
-		acc.AddChunk(stream.Current())
+		accumulator.AddChunk(stream.Current())
 	}
 	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
-	if acc.Choices[0].Message.Content != plain.Choices[0].Message.Content {
-		t.Fatalf("streamed %q, plain %q", acc.Choices[0].Message.Content, plain.Choices[0].Message.Content)
+	if accumulator.Choices[0].Message.Content != plain.Choices[0].Message.Content {
+		t.Fatalf("streamed %q, plain %q", accumulator.Choices[0].Message.Content, plain.Choices[0].Message.Content)
 	}
 	models, err := c.Models.List(t.Context())
 	if err != nil || len(models.Data) != 3 {
@@ -105,37 +105,37 @@
 // TestStalePatchIsRejected checks that a patch with a stale base is rejected, with a list
 // of the newer patches, and that resubmitting an accepted patch is idempotent.
 func TestStalePatchIsRejected(t *testing.T) {
-	w := newWorld(t, 2)
+	cluster := newCluster(t, 2)
 	submit := func(address, id, body string) (int, api.PatchErrorResponse, fleet.PatchOutcome) {
 		status, _, data := post(t, address, "/operator/v1/patches", demo.Secrets.OperatorKey, nil, `{"patch_id":"`+id+`","base":1,"author":"`+id+`","patch":`+body+`}`)
-		var r api.PatchErrorResponse
-		var o fleet.PatchOutcome
-		_ = json.Unmarshal([]byte(data), &r)
-		_ = json.Unmarshal([]byte(data), &o)
-		return status, r, o
+		var rejection api.PatchErrorResponse
+		var outcome fleet.PatchOutcome
+		_ = json.Unmarshal([]byte(data), &rejection)
+		_ = json.Unmarshal([]byte(data), &outcome)
+		return status, rejection, outcome
 	}
-	if status, _, o := submit(w.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || o.Number != 2 {
-		t.Fatalf("first patch: status %d, %+v", status, o)
+	if status, _, outcome := submit(cluster.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || outcome.Number != 2 {
+		t.Fatalf("first patch: status %d, %+v", status, outcome)
 	}
-	status, r, _ := submit(w.Addresses[1], "bea", `{"workspaces":{"largada-sul":{"priority":5}}}`)
-	if status != http.StatusConflict || r.Error.Code != fault.BaseStale || r.CurrentNumber != 2 || len(r.NewerPatches) != 1 || r.NewerPatches[0].Author != "ana" {
-		t.Fatalf("stale patch: status %d, %+v", status, r)
+	status, rejection, _ := submit(cluster.Addresses[1], "bea", `{"workspaces":{"largada-sul":{"priority":5}}}`)
+	if status != http.StatusConflict || rejection.Error.Code != fault.BaseStale || rejection.CurrentNumber != 2 || len(rejection.NewerPatches) != 1 || rejection.NewerPatches[0].Author != "ana" {
+		t.Fatalf("stale patch: status %d, %+v", status, rejection)
 	}
-	if status, _, o := submit(w.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || o.Number != 2 {
-		t.Fatalf("resubmitted patch: status %d, %+v", status, o)
+	if status, _, outcome := submit(cluster.Addresses[0], "ana", `{"workspaces":{"largada-sul":{"priority":3}}}`); status != http.StatusOK || outcome.Number != 2 {
+		t.Fatalf("resubmitted patch: status %d, %+v", status, outcome)
 	}
 }
 
 // TestCallerDisconnectCancelsRun checks that the engine's run is cancelled when the caller
 // closes a stream before its end.
 func TestCallerDisconnectCancelsRun(t *testing.T) {
-	w := newWorld(t, 1)
-	for _, e := range w.Engines {
+	cluster := newCluster(t, 1)
+	for _, e := range cluster.Engines {
 		e.SetBehaviour("bib-lookup@v1", standin.Behaviour{SlowFactor: 100})
 	}
 	ctx, disconnect := context.WithCancel(t.Context())
 	body := strings.Replace(lookupBody, "{", `{"stream":true,`, 1)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.Addresses[0]+"/v1/chat/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+cluster.Addresses[0]+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 	_ = resp.Body.Close()
 	waitUntil(t, "the run is cancelled", func() bool {
 		n := 0
-		for _, e := range w.Engines {
+		for _, e := range cluster.Engines {
 			n += e.CanceledRuns()
 		}
 		return n == 1
@@ -161,37 +161,37 @@
 // TestWithdrawnVersionGetsNoNewRequests checks that a session pinned to a withdrawn version
 // moves to its successor on every daemon, and that explicit requests for it are rejected.
 func TestWithdrawnVersionGetsNoNewRequests(t *testing.T) {
-	w := newWorld(t, 2)
+	cluster := newCluster(t, 2)
 	key := demo.APIKey(demo.Goldfields)
-	status, h, _ := post(t, w.Addresses[0], "/v1/chat/completions", key, nil, lookupBody)
-	if status != http.StatusOK || h.Get("X-Model-Version") != "bib-lookup@v1" {
-		t.Fatalf("before the withdrawal: status %d, header %v", status, h)
+	status, header, _ := post(t, cluster.Addresses[0], "/v1/chat/completions", key, nil, lookupBody)
+	if status != http.StatusOK || header.Get("X-Model-Version") != "bib-lookup@v1" {
+		t.Fatalf("before the withdrawal: status %d, header %v", status, header)
 	}
-	pin := http.Header{api.HeaderSessionID: {h.Get(api.HeaderSessionID)}}
-	err := w.ApplyPatch(fleet.Patch{Models: map[string]json.RawMessage{
+	pin := http.Header{api.HeaderSessionID: {header.Get(api.HeaderSessionID)}}
+	err := cluster.ApplyPatch(fleet.Patch{Models: map[string]json.RawMessage{
 		"bib-lookup": json.RawMessage(`{"stable":"v2","versions":{"v1":{"state":"withdrawn","successor":"v2"}}}`),
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := countRuns(w, "bib-lookup@v1")
-	status, h, _ = post(t, w.Addresses[1], "/v1/chat/completions", key, pin, lookupBody)
-	if status != http.StatusOK || h.Get("X-Model-Version") != "bib-lookup@v2" {
-		t.Fatalf("after the withdrawal: status %d, header %v", status, h)
+	before := countRuns(cluster, "bib-lookup@v1")
+	status, header, _ = post(t, cluster.Addresses[1], "/v1/chat/completions", key, pin, lookupBody)
+	if status != http.StatusOK || header.Get("X-Model-Version") != "bib-lookup@v2" {
+		t.Fatalf("after the withdrawal: status %d, header %v", status, header)
 	}
 	explicit := strings.Replace(lookupBody, "bib-lookup", "bib-lookup@v1", 1)
-	status, h, _ = post(t, w.Addresses[1], "/v1/chat/completions", key, nil, explicit)
-	if status != http.StatusGone || h.Get(api.HeaderExecutionState) != "not_run" {
-		t.Fatalf("explicit request for the withdrawn version: status %d, header %v", status, h)
+	status, header, _ = post(t, cluster.Addresses[1], "/v1/chat/completions", key, nil, explicit)
+	if status != http.StatusGone || header.Get(api.HeaderExecutionState) != "not_run" {
+		t.Fatalf("explicit request for the withdrawn version: status %d, header %v", status, header)
 	}
-	if after := countRuns(w, "bib-lookup@v1"); after != before {
+	if after := countRuns(cluster, "bib-lookup@v1"); after != before {
 		t.Fatalf("%d runs started on the withdrawn version", after-before)
 	}
 }
 
-func countRuns(w *demo.Cluster, version string) int {
+func countRuns(cluster *demo.Cluster, version string) int {
 	n := 0
-	for _, e := range w.Engines {
+	for _, e := range cluster.Engines {
 		for _, v := range e.RunVersions() {
 			if v == version {
 				n++
@@ -202,7 +202,7 @@
 }
 
 func TestInvalidInputIsRejected(t *testing.T) {
-	w := newWorld(t, 1)
+	cluster := newCluster(t, 1)
 	key, operator := demo.APIKey(demo.Largada), demo.Secrets.OperatorKey
 	chat, patches := "/v1/chat/completions", "/operator/v1/patches"
 	cases := []struct {
@@ -236,21 +236,21 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			status, h, data := post(t, w.Addresses[0], c.path, c.key, c.header, c.body)
+			status, header, data := post(t, cluster.Addresses[0], c.path, c.key, c.header, c.body)
 			var r api.PatchErrorResponse
 			if err := json.Unmarshal([]byte(data), &r); err != nil {
 				t.Fatalf("status %d, body %q: %v", status, data, err)
 			}
-			if status != c.status || r.Error.Code != c.kind || r.Error.ExecutionState != fault.NotRun || r.Error.RequestID == "" || h.Get(api.HeaderRequestID) != r.Error.RequestID {
+			if status != c.status || r.Error.Code != c.kind || r.Error.ExecutionState != fault.NotRun || r.Error.RequestID == "" || header.Get(api.HeaderRequestID) != r.Error.RequestID {
 				t.Fatalf("status %d: %s", status, data)
 			}
 		})
 	}
 	var cfg fleet.Config
-	if err := w.CallOperator(http.MethodGet, "/config", nil, &cfg); err != nil || cfg.Number != 1 {
+	if err := cluster.CallOperator(http.MethodGet, "/config", nil, &cfg); err != nil || cfg.Number != 1 {
 		t.Fatalf("configuration %d, error %v", cfg.Number, err)
 	}
-	if n := countRuns(w, "bib-lookup@v1"); n != 0 {
+	if n := countRuns(cluster, "bib-lookup@v1"); n != 0 {
 		t.Fatalf("%d runs were started", n)
 	}
 }
@@ -258,28 +258,28 @@
 // TestMalformedHeadersAreRejected guards against header injection and request smuggling:
 // a malformed request must be rejected before it is routed.
 func TestMalformedHeadersAreRejected(t *testing.T) {
-	w := newWorld(t, 1)
+	cluster := newCluster(t, 1)
 	for name, header := range map[string]string{
 		"a bare carriage return": "X-Session-Id: a\rX-Evil: b",
 		"a NUL":                  "X-Session-Id: a\x00b",
 		"two lengths":            "Content-Length: 5\r\nContent-Length: 6",
 		"a blank in a name":      "X Session: a",
 	} {
-		c, err := net.Dial("tcp", w.Addresses[0])
+		conn, err := net.Dial("tcp", cluster.Addresses[0])
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer %s\r\nConnection: close\r\n%s\r\n\r\n%s", demo.APIKey(demo.Largada), header, lookupBody)
+		_, err = fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer %s\r\nConnection: close\r\n%s\r\n\r\n%s", demo.APIKey(demo.Largada), header, lookupBody)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, err := io.ReadAll(c)
+		answer, err := io.ReadAll(conn)
 		if err != nil || !bytes.HasPrefix(answer, []byte("HTTP/1.1 400 ")) {
 			t.Errorf("%s: response %q, error %v", name, answer, err)
 		}
-		_ = c.Close()
+		_ = conn.Close()
 	}
-	if n := countRuns(w, "bib-lookup@v1"); n != 0 {
+	if n := countRuns(cluster, "bib-lookup@v1"); n != 0 {
 		t.Fatalf("%d runs were started", n)
 	}
 }
@@ -287,14 +287,14 @@
 // TestRollingRestartLosesNoRequests checks that a draining daemon is removed from endpoint
 // responses and keeps serving until the cached responses have expired.
 func TestRollingRestartLosesNoRequests(t *testing.T) {
-	w := newWorld(t, 3)
-	traffic := demo.NewTraffic(w)
+	cluster := newCluster(t, 3)
+	traffic := demo.NewTraffic(cluster)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); traffic.Run(ctx, 6, 1) }()
 	waitUntil(t, "traffic flows", func() bool { return traffic.Answered() > 20 })
-	for i := range w.Nodes {
-		if err := w.Restart(t.Context(), i); err != nil {
+	for i := range cluster.Nodes {
+		if err := cluster.Restart(t.Context(), i); err != nil {
 			t.Errorf("daemon %d: %v", i, err)
 		}
 	}
@@ -306,12 +306,12 @@
 }
 
 func TestMetricsEndpoint(t *testing.T) {
-	w := newWorld(t, 1)
-	if status, _, _ := post(t, w.Addresses[0], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookupBody); status != http.StatusOK {
+	cluster := newCluster(t, 1)
+	if status, _, _ := post(t, cluster.Addresses[0], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookupBody); status != http.StatusOK {
 		t.Fatal(status)
 	}
 	waitUntil(t, "the request is counted", func() bool {
-		resp, err := http.Get("http://" + w.Addresses[0] + "/metrics")
+		resp, err := http.Get("http://" + cluster.Addresses[0] + "/metrics")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -51,8 +51,8 @@
 	killOnce       sync.Once
 }
 
-// NewLogger returns a logger that prefixes lines with the daemon ID. An invalid level is
-// ignored.
+// NewLogger returns a logger that prefixes lines with the daemon ID. If the level is
+// invalid, the default level is used.
 func NewLogger(w io.Writer, id, level string) *log.Logger {
 	logger := log.NewWithOptions(w, log.Options{ReportTimestamp: true, Prefix: id})
 	if parsedLevel, err := log.ParseLevel(level); err == nil {
@@ -113,9 +113,9 @@
 	return n, nil
 }
 
-func serve(l net.Listener, h http.Handler) *http.Server {
+func serve(listener net.Listener, h http.Handler) *http.Server {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	go func() { _ = s.Serve(l) }()
+	go func() { _ = s.Serve(listener) }()
 	return s
 }
 
--- a/internal/app/tls.go
+++ b/internal/app/tls.go
@@ -91,9 +91,9 @@
 	})
 }
 
-// peerClientConfig returns a client configuration that verifies peer certificates against
-// the current CA pool, because RootCAs cannot change after a reload. Host names are not
-// verified: peers are addressed by IP address and authenticated by the peer key.
+// peerClientConfig returns a client configuration that verifies peer certificates in
+// VerifyConnection, because RootCAs cannot be replaced when the files change. Host names
+// are not verified: peers are addressed by IP address and authenticated by the peer key.
 func (c *certReloader) peerClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
--- a/internal/app/tls_test.go
+++ b/internal/app/tls_test.go
@@ -48,7 +48,7 @@
 
 // issueFiles writes a new certificate with the given serial number, its key and the CA
 // certificate to dir.
-func (a *testCA) issueFiles(t *testing.T, dir string, serial int64) settings.TLS {
+func (ca *testCA) issueFiles(t *testing.T, dir string, serial int64) settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -58,11 +58,11 @@
 		SerialNumber: big.NewInt(serial), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	caDER, err := x509.CreateCertificate(rand.Reader, a.cert, a.cert, &a.key.PublicKey, a.key)
+	caDER, err := x509.CreateCertificate(rand.Reader, ca.cert, ca.cert, &ca.key.PublicKey, ca.key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	der, err := x509.CreateCertificate(rand.Reader, leaf, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, leaf, ca.cert, &key.PublicKey, ca.key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,11 +70,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := settings.TLS{CertFile: filepath.Join(dir, "cert.pem"), KeyFile: filepath.Join(dir, "key.pem"), CAFile: filepath.Join(dir, "ca.pem")}
-	writePEM(t, f.CertFile, "CERTIFICATE", der)
-	writePEM(t, f.KeyFile, "EC PRIVATE KEY", keyDER)
-	writePEM(t, f.CAFile, "CERTIFICATE", caDER)
-	return f
+	files := settings.TLS{CertFile: filepath.Join(dir, "cert.pem"), KeyFile: filepath.Join(dir, "key.pem"), CAFile: filepath.Join(dir, "ca.pem")}
+	writePEM(t, files.CertFile, "CERTIFICATE", der)
+	writePEM(t, files.KeyFile, "EC PRIVATE KEY", keyDER)
+	writePEM(t, files.CAFile, "CERTIFICATE", caDER)
+	return files
 }
 
 // TestPeerTLS checks that the peer port requires a certificate of the same CA and that
@@ -85,17 +85,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "in") })}
-	go func() { _ = srv.Serve(server.peerListener(l)) }()
+	go func() { _ = srv.Serve(server.peerListener(listener)) }()
 	defer srv.Close()
 	get := func(c *tls.Config) (serial int64, err error) {
-		tr := &http.Transport{TLSClientConfig: c}
-		defer tr.CloseIdleConnections()
-		resp, err := (&http.Client{Transport: tr}).Get("https://" + l.Addr().String())
+		transport := &http.Transport{TLSClientConfig: c}
+		defer transport.CloseIdleConnections()
+		resp, err := (&http.Client{Transport: transport}).Get("https://" + listener.Addr().String())
 		if err != nil {
 			return 0, err
 		}
