--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -66,8 +66,8 @@
 // doJSON sends in as JSON to the first reachable daemon and decodes the response into out.
 func (c *client) doJSON(ctx context.Context, method, path string, in, out any) error {
 	var lastErr error
-	for _, a := range c.addresses {
-		status, data, err := c.doOnce(ctx, a, method, path, in)
+	for _, address := range c.addresses {
+		status, data, err := c.doOnce(ctx, address, method, path, in)
 		if err != nil {
 			lastErr = err
 			continue
@@ -103,7 +103,7 @@
 	return resp.StatusCode, data, err
 }
 
-// responseError returns an error response as an error with the matching exit code.
+// responseError converts an error response to an error with the matching exit code.
 func responseError(status int, data []byte) error {
 	var resp api.PatchErrorResponse
 	_ = json.Unmarshal(data, &resp)
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -107,17 +107,17 @@
 }
 
 func (cmds *commands) printJSON(v any) error {
-	e := json.NewEncoder(cmds.out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(cmds.out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
 
 // printTable prints rows of tab-separated cells under a header.
 func (cmds *commands) printTable(header string, rows []string) error {
 	w := tabwriter.NewWriter(cmds.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, header)
-	for _, r := range rows {
-		fmt.Fprintln(w, r)
+	for _, row := range rows {
+		fmt.Fprintln(w, row)
 	}
 	return w.Flush()
 }
@@ -236,12 +236,12 @@
 		return cmds.printJSON(patches)
 	}
 	var rows []string
-	for _, o := range patches {
+	for _, outcome := range patches {
 		result := "accepted"
-		if !o.Accepted {
-			result = string(o.Kind)
+		if !outcome.Accepted {
+			result = string(outcome.Kind)
 		}
-		rows = append(rows, fmt.Sprintf("%d\t%d\t%s\t%s\t%s\t%s", o.Number, o.Base, result, valueOrDash(o.Author), o.PatchID, strings.Join(append(o.Changed, o.Detail), " ")))
+		rows = append(rows, fmt.Sprintf("%d\t%d\t%s\t%s\t%s\t%s", outcome.Number, outcome.Base, result, valueOrDash(outcome.Author), outcome.PatchID, strings.Join(append(outcome.Changed, outcome.Detail), " ")))
 	}
 	return cmds.printTable("NUMBER\tBASE\tOUTCOME\tAUTHOR\tPATCH\tWHAT", rows)
 }
--- a/internal/ctl/declare.go
+++ b/internal/ctl/declare.go
@@ -53,27 +53,27 @@
 }
 
 // printChanges prints each changed entity and the workspaces that the change affects.
-func printChanges(out io.Writer, c *fleet.Config, changes []fleet.Change) {
-	for _, ch := range changes {
+func printChanges(out io.Writer, cfg *fleet.Config, changes []fleet.Change) {
+	for _, change := range changes {
 		mark := "~"
 		switch {
-		case ch.Old == nil:
+		case change.Old == nil:
 			mark = "+"
-		case ch.New == nil:
+		case change.New == nil:
 			mark = "-"
 		}
-		fmt.Fprintf(out, "%s %s %s\n", mark, ch.Path, ch.Patch)
-		if workspaces := affectedWorkspaces(c, ch.Path); len(workspaces) > 0 {
+		fmt.Fprintf(out, "%s %s %s\n", mark, change.Path, change.Patch)
+		if workspaces := affectedWorkspaces(cfg, change.Path); len(workspaces) > 0 {
 			fmt.Fprintf(out, "    touches workspaces: %s\n", strings.Join(workspaces, " "))
 		}
 	}
 }
 
 // affectedWorkspaces returns the sorted names of the workspaces that use an entity.
-func affectedWorkspaces(c *fleet.Config, path string) []string {
+func affectedWorkspaces(cfg *fleet.Config, path string) []string {
 	section, name, _ := strings.Cut(path, "/")
 	var out []string
-	for ws, w := range c.Workspaces {
+	for ws, w := range cfg.Workspaces {
 		uses := false
 		switch section {
 		case "workspaces":
@@ -85,7 +85,7 @@
 		case "models", "rollouts":
 			uses = slices.ContainsFunc(w.Models, func(e string) bool { return e == name || strings.HasPrefix(e, name+"@") })
 		case "pools":
-			uses = usesPool(c, w, name)
+			uses = usesPool(cfg, w, name)
 		}
 		if uses {
 			out = append(out, ws)
@@ -95,13 +95,13 @@
 	return out
 }
 
-func usesPool(c *fleet.Config, w fleet.Workspace, pool string) bool {
+func usesPool(cfg *fleet.Config, w fleet.Workspace, pool string) bool {
 	for _, s := range w.Services {
-		if c.Services[s].Pool == pool {
+		if cfg.Services[s].Pool == pool {
 			return true
 		}
 	}
-	for model, m := range c.Models {
+	for model, m := range cfg.Models {
 		for version, v := range m.Versions {
 			if v.Pool == pool && w.Allows(model, version) {
 				return true
--- a/internal/ctl/evacuate.go
+++ b/internal/ctl/evacuate.go
@@ -14,8 +14,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-// maxEvacuateAttempts is the number of attempts to submit an evacuation when other patches
-// change the base. Retrying is safe because the patch touches no other entity.
+// maxEvacuateAttempts is the number of attempts to submit an evacuation while other patches
+// make its base stale. Retrying is safe because the patch touches no other entity.
 const maxEvacuateAttempts = 5
 
 // evacuate starts or, with -back, ends the evacuation of a failure domain. Servers in an
@@ -85,8 +85,8 @@
 }
 
 // countServers returns the number of servers in a failure domain.
-func countServers(c *fleet.Config, domain string) (n int) {
-	for _, p := range c.Pools {
+func countServers(cfg *fleet.Config, domain string) (n int) {
+	for _, p := range cfg.Pools {
 		for _, s := range p.Servers {
 			if s.FailureDomain == domain {
 				n++
@@ -96,11 +96,11 @@
 	return n
 }
 
-// evacuatedPools returns the pools with servers in the given domain and none in a domain
-// that is not evacuated.
-func evacuatedPools(c *fleet.Config, domain string) (pools []string) {
-	for name, p := range c.Pools {
-		open := func(s fleet.Server) bool { _, evacuated := c.Evacuations[s.FailureDomain]; return !evacuated }
+// evacuatedPools returns the sorted names of the pools that have servers in the given domain
+// and whose servers are all in evacuated domains.
+func evacuatedPools(cfg *fleet.Config, domain string) (pools []string) {
+	for name, p := range cfg.Pools {
+		open := func(s fleet.Server) bool { _, evacuated := cfg.Evacuations[s.FailureDomain]; return !evacuated }
 		inDomain := func(s fleet.Server) bool { return s.FailureDomain == domain }
 		if slices.ContainsFunc(p.Servers, inDomain) && !slices.ContainsFunc(p.Servers, open) {
 			pools = append(pools, name)
--- a/internal/ctl/trace.go
+++ b/internal/ctl/trace.go
@@ -22,7 +22,8 @@
 // maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// stateLookback is how long before the first line of a request state changes are included.
+// stateLookback is the time before the first line of a request from which on state changes
+// are included.
 const stateLookback = 30 * time.Second
 
 // logLine is a parsed line of a daemon's log.
@@ -78,8 +79,8 @@
 		return fmt.Errorf("no line of request %s in %d lines", args[0], len(lines))
 	}
 	rows := make([]string, 0, len(timeline))
-	for _, l := range timeline {
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s", l.at.Format("15:04:05.000"), l.source, l.message, strings.Join(l.fields, " ")))
+	for _, line := range timeline {
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s", line.at.Format("15:04:05.000"), line.source, line.message, strings.Join(line.fields, " ")))
 	}
 	return cmds.printTable("TIME\tLOG\tWHAT\tINPUTS", rows)
 }
@@ -97,55 +98,55 @@
 // skipped.
 func readLog(source string, r io.Reader) ([]logLine, error) {
 	var out []logLine
-	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLogLine)
-	for s.Scan() {
-		if l, ok := parseLine(source, s.Text()); ok {
-			out = append(out, l)
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLogLine)
+	for scanner.Scan() {
+		if line, ok := parseLine(source, scanner.Text()); ok {
+			out = append(out, line)
 		}
 	}
-	if err := s.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", source, err)
 	}
 	return out, nil
 }
 
 func parseLine(source, text string) (logLine, bool) {
-	l := logLine{source: source, values: map[string]string{}}
-	d := logfmt.NewDecoder(strings.NewReader(text))
-	for d.ScanRecord() {
-		for d.ScanKeyval() {
-			key, value := string(d.Key()), string(d.Value())
-			l.values[key] = value
+	line := logLine{source: source, values: map[string]string{}}
+	decoder := logfmt.NewDecoder(strings.NewReader(text))
+	for decoder.ScanRecord() {
+		for decoder.ScanKeyval() {
+			key, value := string(decoder.Key()), string(decoder.Value())
+			line.values[key] = value
 			switch key {
 			case "time":
 				at, err := time.Parse(time.RFC3339Nano, value)
 				if err != nil {
-					return l, false
+					return line, false
 				}
-				l.at = at
+				line.at = at
 			case "msg":
-				l.message = value
+				line.message = value
 			case "level", "request":
 			default:
-				l.fields = append(l.fields, key+"="+value)
+				line.fields = append(line.fields, key+"="+value)
 			}
 		}
 	}
-	return l, d.Err() == nil && !l.at.IsZero() && l.message != ""
+	return line, decoder.Err() == nil && !line.at.IsZero() && line.message != ""
 }
 
-// requestTimeline returns the lines of a request and the state changes that its daemons
-// logged from stateLookback before its first line until its last one, sorted by time. State
-// changes of servers that the request was not sent to are left out.
+// requestTimeline returns the lines of a request and the state changes that the same daemons
+// logged from stateLookback before its first line until its last line, sorted by time. It
+// omits state changes of servers to which the request was not sent.
 func requestTimeline(lines []logLine, id string) []logLine {
 	var requestLines []logLine
 	sources, servers := map[string]bool{}, map[string]bool{}
-	for _, l := range lines {
-		if l.values["request"] == id {
-			requestLines = append(requestLines, l)
-			sources[l.source] = true
-			servers[l.values["server"]] = true
+	for _, line := range lines {
+		if line.values["request"] == id {
+			requestLines = append(requestLines, line)
+			sources[line.source] = true
+			servers[line.values["server"]] = true
 		}
 	}
 	if len(requestLines) == 0 {
@@ -154,13 +155,13 @@
 	slices.SortStableFunc(requestLines, compareTime)
 	first, last := requestLines[0].at, requestLines[len(requestLines)-1].at
 	timeline := requestLines
-	for _, l := range lines {
-		server, hasServer := l.values["server"]
+	for _, line := range lines {
+		server, hasServer := line.values["server"]
 		switch {
-		case !stateMessages[l.message] || !sources[l.source], hasServer && !servers[server]:
-		case l.at.Before(first.Add(-stateLookback)), l.at.After(last):
+		case !stateMessages[line.message] || !sources[line.source], hasServer && !servers[server]:
+		case line.at.Before(first.Add(-stateLookback)), line.at.After(last):
 		default:
-			timeline = append(timeline, l)
+			timeline = append(timeline, line)
 		}
 	}
 	slices.SortStableFunc(timeline, compareTime)
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -130,8 +130,8 @@
 		return cmds.printJSON(r)
 	}
 	var rows []string
-	for _, l := range r.Lines {
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%d\t%.6f", l.Workspace, l.Model, valueOrDash(l.Version), l.Requests, l.Truncated, l.Tokens, float64(l.Micros)/1e6))
+	for _, item := range r.Lines {
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%d\t%.6f", item.Workspace, item.Model, valueOrDash(item.Version), item.Requests, item.Truncated, item.Tokens, float64(item.Micros)/1e6))
 	}
 	if err := cmds.printTable("WORKSPACE\tMODEL\tVERSION\tREQUESTS\tCUT\tTOKENS\tPRICE", rows); err != nil {
 		return err
@@ -155,12 +155,12 @@
 		return cmds.printJSON(r)
 	}
 	var rows []string
-	for _, l := range r.Lines {
+	for _, objective := range r.Lines {
 		exhaustedIn := "-"
-		if l.ExhaustedIn > 0 {
-			exhaustedIn = l.ExhaustedIn.Round(time.Minute).String()
+		if objective.ExhaustedIn > 0 {
+			exhaustedIn = objective.ExhaustedIn.Round(time.Minute).String()
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%.2f\t%.0f%%\t%s\t%s", l.Workspace, l.Objective, l.Window, l.Requests, l.Bad, l.Burn, 100*l.Remaining, exhaustedIn, valueOrDash(l.Worst)))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%.2f\t%.0f%%\t%s\t%s", objective.Workspace, objective.Objective, objective.Window, objective.Requests, objective.Bad, objective.Burn, 100*objective.Remaining, exhaustedIn, valueOrDash(objective.Worst)))
 	}
 	if err := cmds.printTable("WORKSPACE\tOBJECTIVE\tWINDOW\tREQUESTS\tBAD\tBURN\tLEFT\tEXHAUSTED IN\tMOST FROM", rows); err != nil {
 		return err
