--- a/cmd/rudderctl/main_test.go
+++ b/cmd/rudderctl/main_test.go
@@ -33,12 +33,12 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/fleet",
 		Setup: func(env *testscript.Env) error {
-			world, err := demo.NewCluster(2, start)
+			cluster, err := demo.NewCluster(2, start)
 			if err != nil {
 				return err
 			}
-			env.Defer(world.Close)
-			env.Setenv("RUDDERCTL_ADDRESS", world.Addresses[0]+","+world.Addresses[1])
+			env.Defer(cluster.Close)
+			env.Setenv("RUDDERCTL_ADDRESS", cluster.Addresses[0]+","+cluster.Addresses[1])
 			env.Setenv("RUDDERCTL_KEY", demo.Secrets.OperatorKey)
 			return os.CopyFS(filepath.Join(env.WorkDir, "examples"), os.DirFS(examples))
 		},
