--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the client of backend servers. These are model engines with an
-// OpenAI-compatible API, extended by resumable streams of server-sent events,
-// cancellation, load reports and orders, and plain HTTP services.
+// Package engine is the client of backend servers. A backend server is either a plain HTTP
+// service or a model engine with an OpenAI-compatible API that is extended by resumable
+// streams of server-sent events, cancellation, load reports and orders.
 package engine
 
 import (
@@ -119,8 +119,8 @@
 	return newStream(resp.Body, cancel, idleTimer, c.idleTimeout), nil
 }
 
-// ConnectionRefused reports whether the VM refuses connections to an address because no
-// process listens there.
+// ConnectionRefused reports whether the VM refuses connections to an address, which means
+// that no process listens there.
 func (c *Client) ConnectionRefused(ctx context.Context, address string) bool {
 	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -132,8 +132,8 @@
 }
 
 func wrapDialError(err error) error {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrNotConnected, err)
 	}
 	return oops.In("engine").Wrap(err)
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -53,7 +53,7 @@
 	_ = s.body.Close()
 }
 
-// Next returns the next frame. An error means that the stream broke off or exceeded the
+// Next returns the next frame. An error means that the stream ended early or exceeded the
 // idle timeout. The answer is complete only if a frame with End set was received.
 func (s *Stream) Next() (Frame, error) {
 	s.idleTimer.Reset(s.idleTimeout)
@@ -126,18 +126,18 @@
 	if len(data) == 0 || string(data) == "[DONE]" || id <= 0 {
 		return Frame{}, errNoFrame
 	}
-	var c completionChunk
-	if err := json.Unmarshal(data, &c); err != nil {
+	var chunk completionChunk
+	if err := json.Unmarshal(data, &chunk); err != nil {
 		return Frame{}, err
 	}
-	f := Frame{Frame: request.Frame{Run: c.RunID, Offset: id, Failed: c.Error != nil}, Usage: c.Usage}
-	if len(c.Choices) > 0 {
-		f.Delta = c.Choices[0].Delta.Content
-		f.FinishReason = c.Choices[0].FinishReason
-		f.End = f.FinishReason != ""
+	frame := Frame{Frame: request.Frame{Run: chunk.RunID, Offset: id, Failed: chunk.Error != nil}, Usage: chunk.Usage}
+	if len(chunk.Choices) > 0 {
+		frame.Delta = chunk.Choices[0].Delta.Content
+		frame.FinishReason = chunk.Choices[0].FinishReason
+		frame.End = frame.FinishReason != ""
 	}
-	if f.Usage.PromptTokens < 0 || f.Usage.AnswerTokens < 0 {
+	if frame.Usage.PromptTokens < 0 || frame.Usage.AnswerTokens < 0 {
 		return Frame{}, errNoFrame
 	}
-	return f, nil
+	return frame, nil
 }
