--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -21,17 +21,16 @@
 )
 
 const (
-	// dialTimeout is shorter than TCP's first SYN retransmission after 1 s: trying
-	// another server is faster than waiting for it.
+	// dialTimeout is shorter than TCP's initial retransmission timeout of 1 s, because
+	// trying another server is faster than waiting for the retransmission.
 	dialTimeout = 400 * time.Millisecond
 	// defaultKeepAlive is the idle timeout if the server's response states none.
 	defaultKeepAlive = 4 * time.Second
-	// keepAliveMargin is subtracted from the idle timeout of a server, so that no
-	// request is sent while the server closes the connection. It would be unknown
-	// whether such a request ran.
+	// keepAliveMargin is subtracted from the idle timeout of a server. A request sent
+	// while the server closes the connection may or may not have run.
 	keepAliveMargin = 800 * time.Millisecond
-	// With these TCP keep-alive parameters the kernel detects a dead peer within
-	// about 2 s.
+	// The kernel detects a dead peer after tcpKeepAliveIdle and tcpKeepAliveCount
+	// unanswered probes, one per tcpKeepAliveInterval.
 	tcpKeepAliveIdle     = time.Second
 	tcpKeepAliveInterval = 400 * time.Millisecond
 	tcpKeepAliveCount    = 3
@@ -171,11 +170,11 @@
 }
 
 // newError returns an error with the given reason, or with Canceled if ctx is done.
-func newError(ctx context.Context, r Reason, sent bool, err error) *Error {
+func newError(ctx context.Context, reason Reason, sent bool, err error) *Error {
 	if ctx.Err() != nil {
 		return &Error{Canceled, sent, context.Cause(ctx)}
 	}
-	return &Error{r, sent, err}
+	return &Error{reason, sent, err}
 }
 
 var errUnmatchedResponse = errors.New("received only responses to other requests")
@@ -270,8 +269,8 @@
 	b.conn.discard()
 }
 
-// requestWritten reports whether the request has been written completely. Otherwise the
-// server would read the next request on the connection as the rest of the body.
+// requestWritten reports whether the request has been written completely. After a partial
+// one, the server would read the next request as the rest of the body.
 func (b *responseBody) requestWritten() bool {
 	if b.written == nil {
 		return true
@@ -286,8 +285,8 @@
 
 // recycle returns a connection to the pool for the idle timeout of the server, or
 // discards it if it cannot be reused.
-func (c *conn) recycle(h http.Header) {
-	idleTimeout := keepAliveTimeout(h) - keepAliveMargin
+func (c *conn) recycle(header http.Header) {
+	idleTimeout := keepAliveTimeout(header) - keepAliveMargin
 	if idleTimeout <= 0 || c.reader.Buffered() > 0 {
 		c.discard()
 		return
@@ -305,8 +304,8 @@
 }
 
 // keepAliveTimeout returns the idle timeout in a Keep-Alive header field.
-func keepAliveTimeout(h http.Header) time.Duration {
-	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
+func keepAliveTimeout(header http.Header) time.Duration {
+	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
 			return time.Duration(seconds) * time.Second
@@ -373,8 +372,8 @@
 	return c.Close()
 }
 
-// ConnectionRefused reports whether the VM refuses connections to an address because no
-// process listens there. A successful connection is kept in the pool.
+// ConnectionRefused reports whether the VM refuses connections to an address, which means
+// that no process listens there. A successful connection is kept in the pool.
 func (p *Pool) ConnectionRefused(ctx context.Context, address string) bool {
 	p.mu.Lock()
 	p.open[address]++
