--- a/internal/enginetest/engines.go
+++ b/internal/enginetest/engines.go
@@ -1,5 +1,5 @@
-// Package enginetest simulates backend servers for tests in virtual time. They serve
-// streams and crash on requests that are marked for it.
+// Package enginetest simulates backend servers for tests in virtual time. They stream
+// responses and crash on requests whose body begins with CrashPrefix.
 package enginetest
 
 import (
@@ -86,7 +86,7 @@
 	e.register(id, []byte("ready"))
 }
 
-// crash stops a server, unless it is stopped already, and restarts it later.
+// crash stops a server, unless it is stopped already, and restarts it after RestartDelay.
 func (e *Engines) crash(id, body string) {
 	e.mu.Lock()
 	server := e.running[id]
@@ -142,8 +142,8 @@
 }
 
 // Probe implements relay.Backend.
-func (e *Engines) Probe(_ context.Context, s backend.Server, _ bool) error {
-	if e.lookup(s.Incarnation.Name) == nil {
+func (e *Engines) Probe(_ context.Context, server backend.Server, _ bool) error {
+	if e.lookup(server.Incarnation.Name) == nil {
 		return syscall.ECONNREFUSED
 	}
 	return nil
