--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// BackendServer is a fake backend server of the platform with fault injection. It interprets
-// only the header of a request and responds with a body or a stream of events.
+// BackendServer is a fake backend server of the platform with fault injection. It responds
+// with a body or a stream of events. Of request bodies it only interprets CrashMarker.
 type BackendServer struct {
 	// ID is the ID of the server. Restart does not change it.
 	ID string
@@ -90,7 +90,7 @@
 // SetShedding sets whether the server rejects all requests without executing them.
 func (s *BackendServer) SetShedding(on bool) { s.mu.Lock(); s.shedding = on; s.mu.Unlock() }
 
-// SetFailureStatus sets the HTTP status of responses that are no streams; 0 restores 200.
+// SetFailureStatus sets the HTTP status of non-streaming responses; 0 restores 200.
 func (s *BackendServer) SetFailureStatus(status int) {
 	s.mu.Lock()
 	s.failureStatus = status
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -21,7 +21,7 @@
 	eventCount     int
 }
 
-// eventDropInterval is n if every n-th cache event is dropped.
+// eventDropInterval is the number of cache events of which the last one is dropped.
 const eventDropInterval = 10
 
 func newBlockCache(capacity int) *blockCache {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -57,19 +57,19 @@
 	stalled      bool
 	startedRuns  int
 	canceledRuns int
-	// onCrash is called when a run crashes the engine; see CrashMarker.
+	// onCrash is called when a run crashes the engine.
 	onCrash func()
 }
 
-// CrashMarker is the text in a request that crashes the fake that starts to run it.
+// CrashMarker in a request crashes the fake server that starts to run it.
 const CrashMarker = "deadly"
 
 // OnCrash sets the function that is called when a run starts whose prompt contains
-// CrashMarker.
+// CrashMarker. The run then fails.
 func (e *Engine) OnCrash(onCrash func()) { e.mu.Lock(); e.onCrash = onCrash; e.mu.Unlock() }
 
-// crashIfMarked crashes the engine if the prompt contains CrashMarker. It reports whether it
-// did so.
+// crashIfMarked crashes the engine if the prompt contains CrashMarker, and reports whether it
+// did.
 func (e *Engine) crashIfMarked(ru *run) bool {
 	e.mu.Lock()
 	onCrash := e.onCrash
@@ -212,9 +212,9 @@
 	for _, m := range in.Messages {
 		prompt.WriteString(m.Content)
 	}
-	p, _ := strconv.Atoi(priority)
+	parsedPriority, _ := strconv.Atoi(priority)
 	ctx, cancel := context.WithCancel(context.Background())
-	ru := &run{id: id, model: in.Model, priority: p, prompt: prompt.String(), scheduled: make(chan struct{}), updated: make(chan struct{}), ctx: ctx, cancel: cancel}
+	ru := &run{id: id, model: in.Model, priority: parsedPriority, prompt: prompt.String(), scheduled: make(chan struct{}), updated: make(chan struct{}), ctx: ctx, cancel: cancel}
 	ru.targetTokens = e.cfg.AnswerTokens
 	if in.MaxTokens > 0 {
 		ru.targetTokens = min(ru.targetTokens, in.MaxTokens)
--- a/internal/standin/metadata.go
+++ b/internal/standin/metadata.go
@@ -36,7 +36,7 @@
 	return &MetadataSnapshot{cloneTopics(m.topics)}
 }
 
-// Restore replaces the store's content by a snapshot. Later records are lost and their
+// Restore replaces the store's content with a snapshot. Later records are lost and their
 // offsets are reused. Connections stay open.
 func (m *MetadataStore) Restore(snapshot *MetadataSnapshot) {
 	m.mu.Lock()
--- a/internal/standin/services.go
+++ b/internal/standin/services.go
@@ -17,7 +17,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/platform"
 )
 
-// BadAnswerMarker is the text in an answer of an Engine that makes a Rater rate it as bad.
+// BadAnswerMarker is part of the bad answers of an Engine. A Rater detects them by it.
 const BadAnswerMarker = "wrong"
 
 // VMList is a fake of the platform's VM list. Changes become visible after a delay.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -37,7 +37,7 @@
 	return s, nil
 }
 
-// Close closes the listener and all connections immediately, like the loss of a VM.
+// Close closes the listener and all connections immediately, as if the VM were lost.
 func (s *Server) Close() { _ = s.httpServer.Close() }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
