--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -114,8 +114,8 @@
 	return id
 }
 
-// collectHistory adds the executions of the backend servers and the bills of the
-// ledger to the recorded responses.
+// collectHistory returns the history of responses, executions and bills, the ledger, and
+// the number of runs on bib-lookup@v2.
 func (c *Cluster) collectHistory(traffic *Traffic) (history []invariant.Event, ledger *billing.Ledger, badVersionRuns int) {
 	ledger = billing.NewLedger()
 	for _, data := range c.Log.Records(daemon.UsageStream) {
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -86,20 +86,20 @@
 // sendNext sends a random request: a service call that must not be repeated, a chat
 // through the cascade, or a chat with the cheap or the expensive model.
 func (t *Traffic) sendNext(rng *rand.Rand, caller, n int) {
-	ws := Goldfields
+	workspace := Goldfields
 	if caller%2 == 1 {
-		ws = Largada
+		workspace = Largada
 	}
 	session := fmt.Sprintf("caller-%d-%d", caller, n)
 	switch choice := rng.IntN(10); {
 	case choice < 1:
-		t.confirm(ws, fmt.Sprintf("confirm-%d-%d", caller, n))
+		t.confirm(workspace, fmt.Sprintf("confirm-%d-%d", caller, n))
 	case choice < 4:
-		t.chat(ws, "desk", session, strings.Repeat("warrant ", sharedPromptBytes/8)+session)
+		t.chat(workspace, "desk", session, strings.Repeat("warrant ", sharedPromptBytes/8)+session)
 	case choice < 9:
-		t.chat(ws, "bib-lookup", session, "status of bib "+session)
+		t.chat(workspace, "bib-lookup", session, "status of bib "+session)
 	default:
-		t.chat(ws, "warrant-reader", session, strings.Repeat("assay ", rng.IntN(400))+session)
+		t.chat(workspace, "warrant-reader", session, strings.Repeat("assay ", rng.IntN(400))+session)
 	}
 }
 
@@ -138,8 +138,8 @@
 
 // send posts a request and counts a failure or refusal. If ok is true, the caller must
 // close the response body.
-func (t *Traffic) send(ws, path string, header http.Header, body []byte) (resp *http.Response, id string, ok bool) {
-	resp, err := t.post(ws, path, header, body)
+func (t *Traffic) send(workspace, path string, header http.Header, body []byte) (resp *http.Response, id string, ok bool) {
+	resp, err := t.post(workspace, path, header, body)
 	if err != nil {
 		t.recordFailure("connection")
 		return nil, "", false
@@ -153,7 +153,7 @@
 	return resp, id, true
 }
 
-func (t *Traffic) post(ws, path string, header http.Header, body []byte) (*http.Response, error) {
+func (t *Traffic) post(workspace, path string, header http.Header, body []byte) (*http.Response, error) {
 	address := t.nextEndpoint()
 	t.mu.Lock()
 	t.sent++
@@ -163,14 +163,14 @@
 		return nil, err
 	}
 	req.Header = header
-	req.Header.Set("Authorization", "Bearer "+APIKey(ws))
+	req.Header.Set("Authorization", "Bearer "+APIKey(workspace))
 	return t.http.Do(req)
 }
 
-func (t *Traffic) chat(ws, model, session, prompt string) {
+func (t *Traffic) chat(workspace, model, session, prompt string) {
 	body := mustMarshal(map[string]any{"model": model, "stream": true, "messages": []any{map[string]string{"role": "user", "content": prompt}}})
 	sent := time.Now()
-	resp, id, ok := t.send(ws, "/v1/chat/completions", http.Header{api.HeaderSessionID: {session}}, body)
+	resp, id, ok := t.send(workspace, "/v1/chat/completions", http.Header{api.HeaderSessionID: {session}}, body)
 	if !ok {
 		return
 	}
@@ -192,7 +192,7 @@
 	t.history = append(t.history, e)
 }
 
-// readStream reads a response stream. Complete is false if the stream ends without the
+// readStream reads a response stream. complete is false if the stream ends without the
 // terminal event.
 func readStream(r io.Reader) (content string, firstToken time.Time, complete bool) {
 	var text strings.Builder
@@ -225,9 +225,9 @@
 	return text.String(), firstToken, false
 }
 
-func (t *Traffic) confirm(ws, key string) {
+func (t *Traffic) confirm(workspace, key string) {
 	header := http.Header{api.HeaderIdempotencyKey: {key}}
-	resp, id, ok := t.send(ws, "/v1/services/confirm", header, mustMarshal(map[string]string{"lot": key}))
+	resp, id, ok := t.send(workspace, "/v1/services/confirm", header, mustMarshal(map[string]string{"lot": key}))
 	if !ok {
 		return
 	}
