--- a/internal/settings/secrets.go
+++ b/internal/settings/secrets.go
@@ -16,7 +16,7 @@
 // minSecretBytes is the minimum length of a key.
 const minSecretBytes = 16
 
-// Secrets holds the keys of a daemon. Its String method redacts them.
+// Secrets holds the keys of a daemon.
 type Secrets struct {
 	// PeerKey authenticates daemons to each other.
 	PeerKey string `json:"peer_key"`
@@ -29,7 +29,7 @@
 	SessionKeys map[string]string `json:"session_keys"`
 }
 
-// String keeps the keys out of logs and errors.
+// String returns a placeholder, which keeps the keys out of logs and errors.
 func (Secrets) String() string { return "[secrets]" }
 
 // LoadSecrets reads and validates the secrets from s.SecretsFile or, if it is
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,8 +70,8 @@
 	// Default "5s".
 	EndpointTTL Duration `json:"endpoint_ttl"`
 	// DrainGrace is how long a stopping daemon accepts requests after the endpoint
-	// TTL has passed. The minimum, "2s", lets daemons that have just started learn
-	// that it is leaving. Default "3s".
+	// TTL has passed. The minimum, "2s", is the time in which its leaving state
+	// reaches daemons that have just started. Default "3s".
 	DrainGrace Duration `json:"drain_grace"`
 	// DrainTimeout is the maximum wait for running requests at shutdown. Default "2m".
 	DrainTimeout Duration `json:"drain_limit"`
@@ -155,7 +155,7 @@
 func addLineNumber(data []byte, err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
-		return fmt.Errorf("line %d: %s: %s does not fit (a JSON %s)", lineNumber(data, int(typeErr.Offset)), typeErr.Field, valueEndingAt(data, int(typeErr.Offset)), typeErr.Value)
+		return fmt.Errorf("line %d: %s: invalid value %s (JSON %s)", lineNumber(data, int(typeErr.Offset)), typeErr.Field, valueEndingAt(data, int(typeErr.Offset)), typeErr.Value)
 	}
 	if _, field, ok := strings.Cut(err.Error(), "unknown field "); ok {
 		return fmt.Errorf("line %d: unknown field %s", lineNumber(data, bytes.Index(data, []byte(field))), field)
@@ -227,13 +227,13 @@
 	case s.MaxBodyBytes <= 0:
 		return fmt.Errorf("max_body_bytes: %d must be greater than zero", s.MaxBodyBytes)
 	case s.SubsetSize < 1 || s.SubsetSize > maxSubsetSize:
-		return fmt.Errorf("subset: %d is out of 1..%d", s.SubsetSize, maxSubsetSize)
+		return fmt.Errorf("subset: %d must be in 1..%d", s.SubsetSize, maxSubsetSize)
 	case s.DrainGrace < minDrainGrace:
 		return fmt.Errorf("drain_grace: %s must be at least %s", time.Duration(s.DrainGrace), time.Duration(minDrainGrace))
 	case s.BillingBufferSize < 1:
 		return fmt.Errorf("billing_buffer: %d must be greater than zero", s.BillingBufferSize)
 	case s.RatingShare < 0 || s.RatingShare > 1:
-		return fmt.Errorf("rating_share: %v is out of 0..1", s.RatingShare)
+		return fmt.Errorf("rating_share: %v must be in 0..1", s.RatingShare)
 	case s.LogOutagePolicy != "majority" && s.LogOutagePolicy != "refuse":
 		return fmt.Errorf("without_log: %q is neither majority nor refuse", s.LogOutagePolicy)
 	case !strings.Contains(" debug info warn error ", " "+s.LogLevel+" "):
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse(data)
 		if err == nil && (s.ID == "" || s.SubsetSize < 1 || s.StreamIdleTimeout <= 0 || s.DrainGrace < minDrainGrace) {
-			t.Fatalf("%+v", s)
+			t.Fatalf("accepted: %+v", s)
 		}
 	})
 }
