--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -216,9 +216,9 @@
 		c.report(MonotonicConfig, "daemon %s went from %d to %d", e.Daemon, old, e.ConfigNumber)
 	}
 	c.configNumbers[e.Daemon] = e.ConfigNumber
-	for _, a := range c.accepted {
-		if a.ConfigNumber > e.ConfigNumber && e.At > a.At+c.limits.ConfigPropagation {
-			c.report(TimelyConfig, "daemon %s is at %d, %s after %d was accepted", e.Daemon, e.ConfigNumber, e.At-a.At, a.ConfigNumber)
+	for _, accepted := range c.accepted {
+		if accepted.ConfigNumber > e.ConfigNumber && e.At > accepted.At+c.limits.ConfigPropagation {
+			c.report(TimelyConfig, "daemon %s is at %d, %s after %d was accepted", e.Daemon, e.ConfigNumber, e.At-accepted.At, accepted.ConfigNumber)
 			return
 		}
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Each history violates exactly one property.
+// Checks histories that violate exactly one property.
 func TestEachViolationIsReported(t *testing.T) {
 	cases := map[Property][]Event{
 		VersionAllowed:           {{Kind: ExecutionStarted, Request: "b", Model: "m", Version: "v9"}},
