--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -81,7 +81,7 @@
 	return len(p), nil
 }
 
-// Dropped returns the number of lost lines.
+// Dropped returns the number of lines that were not written.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
 // Close stops accepting lines and waits up to closeTimeout for pending ones to be written.
--- a/internal/logs/async_test.go
+++ b/internal/logs/async_test.go
@@ -11,21 +11,21 @@
 // blockedWriter blocks until unblock is closed.
 type blockedWriter struct{ unblock chan struct{} }
 
-func (s blockedWriter) Write(p []byte) (int, error) { <-s.unblock; return len(p), nil }
+func (w blockedWriter) Write(p []byte) (int, error) { <-w.unblock; return len(p), nil }
 
 // Guards against a daemon that blocks on logging while its standard output is not read.
 func TestBlockedOutputDoesNotBlockWrite(t *testing.T) {
-	s := blockedWriter{make(chan struct{})}
-	a := NewAsyncWriter(s)
+	output := blockedWriter{make(chan struct{})}
+	a := NewAsyncWriter(output)
 	for range 3 * queueLines {
 		if _, err := a.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if a.Dropped() == 0 {
-		t.Error("no dropped lines")
+		t.Error("no lines were dropped")
 	}
-	close(s.unblock)
+	close(output.unblock)
 	a.Close()
 }
 
@@ -71,7 +71,7 @@
 	writers.Wait()
 	before := a.Dropped()
 	if n, err := a.Write([]byte("late")); n != 4 || err != nil || a.Dropped() != before+1 {
-		t.Errorf("%d, %v, %d dropped", n, err, a.Dropped()-before)
+		t.Errorf("got %d, %v and %d dropped lines", n, err, a.Dropped()-before)
 	}
 	a.Close()
 }
