--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -21,9 +21,8 @@
 	}
 }
 
-// Sleep waits for d and returns true, or returns false if the context ends first. A non-positive d
-// needs no timer: timers that fire at once can crash the runtime under synctest with the race
-// detector.
+// Sleep waits for d and returns true, or returns false if the context ends first. It creates no
+// timer if d <= 0: a timer that fires at once can crash the Go runtime in synctest with -race.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -15,6 +15,6 @@
 		}
 	})
 	if calls != 3 {
-		t.Errorf("%d calls", calls)
+		t.Errorf("got %d calls, want 3", calls)
 	}
 }
