--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -113,7 +113,7 @@
 		return oops.In("platform").Wrapf(err, "read %s %s", method, path)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return oops.In("platform").With("status", resp.StatusCode).Wrap(fmt.Errorf("%s %s answered %s", method, path, resp.Status))
+		return oops.In("platform").With("status", resp.StatusCode).Wrap(fmt.Errorf("%s %s returned %s", method, path, resp.Status))
 	}
 	if out == nil {
 		return nil
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -81,6 +81,7 @@
 
 // WeightStore limits the rate at which backend servers load model weights.
 type WeightStore interface {
-	// Reserve requests permission to load a version; false means retry later.
+	// Reserve requests permission to load a version. False means that the rate is exceeded
+	// and the caller may retry later.
 	Reserve(ctx context.Context, model, version string) (bool, error)
 }
