--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -21,7 +21,8 @@
 // must not import.
 var forbiddenImports = []string{"net", "os", "io/fs", "syscall", "context", "sync", "crypto/rand", "github.com/charmbracelet/log"}
 
-// importExceptions maps "package import" to the reason why the import is allowed.
+// importExceptions maps a pure package and an import, separated by a space, to the reason
+// why the import is allowed.
 var importExceptions = map[string]string{
 	"fault net/http":  "names of status codes",
 	"fleet net/netip": "parsing of addresses, no I/O",
--- a/internal/arch/docs_test.go
+++ b/internal/arch/docs_test.go
@@ -22,7 +22,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/settings"
 )
 
-var update = flag.Bool("update", false, "write the pages that are made from the code")
+var update = flag.Bool("update", false, "write the generated pages")
 
 // comparePage compares a page in docs with the generated text, or writes it with
 // -update.
@@ -123,7 +123,7 @@
 	})
 }
 
-// The sample must contain every field with its default value.
+// Checks that the sample contains every field with its default value.
 func TestSampleMatchesDefaults(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("..", "..", "docs", "settings.sample.jsonc"))
 	if err != nil {
@@ -148,6 +148,6 @@
 		}
 	}
 	if time.Duration(sample.StreamIdleTimeout) <= 0 {
-		t.Error("silence is missing")
+		t.Error("the sample has no positive value of silence")
 	}
 }
