--- a/lab/soak/cluster.go
+++ b/lab/soak/cluster.go
@@ -44,8 +44,8 @@
 	faults        []string
 	// config is the latest configuration written to the store.
 	config []byte
-	// serverEntries are the unterminated JSON entries of servers, without their start time,
-	// by index.
+	// serverEntries holds, by server index, the JSON entry without the start time and the
+	// closing brace.
 	serverEntries  []string
 	invalidEntries []invalidEntry
 	// restoreCount is the number of restores of the store from a snapshot.
@@ -62,8 +62,8 @@
 
 const (
 	clientCount = 12
-	// settleTime lets the effects of the faults end; it exceeds the shutdown grace period
-	// of a daemon, since clients here do not use the directory.
+	// settleTime is the pause after the last fault. It exceeds the shutdown grace period of
+	// daemons, because the clients keep sending to a daemon that shuts down.
 	settleTime     = 9 * time.Second
 	recoveryWindow = 4 * time.Second
 	// minRecoveryRate is the minimum success rate during recoveryWindow, which follows
@@ -217,7 +217,7 @@
 	c.store.Put("keyed.op", "config", c.config)
 }
 
-// clientKeys returns the keys for clients to use: the valid keys and those revoked recently.
+// clientKeys returns the keys that clients use: the valid and the recently revoked ones.
 func (c *cluster) clientKeys() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -271,7 +271,7 @@
 	d := c.daemons[c.rng.IntN(len(c.daemons))]
 	serverProxy, storeProxy := c.serverProxies[c.rng.IntN(len(c.serverProxies))], c.storeProxies[c.rng.IntN(len(c.storeProxies))]
 	server := c.servers[c.rng.IntN(len(c.servers))]
-	m := proxyMode(1 + c.rng.IntN(int(modeCount)-1))
+	mode := proxyMode(1 + c.rng.IntN(int(modeCount)-1))
 	revert := func(f func()) { time.AfterFunc(duration, f) }
 	faults := []struct {
 		name  string
@@ -281,8 +281,8 @@
 		{"kill", func() { d.signal(syscall.SIGKILL) }},
 		{"pause", func() { d.signal(syscall.SIGSTOP); revert(func() { d.signal(syscall.SIGCONT) }) }},
 		{"hup", func() { d.signal(syscall.SIGHUP) }},
-		{"path", func() { serverProxy.setMode(m); revert(func() { serverProxy.setMode(modeForward) }) }},
-		{"store-path", func() { storeProxy.setMode(m); revert(func() { storeProxy.setMode(modeForward) }) }},
+		{"path", func() { serverProxy.setMode(mode); revert(func() { serverProxy.setMode(modeForward) }) }},
+		{"store-path", func() { storeProxy.setMode(mode); revert(func() { storeProxy.setMode(modeForward) }) }},
 		{"store-refuses", func() { c.store.SetFailure("", 503); revert(func() { c.store.SetFailure("", 0) }) }},
 		{"store-loses", func() { c.store.LoseReplies(3) }},
 		{"store-compacts", func() { c.store.Compact("keyed.op"); c.store.Compact("keyed.servers") }},
--- a/lab/soak/deadly.go
+++ b/lab/soak/deadly.go
@@ -10,15 +10,15 @@
 	"github.com/damaskrudder/damaskrudder/internal/fault"
 )
 
-// Scenario: requests with a deadly payload arrive repeatedly, under new ids and at random
-// daemons, and crash the servers that run them, while daemons are stopped and restarted.
+// Scenario: requests that crash every server that runs them ("deadly" requests) arrive
+// repeatedly with new ids at random daemons, while daemons are stopped and restarted.
 
 const (
 	// deadlyRestartDelay is the downtime of a server after a crash.
 	deadlyRestartDelay = 2 * time.Second
-	// containmentDelay is the time after the crash that triggers the quarantine within which
-	// it must reach all daemons, and maxLateArrivals the number of deadly requests that may
-	// still reach servers afterwards.
+	// containmentDelay is the time from the crash that triggers the quarantine until all
+	// daemons must enforce it. maxLateArrivals is the number of deadly requests that may
+	// still reach servers after it.
 	containmentDelay = 3 * time.Second
 	maxLateArrivals  = 3
 	// quarantineThreshold is the number of crashes that triggers the quarantine.
--- a/lab/soak/loadgen.go
+++ b/lab/soak/loadgen.go
@@ -92,18 +92,18 @@
 // deadlyRandStream is the PCG stream used by sendDeadly.
 const deadlyRandStream = 1 << 32
 
-func (g *loadGenerator) sendNormal(client *http.Client, frontAddr string, k routeKind, key string) call {
-	return g.send(client, frontAddr, k, key, normalBody)
+func (g *loadGenerator) sendNormal(client *http.Client, frontAddr string, kind routeKind, key string) call {
+	return g.send(client, frontAddr, kind, key, normalBody)
 }
 
-func (g *loadGenerator) send(client *http.Client, frontAddr string, k routeKind, key, payload string) call {
+func (g *loadGenerator) send(client *http.Client, frontAddr string, kind routeKind, key, payload string) call {
 	g.mu.Lock()
 	g.lastID++
-	rec := call{id: fmt.Sprintf("%08x", g.lastID), frontAddr: frontAddr, kind: k, key: key, sentAt: time.Now(), deadly: payload != normalBody}
+	rec := call{id: fmt.Sprintf("%08x", g.lastID), frontAddr: frontAddr, kind: kind, key: key, sentAt: time.Now(), deadly: payload != normalBody}
 	g.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+frontAddr+routePaths[k], strings.NewReader(payload))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+frontAddr+routePaths[kind], strings.NewReader(payload))
 	if err != nil {
 		panic(err) // the URL is built from constants and a valid address
 	}
@@ -112,7 +112,7 @@
 	req.Header.Set("X-Damaskrudder-Attempt-Id", rec.id)
 	req.Header.Set("X-Damaskrudder-Deadline-Ms", fmt.Sprint(requestTimeout.Milliseconds()))
 	req.Header.Set("Authorization", "Bearer "+key)
-	if k == streaming {
+	if kind == streaming {
 		req.Header.Set("X-Damaskrudder-Model", "*")
 		req.Header.Set("X-Damaskrudder-Token-Count", "300,20")
 	}
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -56,8 +56,8 @@
 	return "", fmt.Errorf("no free port: %w", lastErr)
 }
 
-// portStride is coprime with portCount, so that the search covers every port, and separates
-// concurrent runs with adjacent process ids.
+// portStride is coprime with portCount, so that the search covers every port. It separates
+// the ports of concurrent runs with adjacent process ids.
 const portStride = 1237
 
 // nodeConfigTemplate is the TOML configuration file of a daemon.
@@ -135,18 +135,18 @@
 }
 
 // signal sends a signal to the daemon's own process.
-func (p *process) signal(s syscall.Signal) {
+func (p *process) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil || p.cmd.Process == nil {
 		return
 	}
-	if s == syscall.SIGTERM {
+	if sig == syscall.SIGTERM {
 		p.lastTermAt = time.Now()
-	} else if s != syscall.SIGHUP {
+	} else if sig != syscall.SIGHUP {
 		p.lastFaultAt = time.Now()
 	}
-	_ = p.cmd.Process.Signal(s) // the process may have exited
+	_ = p.cmd.Process.Signal(sig) // the process may have exited
 }
 
 func (p *process) kill() {
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -49,11 +49,11 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) setMode(m proxyMode) {
+func (p *proxy) setMode(mode proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mode = m
-	if m != modeReset {
+	p.mode = mode
+	if mode != modeReset {
 		return
 	}
 	for c := range p.conns {
@@ -125,9 +125,9 @@
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
-			m := p.currentMode()
-			dropped = dropped || m == dropMode || m == otherDropMode
-			if m == modeDelay {
+			mode := p.currentMode()
+			dropped = dropped || mode == dropMode || mode == otherDropMode
+			if mode == modeDelay {
 				time.Sleep(forwardDelay)
 			}
 			if !dropped {
--- a/lab/soak/restart.go
+++ b/lab/soak/restart.go
@@ -19,7 +19,7 @@
 }
 
 // maxInvalidEntryDelay is how long requests may still reach a server after its entry became
-// invalid. It leaves a margin over the required bound for daemon starts and machine load.
+// invalid. It exceeds the required bound to allow for daemon starts and machine load.
 const maxInvalidEntryDelay = 3 * time.Second
 
 // invalidEntryValues are values that another writer may store under a server's id.
@@ -47,7 +47,7 @@
 	}{
 		{"server-restarts", func() { s.Restart(); c.rewriteEntry(i, s.StartMillis()) }},
 		{"server-restarts-twice", func() { s.Restart(); s.Restart(); c.rewriteEntry(i, s.StartMillis()) }},
-		// A delayed write of an earlier instance may reach the store late.
+		// Simulates a delayed write by the previous incarnation.
 		{"older-entry", func() { c.rewriteEntry(i, s.StartMillis()-1) }},
 		{"entry-bad", func() { c.invalidateEntry(i) }},
 		{"kill", func() { d.signal(syscall.SIGKILL) }},
--- a/lab/soak/restore.go
+++ b/lab/soak/restore.go
@@ -11,7 +11,7 @@
 // the servers write the lost entries again shortly afterwards.
 
 const (
-	// maxSnapshots is the number of snapshots kept, taken every snapshotInterval.
+	// snapshotInterval is the time between snapshots, and maxSnapshots the number kept.
 	snapshotInterval = 700 * time.Millisecond
 	maxSnapshots     = 6
 	// restoreInterval is the time between restores, outageDuration the outage before each, and
--- a/lab/soak/warming.go
+++ b/lab/soak/warming.go
@@ -14,9 +14,9 @@
 // domains are evacuated, while daemons are stopped and restarted.
 
 const (
+	warmupDuration = 1500 * time.Millisecond
 	// configuredWarmupRate is the configured request rate of a warming server, in requests per
 	// second, and maxWarmupRate the highest rate that passes the check.
-	warmupDuration       = 1500 * time.Millisecond
 	configuredWarmupRate = 6
 	maxWarmupRate        = 8
 	// warmupRestartDelay is the downtime of a server before it starts again.
