--- a/lab/history/engine.go
+++ b/lab/history/engine.go
@@ -24,7 +24,7 @@
 	unloadedVersion string
 	// stalled makes each connection stop after two frames.
 	stalled bool
-	// scrambled makes connections repeat frames, reorder them, and deliver foreign ones.
+	// scrambled makes connections repeat and reorder frames, and add frames of other runs.
 	scrambled   bool
 	incarnation int
 }
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Without faults every daemon applies a configuration change within 2 s of its commit. The
-// delays under faults are logged only.
+// Checks how long daemons take to apply a committed configuration when there are no faults.
+// The delays under faults are only logged.
 func TestConfigPropagationDelay(t *testing.T) {
 	measure := func(faults ...Fault) time.Duration {
 		maxDelay := time.Duration(0)
--- a/lab/history/serve.go
+++ b/lab/history/serve.go
@@ -163,7 +163,7 @@
 
 func (c *call) send(e *engine, version string) {
 	d := c.daemon
-	asm := request.NewAssembler(fmt.Sprintf("%s-%d", c.id, c.retry.Attempts()))
+	assembler := request.NewAssembler(fmt.Sprintf("%s-%d", c.id, c.retry.Attempts()))
 	c.text = ""
 	incarnation := d.incarnation
 	ev := invariant.Event{
@@ -171,26 +171,26 @@
 		Model: "m", Version: version, Allowed: version != "v3",
 	}
 	e.start(fmt.Sprintf("%s-%d", c.id, c.retry.Attempts()), ev,
-		func() { d.runIfAlive(incarnation, func() { c.handleEvent(e, asm, request.AttemptRefused) }) },
-		func(r *run) { d.runIfAlive(incarnation, func() { c.retry.RecordExecution(); c.read(e, r, asm) }) })
+		func() { d.runIfAlive(incarnation, func() { c.handleEvent(e, assembler, request.AttemptRefused) }) },
+		func(r *run) { d.runIfAlive(incarnation, func() { c.retry.RecordExecution(); c.read(e, r, assembler) }) })
 }
 
 // read receives the frames of a run and bills the request when it is complete.
-func (c *call) read(e *engine, r *run, asm *request.Assembler) {
+func (c *call) read(e *engine, r *run, assembler *request.Assembler) {
 	closed := false
-	e.stream(c.daemon, r, asm.LastOffset(), func(f request.Frame) bool {
+	e.stream(c.daemon, r, assembler.LastOffset(), func(f request.Frame) bool {
 		if closed || c.finished {
 			return false
 		}
-		switch asm.Accept(f) {
+		switch assembler.Accept(f) {
 		case request.Deliver:
 			c.text += f.Delta
 		case request.SequenceGap:
 			closed = true
-			c.handleEvent(e, asm, request.ConnectionLost)
+			c.handleEvent(e, assembler, request.ConnectionLost)
 			return false
 		}
-		if asm.Done() {
+		if assembler.Done() {
 			closed = true
 			c.bill()
 			return false
@@ -199,13 +199,13 @@
 	}, func() {
 		if !closed && !c.finished {
 			closed = true
-			c.handleEvent(e, asm, request.ConnectionLost)
+			c.handleEvent(e, assembler, request.ConnectionLost)
 		}
 	})
 }
 
 // handleEvent resumes, retries or fails the request after an attempt has failed.
-func (c *call) handleEvent(e *engine, asm *request.Assembler, ev request.AttemptEvent) {
+func (c *call) handleEvent(e *engine, assembler *request.Assembler, ev request.AttemptEvent) {
 	d := c.daemon
 	decision := c.retry.Next(ev, d.now(), d.budget)
 	switch decision.Action {
@@ -214,10 +214,10 @@
 		d.after(2*networkDelay, func() {
 			id := fmt.Sprintf("%s-%d", c.id, c.retry.Attempts())
 			if r := e.runs[id]; r != nil {
-				c.read(e, r, asm)
+				c.read(e, r, assembler)
 				return
 			}
-			c.handleEvent(e, asm, request.RunNotFound)
+			c.handleEvent(e, assembler, request.RunNotFound)
 		})
 	case request.Retry:
 		c.dispatch()
