--- a/lab/sim/router.go
+++ b/lab/sim/router.go
@@ -105,12 +105,12 @@
 }
 
 func (c *Cluster) attempt(daemon int, r *Request, res *Result, retry *request.RetryState, tried []int) {
-	p := c.Daemons[daemon]
+	policy := c.Daemons[daemon]
 	remaining := *r
 	if r.Deadline > 0 {
 		remaining.Deadline = r.Deadline - (c.Clock.now - res.SentAt)
 	}
-	server := p.Pick(&remaining, tried)
+	server := policy.Pick(&remaining, tried)
 	if server < 0 {
 		res.Refused = true
 		return
@@ -118,49 +118,49 @@
 	tried = append(slices.Clone(tried), server)
 	retry.RecordAttempt()
 	res.Attempts++
-	p.RecordDispatch(server, r)
+	policy.RecordDispatch(server, r)
 	start := c.Clock.now
 	var wait time.Duration
-	j := &Job{PromptTokens: r.PromptTokens, Blocks: r.Blocks, OutputTokens: r.OutputTokens, Priority: r.Priority}
-	j.OnFirstToken = func() {
+	job := &Job{PromptTokens: r.PromptTokens, Blocks: r.Blocks, OutputTokens: r.OutputTokens, Priority: r.Priority}
+	job.OnFirstToken = func() {
 		c.Clock.After(c.networkDelay, func() {
 			if res.TimedOut {
 				return
 			}
 			res.FirstToken, res.Server = c.Clock.now-res.SentAt, server
 			retry.RecordDelivery()
-			wait = p.RecordFirstToken(server, r, c.Clock.now-start)
+			wait = policy.RecordFirstToken(server, r, c.Clock.now-start)
 		})
 	}
-	j.OnDone = func() {
-		c.Clock.After(c.networkDelay, func() { p.RecordCompletion(server, r, c.Clock.now-start-wait, false) })
+	job.OnDone = func() {
+		c.Clock.After(c.networkDelay, func() { policy.RecordCompletion(server, r, c.Clock.now-start-wait, false) })
 	}
-	j.OnLost = func() {
+	job.OnLost = func() {
 		if res.TimedOut {
 			return
 		}
-		p.RecordCompletion(server, r, c.Clock.now-start-wait, true)
-		p.RecordUnreachable(server)
+		policy.RecordCompletion(server, r, c.Clock.now-start-wait, true)
+		policy.RecordUnreachable(server)
 		if retry.Next(request.RunNotFound, c.Clock.Now(), c.budgets[daemon]).Action == request.Retry {
 			c.attempt(daemon, r, res, retry, tried)
 			return
 		}
 		res.Failed = true
 	}
-	c.Clock.After(c.networkDelay, func() { c.Engines[server].Submit(j) })
+	c.Clock.After(c.networkDelay, func() { c.Engines[server].Submit(job) })
 	if r.Deadline > 0 {
-		c.Clock.After(remaining.Deadline, func() { c.timeOut(daemon, server, r, res, j, c.Clock.now-start) })
+		c.Clock.After(remaining.Deadline, func() { c.timeOut(daemon, server, r, res, job, c.Clock.now-start) })
 	}
 }
 
 // timeOut cancels an attempt without a first token at the deadline, which frees its slot on
 // the engine.
-func (c *Cluster) timeOut(daemon, server int, r *Request, res *Result, j *Job, duration time.Duration) {
+func (c *Cluster) timeOut(daemon, server int, r *Request, res *Result, job *Job, duration time.Duration) {
 	if res.FirstToken > 0 || res.Failed || res.TimedOut {
 		return
 	}
 	res.TimedOut = true
-	c.Engines[server].Cancel(j)
+	c.Engines[server].Cancel(job)
 	c.Daemons[daemon].RecordCompletion(server, r, duration, true)
 }
 
@@ -265,16 +265,16 @@
 }
 
 // RecordDispatch implements Policy.
-func (n *BaselinePolicy) RecordDispatch(int, *Request) {}
+func (p *BaselinePolicy) RecordDispatch(int, *Request) {}
 
 // RecordFirstToken implements Policy.
-func (n *BaselinePolicy) RecordFirstToken(int, *Request, time.Duration) time.Duration { return 0 }
+func (p *BaselinePolicy) RecordFirstToken(int, *Request, time.Duration) time.Duration { return 0 }
 
 // RecordCompletion implements Policy.
-func (n *BaselinePolicy) RecordCompletion(int, *Request, time.Duration, bool) {}
+func (p *BaselinePolicy) RecordCompletion(int, *Request, time.Duration, bool) {}
 
 // RecordUnreachable implements Policy.
-func (n *BaselinePolicy) RecordUnreachable(int) {}
+func (p *BaselinePolicy) RecordUnreachable(int) {}
 
 // RecordReport implements Policy.
 func (p *BaselinePolicy) RecordReport(server, load int) { p.reported[server] = load }
