--- a/lab/experiments/cascade.go
+++ b/lab/experiments/cascade.go
@@ -160,7 +160,7 @@
 		if sampler.Float64() < ratingShare {
 			pending = append(pending, pendingRating{index/cascadeRate + ratingDelaySeconds, r, res})
 		}
-		// The first quarter of the requests is not measured.
+		// The first quarter of the requests is excluded from the results.
 		switch {
 		case index >= driftRequest/2 && index < driftRequest:
 			ours.add(res)
--- a/lab/experiments/limits.go
+++ b/lab/experiments/limits.go
@@ -82,28 +82,28 @@
 	return overshoot, 1 - float64(total)/(minutes*float64(limit))
 }
 
-// leasedLimits runs limiters that lease tokens from a lessor. After an outage a new
-// lessor without state replaces the first one.
-func leasedLimits(seed uint64, n int, limit int64) (overshoot, undershoot, requestsPerSecond float64) {
-	limiters := make([]*quota.Limiter, n)
+// leasedLimits returns the deviation from the limit and the rate of lease requests if
+// daemons lease tokens from a lessor, which loses its state in an outage.
+func leasedLimits(seed uint64, daemons int, limit int64) (overshoot, undershoot, requestsPerSecond float64) {
+	limiters := make([]*quota.Limiter, daemons)
 	for i := range limiters {
 		limiters[i] = quota.NewLimiter("w/tokens")
 	}
 	epoch := uint64(1)
 	lessor := quota.NewLessor(epoch)
 	requests := 0
-	requestLease := func(now time.Time, l *quota.Limiter, tokens int64) {
+	requestLease := func(now time.Time, limiter *quota.Limiter, tokens int64) {
 		requests++
-		l.ApplyLease(now, lessor.Grant(now, l.NewLeaseRequest(now, tokens, limit, epoch)))
+		limiter.ApplyLease(now, lessor.Grant(now, limiter.NewLeaseRequest(now, tokens, limit, epoch)))
 	}
-	spent := simulateSpending(seed, n, limit, func(now time.Time, elapsed time.Duration, d int) bool {
-		l := limiters[d]
-		if l.TryAcquire(now, tokensPerRequest) {
+	spent := simulateSpending(seed, daemons, limit, func(now time.Time, elapsed time.Duration, daemon int) bool {
+		limiter := limiters[daemon]
+		if limiter.TryAcquire(now, tokensPerRequest) {
 			return true
 		}
 		if elapsed >= lessorOutageStart && elapsed < lessorOutageStart+lessorOutageDuration {
-			l.LeaseRequestFailed(now, l.NewLeaseRequest(now, tokensPerRequest, limit, epoch))
-			return l.TryAcquire(now, tokensPerRequest)
+			limiter.LeaseRequestFailed(now, limiter.NewLeaseRequest(now, tokensPerRequest, limit, epoch))
+			return limiter.TryAcquire(now, tokensPerRequest)
 		}
 		if elapsed >= lessorOutageStart && epoch == 1 {
 			epoch = 2
@@ -114,31 +114,31 @@
 				}
 			}
 		}
-		if l.Denied(now) {
+		if limiter.Denied(now) {
 			return false
 		}
-		requestLease(now, l, tokensPerRequest)
-		return l.TryAcquire(now, tokensPerRequest)
+		requestLease(now, limiter, tokensPerRequest)
+		return limiter.TryAcquire(now, tokensPerRequest)
 	})
 	overshoot, undershoot = limitDeviation(spent, limit)
 	return overshoot, undershoot, float64(requests) / limitsDuration.Seconds()
 }
 
-// fixedShares gives each daemon an equal share of the limit.
-func fixedShares(seed uint64, n int, limit int64) float64 {
-	shares := make([]*naive.EqualShare, n)
+// fixedShares returns the undershoot if each daemon has an equal share of the limit.
+func fixedShares(seed uint64, daemons int, limit int64) float64 {
+	shares := make([]*naive.EqualShare, daemons)
 	for i := range shares {
-		shares[i] = naive.NewEqualShare(limit, n)
+		shares[i] = naive.NewEqualShare(limit, daemons)
 	}
-	_, undershoot := limitDeviation(simulateSpending(seed, n, limit, func(now time.Time, _ time.Duration, d int) bool {
-		return shares[d].TryAcquire(now, tokensPerRequest)
+	_, undershoot := limitDeviation(simulateSpending(seed, daemons, limit, func(now time.Time, _ time.Duration, daemon int) bool {
+		return shares[daemon].TryAcquire(now, tokensPerRequest)
 	}), limit)
 	return undershoot
 }
 
-// countedAtEnd runs one exact window that counts the tokens of a request only when the
-// request ends.
-func countedAtEnd(seed uint64, n int, limit int64) float64 {
+// countedAtEnd returns the overshoot of a single exact window that counts the tokens of a
+// request only when the request ends.
+func countedAtEnd(seed uint64, daemons int, limit int64) float64 {
 	const requestDuration = 5 * time.Second
 	type end struct {
 		at     time.Duration
@@ -146,7 +146,7 @@
 	}
 	var window quota.Window
 	var running []end
-	overshoot, _ := limitDeviation(simulateSpending(seed, n, limit, func(now time.Time, elapsed time.Duration, _ int) bool {
+	overshoot, _ := limitDeviation(simulateSpending(seed, daemons, limit, func(now time.Time, elapsed time.Duration, _ int) bool {
 		for len(running) > 0 && running[0].at <= elapsed {
 			window.Add(now, running[0].tokens)
 			running = running[1:]
--- a/lab/experiments/rollout.go
+++ b/lab/experiments/rollout.go
@@ -53,7 +53,7 @@
 	// affectedPinned counts the affected requests of sessions that were pinned before
 	// the fault started.
 	affectedPinned int
-	// rolledBackAt and completedAt are in seconds, or -1 if it didn't happen.
+	// rolledBackAt and completedAt are in seconds, or -1 if the event did not happen.
 	rolledBackAt, completedAt int
 	held                      bool
 }
@@ -173,7 +173,7 @@
 }
 
 // evidenceController evaluates the merged evidence of all daemons every second. Each
-// daemon also stops on its own evidence.
+// daemon also excludes the new version based on its own evidence.
 type evidenceController struct {
 	policy     rollout.StagePolicy
 	rollout    fleet.Rollout
--- a/lab/experiments/routing.go
+++ b/lab/experiments/routing.go
@@ -18,7 +18,7 @@
 	cacheBlocks   = 1500
 	reportLag     = 2 * time.Second
 	trialDuration = 120 * time.Second
-	// warmUp is the start of a trial that is not measured.
+	// warmUp is the initial part of a trial, which is excluded from the results.
 	warmUp = 20 * time.Second
 )
 
--- a/lab/experiments/slowstart.go
+++ b/lab/experiments/slowstart.go
@@ -71,7 +71,7 @@
 	recordSend(now time.Duration)
 }
 
-// selectedSender sends its share of the rate if the daemon is one of the few senders.
+// selectedSender sends a share of the rate if the daemon is selected as a sender.
 type selectedSender struct {
 	slowstart.Pacer
 	share    slowstart.Share
