--- a/lab/slopes/fit_test.go
+++ b/lab/slopes/fit_test.go
@@ -12,7 +12,7 @@
 	}
 	l := fit(points, metrics[0].value)
 	if math.Abs(l.intercept-3) > 1e-9 || math.Abs(l.slope-0.5) > 1e-9 || l.maxRelativeError > 1e-9 {
-		t.Fatalf("%+v", l)
+		t.Fatalf("got %+v", l)
 	}
 	points[3].cpu *= 2
 	if l := fit(points, metrics[0].value); l.maxRelativeError < 0.1 {
--- a/lab/slopes/fleet.go
+++ b/lab/slopes/fleet.go
@@ -94,7 +94,7 @@
 const (
 	failureDomains = 5
 	// settleTime and settleTimePerDaemon are the time that a fleet runs before the
-	// measurement. Membership traffic is higher until all daemons know each other.
+	// measurement. Membership traffic is higher while daemons join.
 	settleTime          = 4 * time.Second
 	settleTimePerDaemon = 400 * time.Millisecond
 	// loadPrompt is the prompt of the measured requests.
@@ -144,16 +144,16 @@
 	for i := range s.servers {
 		pool.Servers = append(pool.Servers, fleet.Server{ID: fmt.Sprintf("s%04d", i), Address: address, FailureDomain: fmt.Sprintf("fd%d", i%failureDomains), Slots: 8})
 	}
-	p := map[string]any{
+	patch := map[string]any{
 		"pools":  map[string]any{"p": pool},
 		"models": map[string]any{"m": fleet.Model{Stable: "v1", Versions: map[string]fleet.Version{"v1": {Pool: "p", MicrosPerKiloToken: 100}}}},
 	}
-	ws := map[string]any{}
+	workspaces := map[string]any{}
 	for i := range s.workspaces {
-		ws[fmt.Sprintf("w%04d", i)] = fleet.Workspace{KeyHashes: []string{fleet.HashAPIKey(fmt.Sprint(i))}, Models: []string{"m"}, TokensPerMinute: 100_000_000}
+		workspaces[fmt.Sprintf("w%04d", i)] = fleet.Workspace{KeyHashes: []string{fleet.HashAPIKey(fmt.Sprint(i))}, Models: []string{"m"}, TokensPerMinute: 100_000_000}
 	}
-	p["workspaces"] = ws
-	return f.appendPatch("first", 0, p)
+	patch["workspaces"] = workspaces
+	return f.appendPatch("first", 0, patch)
 }
 
 func (f *testFleet) appendPatch(id string, base uint64, p any) error {
