--- a/lab/traces/main.go
+++ b/lab/traces/main.go
@@ -32,11 +32,11 @@
 	fmt.Fprintf(out, "%-18s %-14s %9s %9s %12s %9s  %s\n", "trace", "policy", "requests", "answered", "p95 first ms", "attempts", "outcome")
 	missed := 0
 	for _, f := range files {
-		t, err := readFile(f)
+		trace, err := readFile(f)
 		if err != nil {
 			return err
 		}
-		if !report(out, t) {
+		if !report(out, trace) {
 			missed++
 		}
 	}
--- a/lab/traces/trace_test.go
+++ b/lab/traces/trace_test.go
@@ -53,7 +53,7 @@
 		t.Errorf("before the peak: ours %+v, round robin %+v", ours, robin)
 	}
 	if again := beforePeak.Replay(sim.NewPipelinePolicy(routing.DefaultPipeline())); again != ours {
-		t.Errorf("the same trace gave %+v and %+v", ours, again)
+		t.Errorf("two replays of the same trace: %+v and %+v", ours, again)
 	}
 }
 
