--- a/lab/experiments/rollout.go
+++ b/lab/experiments/rollout.go
@@ -20,8 +20,7 @@
 	meanSessionRequests = 20
 	// rolloutSeconds is the duration of a trial in virtual time.
 	rolloutSeconds = 900
-	// ratingShare is the fraction of rated answers; a rating takes rolloutRatingDelay
-	// seconds.
+	// ratingShare is the fraction of rated answers; a rating takes ratingDelay seconds.
 	ratingShare = 0.05
 	ratingDelay = 30
 	// Error, slow and bad answer rates of a good version.
