--- a/lab/experiments/cascade.go
+++ b/lab/experiments/cascade.go
@@ -186,14 +186,14 @@
 // applyDueRatings records the ratings that are due and returns the remaining ones.
 func applyDueRatings(classes map[string]*cascade.Class, pending []pendingRating, second int) []pendingRating {
 	for len(pending) > 0 && pending[0].due <= second {
-		p := pending[0]
+		due := pending[0]
 		pending = pending[1:]
-		c := classes[requestClasses[p.request.class].name]
-		if p.result.cheapRan {
-			c.RecordRating(p.request.confidence, p.request.cheapGood)
+		class := classes[requestClasses[due.request.class].name]
+		if due.result.cheapRan {
+			class.RecordRating(due.request.confidence, due.request.cheapGood)
 		}
-		if p.result.expensiveRan {
-			c.RecordExpensiveRating(p.request.expensiveGood)
+		if due.result.expensiveRan {
+			class.RecordExpensiveRating(due.request.expensiveGood)
 		}
 	}
 	return pending
