--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -18,9 +18,9 @@
 
 // Guards against invariants that hold under single faults but not under two at once.
 func TestInvariantsHoldUnderFaultPairs(t *testing.T) {
-	perFaultPair := historiesPerPair
+	perPair := historiesPerPair
 	if testing.Short() {
-		perFaultPair = historiesPerPairShort
+		perPair = historiesPerPairShort
 	}
 	sums := make([]Stats, len(Faults))
 	t.Run("pairs", func(t *testing.T) {
@@ -28,7 +28,7 @@
 			t.Run(a.Name, func(t *testing.T) {
 				t.Parallel()
 				for j, b := range Faults[:i+1] {
-					for n := range perFaultPair {
+					for n := range perPair {
 						runAndCheck(t, uint64(i*1_000_000+j*10_000+n), &sums[i], a, b)
 					}
 				}
@@ -40,11 +40,11 @@
 		addStats(&sum, s)
 	}
 	pairs := len(Faults) * (len(Faults) + 1) / 2
-	t.Logf("%d histories of %d faults in %d pairs: %+v", pairs*perFaultPair, len(Faults), pairs, sum)
-	v := reflect.ValueOf(sum)
-	for i := range v.NumField() {
-		if v.Field(i).Int() == 0 {
-			t.Errorf("no history has a nonzero %s", v.Type().Field(i).Name)
+	t.Logf("%d histories of %d faults in %d pairs: %+v", pairs*perPair, len(Faults), pairs, sum)
+	totals := reflect.ValueOf(sum)
+	for i := range totals.NumField() {
+		if totals.Field(i).Int() == 0 {
+			t.Errorf("no history has a nonzero %s", totals.Type().Field(i).Name)
 		}
 	}
 }
