--- a/lab/slopes/fit.go
+++ b/lab/slopes/fit.go
@@ -39,14 +39,14 @@
 		x, y := p.size, value(p)
 		sx, sy, sxx, sxy = sx+x, sy+y, sxx+x*x, sxy+x*y
 	}
-	l := line{slope: (n*sxy - sx*sy) / (n*sxx - sx*sx)}
-	l.intercept = (sy - l.slope*sx) / n
+	fitted := line{slope: (n*sxy - sx*sy) / (n*sxx - sx*sx)}
+	fitted.intercept = (sy - fitted.slope*sx) / n
 	for _, p := range points {
 		y := value(p)
 		if y == 0 {
 			continue
 		}
-		l.maxRelativeError = math.Max(l.maxRelativeError, math.Abs(l.intercept+l.slope*p.size-y)/y)
+		fitted.maxRelativeError = math.Max(fitted.maxRelativeError, math.Abs(fitted.intercept+fitted.slope*p.size-y)/y)
 	}
-	return l
+	return fitted
 }
--- a/lab/slopes/fleet.go
+++ b/lab/slopes/fleet.go
@@ -63,20 +63,20 @@
 	for {
 		l.mu.Lock()
 		all, changed := l.streams[stream], l.changed
-		b := platform.Batch{Next: uint64(len(all))}
-		for o := from; o < b.Next && len(b.Records) < limit; o++ {
-			b.Records = append(b.Records, platform.Record{Offset: o, Data: all[o]})
+		batch := platform.Batch{Next: uint64(len(all))}
+		for offset := from; offset < batch.Next && len(batch.Records) < limit; offset++ {
+			batch.Records = append(batch.Records, platform.Record{Offset: offset, Data: all[offset]})
 		}
 		l.mu.Unlock()
-		if len(b.Records) > 0 || wait == 0 {
-			return b, nil
+		if len(batch.Records) > 0 || wait == 0 {
+			return batch, nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return b, nil
+			return batch, nil
 		case <-ctx.Done():
-			return b, ctx.Err()
+			return batch, ctx.Err()
 		}
 	}
 }
--- a/lab/slopes/main.go
+++ b/lab/slopes/main.go
@@ -59,18 +59,18 @@
 func (s series) measure(window time.Duration) error {
 	fmt.Printf("\n%s: per daemon\n%8s %12s %12s %12s %14s %14s\n", s.name, "size", "CPU %core", "heap KB", "peer B/s", "log reads/s", "log appends/s")
 	var points []point
-	for _, n := range s.sizes {
-		p, err := measureShape(s.build(n), window)
+	for _, size := range s.sizes {
+		p, err := measureShape(s.build(size), window)
 		if err != nil {
 			return err
 		}
-		p.size = float64(n)
+		p.size = float64(size)
 		points = append(points, p)
-		fmt.Printf("%8d %12.4f %12.1f %12.1f %14.3f %14.3f\n", n, p.cpu, p.heap, p.bytes, p.reads, p.appends)
+		fmt.Printf("%8d %12.4f %12.1f %12.1f %14.3f %14.3f\n", size, p.cpu, p.heap, p.bytes, p.reads, p.appends)
 	}
-	for _, q := range metrics {
-		l := fit(points, q.value)
-		fmt.Printf("  %-14s %12.5f + %.6f per %s (worst error %.1f%%)\n", q.name, l.intercept, l.slope, s.unit, 100*l.maxRelativeError)
+	for _, cost := range metrics {
+		fitted := fit(points, cost.value)
+		fmt.Printf("  %-14s %12.5f + %.6f per %s (worst error %.1f%%)\n", cost.name, fitted.intercept, fitted.slope, s.unit, 100*fitted.maxRelativeError)
 	}
 	return nil
 }
