--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -155,7 +155,7 @@
 func addLineNumber(data []byte, err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
-		return fmt.Errorf("line %d: %s: invalid value %s (JSON %s)", lineNumber(data, int(typeErr.Offset)), typeErr.Field, valueEndingAt(data, int(typeErr.Offset)), typeErr.Value)
+		return fmt.Errorf("line %d: %s: %s does not fit (a JSON %s)", lineNumber(data, int(typeErr.Offset)), typeErr.Field, valueEndingAt(data, int(typeErr.Offset)), typeErr.Value)
 	}
 	if _, field, ok := strings.Cut(err.Error(), "unknown field "); ok {
 		return fmt.Errorf("line %d: unknown field %s", lineNumber(data, bytes.Index(data, []byte(field))), field)
