--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -227,13 +227,13 @@
 	case s.MaxBodyBytes <= 0:
 		return fmt.Errorf("max_body_bytes: %d must be greater than zero", s.MaxBodyBytes)
 	case s.SubsetSize < 1 || s.SubsetSize > maxSubsetSize:
-		return fmt.Errorf("subset: %d must be in 1..%d", s.SubsetSize, maxSubsetSize)
+		return fmt.Errorf("subset: %d is out of 1..%d", s.SubsetSize, maxSubsetSize)
 	case s.DrainGrace < minDrainGrace:
 		return fmt.Errorf("drain_grace: %s must be at least %s", time.Duration(s.DrainGrace), time.Duration(minDrainGrace))
 	case s.BillingBufferSize < 1:
 		return fmt.Errorf("billing_buffer: %d must be greater than zero", s.BillingBufferSize)
 	case s.RatingShare < 0 || s.RatingShare > 1:
-		return fmt.Errorf("rating_share: %v must be in 0..1", s.RatingShare)
+		return fmt.Errorf("rating_share: %v is out of 0..1", s.RatingShare)
 	case s.LogOutagePolicy != "majority" && s.LogOutagePolicy != "refuse":
 		return fmt.Errorf("without_log: %q is neither majority nor refuse", s.LogOutagePolicy)
 	case !strings.Contains(" debug info warn error ", " "+s.LogLevel+" "):
