--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,8 +70,8 @@
 	// Default "5s".
 	EndpointTTL Duration `json:"endpoint_ttl"`
 	// DrainGrace is how long a stopping daemon accepts requests after the endpoint
-	// TTL has passed. The minimum, "2s", lets daemons that have just started learn
-	// that it is leaving. Default "3s".
+	// TTL has passed. The minimum, "2s", is the time in which its leaving state
+	// reaches daemons that have just started. Default "3s".
 	DrainGrace Duration `json:"drain_grace"`
 	// DrainTimeout is the maximum wait for running requests at shutdown. Default "2m".
 	DrainTimeout Duration `json:"drain_limit"`
--- a/lab/experiments/cascade.go
+++ b/lab/experiments/cascade.go
@@ -160,7 +160,7 @@
 		if sampler.Float64() < ratingShare {
 			pending = append(pending, pendingRating{index/cascadeRate + ratingDelaySeconds, r, res})
 		}
-		// The first quarter of the requests is not measured.
+		// The first quarter of the requests is excluded from the results.
 		switch {
 		case index >= driftRequest/2 && index < driftRequest:
 			ours.add(res)
@@ -186,14 +186,14 @@
 // applyDueRatings records the ratings that are due and returns the remaining ones.
 func applyDueRatings(classes map[string]*cascade.Class, pending []pendingRating, second int) []pendingRating {
 	for len(pending) > 0 && pending[0].due <= second {
-		p := pending[0]
+		due := pending[0]
 		pending = pending[1:]
-		c := classes[requestClasses[p.request.class].name]
-		if p.result.cheapRan {
-			c.RecordRating(p.request.confidence, p.request.cheapGood)
+		class := classes[requestClasses[due.request.class].name]
+		if due.result.cheapRan {
+			class.RecordRating(due.request.confidence, due.request.cheapGood)
 		}
-		if p.result.expensiveRan {
-			c.RecordExpensiveRating(p.request.expensiveGood)
+		if due.result.expensiveRan {
+			class.RecordExpensiveRating(due.request.expensiveGood)
 		}
 	}
 	return pending
--- a/lab/experiments/rollout.go
+++ b/lab/experiments/rollout.go
@@ -20,8 +20,7 @@
 	meanSessionRequests = 20
 	// rolloutSeconds is the duration of a trial in virtual time.
 	rolloutSeconds = 900
-	// ratingShare is the fraction of rated answers; a rating takes rolloutRatingDelay
-	// seconds.
+	// ratingShare is the fraction of rated answers; a rating takes ratingDelay seconds.
 	ratingShare = 0.05
 	ratingDelay = 30
 	// Error, slow and bad answer rates of a good version.
@@ -53,7 +52,7 @@
 	// affectedPinned counts the affected requests of sessions that were pinned before
 	// the fault started.
 	affectedPinned int
-	// rolledBackAt and completedAt are in seconds, or -1 if it didn't happen.
+	// rolledBackAt and completedAt are in seconds, or -1 if the event did not happen.
 	rolledBackAt, completedAt int
 	held                      bool
 }
@@ -173,7 +172,7 @@
 }
 
 // evidenceController evaluates the merged evidence of all daemons every second. Each
-// daemon also stops on its own evidence.
+// daemon also excludes the new version based on its own evidence.
 type evidenceController struct {
 	policy     rollout.StagePolicy
 	rollout    fleet.Rollout
