--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -42,7 +42,7 @@
 type Node struct {
 	Daemon         *daemon.Daemon
 	logger         *log.Logger
-	callerServer   *http.Server
+	clientServer   *http.Server
 	peerHTTPServer *http.Server
 	peerServer     *peer.Server
 	cancel         context.CancelFunc
@@ -85,7 +85,7 @@
 		deps.VMs = platform.NewClient(s.VMListURL, platformTimeout)
 	}
 	if s.RatingURL != "" {
-		deps.Rater = platform.NewClient(s.RatingURL, platformTimeout)
+		deps.Ratings = platform.NewClient(s.RatingURL, platformTimeout)
 	}
 	if s.WeightStoreURL != "" {
 		deps.Weights = platform.NewClient(s.WeightStoreURL, platformTimeout)
@@ -97,11 +97,11 @@
 			return nil, err
 		}
 		deps.PeerTLS = certs.peerClientConfig()
-		callerListener, peerListener = certs.callerListener(callerListener), certs.peerListener(peerListener)
+		callerListener, peerListener = certs.clientListener(callerListener), certs.peerListener(peerListener)
 	}
 	n.Daemon = daemon.New(s, secrets, deps)
 	panicCounter := n.Daemon.PanicCounter()
-	n.callerServer = serve(callerListener, recovery.Handler(api.New(n.Daemon, logger, handler), panicCounter, logger))
+	n.clientServer = serve(callerListener, recovery.Handler(api.New(n.Daemon, logger, handler), panicCounter, logger))
 	n.peerServer = n.Daemon.PeerServer()
 	n.peerHTTPServer = serve(peerListener, recovery.Handler(n.peerServer, panicCounter, logger))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -135,7 +135,7 @@
 	running, unconfirmed := n.Daemon.Drain(ctx)
 	closeCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	_ = n.callerServer.Shutdown(closeCtx)
+	_ = n.clientServer.Shutdown(closeCtx)
 	n.Kill()
 	if running > 0 || unconfirmed > 0 {
 		return oops.In("app").Errorf("cut %d running requests; %d usage records are unconfirmed", running, unconfirmed)
@@ -147,7 +147,7 @@
 func (n *Node) Kill() { n.killOnce.Do(n.shutDown) }
 
 func (n *Node) shutDown() {
-	_ = n.callerServer.Close()
+	_ = n.clientServer.Close()
 	_ = n.peerHTTPServer.Close()
 	n.peerServer.Close()
 	n.cancel()
--- a/internal/app/tls.go
+++ b/internal/app/tls.go
@@ -71,7 +71,7 @@
 	return c.cert, c.caPool
 }
 
-func (c *certReloader) callerListener(l net.Listener) net.Listener {
+func (c *certReloader) clientListener(l net.Listener) net.Listener {
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -48,8 +48,8 @@
 	return mean - lowerBoundErrors*math.Sqrt(mean*(1-mean)/(r.Total+priorWeight))
 }
 
-// Band returns the interval of a confidence in [0, 1].
-func Band(confidence float64) int {
+// BandIndex returns the interval of a confidence in [0, 1].
+func BandIndex(confidence float64) int {
 	return min(max(int(confidence*ConfidenceBands), 0), ConfidenceBands-1)
 }
 
@@ -103,13 +103,13 @@
 	for i := range c.BandCounts {
 		c.BandCounts[i] *= fade
 	}
-	c.BandCounts[Band(confidence)]++
+	c.BandCounts[BandIndex(confidence)]++
 }
 
 // RecordRating adds a rating of a cheap answer. A detected drop resets the cheap model's
 // pass rates and lowers their priors.
 func (c *Class) RecordRating(confidence float64, good bool) {
-	band := Band(confidence)
+	band := BandIndex(confidence)
 	if c.drift.Observe(good, c.Cheap[band].Mean(c.priorRate(band))) {
 		c.Cheap = [ConfidenceBands]PassRate{}
 		c.priorPenalty = detectedDrop
@@ -254,5 +254,5 @@
 
 // Accepts reports whether a cheap answer with a confidence is accepted.
 func (p Plan) Accepts(class string, confidence float64) bool {
-	return p.Accept[class][Band(confidence)]
+	return p.Accept[class][BandIndex(confidence)]
 }
--- a/internal/cascade/escalator.go
+++ b/internal/cascade/escalator.go
@@ -122,9 +122,9 @@
 func (e *Escalator) expectedShare(r Request, o Estimate) float64 {
 	inTime := 1.0
 	if r.FirstEventTarget != 0 {
-		inTime = e.firstEvent.Within(o.FirstEvent, r.FirstEventTarget)
+		inTime = e.firstEvent.ProbabilityWithin(o.FirstEvent, r.FirstEventTarget)
 	}
-	complete := e.remainder.Within(o.Remainder, r.Remaining-o.FirstEvent)
+	complete := e.remainder.ProbabilityWithin(o.Remainder, r.Remaining-o.FirstEvent)
 	return complete * (lateValueShare + (1-lateValueShare)*inTime)
 }
 
--- a/internal/cascade/escalator_test.go
+++ b/internal/cascade/escalator_test.go
@@ -112,7 +112,7 @@
 
 func TestLatencyForecastLearnsBiasAndSpread(t *testing.T) {
 	var forecast LatencyForecast
-	if p := forecast.Within(time.Second, time.Second); math.Abs(p-0.5) > 0.01 {
+	if p := forecast.ProbabilityWithin(time.Second, time.Second); math.Abs(p-0.5) > 0.01 {
 		t.Errorf("initial probability %.2f, want 0.50", p)
 	}
 	for i := range 400 {
@@ -124,11 +124,11 @@
 		forecast.Observe(time.Second, time.Duration(factor*float64(time.Second)))
 	}
 	for limit, want := range map[time.Duration]float64{time.Second: 0, 2 * time.Second: 0.5, 4 * time.Second: 1} {
-		if p := forecast.Within(time.Second, limit); math.Abs(p-want) > 0.06 {
+		if p := forecast.ProbabilityWithin(time.Second, limit); math.Abs(p-want) > 0.06 {
 			t.Errorf("within %s: %.2f, want %.2f", limit, p, want)
 		}
 	}
-	if forecast.Within(time.Second, 0) != 0 || forecast.Within(0, time.Second) != 1 {
+	if forecast.ProbabilityWithin(time.Second, 0) != 0 || forecast.ProbabilityWithin(0, time.Second) != 1 {
 		t.Error("want probability 0 with no time left and 1 for an expected time of 0")
 	}
 }
--- a/internal/cascade/forecast.go
+++ b/internal/cascade/forecast.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// Within returns the probability that an operation with an expected time ends within the
+// ProbabilityWithin returns the probability that an operation with an expected time ends within the
 // limit.
-func (f *LatencyForecast) Within(expected, limit time.Duration) float64 {
+func (f *LatencyForecast) ProbabilityWithin(expected, limit time.Duration) float64 {
 	if limit <= 0 {
 		return 0
 	}
--- a/internal/daemon/cascades.go
+++ b/internal/daemon/cascades.go
@@ -94,7 +94,7 @@
 
 // submitSample sends a random share of responses to the rating service.
 func (c *cascadePlanner) submitSample(info pendingSample, sample platform.Sample) {
-	if c.d.deps.Rater == nil || rand.Float64() >= c.ratingShare(sample.Model, sample.Version) {
+	if c.d.deps.Ratings == nil || rand.Float64() >= c.ratingShare(sample.Model, sample.Version) {
 		return
 	}
 	c.mu.Lock()
@@ -109,7 +109,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), sampleSubmitTimeout)
 		defer cancel()
-		_ = c.d.deps.Rater.Submit(ctx, sample)
+		_ = c.d.deps.Ratings.Submit(ctx, sample)
 	}()
 }
 
@@ -131,10 +131,10 @@
 }
 
 func (c *cascadePlanner) collectRatings(ctx context.Context) {
-	if c.d.deps.Rater == nil {
+	if c.d.deps.Ratings == nil {
 		return
 	}
-	ratings, next, err := c.d.deps.Rater.Collect(ctx, c.d.sampleOwnerID(), c.ratingCursor)
+	ratings, next, err := c.d.deps.Ratings.Collect(ctx, c.d.sampleOwnerID(), c.ratingCursor)
 	if err != nil {
 		return
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -32,7 +32,7 @@
 type Dependencies struct {
 	Log     platform.Log
 	VMs     platform.VMList
-	Rater   platform.RatingService
+	Ratings platform.RatingService
 	Weights platform.WeightStore
 	Logger  *log.Logger
 	Metrics tally.Scope
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -131,7 +131,7 @@
 			return request.Decision{}
 		}
 		if ctx.Err() != nil {
-			event = request.CallerDisconnected
+			event = request.ClientDisconnected
 		}
 		switch event {
 		case request.AttemptRefused:
@@ -145,7 +145,7 @@
 		}
 		if decision.Action != request.Resume {
 			d.cancelRun(picked, runID, event)
-			failed = event != request.CallerDisconnected
+			failed = event != request.ClientDisconnected
 			return decision
 		}
 		d.metrics.resumes.Inc(1)
@@ -216,7 +216,7 @@
 			return request.RunFailed
 		}
 		if err := d.handleFrame(s, res, picked, frame, start); err != nil {
-			return request.CallerDisconnected
+			return request.ClientDisconnected
 		}
 		if res.complete {
 			return request.ConnectionLost
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -25,7 +25,7 @@
 	if s == nil {
 		return slowstart.Limit{}
 	}
-	return slowstart.Limit{WarmupPeriod: time.Duration(s.Seconds * float64(time.Second)), PerSecond: s.PerSecond, BurstFactor: 1, BurstSlack: s.Burst}
+	return slowstart.Limit{WarmupPeriod: time.Duration(s.Seconds * float64(time.Second)), PerSecond: s.PerSecond, BurstFactor: 1, Burst: s.Burst}
 }
 
 // gateServer converts a candidate to the input of the gate. Callers hold mu.
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -85,7 +85,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if bound := slowStartLimit(cfg.Pools["p"].SlowStart).Bound(); sent == 0 || sent > bound/2 {
+		if bound := slowStartLimit(cfg.Pools["p"].SlowStart).MaxPerSecond(); sent == 0 || sent > bound/2 {
 			t.Errorf("%d requests sent in the first second, limit %d", sent, bound)
 		}
 	})
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -224,7 +224,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.d.metrics.limitsHomeless.Inc(1)
+		l.d.metrics.leaseRequestsFailed.Inc(1)
 		limiter.LeaseRequestFailed(now, req)
 		return 0, false
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -32,9 +32,9 @@
 	usagePending        tally.Gauge
 	membersAlive        tally.Gauge
 	firstToken          tally.Histogram
-	rolloutBraked       tally.Counter
+	versionsSuspended   tally.Counter
 	claimsLost          tally.Counter
-	limitsHomeless      tally.Counter
+	leaseRequestsFailed tally.Counter
 	serversEnded        tally.Counter
 	requestsHeld        tally.Gauge
 	panics              tally.Counter
@@ -99,9 +99,9 @@
 		usageAdopted:        s.Counter("usage_adopted"),
 		ordersSent:          s.Counter("orders_sent"),
 		sessionPinsMoved:    s.Counter("session_pins_moved"),
-		rolloutBraked:       s.Counter("rollout_braked"),
+		versionsSuspended:   s.Counter("rollout_braked"),
 		claimsLost:          s.Counter("claims_lost"),
-		limitsHomeless:      s.Counter("limits_homeless"),
+		leaseRequestsFailed: s.Counter("limits_homeless"),
 		serversEnded:        s.Counter("servers_ended"),
 		requestsHeld:        s.Gauge("requests_held"),
 		panics:              s.Counter("panics"),
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -233,8 +233,8 @@
 			p.versions[cand.ID] = load.Versions
 		}
 		p.load.SetLeaving(cand.ID, load.Draining || b.leaving[cand.ID])
-		if load.WarmUpMillis > 0 {
-			p.warmAt[cand.ID] = b.uptime() + time.Duration(load.WarmUpMillis)*time.Millisecond
+		if load.WarmupRemainingMillis > 0 {
+			p.warmAt[cand.ID] = b.uptime() + time.Duration(load.WarmupRemainingMillis)*time.Millisecond
 		}
 	})
 }
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -26,7 +26,7 @@
 	return containment.New(containment.Options{
 		BootTime: func() time.Duration { return time.Since(started) }, Logger: d.log,
 		RefusesConnections: func(ctx context.Context, s containment.Server) bool {
-			return d.engine.ConnectionRefused(ctx, s.Address)
+			return d.engine.RefusesConnections(ctx, s.Address)
 		},
 		Leaving:      func(s containment.Server) bool { return d.balancer.isLeaving(s.ID) },
 		OnTerminated: d.balancer.recordTerminated, ServersTerminated: d.metrics.serversEnded, RequestsHeld: d.metrics.requestsHeld,
@@ -82,7 +82,7 @@
 	switch {
 	case complete, event == request.AttemptRefused, event == request.RunFailed:
 		return containment.Completed
-	case event == request.CallerDisconnected:
+	case event == request.ClientDisconnected:
 		return containment.Canceled
 	case event == request.ConnectFailed && !started:
 		return containment.Completed
--- a/internal/daemon/resolve.go
+++ b/internal/daemon/resolve.go
@@ -60,7 +60,7 @@
 		return model, version, nil
 	}
 	if pin.VersionOf(model) == "" {
-		if ro, ok := cfg.RolloutFor(model); ok && d.rollouts.isStopped(model, ro.TargetVersion) {
+		if ro, ok := cfg.RolloutFor(model); ok && d.rollouts.isSuspended(model, ro.TargetVersion) {
 			version, ok := cfg.ResolveSuccessor(w, model, cfg.Models[model].Stable)
 			if ok {
 				return model, version, nil
--- a/internal/daemon/rollouts.go
+++ b/internal/daemon/rollouts.go
@@ -34,7 +34,7 @@
 	mu            sync.Mutex
 	localEvidence map[string]*stageEvidence
 	fleetEvidence map[string]*fleetStageEvidence
-	stopped       map[string]bool
+	suspended     map[string]bool
 	// reportedAt is when this daemon last reported its evidence.
 	reportedAt time.Time
 }
@@ -52,7 +52,7 @@
 }
 
 func newRolloutController(d *Daemon) *rolloutController {
-	return &rolloutController{d: d, localEvidence: map[string]*stageEvidence{}, fleetEvidence: map[string]*fleetStageEvidence{}, stopped: map[string]bool{}}
+	return &rolloutController{d: d, localEvidence: map[string]*stageEvidence{}, fleetEvidence: map[string]*fleetStageEvidence{}, suspended: map[string]bool{}}
 }
 
 func (r *rolloutController) register(server *peer.Server) {
@@ -107,18 +107,18 @@
 		r.localEvidence[model] = evidence
 	}
 	evidence.cells = evidence.cells.Merge(rollout.Evidence{{Server: server, FailureDomain: domain, New: isNew, Counts: counts}})
-	if signal, stop := rollout.DefaultStagePolicy().ShouldStopLocally(evidence.cells); stop && !r.stopped[model+"@"+ro.TargetVersion] {
-		r.stopped[model+"@"+ro.TargetVersion] = true
-		r.d.metrics.rolloutBraked.Inc(1)
+	if signal, stop := rollout.DefaultStagePolicy().ShouldSuspend(evidence.cells); stop && !r.suspended[model+"@"+ro.TargetVersion] {
+		r.suspended[model+"@"+ro.TargetVersion] = true
+		r.d.metrics.versionsSuspended.Inc(1)
 		r.d.log.Warn("stopped using a new version on local evidence", "model", model, "version", ro.TargetVersion, "signal", signal)
 	}
 }
 
-// isStopped reports whether this daemon keeps sessions without a pin off a version.
-func (r *rolloutController) isStopped(model, version string) bool {
+// isSuspended reports whether this daemon keeps sessions without a pin off a version.
+func (r *rolloutController) isSuspended(model, version string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.stopped[model+"@"+version]
+	return r.suspended[model+"@"+version]
 }
 
 func (r *rolloutController) run(ctx context.Context) {
@@ -127,7 +127,7 @@
 
 func (r *rolloutController) evaluateAll(ctx context.Context) {
 	cfg := r.d.config.current()
-	r.clearStopped(cfg)
+	r.clearSuspended(cfg)
 	due := time.Since(r.reportedAt) >= time.Duration(r.d.members.aliveCount())*time.Second/maxReportsPerSecond
 	if due {
 		r.reportedAt = time.Now()
@@ -154,17 +154,17 @@
 	}
 }
 
-// clearStopped forgets stopped versions whose roll-out has ended.
-func (r *rolloutController) clearStopped(cfg *fleet.Config) {
+// clearSuspended forgets stopped versions whose roll-out has ended.
+func (r *rolloutController) clearSuspended(cfg *fleet.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for modelVersion := range r.stopped {
+	for modelVersion := range r.suspended {
 		active := false
 		for model, ro := range cfg.Rollouts {
 			active = active || modelVersion == model+"@"+ro.TargetVersion && ro.State != fleet.RolloutDone && ro.State != fleet.RolloutRolledBack
 		}
 		if !active {
-			delete(r.stopped, modelVersion)
+			delete(r.suspended, modelVersion)
 		}
 	}
 }
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -74,7 +74,7 @@
 
 func (c *Cluster) startAll(count int) error {
 	var urls []string
-	for _, h := range []http.Handler{c.Log, standin.NewRater(time.Second), c.VMs} {
+	for _, h := range []http.Handler{c.Log, standin.NewRatingService(time.Second), c.VMs} {
 		s, err := c.serve(h)
 		if err != nil {
 			return err
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -33,7 +33,7 @@
 
 const (
 	daemonCount = 6
-	callerCount = 24
+	clientCount = 24
 	// badVersionErrorRate is the error rate of bib-lookup@v2 once it fails.
 	badVersionErrorRate = 0.5
 	// firstStagePercent is the share of sessions in the first stage of the roll-out.
@@ -55,7 +55,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		traffic.Run(trafficCtx, callerCount, o.Seed)
+		traffic.Run(trafficCtx, clientCount, o.Seed)
 	}()
 	if err := cluster.runScenario(trafficCtx, o.Duration, out); err != nil {
 		return err
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -119,9 +119,9 @@
 	return newStream(resp.Body, cancel, idleTimer, c.idleTimeout), nil
 }
 
-// ConnectionRefused reports whether the VM refuses connections to an address because no
+// RefusesConnections reports whether the VM refuses connections to an address because no
 // process listens there.
-func (c *Client) ConnectionRefused(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -167,8 +167,8 @@
 	Fence uint64 `json:"fence"`
 	// Draining reports that the server accepts no new runs.
 	Draining bool `json:"draining"`
-	// WarmUpMillis is the remaining warm-up time; negative values mean none.
-	WarmUpMillis int64 `json:"warming_ms"`
+	// WarmupRemainingMillis is the remaining warm-up time; negative values mean none.
+	WarmupRemainingMillis int64 `json:"warming_ms"`
 }
 
 // Load fetches the load report of a server.
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -66,8 +66,8 @@
 	return now - t.newest[s].At, t.known[s]
 }
 
-// Within reports whether a subject was confirmed less than limit ago.
-func (t *Tracker) Within(s Subject, now, limit time.Duration) bool {
+// ConfirmedWithin reports whether a subject was confirmed less than limit ago.
+func (t *Tracker) ConfirmedWithin(s Subject, now, limit time.Duration) bool {
 	age, known := t.Age(s, now)
 	return known && age < limit
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -33,7 +33,7 @@
 func TestWithinLimit(t *testing.T) {
 	var tr Tracker
 	tr.Confirm(Configuration, Confirmation{At: time.Second, Source: FromStore})
-	if !tr.Within(Configuration, 2*time.Second, 1001*time.Millisecond) || tr.Within(Configuration, 2*time.Second, time.Second) {
+	if !tr.ConfirmedWithin(Configuration, 2*time.Second, 1001*time.Millisecond) || tr.ConfirmedWithin(Configuration, 2*time.Second, time.Second) {
 		t.Error("the limit is not exclusive")
 	}
 }
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -7,7 +7,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-var limit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
+var limit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, Burst: 5}
 
 // soleDaemonGate returns the gate of a fleet of one daemon.
 func soleDaemonGate() *Gate {
@@ -50,7 +50,7 @@
 			sends++
 		}
 	}
-	if sends == 0 || sends > limit.Bound()/2 {
+	if sends == 0 || sends > limit.MaxPerSecond()/2 {
 		t.Errorf("%d sends in the first second", sends)
 	}
 	if got := g.Check(Request{}, s, time.Minute+limit.WarmupPeriod); got != Allowed {
@@ -137,12 +137,12 @@
 		return n
 	}
 	g.ServerTerminated("a", time.Minute)
-	if n := sends(time.Minute); n > limit.Bound()/2 {
+	if n := sends(time.Minute); n > limit.MaxPerSecond()/2 {
 		t.Errorf("%d sends in a second before the first response", n)
 	}
 	g.ServerResponded("a", limit, 2*time.Minute)
 	g.ServerResponded("a", limit, 3*time.Minute)
-	if n := sends(2 * time.Minute); n > limit.Bound()/2 {
+	if n := sends(2 * time.Minute); n > limit.MaxPerSecond()/2 {
 		t.Errorf("%d sends in a second after the first response", n)
 	}
 	if n := sends(2*time.Minute + limit.WarmupPeriod); n != 1000 {
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -18,17 +18,17 @@
 	"github.com/damaskrudder/damaskrudder/internal/route"
 )
 
-// callerRecorder records the response to one request.
-type callerRecorder struct {
+// responseRecorder records the response to one request.
+type responseRecorder struct {
 	refusal *fault.Error
 	cut     bool
 	bytes   int
 }
 
-func (c *callerRecorder) Refuse(e *fault.Error)               { c.refusal = e }
-func (c *callerRecorder) WriteHeader(int, http.Header, int64) {}
-func (c *callerRecorder) WriteBody(p []byte) error            { c.bytes += len(p); return nil }
-func (c *callerRecorder) Abort()                              { c.cut = true }
+func (c *responseRecorder) Refuse(e *fault.Error)               { c.refusal = e }
+func (c *responseRecorder) WriteHeader(int, http.Header, int64) {}
+func (c *responseRecorder) WriteBody(p []byte) error            { c.bytes += len(p); return nil }
+func (c *responseRecorder) Abort()                              { c.cut = true }
 
 // setStreamConfig configures a service with a route of resumable streams.
 func setStreamConfig(n *Node) {
@@ -43,8 +43,8 @@
 }
 
 // send sends a request to a daemon and returns what its caller received.
-func (f *fleet) send(daemon int, id, body string) *callerRecorder {
-	out := &callerRecorder{}
+func (f *fleet) send(daemon int, id, body string) *responseRecorder {
+	out := &responseRecorder{}
 	m := f.member(address(daemon))
 	if m == nil {
 		out.cut = true
@@ -61,8 +61,8 @@
 	daemons, servers int
 	// crashingRequests is the number of distinct crashing requests; zero means one.
 	crashingRequests int
-	// backgroundCallers is the number of concurrent background callers.
-	backgroundCallers int
+	// backgroundClients is the number of concurrent background callers.
+	backgroundClients int
 	seed              uint64
 	// midway is called in the middle of the scenario. Sends before the returned time are not
 	// counted as late, since daemons have just restarted.
@@ -105,7 +105,7 @@
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		out.refusalKinds = map[fault.Kind]int{}
-		for i := range p.backgroundCallers {
+		for i := range p.backgroundClients {
 			wg.Go(func() { p.sendBackground(ctx, f, i, &mu, &out) })
 		}
 		time.Sleep(time.Second)
@@ -197,7 +197,7 @@
 		for _, background := range []int{1, 8, 64} {
 			servers := max(9, daemons/3)
 			t.Run(fmt.Sprint(daemons, " daemons/", background, " in the background"), func(t *testing.T) {
-				r := crashScenario{daemons: daemons, servers: servers, backgroundCallers: background, seed: 1}.run(t)
+				r := crashScenario{daemons: daemons, servers: servers, backgroundClients: background, seed: 1}.run(t)
 				t.Logf("%+v", r)
 				if r.lateSends > maxLateSends {
 					t.Errorf("sent %d more times later than %s after the third crash", r.lateSends, holdPropagationLimit)
@@ -222,7 +222,7 @@
 					}
 					return time.Now().Add(holdPropagationLimit)
 				}
-				r := crashScenario{daemons: daemons, servers: max(9, daemons/3), backgroundCallers: 8, seed: 1, midway: restart}.run(t)
+				r := crashScenario{daemons: daemons, servers: max(9, daemons/3), backgroundClients: 8, seed: 1, midway: restart}.run(t)
 				t.Logf("%+v", r)
 				if r.lateSends > maxLateSends {
 					t.Errorf("sent %d more times after the restart", r.lateSends)
@@ -246,7 +246,7 @@
 			t.Run(fmt.Sprint(crashing, " crashing/", background, " in the background"), func(t *testing.T) {
 				var total crashResult
 				for seed := range seedCount {
-					r := crashScenario{daemons: 6, servers: 9, crashingRequests: crashing, backgroundCallers: background, seed: seed + 1}.run(t)
+					r := crashScenario{daemons: 6, servers: 9, crashingRequests: crashing, backgroundClients: background, seed: seed + 1}.run(t)
 					total.crashes += r.crashes
 					total.lateSends = max(total.lateSends, r.lateSends)
 					total.answered += r.answered
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -177,7 +177,7 @@
 // since writers repeat their entries with each heartbeat.
 func (n *Node) reportInvalidEntry(r feed.Record, err error) {
 	reason := backend.InvalidReasonOf(err)
-	n.deps.Metrics.BadServerEntries(reason).Inc(1)
+	n.deps.Metrics.InvalidServerEntries(reason).Inc(1)
 	if n.invalidEntries.record(r.Key, reason) {
 		n.log.Error("invalid server entry", "server", r.Key, "at", r.At, "fault", reason, "err", err)
 	}
--- a/internal/relay/affinity.go
+++ b/internal/relay/affinity.go
@@ -27,26 +27,26 @@
 
 // rankAffinity ranks the candidates for a key by rendezvous hashing.
 func rankAffinity(key uint64, candidates []routing.Candidate, r *routing.Request) {
-	var ranked [routing.MaxHomeRank]int
-	var weights [routing.MaxHomeRank]uint64
+	var ranked [routing.MaxAffinityRank]int
+	var weights [routing.MaxAffinityRank]uint64
 	count := 0
 	for i := range candidates {
-		r.HomeRank[i] = routing.MaxHomeRank
+		r.AffinityRank[i] = routing.MaxAffinityRank
 		weight := rendezvousWeight(candidates[i].Hash, key)
 		rank := count
 		for rank > 0 && weights[rank-1] < weight {
 			rank--
 		}
-		if rank == routing.MaxHomeRank {
+		if rank == routing.MaxAffinityRank {
 			continue
 		}
 		copy(ranked[rank+1:], ranked[rank:])
 		copy(weights[rank+1:], weights[rank:])
 		ranked[rank], weights[rank] = i, weight
-		count = min(count+1, routing.MaxHomeRank)
+		count = min(count+1, routing.MaxAffinityRank)
 	}
 	for rank, i := range ranked[:count] {
-		r.HomeRank[i] = uint8(rank)
+		r.AffinityRank[i] = uint8(rank)
 	}
 	rankLocalAffinity(key, candidates, r)
 }
@@ -67,6 +67,6 @@
 		}
 	}
 	if best >= 0 {
-		r.HomeRank[best] = min(r.HomeRank[best], 1)
+		r.AffinityRank[best] = min(r.AffinityRank[best], 1)
 	}
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -29,13 +29,13 @@
 	priority  int
 	deadline  time.Time
 	// hash is uniformly distributed and the same for every send of the call.
-	hash    uint64
-	journey request.ProxyRetryState
-	tried   []string
+	hash       uint64
+	retryState request.ProxyRetryState
+	tried      []string
 	// fingerprint is the same for every retry of the request by its client.
 	fingerprint quarantine.Fingerprint
-	// standing is the request's quarantine state before the last send.
-	standing quarantine.Status
+	// quarantineStatus is the request's quarantine state before the last send.
+	quarantineStatus quarantine.Status
 	// run is the run of the last send.
 	run *containment.Attempt
 	// succeeded is set once a server has sent a complete, successful response.
@@ -73,10 +73,10 @@
 			x.fail(refusal)
 			return
 		}
-		if x.journey.Sends() == 0 {
+		if x.retryState.Sends() == 0 {
 			x.relay.recordFirstSend(x.service.Name)
 		}
-		x.journey.RecordSend()
+		x.retryState.RecordSend()
 		if t.warming {
 			x.relay.Metrics.WarmingSends.Inc(1)
 		}
@@ -92,10 +92,10 @@
 		}
 		// A request that may end servers asks the larger model of the same server:
 		// its cancelled run may still end that one, and should not end a second.
-		if outcome != request.LowConfidence || x.standing.Crashes == 0 {
+		if outcome != request.LowConfidence || x.quarantineStatus.Crashes == 0 {
 			x.tried = append(x.tried, t.server.ID)
 		}
-		refusal = x.journey.Next(outcome, time.Now(), func() bool {
+		refusal = x.retryState.Next(outcome, time.Now(), func() bool {
 			return outcome == request.LowConfidence || x.retryTaken.Swap(false) || x.relay.takeRetry(x.service.Name, 0)
 		})
 		if refusal != nil {
@@ -127,13 +127,13 @@
 func (x *exchange) selectServer() (*target, *fault.Error) {
 	req := x.requirements(x.effectiveModel())
 	t, err := x.relay.State.pick(&req, x.service.MaxConns)
-	if err != nil && len(x.tried) > 0 && x.journey.Repeatable {
+	if err != nil && len(x.tried) > 0 && x.retryState.Repeatable {
 		// All servers were tried. One that was lost may respond again.
 		req.tried = nil
 		t, err = x.relay.State.pick(&req, x.service.MaxConns)
 	}
 	if err != nil {
-		return nil, x.journey.Fail(err.Kind, err.Detail).WithRetryAfter(err.RetryAfter)
+		return nil, x.retryState.Fail(err.Kind, err.Detail).WithRetryAfter(err.RetryAfter)
 	}
 	return t, nil
 }
@@ -147,8 +147,8 @@
 		service: x.service.Name, engine: x.service.Engine, model: model, prompt: x.call.Prompt, bodyBytes: len(x.call.Body),
 		urgent: x.route.Priority == 0, timeLeft: time.Until(x.deadline), tried: x.tried,
 		versions:    x.relay.Rollouts.ChooseVersion(x.service.Name, x.call.Session, x.hash),
-		fingerprint: x.fingerprint, standing: x.standing,
-		gateRequest: gate.Request{Held: x.standing.Held}, slowStart: x.relay.slowStartLimit(x),
+		fingerprint: x.fingerprint, quarantineStatus: x.quarantineStatus,
+		gateRequest: gate.Request{Held: x.quarantineStatus.Held}, slowStart: x.relay.slowStartLimit(x),
 	}
 }
 
@@ -158,7 +158,7 @@
 	defer cancel(nil)
 	x.run = x.relay.Guard.Begin(containmentServer(t.server), x.fingerprint, cancel)
 	outcome, done := x.send(ctx, cancel, t)
-	x.relay.Guard.End(ctx, x.run, containmentServer(t.server), fateOf(ctx, outcome, done))
+	x.relay.Guard.End(ctx, x.run, containmentServer(t.server), containmentOutcome(ctx, outcome, done))
 	if x.succeeded {
 		x.relay.Guard.RecordSuccess(x.fingerprint)
 	}
@@ -168,7 +168,7 @@
 // send makes one attempt. It returns true if the client has the final response.
 func (x *exchange) send(ctx context.Context, cancel context.CancelCauseFunc, t *target) (request.SendOutcome, bool) {
 	by, age := x.relay.State.LastConfirmation(freshness.Servers)
-	x.logEvent("send", t, "entries_age_ms", age.Milliseconds(), "entries_by", by, "expected_ms", t.expectedLatency.Milliseconds(), "uncached", t.uncached, "warming", t.warming, "send", x.journey.Sends(), "session", x.call.Session, "fingerprint", x.fingerprint)
+	x.logEvent("send", t, "entries_age_ms", age.Milliseconds(), "entries_by", by, "expected_ms", t.expectedLatency.Milliseconds(), "uncached", t.uncached, "warming", t.warming, "send", x.retryState.Sends(), "session", x.call.Session, "fingerprint", x.fingerprint)
 	sentAt := time.Now()
 	ctx, stop := context.WithDeadline(ctx, x.deadline)
 	defer stop()
@@ -199,7 +199,7 @@
 // takes the retry from the budget. Without budget, it only leaves a lost server:
 // a stream whose server is merely slow would be aborted.
 func (x *exchange) mayReroute(lost bool) bool {
-	if !x.journey.Repeatable || x.journey.RunsLeft() <= 0 {
+	if !x.retryState.Repeatable || x.retryState.RunsLeft() <= 0 {
 		return false
 	}
 	if x.relay.takeRetry(x.service.Name, 0) {
@@ -212,7 +212,7 @@
 // sendPriority raises the priority of requests that have lost time to an earlier
 // server or model.
 func (x *exchange) sendPriority() int {
-	if x.journey.Sends() > 1 {
+	if x.retryState.Sends() > 1 {
 		return max(0, x.priority-basePriority)
 	}
 	return x.priority
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -109,7 +109,7 @@
 // slowStartLimit returns the limit of a warming server of the call's service.
 func (r *Relay) slowStartLimit(x *exchange) slowstart.Limit {
 	return slowstart.Limit{
-		WarmupPeriod: x.service.WarmUp, PerSecond: x.service.WarmUpRate, BurstFactor: r.options.WarmUpRateFactor, BurstSlack: r.options.WarmUpBurst,
+		WarmupPeriod: x.service.WarmupPeriod, PerSecond: x.service.WarmupRate, BurstFactor: r.options.WarmupBurstFactor, Burst: r.options.WarmupBurst,
 	}
 }
 
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -10,7 +10,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/slowstart"
 )
 
-var warmUpLimit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
+var warmupLimit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, Burst: 5}
 
 // gatedState returns the state of the only daemon, with servers a in "east" and b in "west".
 func gatedState(t *testing.T, warmAt time.Duration) (*State, *fakeClock) {
@@ -27,7 +27,7 @@
 }
 
 func gatedRequirements() requirements {
-	return requirements{service: "s", versions: anyVersionChoice(), slowStart: warmUpLimit}
+	return requirements{service: "s", versions: anyVersionChoice(), slowStart: warmupLimit}
 }
 
 // Guards against selections that bypass the gate: with another version preferred, after
@@ -40,7 +40,7 @@
 		"repeat":        func(req *requirements) { req.tried = []string{"b"} },
 		"other version": func(req *requirements) { req.versions.Preferred = func(string) bool { return false } },
 		"part":          func(req *requirements) { req.versions.Fraction = 0.1 },
-		"ended servers": func(req *requirements) { req.standing.Crashes = 1; req.fingerprint = 7 },
+		"ended servers": func(req *requirements) { req.quarantineStatus.Crashes = 1; req.fingerprint = 7 },
 		"all suspect": func(*requirements) {
 			for _, id := range []string{"a", "b"} {
 				s.markUnreachable(&target{service: "s", server: backend.Server{ID: id}})
@@ -87,7 +87,7 @@
 		}
 		c.now += 10 * time.Millisecond
 	}
-	if most := 2 * warmUpLimit.Bound() / 2; sent == 0 || sent > most || refused == 0 {
+	if most := 2 * warmupLimit.MaxPerSecond() / 2; sent == 0 || sent > most || refused == 0 {
 		t.Errorf("%d requests sent to two servers in one second, %d refused", sent, refused)
 	}
 	c.now = time.Minute + 2*time.Second
--- a/internal/relay/liveness_test.go
+++ b/internal/relay/liveness_test.go
@@ -79,7 +79,7 @@
 func TestStreamIsNotReroutedWithoutRetryBudget(t *testing.T) {
 	h := newHarness(t, respondStream(90, nil, 1))
 	x := &exchange{relay: h.relay, service: h.relay.State.Table().Services["lm"]}
-	x.journey.Repeatable, x.journey.MaxRuns = true, 3
+	x.retryState.Repeatable, x.retryState.MaxRuns = true, 3
 	if !x.mayReroute(false) || !x.retryTaken.Swap(false) {
 		t.Error("not rerouted although the budget allows it")
 	}
@@ -92,8 +92,8 @@
 	if !x.mayReroute(true) || x.retryTaken.Load() {
 		t.Error("not rerouted from a lost server")
 	}
-	x.journey.MaxRuns = 0
-	x.journey.RecordSend()
+	x.retryState.MaxRuns = 0
+	x.retryState.RecordSend()
 	if x.mayReroute(true) {
 		t.Error("rerouted although no attempts are left")
 	}
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -88,8 +88,8 @@
 	return m.scope.Tagged(map[string]string{"kind": string(k)}).Counter("refusals")
 }
 
-// BadServerEntries counts invalid server entries by fault.
-func (m *Metrics) BadServerEntries(f backend.InvalidReason) tally.Counter {
+// InvalidServerEntries counts invalid server entries by fault.
+func (m *Metrics) InvalidServerEntries(f backend.InvalidReason) tally.Counter {
 	return m.scope.Tagged(map[string]string{"fault": string(f)}).Counter("server_entries_bad")
 }
 
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -77,7 +77,7 @@
 	x.lastConfidence = modelConfidence{confidence: noConfidence}
 	if x.choosesModel() {
 		r := x.cascadeRequest()
-		x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveRequest(r) })
+		x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveRequest(r) })
 	}
 }
 
@@ -92,11 +92,11 @@
 	delay := 0.0
 	previous := x.lastConfidence
 	x.lastConfidence = modelConfidence{x.modelIndex, confidence}
-	x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) {
+	x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) {
 		if previous.modelIndex < x.modelIndex {
 			v.ObserveEscalation(models[previous.modelIndex], models[x.modelIndex], previous.confidence, confidence)
 		}
-		verdict = v.Decide(r, models, offers, x.modelIndex, confidence, current, x.journey.RunsLeft())
+		verdict = v.Decide(r, models, offers, x.modelIndex, confidence, current, x.retryState.RunsLeft())
 		delay = v.DelayCost(models[len(models)-1])
 	})
 	if verdict.Model == x.modelIndex {
@@ -122,13 +122,13 @@
 	}
 	r, models := x.cascadeRequest(), x.models()
 	o := cascade.Estimate{FirstEvent: t.expectedLatency, Remainder: x.relay.State.remainingStreamTime(t, x.expectedEvents())}
-	x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveDispatch(r, models, x.modelIndex, o) })
+	x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveDispatch(r, models, x.modelIndex, o) })
 }
 
 // recordFirstEvent records the time to the first event.
 func (x *exchange) recordFirstEvent(t *target, elapsed time.Duration) {
 	if x.choosesModel() {
-		x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveFirstEvent(t.expectedLatency, elapsed) })
+		x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveFirstEvent(t.expectedLatency, elapsed) })
 	}
 }
 
@@ -138,5 +138,5 @@
 		return
 	}
 	expected := x.relay.State.remainingStreamTime(t, x.expectedEvents())
-	x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveCompletion(expected, elapsed) })
+	x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveCompletion(expected, elapsed) })
 }
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -27,8 +27,8 @@
 	timeLeft  time.Duration
 	tried     []string
 	// fingerprint and standing are the request's identity and state in quarantine.
-	fingerprint quarantine.Fingerprint
-	standing    quarantine.Status
+	fingerprint      quarantine.Fingerprint
+	quarantineStatus quarantine.Status
 	// versions are the server versions that the request may use.
 	versions VersionChoice
 	// gateRequest is the request for the gate, slowStart the limit of warming servers.
@@ -89,11 +89,11 @@
 		sv.tracker.Prefix.Expire(now)
 		sv.tracker.Prefix.Lookup(r)
 		rankAffinity(affinityKey(req.model, req.prompt), sel.candidates, r)
-		r.OutsidePartition = sv.lanesFor(req.engine).Outside(req.model, sv.tracker.IndicesByHash())
+		r.OutsidePartition = sv.partitionFor(req.engine).Outside(req.model, sv.tracker.IndicesByHash())
 	}
 	s.applyExclusions(&sel, req, req.versions.Preferred, uptime)
 	limitToFraction(r, sel.candidates, sv.tracker.IndicesByHash(), req.versions.Fraction)
-	if req.standing.Crashes > 0 {
+	if req.quarantineStatus.Crashes > 0 {
 		sel.decision = s.pickByFingerprint(pipeline, *r, &sel, req)
 		if sel.decision.Index >= 0 {
 			return sel
@@ -150,7 +150,7 @@
 	prefillTime := sel.prefillTime()
 	return cascade.Estimate{
 		FirstEvent: sel.decision.Expected, Remainder: sel.service.models.streamTime(req.model, events),
-		EngineTime: prefillTime, DelayedPerSecond: sel.service.models.get(req.model, req.engine).load.ArrivalsDuring(sel.backlog(), prefillTime, s.daemons, sel.laneSize(), now),
+		EngineTime: prefillTime, DelayedPerSecond: sel.service.models.get(req.model, req.engine).load.ArrivalsDuring(sel.backlog(), prefillTime, s.daemons, sel.partitionSize(), now),
 	}
 }
 
@@ -159,8 +159,8 @@
 	return time.Duration(float64(sel.request.UncachedTokens(sel.decision.Index)) * sel.request.PrefillScale * float64(referenceTokenTime))
 }
 
-// laneSize is the number of engines that serve the model's requests.
-func (sel *selection) laneSize() int {
+// partitionSize is the number of engines that serve the model's requests.
+func (sel *selection) partitionSize() int {
 	n := 0
 	excluded := sel.request.OutsidePartition.Union(sel.request.Tried)
 	for i := range sel.candidates {
@@ -206,8 +206,8 @@
 	if req.engine != nil {
 		sel.service.models.get(req.model, req.engine).load.Record(now)
 	}
-	if sel.service.lanes != nil {
-		sel.service.lanes.RecordWork(req.model, sel.prefillTime(), now)
+	if sel.service.partition != nil {
+		sel.service.partition.RecordWork(req.model, sel.prefillTime(), now)
 	}
 	if shared := len(blocks) - 1; shared > 0 && len(s.pendingPlacements) < maxPendingPlacements {
 		// The last part is unique to the request, so peers do not need it.
@@ -216,12 +216,12 @@
 	return t, nil
 }
 
-// lanesFor returns the assignment of the service's engines to its models.
-func (sv *service) lanesFor(e *route.Engine) *routing.Partition {
-	if sv.lanes == nil {
-		sv.lanes = routing.NewPartition(expectedWork(e))
+// partitionFor returns the assignment of the service's engines to its models.
+func (sv *service) partitionFor(e *route.Engine) *routing.Partition {
+	if sv.partition == nil {
+		sv.partition = routing.NewPartition(expectedWork(e))
 	}
-	return sv.lanes
+	return sv.partition
 }
 
 // escalatedFraction is the initial estimate of the fraction of requests that the
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -31,16 +31,16 @@
 // checkHold returns the refusal of a quarantined request, or nil. It runs before
 // every send: first sends, retries, escalations and resumed streams.
 func (x *exchange) checkHold() *fault.Error {
-	x.standing = x.relay.Guard.Check(x.fingerprint)
-	if !x.standing.Held {
+	x.quarantineStatus = x.relay.Guard.Check(x.fingerprint)
+	if !x.quarantineStatus.Held {
 		return nil
 	}
-	x.logEvent("held", nil, "fingerprint", x.fingerprint, "left_ms", x.standing.Remaining.Milliseconds(), "sends", x.journey.Sends())
-	return x.journey.Fail(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(x.standing))
+	x.logEvent("held", nil, "fingerprint", x.fingerprint, "left_ms", x.quarantineStatus.Remaining.Milliseconds(), "sends", x.retryState.Sends())
+	return x.retryState.Fail(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(x.quarantineStatus))
 }
 
-// fateOf maps the outcome of a send to the fate of its run.
-func fateOf(ctx context.Context, o request.SendOutcome, done bool) containment.Outcome {
+// containmentOutcome maps the outcome of a send to the fate of its run.
+func containmentOutcome(ctx context.Context, o request.SendOutcome, done bool) containment.Outcome {
 	switch {
 	case done, o == request.NotStarted:
 		return containment.Completed
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -200,7 +200,7 @@
 	h := newHarness(t, respond(200, ""))
 	perServer := map[string]int{}
 	for f := quarantine.Fingerprint(1); f <= 60; f++ {
-		req := &requirements{service: "app", fingerprint: f, standing: quarantine.Status{Crashes: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
+		req := &requirements{service: "app", fingerprint: f, quarantineStatus: quarantine.Status{Crashes: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
 		first := ""
 		for range 3 {
 			got, err := h.relay.State.pick(req, 100)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,9 +31,9 @@
 	RetryBudgetReserve float64
 	// SessionIdleTimeout is the maximum time between two requests of a session.
 	SessionIdleTimeout time.Duration
-	// WarmUpRateFactor and WarmUpBurst limit the requests to a warming server in any
+	// WarmupBurstFactor and WarmUpBurst limit the requests to a warming server in any
 	// second: its configured rate times the factor, plus the burst.
-	WarmUpRateFactor, WarmUpBurst float64
+	WarmupBurstFactor, WarmupBurst float64
 }
 
 const (
@@ -66,7 +66,7 @@
 
 	mu             sync.Mutex
 	retryBudgets   map[string]*request.WindowedRetryBudget
-	valuers        map[string]*cascade.Escalator
+	escalators     map[string]*cascade.Escalator
 	activeRequests int
 	// shutdownAt is when the daemon stops; zero unless it is draining.
 	shutdownAt time.Time
@@ -78,7 +78,7 @@
 func New(state *State, b Backend, options Options, m *Metrics, logger *log.Logger) *Relay {
 	r := &Relay{
 		State: state, Rollouts: NewRollouts(options.SessionIdleTimeout, time.Now, logger), Metrics: m, backend: b, options: options, log: logger, started: time.Now(), ConfigOutdated: func() bool { return false },
-		retryBudgets: map[string]*request.WindowedRetryBudget{}, valuers: map[string]*cascade.Escalator{},
+		retryBudgets: map[string]*request.WindowedRetryBudget{}, escalators: map[string]*cascade.Escalator{},
 	}
 	r.liveness = newLivenessMonitor(state, b, logger, m)
 	r.Guard = newGuard(r)
@@ -157,14 +157,14 @@
 	r.retryBudget(service, daemons).Deposit(time.Since(r.started))
 }
 
-// withValuer runs f on the model estimates of a service, under the lock.
-func (r *Relay) withValuer(service string, update func(v *cascade.Escalator)) {
+// withEscalator runs f on the model estimates of a service, under the lock.
+func (r *Relay) withEscalator(service string, update func(v *cascade.Escalator)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.valuers[service]
+	v := r.escalators[service]
 	if v == nil {
 		v = &cascade.Escalator{}
-		r.valuers[service] = v
+		r.escalators[service] = v
 	}
 	update(v)
 }
@@ -245,7 +245,7 @@
 	if !shutdownAt.IsZero() && x.deadline.After(shutdownAt) {
 		return nil, fault.New(fault.ShuttingDown, "this daemon is leaving").WithRetryAfter(drainRetryAfter)
 	}
-	x.journey = request.ProxyRetryState{Repeatable: rt.Repeatable(), MaxRuns: rt.MaxAttempts, Deadline: x.deadline}
+	x.retryState = request.ProxyRetryState{Repeatable: rt.Repeatable(), MaxRuns: rt.MaxAttempts, Deadline: x.deadline}
 	return x, nil
 }
 
--- a/internal/relay/response.go
+++ b/internal/relay/response.go
@@ -48,7 +48,7 @@
 	}
 	if failed {
 		x.serverFailure = resp
-		if x.journey.Repeatable {
+		if x.retryState.Repeatable {
 			x.logEvent("server failed", t, "status", reply.Status)
 			return request.ErrorResponse, false
 		}
@@ -72,7 +72,7 @@
 	}
 	if err != nil {
 		x.logEvent("unbuffered response truncated", t, "status", reply.Status, "bytes", n, "err", err)
-		x.journey.Repeatable = false // the client already has part of this response
+		x.retryState.Repeatable = false // the client already has part of this response
 		return request.ResponseLost, false
 	}
 	x.succeeded = true
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -131,7 +131,7 @@
 		r.reconcile(o.Service)
 		return
 	}
-	o.SessionWindow = r.sessions.idleTimeout
+	o.SessionIdleTimeout = r.sessions.idleTimeout
 	r.orders[o.Service] = &orderState{
 		Order: o, orderedAt: r.now(),
 		ownEvidence: map[string]*rollout.ServerCounts{}, peerReports: map[string]OrderReport{},
@@ -352,7 +352,7 @@
 				oldInFlight += p.OldInFlight
 			}
 		}
-		total := rollout.Sum(allEvidence...)
+		total := rollout.SumEvidence(allEvidence...)
 		age := r.now().Sub(o.orderedAt)
 		if p, reason := rollout.DefaultOrderPolicy().NextPhase(o.Order, o.phase, age, total, oldInFlight); p != o.phase {
 			out = append(out, PhaseChange{o.Order, p, age, reason})
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -58,8 +58,8 @@
 	models  modelLatencies
 	// peerWorkVersion is the version of the peer work that the tracker shows.
 	peerWorkVersion uint64
-	// lanes assigns engines to models; nil until the first selection.
-	lanes *routing.Partition
+	// partition assigns engines to models; nil until the first selection.
+	partition *routing.Partition
 }
 
 // NewState returns an empty state. BootTime reads a clock that also counts while the
@@ -104,7 +104,7 @@
 	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.confirmations.Within(subject, now, limit)
+	return s.confirmations.ConfirmedWithin(subject, now, limit)
 }
 
 // ConfirmationAge returns the age of the last confirmation of a subject; false if there is none.
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -67,7 +67,7 @@
 		{"repeatable run lost", true, []AttemptEvent{ConnectionLost, RunNotFound}, false, Retry, fault.Unknown},
 		{"run lost after partial delivery", true, []AttemptEvent{RunNotFound}, true, Fail, fault.Ran},
 		{"non-repeatable run failed", false, []AttemptEvent{RunFailed}, false, Fail, fault.Ran},
-		{"caller disconnected", true, []AttemptEvent{CallerDisconnected}, true, Cancel, fault.Ran},
+		{"caller disconnected", true, []AttemptEvent{ClientDisconnected}, true, Cancel, fault.Ran},
 		{"connection lost until resumes are exhausted", false, []AttemptEvent{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, false, Fail, fault.Unknown},
 	}
 	for _, c := range cases {
@@ -188,14 +188,14 @@
 	})
 }
 
-func ring() *session.Keyring {
+func testKeyring() *session.Keyring {
 	return &session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte("0123456789abcdef")}}
 }
 
 // Guards against a second run of a minted key after a daemon restart.
 func TestMintedKeyIsBoundToIncarnation(t *testing.T) {
-	key := MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(ring())
-	m, err := ParseMintedKey(ring(), key)
+	key := MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(testKeyring())
+	m, err := ParseMintedKey(testKeyring(), key)
 	if err != nil || !IsMintedKey(key) {
 		t.Fatal(err)
 	}
@@ -209,16 +209,16 @@
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
-	if _, err := ParseMintedKey(ring(), key+"x"); !fault.Is(err, fault.BadRequest) {
+	if _, err := ParseMintedKey(testKeyring(), key+"x"); !fault.Is(err, fault.BadRequest) {
 		t.Errorf("forged key: %v", err)
 	}
 }
 
 func FuzzParseMintedKey(f *testing.F) {
-	f.Add(MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(ring()))
+	f.Add(MintedKey{Workspace: "w", Daemon: "d", Incarnation: 7, Nonce: "n"}.Mint(testKeyring()))
 	f.Add("dk1.k1.e30.e30")
 	f.Fuzz(func(t *testing.T, key string) {
-		if m, err := ParseMintedKey(ring(), key); err == nil && m.Mint(ring()) != key {
+		if m, err := ParseMintedKey(testKeyring(), key); err == nil && m.Mint(testKeyring()) != key {
 			t.Fatalf("%q was accepted but differs from the minted form", key)
 		}
 	})
--- a/internal/request/retry_state.go
+++ b/internal/request/retry_state.go
@@ -20,8 +20,8 @@
 	RunNotFound
 	// RunFailed means that the server reported a failed run.
 	RunFailed
-	// CallerDisconnected means that the caller closed its connection.
-	CallerDisconnected
+	// ClientDisconnected means that the caller closed its connection.
+	ClientDisconnected
 )
 
 // Action is the next step for a request.
@@ -93,7 +93,7 @@
 // Next records an event and returns the next step. A retry is withdrawn from budget.
 func (s *RetryState) Next(e AttemptEvent, now time.Time, budget *RetryBudget) Decision {
 	switch e {
-	case CallerDisconnected:
+	case ClientDisconnected:
 		return Decision{Cancel, fault.New(fault.CallerLeft, "the caller left").WithExecution(s.ExecutionState())}
 	case AttemptRefused, ConnectFailed:
 		return s.retryOrFail(fault.NoServer, e, now, budget)
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -65,12 +65,12 @@
 type Evidence []ServerCounts
 
 // Merge returns the sum of the evidence of two daemons.
-func (e Evidence) Merge(o Evidence) Evidence { return Sum(e, o) }
+func (e Evidence) Merge(o Evidence) Evidence { return SumEvidence(e, o) }
 
-// Sum returns the combined evidence of any number of daemons, sorted by server. It merges
+// SumEvidence returns the combined evidence of any number of daemons, sorted by server. It merges
 // all parts in one pass, so that its cost is linear in the number of entries before
 // sorting.
-func Sum(parts ...Evidence) Evidence {
+func SumEvidence(parts ...Evidence) Evidence {
 	type versionKey struct {
 		server string
 		isNew  bool
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -13,8 +13,8 @@
 	Target  string
 	// Duration is the time from the order to its deadline.
 	Duration time.Duration
-	// SessionWindow is the maximum time between consecutive requests of a session.
-	SessionWindow time.Duration
+	// SessionIdleTimeout is the maximum time between consecutive requests of a session.
+	SessionIdleTimeout time.Duration
 	// Offset is the order's offset in the operator log and identifies it.
 	Offset uint64
 }
@@ -130,7 +130,7 @@
 // minFullShare returns the minimum length of the full phase, extended to the session
 // window: the next order may follow at once and must not find sessions on the old version.
 func (o Order) minFullShare() float64 {
-	return max(minFullPhase, float64(o.SessionWindow)/float64(o.Duration))
+	return max(minFullPhase, float64(o.SessionIdleTimeout)/float64(o.Duration))
 }
 
 // rollBackReason returns why the new version is to be rolled back, or "".
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -37,9 +37,9 @@
 	// RollBackThreshold is the e-value at which the fleet rolls back. The false alarm rate
 	// of each signal is at most its inverse.
 	RollBackThreshold float64
-	// LocalThreshold is the e-value of its own evidence at which a daemon stops using the
+	// SuspendThreshold is the e-value of its own evidence at which a daemon stops using the
 	// new version before the fleet has decided.
-	LocalThreshold float64
+	SuspendThreshold float64
 	// LeaveOneOutThreshold is the e-value that must remain for a roll-back without any one
 	// server or failure domain. It may be low, since RollBackThreshold bounds the false
 	// alarms.
@@ -65,7 +65,7 @@
 func DefaultStagePolicy() StagePolicy {
 	return StagePolicy{
 		RollBackThreshold:    1000,
-		LocalThreshold:       1000,
+		SuspendThreshold:     1000,
 		LeaveOneOutThreshold: 30,
 		HoldThreshold:        1e9,
 		MinStageDuration:     10 * time.Second,
@@ -142,11 +142,11 @@
 	return Decision{Advance, fmt.Sprintf("%d requests, e-value %.2f", newCounts.Requests, math.Exp(maxLogE))}
 }
 
-// ShouldStopLocally reports whether a daemon's own evidence suffices to stop using the new
+// ShouldSuspend reports whether a daemon's own evidence suffices to stop using the new
 // version for sessions that are not pinned to it, and by which signal.
-func (p StagePolicy) ShouldStopLocally(own Evidence) (Signal, bool) {
+func (p StagePolicy) ShouldSuspend(own Evidence) (Signal, bool) {
 	for s := range signalCount {
-		if own.LogEValue(s, nil) >= math.Log(p.LocalThreshold) {
+		if own.LogEValue(s, nil) >= math.Log(p.SuspendThreshold) {
 			return s, true
 		}
 	}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -92,10 +92,10 @@
 	MaxConns int
 	// Engine describes the model engines of the service; nil for plain services.
 	Engine *Engine
-	// WarmUp is the duration of the warm-up after a server starts. WarmUpRate is the
+	// WarmupPeriod is the duration of the warm-up after a server starts. WarmUpRate is the
 	// maximum number of requests per second during the warm-up; zero means unlimited.
-	WarmUp     time.Duration
-	WarmUpRate float64
+	WarmupPeriod time.Duration
+	WarmupRate   float64
 }
 
 // Engine describes the model engines of a service.
--- a/internal/routing/partition_test.go
+++ b/internal/routing/partition_test.go
@@ -75,7 +75,7 @@
 func TestOverloadedPartitionSpillsOver(t *testing.T) {
 	c := idleEngines(2)
 	c[0].PendingPrefill = 2_000_000 // 2 s of prefill
-	r := &Request{PromptTokens: 1000, OutsidePartition: SetOf(1)}
+	r := &Request{PromptTokens: 1000, OutsidePartition: NewSet(1)}
 	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
 		t.Errorf("partition overloaded by 2 s: picked %d, want 1", d.Index)
 	}
@@ -113,7 +113,7 @@
 // its partition is taken for late.
 func TestPreferencesDoNotCountAsExpectedTime(t *testing.T) {
 	c := []Candidate{{ID: "a", Slots: 8, PrefillPerToken: time.Millisecond, PendingPrefill: 5000}, {ID: "b", Slots: 8, PrefillPerToken: time.Millisecond}}
-	r := &Request{PromptTokens: 10, OutsidePartition: SetOf(1)}
+	r := &Request{PromptTokens: 10, OutsidePartition: NewSet(1)}
 	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 || d.Expected > 50*time.Millisecond {
 		t.Errorf("got %+v, want index 1 within 50 ms", d)
 	}
@@ -121,7 +121,7 @@
 
 func TestPickSkipsServersOverBudget(t *testing.T) {
 	c := []Candidate{{ID: "a", Slots: 8, PrefillPerToken: time.Millisecond, PendingPrefill: 300}, {ID: "b", Slots: 8, PrefillPerToken: time.Millisecond}}
-	r := &Request{PromptTokens: 10, OutsidePartition: SetOf(1), Budget: 200 * time.Millisecond}
+	r := &Request{PromptTokens: 10, OutsidePartition: NewSet(1), Budget: 200 * time.Millisecond}
 	if d := EnginePipeline().Pick(r, c, rand.New(rand.NewPCG(1, 2))); d.Index != 1 {
 		t.Errorf("got %+v, want index 1: the preferred server exceeds the budget", d)
 	}
--- a/internal/routing/pipeline.go
+++ b/internal/routing/pipeline.go
@@ -44,13 +44,13 @@
 }
 
 const (
-	// homeRankCost exceeds the tie window, so that equally loaded servers are chosen by
+	// affinityRankCost exceeds the tie window, so that equally loaded servers are chosen by
 	// rank, and is less than the prefill of a shared prefix, so that a busy home is
 	// skipped.
-	homeRankCost = 4 * time.Millisecond
-	// homePrefillShare is the assumed probability that a home server has cached the shared
+	affinityRankCost = 4 * time.Millisecond
+	// affinityPrefillShare is the assumed probability that a home server has cached the shared
 	// prefix.
-	homePrefillShare = 0.6
+	affinityPrefillShare = 0.6
 	// batchCost is the delay that one running request adds to a new one over all its
 	// steps.
 	batchCost = 4 * time.Millisecond
@@ -80,7 +80,7 @@
 			Reliability{RetryCost: defaultRetryCost},
 		},
 		Preferences: []Scorer{
-			PartitionAffinity{Penalty: partitionPenalty}, HomeAffinity{RankCost: homeRankCost, PrefillShare: homePrefillShare},
+			PartitionAffinity{Penalty: partitionPenalty}, RendezvousAffinity{RankCost: affinityRankCost, PrefillShare: affinityPrefillShare},
 			PrefillImpact{DelayedPerSecond: prefillDelayedPerSecond}, Locality{PerKB: localityCostPerKB, HalfCostAt: localityHalfCostAt},
 		},
 		TieWindow: defaultTieWindow,
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -50,7 +50,7 @@
 		}, 3},
 		{"leaving servers", func(c []Candidate, _ *Request) { c[0].Leaving, c[1].Leaving, c[2].Leaving = true, true, true }, 3},
 		{"suspect servers", func(c []Candidate, _ *Request) { c[0].Suspect, c[1].Suspect, c[2].Suspect = true, true, true }, 3},
-		{"tried servers", func(_ []Candidate, r *Request) { r.Tried = SetOf(0, 1, 3) }, 2},
+		{"tried servers", func(_ []Candidate, r *Request) { r.Tried = NewSet(0, 1, 3) }, 2},
 		{"own first-token delays before reports", func(c []Candidate, _ *Request) {
 			c[0].Wait, c[1].Wait, c[3].Wait = time.Second, time.Second, time.Second
 		}, 2},
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -95,10 +95,10 @@
 	return time.Duration((c.PendingPrefill + c.OthersPending) * float64(c.PrefillPerToken))
 }
 
-// HomeAffinity sends prompts with a common prefix to the same servers. All daemons rank
+// RendezvousAffinity sends prompts with a common prefix to the same servers. All daemons rank
 // the servers of a prefix alike, so its prefill is repeated on few servers although
 // daemons know each other's placements only partly and late.
-type HomeAffinity struct {
+type RendezvousAffinity struct {
 	// RankCost is the cost per rank.
 	RankCost time.Duration
 	// PrefillShare is the fraction of the shared prefix's prefill time by which the last
@@ -107,18 +107,18 @@
 }
 
 // Name implements Scorer.
-func (HomeAffinity) Name() string { return "homing" }
+func (RendezvousAffinity) Name() string { return "homing" }
 
 // Cost implements Scorer.
-func (h HomeAffinity) Cost(r *Request, c *Candidate, index int) time.Duration {
-	rank := r.HomeRank[index]
+func (h RendezvousAffinity) Cost(r *Request, c *Candidate, index int) time.Duration {
+	rank := r.AffinityRank[index]
 	uncachedShared := r.SharedPrefixTokens - (r.PromptTokens - r.UncachedTokens(index))
 	prefill := float64(max(uncachedShared, 0)) * r.prefillScale() * float64(c.PrefillPerToken)
-	return time.Duration(rank)*h.RankCost + time.Duration(h.PrefillShare*prefill*float64(rank)/MaxHomeRank)
+	return time.Duration(rank)*h.RankCost + time.Duration(h.PrefillShare*prefill*float64(rank)/MaxAffinityRank)
 }
 
-// MaxHomeRank is the rank of all candidates that are not among the first homes.
-const MaxHomeRank = 4
+// MaxAffinityRank is the rank of all candidates that are not among the first homes.
+const MaxAffinityRank = 4
 
 // PrefillImpact is the delay that the request's prefill causes to other requests. It
 // prefers a server that has the prompt cached over an idle one that would repeat the
--- a/internal/routing/set.go
+++ b/internal/routing/set.go
@@ -7,8 +7,8 @@
 // Set is a set of candidate indices. The zero value is empty.
 type Set [MaxCandidates / wordBits]uint64
 
-// SetOf returns a set of indices.
-func SetOf(indices ...int) (s Set) {
+// NewSet returns a set of indices.
+func NewSet(indices ...int) (s Set) {
 	for _, i := range indices {
 		s.Add(i)
 	}
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -62,9 +62,9 @@
 	// PrefillScale is the ratio of the model's prefill time per token to PrefillPerToken;
 	// zero means 1.
 	PrefillScale float64
-	// HomeRank ranks the candidates, by index, as the home of the prompt's prefix, 0
+	// AffinityRank ranks the candidates, by index, as the home of the prompt's prefix, 0
 	// first. All daemons compute the same ranks.
-	HomeRank [MaxCandidates]uint8
+	AffinityRank [MaxCandidates]uint8
 	// SharedPrefixTokens is the length of the prefix shared with other prompts.
 	SharedPrefixTokens int
 	// FailureDomain is the daemon's failure domain, and BodyBytes the size of the request
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -26,10 +26,10 @@
 	}
 	var each []int
 	s.Each(func(i int) { each = append(each, i) })
-	if !slices.IsSorted(each) || SetOf(each...) != s {
+	if !slices.IsSorted(each) || NewSet(each...) != s {
 		t.Errorf("Each: %v", each)
 	}
-	if a, b := SetOf(1, 70, 200), SetOf(70, 201); a.Intersect(b) != SetOf(70) || a.Union(b) != SetOf(1, 70, 200, 201) {
+	if a, b := NewSet(1, 70, 200), NewSet(70, 201); a.Intersect(b) != NewSet(70) || a.Union(b) != NewSet(1, 70, 200, 201) {
 		t.Errorf("intersection or union of %v and %v", a, b)
 	}
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -8,7 +8,7 @@
 	"github.com/damaskrudder/damaskrudder/internal/fleet"
 )
 
-func ring(current string, ids ...string) *Keyring {
+func testKeyring(current string, ids ...string) *Keyring {
 	r := &Keyring{Current: current, Keys: map[string][]byte{}}
 	for _, id := range ids {
 		r.Keys[id] = []byte(strings.Repeat(id, 16))
@@ -19,19 +19,19 @@
 // Guards against sessions losing their pin when the signing key is rotated.
 func TestTokenIsValidDuringKeyRotation(t *testing.T) {
 	pin := Pin{Workspace: "w", Name: "s", Model: "m", Version: "v1"}
-	token := pin.Token(ring("k1", "k1"))
-	for _, r := range []*Keyring{ring("k1", "k1", "k2"), ring("k2", "k1", "k2")} {
+	token := pin.Token(testKeyring("k1", "k1"))
+	for _, r := range []*Keyring{testKeyring("k1", "k1", "k2"), testKeyring("k2", "k1", "k2")} {
 		if got, err := ParseToken(r, "w", token); err != nil || got != pin {
 			t.Fatalf("%v %v", got, err)
 		}
 	}
-	if _, err := ParseToken(ring("k2", "k2"), "w", token); !fault.Is(err, fault.SessionRefused) {
+	if _, err := ParseToken(testKeyring("k2", "k2"), "w", token); !fault.Is(err, fault.SessionRefused) {
 		t.Fatalf("retired key: %v", err)
 	}
 }
 
 func TestInvalidTokensAreRejected(t *testing.T) {
-	r := ring("k1", "k1")
+	r := testKeyring("k1", "k1")
 	good := Pin{Workspace: "w", Name: "s", Model: "m", Version: "v1"}.Token(r)
 	for name, token := range map[string]string{
 		"other workspace": Pin{Workspace: "x", Name: "s", Model: "m", Version: "v1"}.Token(r),
@@ -39,7 +39,7 @@
 		"modified":        strings.Replace(good, ".", ".A", 2),
 		"unsigned":        "s1.k1..",
 		"other purpose":   r.Sign("dk1", "w\ns\nm\nv1\n"),
-		"unknown key":     Pin{Workspace: "w"}.Token(ring("k9", "k9")),
+		"unknown key":     Pin{Workspace: "w"}.Token(testKeyring("k9", "k9")),
 		"too few fields":  r.Sign(tokenPurpose, "w\ns"),
 	} {
 		if _, err := ParseToken(r, "w", token); !fault.Is(err, fault.SessionRefused) {
@@ -52,7 +52,7 @@
 // alternates between models.
 func TestPinKeepsVersionOfEveryModel(t *testing.T) {
 	p := Pin{Workspace: "w", Name: "s"}.WithVersion("small", "v1").WithVersion("large", "v7").WithVersion("large", "v8")
-	got, err := ParseToken(ring("k1", "k1"), "w", p.Token(ring("k1", "k1")))
+	got, err := ParseToken(testKeyring("k1", "k1"), "w", p.Token(testKeyring("k1", "k1")))
 	if err != nil || got != p || got.VersionOf("small") != "v1" || got.VersionOf("large") != "v8" || got.VersionOf("none") != "" {
 		t.Fatalf("%+v %v", got, err)
 	}
@@ -97,7 +97,7 @@
 }
 
 func FuzzParseToken(f *testing.F) {
-	r := ring("k1", "k1")
+	r := testKeyring("k1", "k1")
 	f.Add(Pin{Workspace: "w", Name: "s", Model: "m", Version: "v1"}.Token(r))
 	f.Add("s1.k1.dw.AA")
 	f.Fuzz(func(t *testing.T, token string) {
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -28,14 +28,14 @@
 	// PerSecond is the sustained rate of requests.
 	PerSecond float64
 	// BurstFactor and BurstSlack bound the requests in any second: PerSecond*BurstFactor + BurstSlack.
-	BurstFactor, BurstSlack float64
+	BurstFactor, Burst float64
 }
 
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
-// Bound returns the maximum number of requests in any second.
-func (l Limit) Bound() int { return int(l.PerSecond*l.BurstFactor + l.BurstSlack) }
+// MaxPerSecond returns the maximum number of requests in any second.
+func (l Limit) MaxPerSecond() int { return int(l.PerSecond*l.BurstFactor + l.Burst) }
 
 // Share is the share of a limit of each sender.
 type Share struct {
@@ -47,8 +47,8 @@
 
 // Share divides the limit. Small limits are divided among fewer senders.
 func (l Limit) Share() Share {
-	n := min(maxSenders, max(1, l.Bound()/maxViews))
-	perSender := max(1, l.Bound()/(n*maxViews))
+	n := min(maxSenders, max(1, l.MaxPerSecond()/maxViews))
+	perSender := max(1, l.MaxPerSecond()/(n*maxViews))
 	interval := max(jitterFactor/float64(perSender), float64(n)/math.Max(l.PerSecond, math.SmallestNonzeroFloat32))
 	return Share{Senders: n, Interval: time.Duration(interval * float64(time.Second))}
 }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var limit = Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
+var limit = Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, Burst: 5}
 
 func hash(i int) uint64 { return uint64(i+1) * 0x9E3779B97F4A7C15 }
 
@@ -70,8 +70,8 @@
 					all[i] = view(i)
 				}
 				for server := range uint64(20) {
-					if most := maxSendsPerSecond(limit, hash(int(server)), all); most > limit.Bound() {
-						t.Errorf("%d sends in a second, limit %d", most, limit.Bound())
+					if most := maxSendsPerSecond(limit, hash(int(server)), all); most > limit.MaxPerSecond() {
+						t.Errorf("%d sends in a second, limit %d", most, limit.MaxPerSecond())
 					}
 				}
 			})
@@ -84,15 +84,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{
 			PerSecond:   rapid.Float64Range(0.01, 500).Draw(t, "per second"),
-			BurstFactor: rapid.Float64Range(1, 3).Draw(t, "excess"), BurstSlack: rapid.Float64Range(0, 20).Draw(t, "slack"),
+			BurstFactor: rapid.Float64Range(1, 3).Draw(t, "excess"), Burst: rapid.Float64Range(0, 20).Draw(t, "slack"),
 		}
 		s := l.Share()
 		inASecond := int(time.Second/s.Interval) + 1
 		if s.Interval > time.Second {
 			inASecond = 1
 		}
-		if got := s.Senders * inASecond; got > max(1, l.Bound()) {
-			t.Fatalf("%d senders at interval %s: %d sends in a second, limit %d", s.Senders, s.Interval, got, l.Bound())
+		if got := s.Senders * inASecond; got > max(1, l.MaxPerSecond()) {
+			t.Fatalf("%d senders at interval %s: %d sends in a second, limit %d", s.Senders, s.Interval, got, l.MaxPerSecond())
 		}
 		if rate := float64(s.Senders) * time.Second.Seconds() / s.Interval.Seconds(); rate > l.PerSecond*1.001 {
 			t.Fatalf("%.2f sends per second, limit %.2f", rate, l.PerSecond)
--- a/internal/standin/services.go
+++ b/internal/standin/services.go
@@ -59,9 +59,9 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// Rater is a fake of the rating service. It rates a sample as good unless the answer contains
+// RatingService is a fake of the rating service. It rates a sample as good unless the answer contains
 // BadAnswerMarker, and returns the rating after a delay.
-type Rater struct {
+type RatingService struct {
 	mu      sync.Mutex
 	delay   time.Duration
 	ratings map[string][]timedRating
@@ -72,13 +72,13 @@
 	rating      platform.Rating
 }
 
-// NewRater returns a rating service whose ratings are available after delay.
-func NewRater(delay time.Duration) *Rater {
-	return &Rater{delay: delay, ratings: map[string][]timedRating{}}
+// NewRatingService returns a rating service whose ratings are available after delay.
+func NewRatingService(delay time.Duration) *RatingService {
+	return &RatingService{delay: delay, ratings: map[string][]timedRating{}}
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Rater) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *RatingService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.Method == http.MethodPost {
@@ -96,7 +96,7 @@
 	s.handleRatings(w, r)
 }
 
-func (s *Rater) handleRatings(w http.ResponseWriter, r *http.Request) {
+func (s *RatingService) handleRatings(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.Atoi(r.FormValue("from"))
 	all := s.ratings[r.FormValue("daemon")]
 	due := []platform.Rating{}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -373,9 +373,9 @@
 	return c.Close()
 }
 
-// ConnectionRefused reports whether the VM refuses connections to an address because no
+// RefusesConnections reports whether the VM refuses connections to an address because no
 // process listens there. A successful connection is kept in the pool.
-func (p *Pool) ConnectionRefused(ctx context.Context, address string) bool {
+func (p *Pool) RefusesConnections(ctx context.Context, address string) bool {
 	p.mu.Lock()
 	p.open[address]++
 	p.mu.Unlock()
@@ -400,9 +400,9 @@
 	return c
 }
 
-// CloseIdle closes the idle connections to an address. It is used after the server has
+// CloseIdleConnections closes the idle connections to an address. It is used after the server has
 // restarted, when requests on them would be lost.
-func (p *Pool) CloseIdle(address string) {
+func (p *Pool) CloseIdleConnections(address string) {
 	p.mu.Lock()
 	conns := p.idle[address]
 	delete(p.idle, address)
@@ -412,8 +412,8 @@
 	}
 }
 
-// CloseExpired closes the idle connections that have expired.
-func (p *Pool) CloseExpired(now time.Time) {
+// CloseExpiredConnections closes the idle connections that have expired.
+func (p *Pool) CloseExpiredConnections(now time.Time) {
 	var expired []*conn
 	p.mu.Lock()
 	for address, conns := range p.idle {
--- a/lab/experiments/cascade.go
+++ b/lab/experiments/cascade.go
@@ -208,7 +208,7 @@
 	for range 200_000 {
 		r := newRequest(rng, 0)
 		c := classes[requestClasses[r.class].name]
-		band := cascade.Band(r.confidence)
+		band := cascade.BandIndex(r.confidence)
 		c.BandCounts[band]++
 		c.Cheap[band].Total++
 		c.Expensive.Total++
--- a/lab/experiments/rollout.go
+++ b/lab/experiments/rollout.go
@@ -179,7 +179,7 @@
 	rollout    fleet.Rollout
 	stageStart int
 	evidence   [daemonCount]rollout.Evidence
-	stopped    [daemonCount]bool
+	suspended  [daemonCount]bool
 }
 
 func newEvidenceController() *evidenceController {
@@ -199,7 +199,7 @@
 	return rollout.RatingShare(ratingShare, c.rollout.Percent(), newVersion)
 }
 func (c *evidenceController) percent() float64         { return c.rollout.Percent() }
-func (c *evidenceController) excludes(daemon int) bool { return c.stopped[daemon] }
+func (c *evidenceController) excludes(daemon int) bool { return c.suspended[daemon] }
 
 func (c *evidenceController) observe(r run) {
 	index := 2 * r.server
@@ -235,8 +235,8 @@
 func (c *evidenceController) evaluate(second int) {
 	var merged rollout.Evidence
 	for d := range c.evidence {
-		_, stop := c.policy.ShouldStopLocally(c.evidence[d])
-		c.stopped[d] = c.stopped[d] || stop
+		_, stop := c.policy.ShouldSuspend(c.evidence[d])
+		c.suspended[d] = c.suspended[d] || stop
 		merged = merged.Merge(c.evidence[d])
 	}
 	verdict := c.policy.Evaluate(c.rollout, merged, time.Duration(second-c.stageStart)*time.Second)
--- a/lab/experiments/routing.go
+++ b/lab/experiments/routing.go
@@ -18,8 +18,8 @@
 	cacheBlocks   = 1500
 	reportLag     = 2 * time.Second
 	trialDuration = 120 * time.Second
-	// warmUp is the start of a trial that is not measured.
-	warmUp = 20 * time.Second
+	// warmupDuration is the start of a trial that is not measured.
+	warmupDuration = 20 * time.Second
 )
 
 var deskWorkload = sim.Workload{PrefixGroups: 400, SharedTokens: 1024, UniqueTokens: 256, MeanOutputTokens: 60}
@@ -54,7 +54,7 @@
 	return c
 }
 
-func afterWarmUp(r *sim.Result) bool { return r.SentAt > warmUp && r.SentAt < trialDuration }
+func afterWarmup(r *sim.Result) bool { return r.SentAt > warmupDuration && r.SentAt < trialDuration }
 
 // capacity returns the requests per second that a saturated pool completes with the
 // default routing pipeline.
@@ -63,11 +63,11 @@
 	c := trial{seed: seed, load: 200, workload: workload}.run(sim.NewPipelinePolicy(routing.DefaultPipeline()))
 	completed := 0
 	for _, r := range c.Results {
-		if at := r.SentAt + r.FirstToken; r.FirstToken > 0 && at > warmUp && at < trialDuration {
+		if at := r.SentAt + r.FirstToken; r.FirstToken > 0 && at > warmupDuration && at < trialDuration {
 			completed++
 		}
 	}
-	return float64(completed) / (trialDuration - warmUp).Seconds()
+	return float64(completed) / (trialDuration - warmupDuration).Seconds()
 }
 
 func routingTable(out io.Writer, seeds int) {
@@ -92,7 +92,7 @@
 	capacityRate := capacity(seed, deskWorkload)
 	slow := trial{seed: seed, load: 0.8 * capacityRate, workload: deskWorkload, setup: func(c *sim.Cluster) { c.Engines[3].Slowdown = 3 }}
 	p99 := func(p policyFactory) float64 {
-		return float64(sim.Quantile(slow.run(p).Results, 0.99, afterWarmUp)) / float64(time.Millisecond)
+		return float64(sim.Quantile(slow.run(p).Results, 0.99, afterWarmup)) / float64(time.Millisecond)
 	}
 	oursP99, roundRobinP99, leastReportedP99 := p99(ours), p99(sim.NewRoundRobin), p99(sim.NewLeastReported)
 	out := []float64{oursP99 / roundRobinP99, oursP99 / leastReportedP99, oursP99, roundRobinP99, leastReportedP99}
@@ -112,14 +112,14 @@
 	goodput := func(c *sim.Cluster) float64 {
 		good := 0
 		for _, r := range c.Results {
-			if afterWarmUp(r) && r.FirstToken > 0 && r.FirstToken <= overloadDeadline {
+			if afterWarmup(r) && r.FirstToken > 0 && r.FirstToken <= overloadDeadline {
 				good++
 			}
 		}
-		return float64(good) / (trialDuration - warmUp).Seconds() / capacityRate
+		return float64(good) / (trialDuration - warmupDuration).Seconds() / capacityRate
 	}
 	loaded := overloaded.run(ours)
-	urgent := func(r *sim.Result) bool { return afterWarmUp(r) && r.Priority == 0 }
+	urgent := func(r *sim.Result) bool { return afterWarmup(r) && r.Priority == 0 }
 	unloaded := trial{seed: seed, load: 0.1 * capacityRate, workload: workload}.run(ours)
 	ratio := float64(sim.Quantile(loaded.Results, 0.99, urgent)) / float64(sim.Quantile(unloaded.Results, 0.99, urgent))
 	return []float64{goodput(loaded), goodput(overloaded.run(sim.NewRoundRobin)), goodput(overloaded.run(sim.NewLeastReported)), ratio}
@@ -144,6 +144,6 @@
 			requests++
 		}
 	}
-	recoveredP95 := sim.Quantile(c.Results, 0.95, func(r *sim.Result) bool { return afterWarmUp(r) && r.SentAt > lossTime+recovery })
+	recoveredP95 := sim.Quantile(c.Results, 0.95, func(r *sim.Result) bool { return afterWarmup(r) && r.SentAt > lossTime+recovery })
 	return []float64{float64(attempts) / float64(requests), float64(recoveredP95) / float64(time.Millisecond)}
 }
--- a/lab/experiments/slowstart.go
+++ b/lab/experiments/slowstart.go
@@ -11,7 +11,7 @@
 )
 
 // warmupLimit is the limit of the simulated server.
-var warmupLimit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, BurstSlack: 5}
+var warmupLimit = slowstart.Limit{WarmupPeriod: 3 * time.Second, PerSecond: 15, BurstFactor: 1.5, Burst: 5}
 
 const (
 	// offeredRate is the number of requests per second that all daemons together would
@@ -115,7 +115,7 @@
 		for _, scenario := range membershipScenarios {
 			var rows []row
 			for _, strategy := range slowStartStrategies {
-				rows = append(rows, row{name: strategy.name + ": most in a second", target: float64(warmupLimit.Bound())})
+				rows = append(rows, row{name: strategy.name + ": most in a second", target: float64(warmupLimit.MaxPerSecond())})
 				rows = append(rows, row{name: "  used of what the server bears"})
 			}
 			collectValues(seeds, rows, func(seed uint64) []float64 {
@@ -131,7 +131,7 @@
 				}
 				return values
 			})
-			writeTable(out, fmt.Sprintf("slow start: %d daemons, %s, bound %d a second", n, scenario.name, warmupLimit.Bound()), rows)
+			writeTable(out, fmt.Sprintf("slow start: %d daemons, %s, bound %d a second", n, scenario.name, warmupLimit.MaxPerSecond()), rows)
 		}
 	}
 }
--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -80,7 +80,7 @@
 		if c.err != nil {
 			outcome += " broken"
 		}
-		counts[c.frontAddr+" "+outcome]++
+		counts[c.clientAddr+" "+outcome]++
 	}
 	return counts
 }
--- a/lab/soak/cluster.go
+++ b/lab/soak/cluster.go
@@ -97,7 +97,7 @@
 	}
 	gen := &loadGenerator{}
 	for _, d := range cl.daemons {
-		gen.frontAddrs = append(gen.frontAddrs, d.frontAddr)
+		gen.clientAddrs = append(gen.clientAddrs, d.clientAddr)
 	}
 	clientCtx, stopClients := context.WithCancel(ctx)
 	defer stopClients()
@@ -110,8 +110,8 @@
 	deadlyCtx, stopDeadly := context.WithCancel(clientCtx)
 	defer stopDeadly()
 	var deadlyWG sync.WaitGroup
-	if opts.deadly {
-		deadlyWG.Go(func() { gen.sendDeadly(deadlyCtx, seed, cl.clientKeys) })
+	if opts.crashingRequests {
+		deadlyWG.Go(func() { gen.sendCrashing(deadlyCtx, seed, cl.clientKeys) })
 	}
 	faultStart := time.Now()
 	cl.injectFaults(opts)
@@ -126,7 +126,7 @@
 	stopClients()
 	<-done
 	r := &result{requests: len(gen.calls), faults: fmt.Sprintf("%s (the store returned %d times)", strings.Join(cl.faults, " "), cl.restoreCount)}
-	r.violations = slices.Concat(checkCalls(gen.calls, cl.executions, cl.revoked), checkInvalidEntries(cl.invalidEntries, cl.servers), checkFalseQuarantines(gen.calls), checkQuarantine(cl.crashTimes, cl.deadlyArrivals(gen.calls)), cl.checkAdmission(), checkPanics(cl.daemons))
+	r.violations = slices.Concat(checkCalls(gen.calls, cl.executions, cl.revoked), checkInvalidEntries(cl.invalidEntries, cl.servers), checkFalseQuarantines(gen.calls), checkQuarantine(cl.crashTimes, cl.crashingArrivals(gen.calls)), cl.checkAdmission(), checkPanics(cl.daemons))
 	r.successRate, _ = successRate(gen.calls, faultStart, recoveryStart, cl.revoked)
 	r.recoveryRate, _ = successRate(gen.calls, recoveryStart, recoveryEnd, cl.revoked)
 	r.recoveryOutcomes = countOutcomes(gen.calls, recoveryStart, recoveryEnd)
@@ -253,7 +253,7 @@
 	end := time.Now().Add(opts.duration)
 	for time.Now().Before(end) {
 		switch {
-		case opts.deadly:
+		case opts.crashingRequests:
 			c.stopDaemon()
 		case opts.restarts:
 			c.injectRestartFault()
--- a/lab/soak/deadly.go
+++ b/lab/soak/deadly.go
@@ -14,8 +14,8 @@
 // daemons, and crash the servers that run them, while daemons are stopped and restarted.
 
 const (
-	// deadlyRestartDelay is the downtime of a server after a crash.
-	deadlyRestartDelay = 2 * time.Second
+	// crashRestartDelay is the downtime of a server after a crash.
+	crashRestartDelay = 2 * time.Second
 	// containmentDelay is the time after the crash that triggers the quarantine within which
 	// it must reach all daemons, and maxLateArrivals the number of deadly requests that may
 	// still reach servers afterwards.
@@ -31,7 +31,7 @@
 	c.crashTimes = append(c.crashTimes, time.Now())
 	c.mu.Unlock()
 	s := c.servers[i]
-	c.serverProxies[i].takeDown(deadlyRestartDelay, func() {
+	c.serverProxies[i].takeDown(crashRestartDelay, func() {
 		s.Restart()
 		c.writeEntry(i, s.StartMillis())
 	})
@@ -71,18 +71,18 @@
 // checkFalseQuarantines reports normal requests that were refused as quarantined.
 func checkFalseQuarantines(calls []call) (violations []string) {
 	for _, c := range calls {
-		if !c.deadly && strings.HasPrefix(c.body, string(fault.Quarantined)) {
+		if !c.crashing && strings.HasPrefix(c.body, string(fault.Quarantined)) {
 			violations = append(violations, fmt.Sprintf("request %s: held, and it ends no server", c.id))
 		}
 	}
 	return violations
 }
 
-// deadlyArrivals returns the times at which deadly requests reached servers.
-func (c *cluster) deadlyArrivals(calls []call) (arrivals []time.Time) {
+// crashingArrivals returns the times at which deadly requests reached servers.
+func (c *cluster) crashingArrivals(calls []call) (arrivals []time.Time) {
 	deadly := map[string]bool{}
 	for _, rec := range calls {
-		deadly[rec.id] = rec.deadly
+		deadly[rec.id] = rec.crashing
 	}
 	for _, s := range c.servers {
 		for _, r := range s.RunHistory() {
--- a/lab/soak/loadgen.go
+++ b/lab/soak/loadgen.go
@@ -33,26 +33,26 @@
 
 // call records a request and its response as seen by the client.
 type call struct {
-	id        string
-	frontAddr string
-	kind      routeKind
-	key       string
-	sentAt    time.Time
-	endedAt   time.Time
-	status    int
-	body      string
-	seal      string
-	err       error
-	// deadly marks a request that crashes every server that runs it.
-	deadly bool
+	id         string
+	clientAddr string
+	kind       routeKind
+	key        string
+	sentAt     time.Time
+	endedAt    time.Time
+	status     int
+	body       string
+	seal       string
+	err        error
+	// crashing marks a request that crashes every server that runs it.
+	crashing bool
 }
 
 // loadGenerator sends requests over persistent connections and records the responses.
 type loadGenerator struct {
-	frontAddrs []string
-	mu         sync.Mutex
-	calls      []call
-	lastID     int
+	clientAddrs []string
+	mu          sync.Mutex
+	calls       []call
+	lastID      int
 }
 
 const requestTimeout = 6 * time.Second
@@ -65,7 +65,7 @@
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				keys := clientKeys()
-				g.sendNormal(client, g.frontAddrs[rng.IntN(len(g.frontAddrs))], routeKind(rng.IntN(int(routeKindCount))), keys[rng.IntN(len(keys))])
+				g.sendNormal(client, g.clientAddrs[rng.IntN(len(g.clientAddrs))], routeKind(rng.IntN(int(routeKindCount))), keys[rng.IntN(len(keys))])
 				time.Sleep(time.Duration(5+rng.IntN(40)) * time.Millisecond)
 			}
 			client.CloseIdleConnections()
@@ -74,14 +74,14 @@
 	wg.Wait()
 }
 
-// sendDeadly repeatedly sends requests that crash their servers to random daemons until ctx
+// sendCrashing repeatedly sends requests that crash their servers to random daemons until ctx
 // is done.
-func (g *loadGenerator) sendDeadly(ctx context.Context, seed uint64, clientKeys func() []string) {
-	rng := rand.New(rand.NewPCG(seed, deadlyRandStream))
+func (g *loadGenerator) sendCrashing(ctx context.Context, seed uint64, clientKeys func() []string) {
+	rng := rand.New(rand.NewPCG(seed, crashingRandStream))
 	client := &http.Client{}
 	var wg sync.WaitGroup
 	for ctx.Err() == nil {
-		frontAddr, keys := g.frontAddrs[rng.IntN(len(g.frontAddrs))], clientKeys()
+		frontAddr, keys := g.clientAddrs[rng.IntN(len(g.clientAddrs))], clientKeys()
 		wg.Go(func() { g.send(client, frontAddr, streaming, keys[len(keys)-1], standin.CrashMarker) })
 		time.Sleep(time.Duration(50+rng.IntN(200)) * time.Millisecond)
 	}
@@ -89,8 +89,8 @@
 	client.CloseIdleConnections()
 }
 
-// deadlyRandStream is the PCG stream used by sendDeadly.
-const deadlyRandStream = 1 << 32
+// crashingRandStream is the PCG stream used by sendDeadly.
+const crashingRandStream = 1 << 32
 
 func (g *loadGenerator) sendNormal(client *http.Client, frontAddr string, k routeKind, key string) call {
 	return g.send(client, frontAddr, k, key, normalBody)
@@ -99,7 +99,7 @@
 func (g *loadGenerator) send(client *http.Client, frontAddr string, k routeKind, key, payload string) call {
 	g.mu.Lock()
 	g.lastID++
-	rec := call{id: fmt.Sprintf("%08x", g.lastID), frontAddr: frontAddr, kind: k, key: key, sentAt: time.Now(), deadly: payload != normalBody}
+	rec := call{id: fmt.Sprintf("%08x", g.lastID), clientAddr: frontAddr, kind: k, key: key, sentAt: time.Now(), crashing: payload != normalBody}
 	g.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
--- a/lab/soak/main.go
+++ b/lab/soak/main.go
@@ -36,9 +36,9 @@
 	daemons  int
 	// restarts injects server restarts and invalid entries instead of the default faults.
 	restarts bool
-	// deadly injects requests that crash their servers, together with daemon restarts,
+	// crashingRequests injects requests that crash their servers, together with daemon restarts,
 	// instead of the default faults.
-	deadly bool
+	crashingRequests bool
 	// storeRestores restores the store from older snapshots, in addition to other faults.
 	storeRestores bool
 	// warming injects server warm-ups, evacuations of failure domains, and daemon restarts
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -14,11 +14,11 @@
 
 // process is a daemon process that is restarted whenever it exits.
 type process struct {
-	name      string
-	binary    string
-	dir       string
-	frontAddr string
-	readyAddr string
+	name       string
+	binary     string
+	dir        string
+	clientAddr string
+	readyAddr  string
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
@@ -92,7 +92,7 @@
 			return nil, "", err
 		}
 	}
-	p := &process{name: fmt.Sprint("d", n), binary: binary, dir: filepath.Join(dir, fmt.Sprint("d", n)), frontAddr: addrs[0], readyAddr: addrs[1]}
+	p := &process{name: fmt.Sprint("d", n), binary: binary, dir: filepath.Join(dir, fmt.Sprint("d", n)), clientAddr: addrs[0], readyAddr: addrs[1]}
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return nil, "", err
 	}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -35,7 +35,7 @@
 		{"store recovers without a change", 328, options{duration: 6 * time.Second, daemons: 3}},
 		{"server restarts and invalid entries", 2, options{duration: 6 * time.Second, daemons: 2, restarts: true}},
 		{"store restored from older snapshots", 5, options{duration: 6 * time.Second, daemons: 3, storeRestores: true}},
-		{"requests that crash servers", 3, options{duration: 6 * time.Second, daemons: 3, deadly: true}},
+		{"requests that crash servers", 3, options{duration: 6 * time.Second, daemons: 3, crashingRequests: true}},
 		{"warm-ups and evacuations", 4, options{duration: 6 * time.Second, daemons: 3, warming: true}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -92,7 +92,7 @@
 		t.Errorf("late arrivals above the limit: %v", violations)
 	}
 	held := call{id: "a", status: 503, body: "quarantined\n"}
-	if violations := checkFalseQuarantines([]call{held, {id: "b", status: 503, body: "quarantined\n", deadly: true}}); len(violations) != 1 {
+	if violations := checkFalseQuarantines([]call{held, {id: "b", status: 503, body: "quarantined\n", crashing: true}}); len(violations) != 1 {
 		t.Errorf("quarantined normal request: %v", violations)
 	}
 }
