--- a/internal/app/bench_test.go
+++ b/internal/app/bench_test.go
@@ -74,7 +74,7 @@
 func BenchmarkRequests(b *testing.B) {
 	model := demo.EngineConfig
 	defer func() { demo.EngineConfig = model }()
-	demo.EngineConfig.AnswerTokens, demo.EngineConfig.DecodePerToken, demo.EngineConfig.PrefillPerToken = 1, 0, 0
+	demo.EngineConfig.CompletionTokens, demo.EngineConfig.DecodePerToken, demo.EngineConfig.PrefillPerToken = 1, 0, 0
 	w, err := demo.NewCluster(2, startDemoNode)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/app/end_to_end_test.go
+++ b/internal/app/end_to_end_test.go
@@ -22,8 +22,8 @@
 	"github.com/damaskrudder/damaskrudder/internal/standin"
 )
 
-// newWorld starts daemons and fake services on loopback and stops them when the test ends.
-func newWorld(t *testing.T, daemons int) *demo.Cluster {
+// newCluster starts daemons and fake services on loopback and stops them when the test ends.
+func newCluster(t *testing.T, daemons int) *demo.Cluster {
 	t.Helper()
 	w, err := demo.NewCluster(daemons, startDemoNode)
 	if err != nil {
@@ -72,7 +72,7 @@
 const lookupBody = `{"model":"bib-lookup","messages":[{"role":"user","content":"status of bib 7"}]}`
 
 func TestOpenAIClient(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	c := openai.NewClient(option.WithBaseURL("http://"+w.Addresses[0]+"/v1/"), option.WithAPIKey(demo.APIKey(demo.Largada)))
 	params := openai.ChatCompletionNewParams{
 		Model:    "bib-lookup",
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if plain.Choices[0].FinishReason != "stop" || plain.Usage.CompletionTokens != int64(demo.EngineConfig.AnswerTokens) {
+	if plain.Choices[0].FinishReason != "stop" || plain.Usage.CompletionTokens != int64(demo.EngineConfig.CompletionTokens) {
 		t.Fatalf("plain answer: %+v", plain)
 	}
 	stream := c.Chat.Completions.NewStreaming(t.Context(), params)
@@ -105,7 +105,7 @@
 // TestStalePatchIsRejected checks that a patch with a stale base is rejected, with a list
 // of the newer patches, and that resubmitting an accepted patch is idempotent.
 func TestStalePatchIsRejected(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	submit := func(address, id, body string) (int, api.PatchErrorResponse, fleet.PatchOutcome) {
 		status, _, data := post(t, address, "/operator/v1/patches", demo.Secrets.OperatorKey, nil, `{"patch_id":"`+id+`","base":1,"author":"`+id+`","patch":`+body+`}`)
 		var r api.PatchErrorResponse
@@ -126,10 +126,10 @@
 	}
 }
 
-// TestCallerDisconnectCancelsRun checks that the engine's run is cancelled when the caller
+// TestClientDisconnectCancelsRun checks that the engine's run is cancelled when the caller
 // closes a stream before its end.
-func TestCallerDisconnectCancelsRun(t *testing.T) {
-	w := newWorld(t, 1)
+func TestClientDisconnectCancelsRun(t *testing.T) {
+	w := newCluster(t, 1)
 	for _, e := range w.Engines {
 		e.SetBehaviour("bib-lookup@v1", standin.Behaviour{SlowFactor: 100})
 	}
@@ -161,7 +161,7 @@
 // TestWithdrawnVersionGetsNoNewRequests checks that a session pinned to a withdrawn version
 // moves to its successor on every daemon, and that explicit requests for it are rejected.
 func TestWithdrawnVersionGetsNoNewRequests(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	key := demo.APIKey(demo.Goldfields)
 	status, h, _ := post(t, w.Addresses[0], "/v1/chat/completions", key, nil, lookupBody)
 	if status != http.StatusOK || h.Get("X-Model-Version") != "bib-lookup@v1" {
@@ -202,7 +202,7 @@
 }
 
 func TestInvalidInputIsRejected(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	key, operator := demo.APIKey(demo.Largada), demo.Secrets.OperatorKey
 	chat, patches := "/v1/chat/completions", "/operator/v1/patches"
 	cases := []struct {
@@ -258,7 +258,7 @@
 // TestMalformedHeadersAreRejected guards against header injection and request smuggling:
 // a malformed request must be rejected before it is routed.
 func TestMalformedHeadersAreRejected(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	for name, header := range map[string]string{
 		"a bare carriage return": "X-Session-Id: a\rX-Evil: b",
 		"a NUL":                  "X-Session-Id: a\x00b",
@@ -287,7 +287,7 @@
 // TestRollingRestartLosesNoRequests checks that a draining daemon is removed from endpoint
 // responses and keeps serving until the cached responses have expired.
 func TestRollingRestartLosesNoRequests(t *testing.T) {
-	w := newWorld(t, 3)
+	w := newCluster(t, 3)
 	traffic := demo.NewTraffic(w)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -306,7 +306,7 @@
 }
 
 func TestMetricsEndpoint(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	if status, _, _ := post(t, w.Addresses[0], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, lookupBody); status != http.StatusOK {
 		t.Fatal(status)
 	}
--- a/internal/app/failure_test.go
+++ b/internal/app/failure_test.go
@@ -41,7 +41,7 @@
 // TestIdempotencyKeyRunsOnceAcrossDaemons checks that concurrent requests with the same
 // idempotency key are executed once, also when the log loses the replies to appends.
 func TestIdempotencyKeyRunsOnceAcrossDaemons(t *testing.T) {
-	w := newWorld(t, 3)
+	w := newCluster(t, 3)
 	w.Log.LoseReplies(4)
 	var mu sync.Mutex
 	answers := map[string]bool{}
@@ -79,7 +79,7 @@
 // TestIdempotencyKeysDuringLogOutage checks that without the log only keys minted by the
 // same daemon incarnation are executed, because all others need a claim in the log.
 func TestIdempotencyKeysDuringLogOutage(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	w.Log.SetDown(true)
 	status, h, _ := postConfirmation(t, w.Addresses[0], "lot-2", `{}`)
 	if status != http.StatusServiceUnavailable || h.Get(api.HeaderExecutionState) != "not_run" || h.Get("Retry-After") == "" || countServiceRuns(w) != 0 {
@@ -111,7 +111,7 @@
 // TestStalledStreamsAreResumed checks that a stream whose connection stalls is resumed on a
 // new connection after the last received event, without starting a second run.
 func TestStalledStreamsAreResumed(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	for _, e := range w.Engines {
 		e.SetStalled(true)
 	}
@@ -147,7 +147,7 @@
 // TestReplicatedUsageIsBilledAfterDaemonLoss checks that usage recorded during a log outage
 // is billed from the replica in another failure domain if its daemon is lost.
 func TestReplicatedUsageIsBilledAfterDaemonLoss(t *testing.T) {
-	w := newWorld(t, 3)
+	w := newCluster(t, 3)
 	w.Log.SetDown(true)
 	const chats = 5
 	for i := range chats {
@@ -170,7 +170,7 @@
 // TestNewDaemonLoadsConfigurationFromPeers checks that a daemon started during a log outage
 // serves with the newest configuration known to daemons of several failure domains.
 func TestNewDaemonLoadsConfigurationFromPeers(t *testing.T) {
-	w := newWorld(t, 4)
+	w := newCluster(t, 4)
 	if err := w.ApplyPatch(fleet.Patch{Workspaces: map[string]json.RawMessage{demo.Largada: json.RawMessage(`{"priority":4}`)}}); err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 // TestLeavingServerGetsNoNewRequests checks that no daemon sends requests to a server that
 // the VM list reports as leaving.
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	for id := range w.Engines {
 		if id != "lm-desk-0" {
 			w.VMs.Set(platform.VM{ID: id, State: platform.Leaving})
@@ -227,7 +227,7 @@
 // TestLeaseHolderUnloadsWithdrawnVersion checks that the lease holder unloads a withdrawn
 // version again after an order from a previous holder has loaded it.
 func TestLeaseHolderUnloadsWithdrawnVersion(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	err := w.ApplyPatch(fleet.Patch{Models: map[string]json.RawMessage{"bib-lookup": json.RawMessage(`{"versions":{"v2":{"state":"withdrawn"}}}`)}})
 	if err != nil {
 		t.Fatal(err)
@@ -248,7 +248,7 @@
 // TestRequestThatEndsItsEnginesIsKeptFromThem checks that a request that crashes engines is
 // quarantined at all daemons, and that retries of it crash no further engine.
 func TestRequestThatEndsItsEnginesIsKeptFromThem(t *testing.T) {
-	w := newWorld(t, 3)
+	w := newCluster(t, 3)
 	crashBody := strings.Replace(lookupBody, "status of", standin.CrashMarker, 1)
 	send := func(i int, body string) (int, string) {
 		status, _, answer := post(t, w.Addresses[i%3], "/v1/chat/completions", demo.APIKey(demo.Largada), nil, body)
--- a/internal/cascade/escalator.go
+++ b/internal/cascade/escalator.go
@@ -32,7 +32,7 @@
 	Route string
 	// PromptTokens is the length of the prompt, and AnswerTokens the expected length of
 	// the answer.
-	PromptTokens, AnswerTokens int
+	PromptTokens, CompletionTokens int
 	// FirstEventTarget is the time left to the target for the first event, zero if there
 	// is none. Remaining is the time left to the deadline of the complete answer.
 	FirstEventTarget, Remaining time.Duration
@@ -73,9 +73,9 @@
 	// sizeValueShare is the fraction of an answer's value that is proportional to its size
 	// relative to the route's mean, maxSizeFactor the bound of its value relative to the
 	// mean, and answerTokenSize the size of a generated token in prompt tokens.
-	sizeValueShare  = 0.7
-	maxSizeFactor   = 4
-	answerTokenSize = 10
+	sizeValueShare      = 0.7
+	maxSizeFactor       = 4
+	completionTokenSize = 10
 	// promptTokenPrice is the price of a prompt token relative to a generated one.
 	promptTokenPrice = 0.25
 	// priceTokens is the number of tokens that Model.Price refers to.
@@ -87,7 +87,7 @@
 )
 
 // requestSize is the mean size of a route's requests in tokens.
-type requestSize struct{ prompt, answer float64 }
+type requestSize struct{ prompt, completion float64 }
 
 // requestSizeWeight is the weight of a new request in the mean size.
 const requestSizeWeight = 0.02
@@ -98,7 +98,7 @@
 		if e.sizeByRoute == nil {
 			e.sizeByRoute = map[string]*requestSize{}
 		}
-		size = &requestSize{float64(r.PromptTokens), float64(r.AnswerTokens)}
+		size = &requestSize{float64(r.PromptTokens), float64(r.CompletionTokens)}
 		e.sizeByRoute[r.Route] = size
 	}
 	return size
@@ -112,8 +112,8 @@
 // AnswerValue returns the value of a correct answer in time, in the unit of prices.
 func (e *Escalator) AnswerValue(r Request, models []Model) float64 {
 	meanSize := e.meanRequestSize(r)
-	relativeSize := (float64(r.PromptTokens) + answerTokenSize*float64(r.AnswerTokens)) / max(meanSize.prompt+answerTokenSize*meanSize.answer, 1)
-	meanValue := valuePerCost * models[len(models)-1].cost(meanSize.prompt, meanSize.answer)
+	relativeSize := (float64(r.PromptTokens) + completionTokenSize*float64(r.CompletionTokens)) / max(meanSize.prompt+completionTokenSize*meanSize.completion, 1)
+	meanValue := valuePerCost * models[len(models)-1].cost(meanSize.prompt, meanSize.completion)
 	return meanValue * min(1-sizeValueShare+sizeValueShare*relativeSize, maxSizeFactor)
 }
 
@@ -153,7 +153,7 @@
 		return math.Inf(-1)
 	}
 	m, r := e.models[at], e.request
-	cost := m.cost(float64(r.PromptTokens), float64(r.AnswerTokens)) + o.EngineTime.Seconds()*o.DelayedPerSecond*e.delayCostByModel[m.Name]
+	cost := m.cost(float64(r.PromptTokens), float64(r.CompletionTokens)) + o.EngineTime.Seconds()*o.DelayedPerSecond*e.delayCostByModel[m.Name]
 	next := 0.0
 	for to := at + 1; to < len(e.models); to++ {
 		next = max(next, e.escalationValue(to, o, runs-1))
@@ -166,7 +166,7 @@
 func (e *Escalator) ObserveRequest(r Request) {
 	size := e.meanRequestSize(r)
 	size.prompt += requestSizeWeight * (float64(r.PromptTokens) - size.prompt)
-	size.answer += requestSizeWeight * (float64(r.AnswerTokens) - size.answer)
+	size.completion += requestSizeWeight * (float64(r.CompletionTokens) - size.completion)
 }
 
 // Decide decides on an answer by the confidence its model states, before any of it is
--- a/internal/cascade/escalator_test.go
+++ b/internal/cascade/escalator_test.go
@@ -12,7 +12,7 @@
 }
 
 func testRequest() Request {
-	return Request{Route: "r", PromptTokens: 9000, AnswerTokens: 100, FirstEventTarget: 2 * time.Second, Remaining: 10 * time.Second}
+	return Request{Route: "r", PromptTokens: 9000, CompletionTokens: 100, FirstEventTarget: 2 * time.Second, Remaining: 10 * time.Second}
 }
 
 // fastEstimates returns estimates of three models on servers without a queue.
@@ -99,12 +99,12 @@
 	var escalator Escalator
 	short, long := testRequest(), testRequest()
 	escalator.ObserveRequest(short)
-	long.AnswerTokens = 900
+	long.CompletionTokens = 900
 	shortValue, longValue := escalator.AnswerValue(short, threeModels()), escalator.AnswerValue(long, threeModels())
 	if want := shortValue * (1 - sizeValueShare + sizeValueShare*18000/10000); math.Abs(longValue-want) > 0.01*want {
 		t.Errorf("value of an average answer %.3f, of a long one %.3f, want %.3f", shortValue, longValue, want)
 	}
-	long.AnswerTokens = 1e6
+	long.CompletionTokens = 1e6
 	if most := escalator.AnswerValue(long, threeModels()); most > maxSizeFactor*shortValue*1.001 {
 		t.Errorf("value of a huge answer is %.1f times the average", most/shortValue)
 	}
@@ -144,7 +144,7 @@
 	)
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	models := []Model{{"small", 0.01, 0.13}, {"large", 0.13, 0.13}}
-	request := Request{Route: "r", PromptTokens: 1000, AnswerTokens: 20, FirstEventTarget: time.Second, Remaining: 10 * time.Second}
+	request := Request{Route: "r", PromptTokens: 1000, CompletionTokens: 20, FirstEventTarget: time.Second, Remaining: 10 * time.Second}
 	var escalator Escalator
 	queued, escalationRate, late := 300.0, 0.0, 0.0
 	for now := 0.0; now < until; now += step {
--- a/internal/daemon/chat.go
+++ b/internal/daemon/chat.go
@@ -276,7 +276,7 @@
 	}
 	switch {
 	case err == nil:
-		billed.promptTokens, billed.completionTokens = res.usage.PromptTokens, res.usage.AnswerTokens
+		billed.promptTokens, billed.completionTokens = res.usage.PromptTokens, res.usage.CompletionTokens
 		exec.failureDomain, exec.complete = res.pick.candidate.FailureDomain, true
 		exec.steps = append(exec.steps, billed)
 	case res.text.Len() > 0:
@@ -300,7 +300,7 @@
 func (d *Daemon) buildResponse(id string, req *ChatRequest, s *step, res *stepResult, pin session.Pin, streamed bool) (*ChatResponse, error) {
 	resp := d.responseHeader(s, pin)
 	resp.RequestID, resp.Text, resp.FinishReason = id, res.text.String(), res.finishReason
-	resp.PromptTokens, resp.CompletionTokens = res.usage.PromptTokens, res.usage.AnswerTokens
+	resp.PromptTokens, resp.CompletionTokens = res.usage.PromptTokens, res.usage.CompletionTokens
 	if streamed || req.OnText == nil {
 		return resp, nil
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -35,7 +35,7 @@
 	versionsSuspended   tally.Counter
 	claimsLost          tally.Counter
 	leaseRequestsFailed tally.Counter
-	serversEnded        tally.Counter
+	serversTerminated   tally.Counter
 	requestsHeld        tally.Gauge
 	panics              tally.Counter
 }
@@ -102,7 +102,7 @@
 		versionsSuspended:   s.Counter("rollout_braked"),
 		claimsLost:          s.Counter("claims_lost"),
 		leaseRequestsFailed: s.Counter("limits_homeless"),
-		serversEnded:        s.Counter("servers_ended"),
+		serversTerminated:   s.Counter("servers_ended"),
 		requestsHeld:        s.Gauge("requests_held"),
 		panics:              s.Counter("panics"),
 		configurationNumber: s.Gauge("configuration_number"),
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -33,7 +33,7 @@
 		go runPeriodically(ctx, vmListInterval, d.balancer.pollVMs)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if age := time.Since(d.balancer.lastServersUpdate()); age > membership.ServersMaxAge {
+			if age := time.Since(d.balancer.lastServersUpdate()); age > membership.MaxServersAge {
 				t.Errorf("the last update of leaving servers is %s old", age)
 				break
 			}
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -17,7 +17,7 @@
 	// minBroadcastInterval is the minimum interval between two broadcasts of
 	// quarantine updates, and broadcastFanOut the number of daemons called in each.
 	minBroadcastInterval = 100 * time.Millisecond
-	broadcastFanOut      = 4
+	broadcastFanout      = 4
 )
 
 // newGuard returns the guard that holds requests whose execution terminates servers.
@@ -29,13 +29,13 @@
 			return d.engine.RefusesConnections(ctx, s.Address)
 		},
 		Leaving:      func(s containment.Server) bool { return d.balancer.isLeaving(s.ID) },
-		OnTerminated: d.balancer.recordTerminated, ServersTerminated: d.metrics.serversEnded, RequestsHeld: d.metrics.requestsHeld,
+		OnTerminated: d.balancer.recordServerTerminated, ServersTerminated: d.metrics.serversTerminated, RequestsHeld: d.metrics.requestsHeld,
 	})
 }
 
 // broadcastHolds sends quarantine updates to other daemons until the context ends.
 func (d *Daemon) broadcastHolds(ctx context.Context) {
-	d.guard.Broadcast(ctx, minBroadcastInterval, func(ctx context.Context) { d.members.exchangeWithRandom(ctx, broadcastFanOut) })
+	d.guard.Broadcast(ctx, minBroadcastInterval, func(ctx context.Context) { d.members.exchangeWithRandom(ctx, broadcastFanout) })
 }
 
 // exchangeWithRandom exchanges heartbeats with up to n random live daemons.
@@ -97,9 +97,9 @@
 	return b.leaving[id]
 }
 
-// recordTerminated records that a server has terminated. Daemons identify it by its
+// recordServerTerminated records that a server has terminated. Daemons identify it by its
 // incarnation key.
-func (b *balancer) recordTerminated(key quarantine.IncarnationKey) {
+func (b *balancer) recordServerTerminated(key quarantine.IncarnationKey) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -102,7 +102,7 @@
 // EngineConfig is the configuration of the demo's engines.
 var EngineConfig = standin.EngineConfig{
 	Slots: 8, PrefillPerToken: 40 * time.Microsecond, DecodePerToken: 2 * time.Millisecond,
-	AnswerTokens: 24, ChecksFencing: true, LoadReportLag: 500 * time.Millisecond, CacheBlocks: 512,
+	CompletionTokens: 24, ChecksFencing: true, LoadReportLag: 500 * time.Millisecond, CacheBlocks: 512,
 }
 
 const (
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -18,8 +18,8 @@
 
 // Usage is the server's token count of a finished run.
 type Usage struct {
-	PromptTokens int64 `json:"prompt_tokens"`
-	AnswerTokens int64 `json:"completion_tokens"`
+	PromptTokens     int64 `json:"prompt_tokens"`
+	CompletionTokens int64 `json:"completion_tokens"`
 	// Confidence is the mean token probability of the answer, 0 to 1.
 	Confidence *float64 `json:"confidence"`
 }
@@ -136,7 +136,7 @@
 		f.FinishReason = c.Choices[0].FinishReason
 		f.End = f.FinishReason != ""
 	}
-	if f.Usage.PromptTokens < 0 || f.Usage.AnswerTokens < 0 {
+	if f.Usage.PromptTokens < 0 || f.Usage.CompletionTokens < 0 {
 		return Frame{}, errNoFrame
 	}
 	return f, nil
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -8,7 +8,7 @@
 		t.Errorf("%+v %v", f, err)
 	}
 	f, err = DecodeEvent(4, []byte(`{"run":"r","choices":[{"delta":{},"finish_reason":"stop"}],"usage":{"prompt_tokens":2,"completion_tokens":5}}`))
-	if err != nil || !f.End || f.Usage.AnswerTokens != 5 {
+	if err != nil || !f.End || f.Usage.CompletionTokens != 5 {
 		t.Errorf("%+v %v", f, err)
 	}
 	f, err = DecodeEvent(5, []byte(`{"run":"r","error":{"message":"no"}}`))
@@ -31,7 +31,7 @@
 	f.Add(-1, []byte("[DONE]"))
 	f.Fuzz(func(t *testing.T, id int, data []byte) {
 		frame, err := DecodeEvent(id, data)
-		if err == nil && (frame.Offset <= 0 || frame.Usage.AnswerTokens < 0 || frame.Usage.PromptTokens < 0) {
+		if err == nil && (frame.Offset <= 0 || frame.Usage.CompletionTokens < 0 || frame.Usage.PromptTokens < 0) {
 			t.Fatalf("%+v", frame)
 		}
 	})
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -239,8 +239,8 @@
 // usable server.
 type Refusals struct {
 	counts map[Reason]int
-	// warmIn is the time until the first warming server is warm.
-	warmIn time.Duration
+	// warmupRemaining is the time until the first warming server is warm.
+	warmupRemaining time.Duration
 }
 
 // Add counts a refused server. warmIn is the time until it is warm, for warming servers.
@@ -249,8 +249,8 @@
 		rs.counts = map[Reason]int{}
 	}
 	rs.counts[r]++
-	if r == Warming && (rs.warmIn == 0 || warmIn < rs.warmIn) {
-		rs.warmIn = warmIn
+	if r == Warming && (rs.warmupRemaining == 0 || warmIn < rs.warmupRemaining) {
+		rs.warmupRemaining = warmIn
 	}
 }
 
@@ -262,7 +262,7 @@
 			continue
 		}
 		if r == Warming {
-			return r, rs.warmIn
+			return r, rs.warmupRemaining
 		}
 		return r, 0
 	}
--- a/internal/membership/readiness.go
+++ b/internal/membership/readiness.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// LogMaxAge is how long a daemon may serve after its last read of the log.
-	LogMaxAge = 10 * time.Second
+	// MaxLogAge is how long a daemon may serve after its last read of the log.
+	MaxLogAge = 10 * time.Second
 	// IsolationTimeout is how long a daemon that reaches neither the log nor a majority
 	// keeps serving. It must stay below the time by which a configuration change has to
 	// be in force everywhere.
 	IsolationTimeout = 15 * time.Second
-	// ServersMaxAge is the maximum age of the information on leaving servers. It allows
+	// MaxServersAge is the maximum age of the information on leaving servers. It allows
 	// for a missed read of the platform's list, which is polled every second.
-	ServersMaxAge = 2500 * time.Millisecond
+	MaxServersAge = 2500 * time.Millisecond
 )
 
 // Readiness is the information that decides whether a daemon may serve.
@@ -39,11 +39,11 @@
 //
 // After a start or a pause, a daemon does not serve before it knows which servers leave.
 func (r Readiness) CanServe(now time.Time) bool {
-	if !r.ConfigLoaded || now.Sub(r.ServersUpdatedAt) > ServersMaxAge {
+	if !r.ConfigLoaded || now.Sub(r.ServersUpdatedAt) > MaxServersAge {
 		return false
 	}
 	if r.RequireLog {
 		return now.Sub(r.LogReadAt) <= IsolationTimeout
 	}
-	return now.Sub(r.LogReadAt) <= LogMaxAge || now.Sub(r.MajorityAt) <= IsolationTimeout
+	return now.Sub(r.LogReadAt) <= MaxLogAge || now.Sub(r.MajorityAt) <= IsolationTimeout
 }
--- a/internal/node/evacuation_sequences_test.go
+++ b/internal/node/evacuation_sequences_test.go
@@ -12,7 +12,7 @@
 
 // evacuationState is the expected state while a sequence of events runs.
 type evacuationState struct {
-	f *fleet
+	fleet *fleet
 	// stored reports that the store holds the order, lost that a restore has removed it since
 	// the operator last wrote.
 	stored, lost bool
@@ -20,29 +20,32 @@
 
 // evacuationEvent is one event of a sequence.
 type evacuationEvent struct {
-	name string
-	do   func(s *evacuationState)
+	name  string
+	apply func(s *evacuationState)
 }
 
 var evacuationEvents = []evacuationEvent{
 	{"evacuate", func(s *evacuationState) {
-		s.f.store.Put("op", "evacuate/east", []byte("{}"))
+		s.fleet.store.Put("op", "evacuate/east", []byte("{}"))
 		s.stored, s.lost = true, false
 	}},
-	{"remove evacuation", func(s *evacuationState) { s.f.store.Put("op", "evacuate/east", nil); s.stored, s.lost = false, false }},
-	{"unresponsive", func(s *evacuationState) { s.f.store.SetMode(feedtest.Unresponsive) }},
-	{"serving", func(s *evacuationState) { s.f.store.SetMode(feedtest.Serving) }},
-	{"restart", func(s *evacuationState) { s.f.kill(0); s.f.start(0) }},
+	{"remove evacuation", func(s *evacuationState) {
+		s.fleet.store.Put("op", "evacuate/east", nil)
+		s.stored, s.lost = false, false
+	}},
+	{"unresponsive", func(s *evacuationState) { s.fleet.store.SetMode(feedtest.Unresponsive) }},
+	{"serving", func(s *evacuationState) { s.fleet.store.SetMode(feedtest.Serving) }},
+	{"restart", func(s *evacuationState) { s.fleet.kill(0); s.fleet.start(0) }},
 	{"restart all", func(s *evacuationState) {
 		for i := range 3 {
-			s.f.kill(i)
+			s.fleet.kill(i)
 		}
 		for i := range 3 {
-			s.f.start(i)
+			s.fleet.start(i)
 		}
 	}},
 	{"restore snapshot", func(s *evacuationState) {
-		s.f.store.Restore(s.f.snapshot)
+		s.fleet.store.Restore(s.fleet.snapshot)
 		s.lost, s.stored = s.lost || s.stored, false
 	}},
 }
@@ -50,15 +53,15 @@
 // runEvacuationSequence runs a sequence and returns a description of what is wrong 3 s after the
 // store serves again, or "".
 func runEvacuationSequence(t *testing.T, sequence []evacuationEvent, setup ...func(n *Node)) string {
-	s := &evacuationState{f: newFleet(t, 3, setup...)}
+	s := &evacuationState{fleet: newFleet(t, 3, setup...)}
 	time.Sleep(3 * time.Second)
 	for _, e := range sequence {
-		e.do(s)
+		e.apply(s)
 		time.Sleep(eventInterval)
 	}
-	s.f.store.SetMode(feedtest.Serving)
+	s.fleet.store.SetMode(feedtest.Serving)
 	time.Sleep(3 * time.Second)
-	switch n := s.f.count(func(m *member) bool { return m.evacuated("east") }); {
+	switch n := s.fleet.count(func(m *member) bool { return m.evacuated("east") }); {
 	case s.stored && n < 3:
 		return fmt.Sprintf("%d of 3 daemons apply the evacuation", n)
 	case !s.stored && !s.lost && n > 0:
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -13,7 +13,7 @@
 // applyEvacuations applies evacuation records. A complete set of records ends the evacuations that
 // it lacks, unless the store was restored from an older copy, which may have lost them.
 func (n *Node) applyEvacuations(records []feed.Record, complete bool) {
-	restored := n.restored.consume(freshness.Configuration)
+	restored := n.eraChanges.consume(freshness.Configuration)
 	listed := map[string]bool{}
 	for _, r := range records {
 		e, ok := n.deps.Codec.DecodeEvacuation(r)
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -220,8 +220,8 @@
 	return response, nil
 }
 
-// uses reports whether a server is usable for this daemon.
-func (n *Node) uses(id string) (found bool) {
+// usesServer reports whether a server is usable for this daemon.
+func (n *Node) usesServer(id string) (found bool) {
 	n.EachServer("s", func(other string) { found = found || other == id })
 	return found
 }
@@ -237,7 +237,9 @@
 }
 
 // countUsing returns the number of daemons for which a server is usable.
-func (f *fleet) countUsing(id string) int { return f.count(func(m *member) bool { return m.uses(id) }) }
+func (f *fleet) countUsing(id string) int {
+	return f.count(func(m *member) bool { return m.usesServer(id) })
+}
 
 // pollInterval is the interval at which tests poll a condition.
 const pollInterval = 5 * time.Millisecond
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -146,8 +146,8 @@
 	checkPlan freshness.Plan
 	// roles holds the last logged roles; only maintainFreshness uses it.
 	roles roles
-	// restored marks the subjects whose next records come from a restored store.
-	restored restoredSubjects
+	// eraChanges marks the subjects whose next records come from a restored store.
+	eraChanges eraChanges
 	// newerConfig is the newest configuration that peers have and the store lacks.
 	newerConfig newerConfig
 	// storedHolds are the holds recorded in the store.
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -161,7 +161,7 @@
 		time.Sleep(drainLimit / 2)
 		f.isolate(1, false)
 		time.Sleep(drainLimit / 4)
-		if m.uses("a") {
+		if m.usesServer("a") {
 			t.Error("removed server is still usable")
 		}
 	})
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -33,7 +33,7 @@
 // setStreamConfig configures a service with a route of resumable streams.
 func setStreamConfig(n *Node) {
 	t, err := route.NewTable(route.Document{
-		Version: 1 << 40, Services: []route.Service{{Name: "s", MaxConns: 1 << 20}},
+		Version: 1 << 40, Services: []route.Service{{Name: "s", MaxConnections: 1 << 20}},
 		Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Stream, Resumable: true, MaxAttempts: 3, Timeout: 8 * time.Second, Backends: []route.Backend{{Service: "s", Weight: 1}}}},
 	})
 	if err != nil {
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -32,7 +32,7 @@
 	add := func(subject freshness.Subject, topic string, wait, batchDelay time.Duration, apply func([]feed.Record, bool)) *feed.Follower {
 		f := feed.New(&feed.Follower{
 			Log: n.deps.Log, Topic: topic, MaxWait: wait, BatchDelay: batchDelay, BootTime: n.deps.BootTime,
-			Apply: apply, OnEraChange: func() { n.restored.mark(subject) }, OnConfirmed: func(sent time.Duration) { n.confirmFromStore(subject, sent) }, OnReadFailed: n.recordUnanswered, Logger: n.log,
+			Apply: apply, OnEraChange: func() { n.eraChanges.mark(subject) }, OnConfirmed: func(sent time.Duration) { n.confirmFromStore(subject, sent) }, OnReadFailed: n.recordUnanswered, Logger: n.log,
 			FetchTail: n.fetchRecords, ReadsLog: n.readsOperatorTopic, IsDesignatedReader: n.isReader, MaxStandbyBackoff: n.maxStandbyBackoff,
 		})
 		n.followers = append(n.followers, f)
@@ -104,7 +104,7 @@
 		n.detectOutageEnd(confirmed)
 	}
 	var ended []backend.Server
-	restored := n.restored.consume(freshness.Servers)
+	restored := n.eraChanges.consume(freshness.Servers)
 	if restored {
 		// Entries that the older copy lacks get time to be written again, as after an outage.
 		n.state.StoreRecovered()
@@ -185,8 +185,8 @@
 
 // applyStatusRecords applies the phases of roll-outs.
 func (n *Node) applyStatusRecords(records []feed.Record, _ bool) {
-	if n.restored.consume(freshness.Rollouts) {
-		n.Relay.Rollouts.StoreRestored()
+	if n.eraChanges.consume(freshness.Rollouts) {
+		n.Relay.Rollouts.StoreEraChanged()
 	}
 	for _, r := range records {
 		if r.Value == nil {
@@ -205,7 +205,7 @@
 
 // applyDaemonRecords applies the entries of other daemons and the records of held requests.
 func (n *Node) applyDaemonRecords(records []feed.Record, _ bool) {
-	if n.restored.consume(freshness.Daemons) {
+	if n.eraChanges.consume(freshness.Daemons) {
 		// Write again what the older copy lacks.
 		n.registered.Store(false)
 		n.storedHolds.reset()
--- a/internal/node/refused_test.go
+++ b/internal/node/refused_test.go
@@ -35,7 +35,7 @@
 			f.store.Put("servers", fmt.Sprint("s", i, long), []byte("ready"))
 		}
 		last := fmt.Sprint("s", servers-1, long)
-		waitFor(t, 2*time.Second, "the daemon uses the last server", func() bool { return refused.uses(last) })
+		waitFor(t, 2*time.Second, "the daemon uses the last server", func() bool { return refused.usesServer(last) })
 		time.Sleep(8 * time.Second)
 		if calls := f.store.TotalCalls() - before; calls > 15*10 {
 			t.Errorf("%d calls to the store in 10 s", calls)
--- a/internal/node/restore.go
+++ b/internal/node/restore.go
@@ -6,12 +6,12 @@
 	"github.com/damaskrudder/damaskrudder/internal/freshness"
 )
 
-// restoredSubjects marks the subjects whose next records come from a store that was restored from
+// eraChanges marks the subjects whose next records come from a store that was restored from
 // an older copy. Such records may lack recent changes until their writers repeat them.
-type restoredSubjects [freshness.Subjects]atomic.Bool
+type eraChanges [freshness.Subjects]atomic.Bool
 
 // mark marks a subject.
-func (r *restoredSubjects) mark(subject freshness.Subject) { r[subject].Store(true) }
+func (r *eraChanges) mark(subject freshness.Subject) { r[subject].Store(true) }
 
 // consume reports whether a subject is marked, and clears the mark.
-func (r *restoredSubjects) consume(subject freshness.Subject) bool { return r[subject].Swap(false) }
+func (r *eraChanges) consume(subject freshness.Subject) bool { return r[subject].Swap(false) }
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -28,7 +28,7 @@
 			n.Relay.Rollouts.Suspend(step.Order.Service, step.Order.Offset, step.Reason)
 		}
 		if n.isRolloutLeader() {
-			err := n.writeStatus(ctx, step.Order, step.Phase, step.Age)
+			err := n.writeStatus(ctx, step.Order, step.Phase, step.OrderAge)
 			n.log.Info("roll-out status", "service", step.Order.Service, "phase", step.Phase, "why", step.Reason, "err", err)
 		}
 	}
@@ -40,7 +40,7 @@
 		return
 	}
 	for _, step := range n.Relay.Rollouts.LostPhases(lostPhaseDelay) {
-		err := n.writeStatus(ctx, step.Order, step.Phase, step.Age)
+		err := n.writeStatus(ctx, step.Order, step.Phase, step.OrderAge)
 		n.log.Info("roll-out status written again", "service", step.Order.Service, "phase", step.Phase, "err", err)
 	}
 }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -109,7 +109,7 @@
 							time.Sleep(wait * time.Second)
 							leaves := i%2 == 0
 							value := map[bool]string{true: "leaving", false: "ready"}[leaves]
-							all = append(all, f.putServer("a", value, func(m *member) bool { return m.uses("a") != leaves })...)
+							all = append(all, f.putServer("a", value, func(m *member) bool { return m.usesServer("a") != leaves })...)
 						}
 					})
 				}
--- a/internal/node/sequences_test.go
+++ b/internal/node/sequences_test.go
@@ -13,8 +13,8 @@
 
 // event is something that can happen to the daemons, their store and their servers.
 type event struct {
-	name string
-	do   func(f *fleet)
+	name  string
+	apply func(f *fleet)
 }
 
 // events are all events. Their effects last until another event changes them.
@@ -47,13 +47,13 @@
 	f := newFleet(t, 3, setup...)
 	time.Sleep(readWait - 2*time.Second)
 	for _, e := range sequence {
-		e.do(f)
+		e.apply(f)
 		time.Sleep(eventInterval)
 	}
 	f.store.SetMode(feedtest.Serving)
 	f.each(func(m *member) { m.storeClient.SetMode(feedtest.Serving) })
 	time.Sleep(3 * time.Second)
-	all := f.putServer("a", "leaving", func(m *member) bool { return !m.uses("a") })
+	all := f.putServer("a", "leaving", func(m *member) bool { return !m.usesServer("a") })
 	if len(all) < 3 {
 		return time.Minute
 	}
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -49,24 +49,24 @@
 // Prompt describes the input and output sizes of an engine request.
 type Prompt struct {
 	// Tokens is the prompt's length, MaxAnswerTokens the limit on generated tokens.
-	Tokens          int
-	MaxAnswerTokens int
-	// AnswerTokensHint is the client's estimate of the answer's length, correct at
+	Tokens              int
+	MaxCompletionTokens int
+	// CompletionTokensHint is the client's estimate of the answer's length, correct at
 	// the median with a large variance; zero means no estimate.
-	AnswerTokensHint int
+	CompletionTokensHint int
 	// Parts are the prompt's parts in order; requests share leading parts.
 	Parts []PromptPart
 }
 
-// ExpectedAnswerTokens returns the expected length of the answer in tokens.
-func (p Prompt) ExpectedAnswerTokens() int {
-	if p.AnswerTokensHint <= 0 {
-		return p.MaxAnswerTokens
+// ExpectedCompletionTokens returns the expected length of the answer in tokens.
+func (p Prompt) ExpectedCompletionTokens() int {
+	if p.CompletionTokensHint <= 0 {
+		return p.MaxCompletionTokens
 	}
-	if p.MaxAnswerTokens <= 0 {
-		return p.AnswerTokensHint
+	if p.MaxCompletionTokens <= 0 {
+		return p.CompletionTokensHint
 	}
-	return min(p.AnswerTokensHint, p.MaxAnswerTokens)
+	return min(p.CompletionTokensHint, p.MaxCompletionTokens)
 }
 
 // PromptPart is one part of a prompt, identified by a hash.
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -52,9 +52,9 @@
 	serverFailure *bufferedResponse
 	// firstEventAt is when the first event was forwarded.
 	firstEventAt time.Time
-	// retryTaken is set if the retry after a reroute has been taken from the budget
+	// retryWithdrawn is set if the retry after a reroute has been taken from the budget
 	// already.
-	retryTaken atomic.Bool
+	retryWithdrawn atomic.Bool
 }
 
 // errRerouted cancels a send whose request continues on another server.
@@ -96,7 +96,7 @@
 			x.tried = append(x.tried, t.server.ID)
 		}
 		refusal = x.retryState.Next(outcome, time.Now(), func() bool {
-			return outcome == request.LowConfidence || x.retryTaken.Swap(false) || x.relay.takeRetry(x.service.Name, 0)
+			return outcome == request.LowConfidence || x.retryWithdrawn.Swap(false) || x.relay.withdrawRetry(x.service.Name, 0)
 		})
 		if refusal != nil {
 			x.fail(refusal)
@@ -126,11 +126,11 @@
 // does not abort requests that were admitted before.
 func (x *exchange) selectServer() (*target, *fault.Error) {
 	req := x.requirements(x.effectiveModel())
-	t, err := x.relay.State.pick(&req, x.service.MaxConns)
+	t, err := x.relay.State.pick(&req, x.service.MaxConnections)
 	if err != nil && len(x.tried) > 0 && x.retryState.Repeatable {
 		// All servers were tried. One that was lost may respond again.
 		req.tried = nil
-		t, err = x.relay.State.pick(&req, x.service.MaxConns)
+		t, err = x.relay.State.pick(&req, x.service.MaxConnections)
 	}
 	if err != nil {
 		return nil, x.retryState.Fail(err.Kind, err.Detail).WithRetryAfter(err.RetryAfter)
@@ -202,8 +202,8 @@
 	if !x.retryState.Repeatable || x.retryState.RunsLeft() <= 0 {
 		return false
 	}
-	if x.relay.takeRetry(x.service.Name, 0) {
-		x.retryTaken.Store(true)
+	if x.relay.withdrawRetry(x.service.Name, 0) {
+		x.retryWithdrawn.Store(true)
 		return true
 	}
 	return lost
@@ -227,10 +227,10 @@
 	failed := e.Reason != upstream.Canceled && e.Reason != upstream.ConnectionLimit
 	x.relay.State.recordSendEnd(t, time.Since(sentAt), failed)
 	if e.Reason == upstream.Unreachable {
-		x.relay.State.markUnreachable(t)
+		x.relay.State.recordUnreachable(t)
 	}
 	if errors.Is(e.Err, syscall.ECONNREFUSED) {
-		x.relay.State.recordServerEnd(t.server.ID)
+		x.relay.State.recordServerTerminated(t.server.ID)
 	}
 	x.relay.Metrics.SendsFailed.Inc(1)
 	x.logEvent("send failed", t, "reason", e.Reason, "sent", e.Sent, "err", e.Err, "after_ms", time.Since(sentAt).Milliseconds())
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -68,8 +68,8 @@
 	return now < s.gate.WarmAt(g, now)
 }
 
-// recordServerEnd records that a server's run has ended, as its VM refuses connections.
-func (s *State) recordServerEnd(id string) {
+// recordServerTerminated records that a server's run has ended, as its VM refuses connections.
+func (s *State) recordServerTerminated(id string) {
 	now := s.bootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -43,7 +43,7 @@
 		"ended servers": func(req *requirements) { req.quarantineStatus.Crashes = 1; req.fingerprint = 7 },
 		"all suspect": func(*requirements) {
 			for _, id := range []string{"a", "b"} {
-				s.markUnreachable(&target{service: "s", server: backend.Server{ID: id}})
+				s.recordUnreachable(&target{service: "s", server: backend.Server{ID: id}})
 			}
 		},
 	} {
--- a/internal/relay/liveness.go
+++ b/internal/relay/liveness.go
@@ -130,8 +130,8 @@
 	}
 	a.overtakenTimeout = max(a.overtakenTimeout, minHeaderWait)
 	a.headerTimeout = max(maxWaitFactor*a.overtakenTimeout, time.Duration(minWaitFraction*float64(rt.LatencyTarget)))
-	if rt.GapTarget > 0 {
-		a.stallTimeout = time.Duration(stallFraction * float64(rt.GapTarget))
+	if rt.EventIntervalTarget > 0 {
+		a.stallTimeout = time.Duration(stallFraction * float64(rt.EventIntervalTarget))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -284,7 +284,7 @@
 		return
 	}
 	m.log.Warn("server silent", "server", id, "requests", len(waiting), "err", err)
-	m.state.markUnreachable(a.target)
+	m.state.recordUnreachable(a.target)
 	for _, other := range waiting {
 		other.reroute(true)
 	}
--- a/internal/relay/liveness_test.go
+++ b/internal/relay/liveness_test.go
@@ -50,7 +50,7 @@
 func TestStreamStalledWithAllOthersIsNotRerouted(t *testing.T) {
 	monitor := newHarness(t, respond(200, "")).relay.liveness
 	on := &target{server: backend.Server{ID: "e0", Address: "10.0.0.0:1"}, service: "lm"}
-	a := monitor.track(on, true, &route.Route{GapTarget: time.Second}, 3, func(bool) bool { return true })
+	a := monitor.track(on, true, &route.Route{EventIntervalTarget: time.Second}, 3, func(bool) bool { return true })
 	a.recordProgress()
 	late := time.Now().Add(2 * time.Second)
 	if a.stuck(late, false) {
@@ -80,16 +80,16 @@
 	h := newHarness(t, respondStream(90, nil, 1))
 	x := &exchange{relay: h.relay, service: h.relay.State.Table().Services["lm"]}
 	x.retryState.Repeatable, x.retryState.MaxRuns = true, 3
-	if !x.mayReroute(false) || !x.retryTaken.Swap(false) {
+	if !x.mayReroute(false) || !x.retryWithdrawn.Swap(false) {
 		t.Error("not rerouted although the budget allows it")
 	}
 	h.relay.options.RetryBudgetRatio, h.relay.options.RetryBudgetReserve = 0, 0
-	for h.relay.takeRetry("lm", 0) {
+	for h.relay.withdrawRetry("lm", 0) {
 	}
 	if x.mayReroute(false) {
 		t.Error("rerouted from a live server without budget")
 	}
-	if !x.mayReroute(true) || x.retryTaken.Load() {
+	if !x.mayReroute(true) || x.retryWithdrawn.Load() {
 		t.Error("not rerouted from a lost server")
 	}
 	x.retryState.MaxRuns = 0
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -29,8 +29,8 @@
 	Probes tally.Counter
 	// SendsRerouted counts sends that were cancelled and continued on another server.
 	SendsRerouted tally.Counter
-	// ServersEnded counts servers that ended while running requests of this daemon.
-	ServersEnded tally.Counter
+	// ServersTerminated counts servers that ended while running requests of this daemon.
+	ServersTerminated tally.Counter
 	// RequestsHeld is the number of quarantined requests.
 	RequestsHeld tally.Gauge
 	// DomainsEvacuated is the number of evacuated failure domains, ServersWarming
@@ -59,7 +59,7 @@
 		Escalations: s.Counter("escalations"), SendsFailed: s.Counter("sends_failed"),
 		ResponsesAborted: s.Counter("answers_cut"), ClientsDisconnected: s.Counter("callers_left"),
 		Probes: s.Counter("alive_checks"), SendsRerouted: s.Counter("sends_moved"), ServerRestarts: s.Counter("server_restarts"),
-		ServersEnded: s.Counter("servers_ended"), RequestsHeld: s.Gauge("requests_held"),
+		ServersTerminated: s.Counter("servers_ended"), RequestsHeld: s.Gauge("requests_held"),
 		DomainsEvacuated: s.Gauge("domains_evacuated"), ServersWarming: s.Gauge("servers_warming"), WarmingSends: s.Counter("warming_sends"),
 		Panics:          s.Counter("panics"),
 		ResponseLatency: s.Histogram("answer_seconds", buckets), FirstEventLatency: s.Histogram("first_event_seconds", buckets),
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -38,7 +38,7 @@
 // cascadeRequest describes the call for model selection.
 func (x *exchange) cascadeRequest() cascade.Request {
 	r := cascade.Request{
-		Route: x.route.Name, PromptTokens: x.call.Prompt.Tokens, AnswerTokens: x.call.Prompt.ExpectedAnswerTokens(),
+		Route: x.route.Name, PromptTokens: x.call.Prompt.Tokens, CompletionTokens: x.call.Prompt.ExpectedCompletionTokens(),
 		Remaining: time.Until(x.deadline),
 	}
 	if target := x.route.LatencyTarget; target > 0 {
@@ -54,7 +54,7 @@
 	if e := x.service.Engine; e != nil {
 		perEvent = max(e.EventTokens, 1)
 	}
-	return float64(x.call.Prompt.ExpectedAnswerTokens()) / float64(perEvent)
+	return float64(x.call.Prompt.ExpectedCompletionTokens()) / float64(perEvent)
 }
 
 // modelOffers estimates the latency and cost of each model from an index on.
@@ -103,7 +103,7 @@
 		x.logEvent("answer accepted", t, "confidence", confidence, "right", verdict.CorrectProbability, "worth", verdict.KeepValue, "worth_of_asking", verdict.EscalateValue, "delay_price", delay)
 		return false
 	}
-	if !x.relay.takeRetry(x.service.Name, failoverReserveFraction) {
+	if !x.relay.withdrawRetry(x.service.Name, failoverReserveFraction) {
 		x.logEvent("low-confidence answer kept", t, "confidence", confidence, "right", verdict.CorrectProbability, "why", "retry budget exhausted")
 		return false
 	}
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -330,7 +330,7 @@
 	})
 }
 
-// markUnreachable records a server that accepts no connection or does not respond.
-func (s *State) markUnreachable(t *target) {
+// recordUnreachable records a server that accepts no connection or does not respond.
+func (s *State) recordUnreachable(t *target) {
 	s.withService(t.service, func(sv *service) { sv.tracker.RecordUnreachable(t.server.ID, time.Now()) })
 }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -14,12 +14,12 @@
 // newGuard returns the guard that quarantines requests suspected of ending servers.
 func newGuard(r *Relay) *containment.Guard {
 	return containment.New(containment.Options{
-		BootTime: r.State.bootTime, Logger: r.log, ServersTerminated: r.Metrics.ServersEnded, RequestsHeld: r.Metrics.RequestsHeld,
+		BootTime: r.State.bootTime, Logger: r.log, ServersTerminated: r.Metrics.ServersTerminated, RequestsHeld: r.Metrics.RequestsHeld,
 		RefusesConnections: func(ctx context.Context, s containment.Server) bool {
 			return r.backend.RefusesConnections(ctx, s.Address)
 		},
 		Leaving:      func(s containment.Server) bool { return r.State.isLeaving(s.ID) },
-		OnTerminated: r.State.recordLostServer,
+		OnTerminated: r.State.recordIncarnationTerminated,
 	})
 }
 
@@ -52,8 +52,8 @@
 	return containment.Completed
 }
 
-// recordLostServer records the end of a server, given by its key between daemons.
-func (s *State) recordLostServer(run quarantine.IncarnationKey) {
+// recordIncarnationTerminated records the end of a server, given by its key between daemons.
+func (s *State) recordIncarnationTerminated(run quarantine.IncarnationKey) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -26,7 +26,7 @@
 func newCall(path, body string) *Call {
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Body: []byte(body), Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
-		c.Model, c.Prompt = AnyModel, Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
+		c.Model, c.Prompt = AnyModel, Prompt{Tokens: 100, MaxCompletionTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
 	return c
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,10 +20,10 @@
 
 // Options are the deployment's limits.
 type Options struct {
-	// MaxKeyStaleness is the maximum age of the last confirmation of the
+	// MaxKeyAge is the maximum age of the last confirmation of the
 	// configuration at which requests with an API key are accepted. It is below the
 	// bound for key revocation. Zero means no limit.
-	MaxKeyStaleness time.Duration
+	MaxKeyAge time.Duration
 	// RetryBudgetWindow, RetryBudgetRatio and RetryBudgetReserve limit the retries
 	// of all daemons for one service: see request.Share.
 	RetryBudgetWindow  time.Duration
@@ -140,9 +140,9 @@
 // counted by all others yet.
 const usableReserveFraction = 0.6
 
-// takeRetry takes a retry out of the budget of a service, and leaves reserveFraction of
+// withdrawRetry takes a retry out of the budget of a service, and leaves reserveFraction of
 // its reserve.
-func (r *Relay) takeRetry(service string, reserveFraction float64) bool {
+func (r *Relay) withdrawRetry(service string, reserveFraction float64) bool {
 	daemons := r.State.daemonCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -261,7 +261,7 @@
 )
 
 func (r *Relay) keysFresh() bool {
-	return r.options.MaxKeyStaleness == 0 || r.State.ConfirmedWithin(freshness.Configuration, r.options.MaxKeyStaleness)
+	return r.options.MaxKeyAge == 0 || r.State.ConfirmedWithin(freshness.Configuration, r.options.MaxKeyAge)
 }
 
 // requestDeadline is the earlier of the client's and the route's timeout.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -108,8 +108,8 @@
 	table, err := route.NewTable(route.Document{
 		Version: 1, KeyRequired: true, Keys: map[string]route.Workspace{"k": {Name: "w"}},
 		Services: []route.Service{
-			{Name: "lm", MaxConns: 100, Engine: &route.Engine{Slots: 8, CostPer1kTokens: map[string]float64{"small": 0.02, "middle": 0.14, "large": 0.27}}},
-			{Name: "app", MaxConns: 100},
+			{Name: "lm", MaxConnections: 100, Engine: &route.Engine{Slots: 8, CostPer1kTokens: map[string]float64{"small": 0.02, "middle": 0.14, "large": 0.27}}},
+			{Name: "app", MaxConnections: 100},
 		},
 		Routes: []route.Route{
 			{Name: "stream", Host: "h", PathPrefix: "/s/", Kind: route.Stream, Resumable: true, MaxAttempts: 3, Timeout: 5 * time.Second, LatencyTarget: time.Second, Models: models, Backends: []route.Backend{{Service: "lm", Weight: 1}}},
@@ -128,7 +128,7 @@
 		}
 	})
 	s.Confirm(freshness.Configuration, freshness.Confirmation{At: c.now, Source: freshness.FromStore})
-	options := Options{MaxKeyStaleness: 4 * time.Second, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50}
+	options := Options{MaxKeyAge: 4 * time.Second, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.9, RetryBudgetReserve: 50}
 	return &harness{New(s, b, options, NewMetrics(tally.NoopScope), log.New(io.Discard)), b, c}
 }
 
@@ -137,7 +137,7 @@
 	c := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
 		c.Model = AnyModel
-		c.Prompt = Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
+		c.Prompt = Prompt{Tokens: 100, MaxCompletionTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
 	h.relay.Serve(context.Background(), c, out)
 	return out
@@ -265,7 +265,7 @@
 	}{{95, []string{"small"}}, {10, []string{"small", "large"}}} {
 		h := newHarness(t, respondStream(tt.confidence, nil, 8, 9), respondStream(95, nil, 8, 9))
 		out := &fakeResponseWriter{}
-		prompt := Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
+		prompt := Prompt{Tokens: 100, MaxCompletionTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 		h.relay.Serve(context.Background(), &Call{ID: "i", Host: "h", Path: "/s/1", Key: "k", Model: AnyModel, Prompt: prompt, LastEvent: 7, Received: time.Now()}, out)
 		var models []string
 		for _, s := range h.backend.sends {
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -31,8 +31,8 @@
 	// lostPhases holds the services whose phase is missing from a store that was
 	// restored from an older copy, with the time at which this was found.
 	// storeRestored is set once the store was restored.
-	lostPhases    map[string]time.Time
-	storeRestored bool
+	lostPhases      map[string]time.Time
+	storeEraChanged bool
 }
 
 type orderState struct {
@@ -95,9 +95,9 @@
 // OrderReport is a daemon's report on an order to its peers.
 type OrderReport struct {
 	Service     string           `cbor:"1,keyasint"`
-	Offset      uint64           `cbor:"2,keyasint"`
+	OrderOffset uint64           `cbor:"2,keyasint"`
 	Phase       rollout.Phase    `cbor:"3,keyasint"`
-	AgeMs       int64            `cbor:"4,keyasint"`
+	OrderAgeMs  int64            `cbor:"4,keyasint"`
 	OldInFlight int              `cbor:"5,keyasint"`
 	Evidence    rollout.Evidence `cbor:"6,keyasint,omitempty"`
 	// Suspended is set if a daemon that evaluates the evidence of all has suspended the
@@ -281,7 +281,7 @@
 			o.pinnedSessions = r.sessions.canarySessions(o.Service, r.now())
 		}
 		p := OrderReport{
-			Service: o.Service, Offset: o.Offset, Phase: o.phase, AgeMs: r.now().Sub(o.orderedAt).Milliseconds(),
+			Service: o.Service, OrderOffset: o.Offset, Phase: o.phase, OrderAgeMs: r.now().Sub(o.orderedAt).Milliseconds(),
 			OldInFlight: o.oldInFlight, PinnedSessions: slices.Collect(maps.Keys(o.pinnedSessions)), Suspended: evaluates && o.suspended,
 		}
 		if evidence {
@@ -307,7 +307,7 @@
 	defer r.mu.Unlock()
 	for _, p := range reports {
 		o := r.orders[p.Service]
-		if o == nil || o.Offset != p.Offset {
+		if o == nil || o.Offset != p.OrderOffset {
 			continue
 		}
 		if p.Evidence == nil {
@@ -318,7 +318,7 @@
 		if p.Suspended {
 			r.suspend(o, "suspended by an evaluating daemon")
 		}
-		if age := time.Duration(p.AgeMs) * time.Millisecond; age > r.now().Sub(o.orderedAt) {
+		if age := time.Duration(p.OrderAgeMs) * time.Millisecond; age > r.now().Sub(o.orderedAt) {
 			o.orderedAt = r.now().Add(-age)
 		}
 		if !p.Phase.Final() {
@@ -329,10 +329,10 @@
 
 // PhaseChange is a transition of an order to a phase. Age is the time since the order.
 type PhaseChange struct {
-	Order  rollout.Order
-	Phase  rollout.Phase
-	Age    time.Duration
-	Reason string
+	Order    rollout.Order
+	Phase    rollout.Phase
+	OrderAge time.Duration
+	Reason   string
 }
 
 // NextPhases lists the due phase changes, by the evidence of all daemons. Alive reports
--- a/internal/relay/rollouts_bench_test.go
+++ b/internal/relay/rollouts_bench_test.go
@@ -16,7 +16,7 @@
 			server := (d + 6*i) % 126
 			cells = append(cells, rollout.ServerCounts{Server: fmt.Sprintf("i-%08x", server), FailureDomain: "d", New: server%2 == 0, Counts: rollout.Counts{Requests: 3}})
 		}
-		r.ApplyReports(fmt.Sprint("d", d), []OrderReport{{Service: "s", Offset: 7, Evidence: cells}})
+		r.ApplyReports(fmt.Sprint("d", d), []OrderReport{{Service: "s", OrderOffset: 7, Evidence: cells}})
 	}
 	return r
 }
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -129,7 +129,7 @@
 			order := rollout.Order{Service: "s", Target: "v2", Offset: 7}
 			r.AddOrder(order)
 			r.ApplyStoredPhase(StoredPhase{Service: "s", Target: "v2", OrderOffset: 7, Phase: rollout.Completed})
-			r.StoreRestored()
+			r.StoreEraChanged()
 			if stored != nil {
 				r.ApplyStoredPhase(*stored)
 			}
--- a/internal/relay/storedphases.go
+++ b/internal/relay/storedphases.go
@@ -44,12 +44,12 @@
 	r.reconcile(s.Service)
 }
 
-// StoreRestored records that the store was restored from an older copy. Its phases are
+// StoreEraChanged records that the store was restored from an older copy. Its phases are
 // read again, and those it has lost must be rewritten.
-func (r *Rollouts) StoreRestored() {
+func (r *Rollouts) StoreEraChanged() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storedPhases, r.storeRestored = map[string]datedPhase{}, true
+	r.storedPhases, r.storeEraChanged = map[string]datedPhase{}, true
 	for service, o := range r.orders {
 		if o.phase > 0 {
 			r.lostPhases[service] = r.now()
@@ -78,7 +78,7 @@
 	if s.orderedAt.Before(o.orderedAt) {
 		o.orderedAt = s.orderedAt
 	}
-	if o.phase > s.Phase && r.storeRestored {
+	if o.phase > s.Phase && r.storeEraChanged {
 		r.lostPhases[service] = r.now() // the restored copy is older
 	}
 	r.advance(o, s.Phase, "phase in the store")
--- a/internal/rollout/order_test.go
+++ b/internal/rollout/order_test.go
@@ -87,7 +87,7 @@
 
 // An order must not complete before every session has moved, or a following order finds
 // sessions on the old version.
-func TestOrderCompletesAfterSessionWindow(t *testing.T) {
+func TestOrderCompletesAfterSessionIdleTimeout(t *testing.T) {
 	o := Order{Duration: 16 * time.Second, SessionIdleTimeout: 5 * time.Second}
 	good := evidenceOf(0, 60, 3, 600, false)
 	if got, _ := DefaultOrderPolicy().NextPhase(o, Full, 13*time.Second, good, 0); got != Full {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -37,8 +37,8 @@
 	Timeout time.Duration
 	// LatencyTarget is the target time to the first event or the response.
 	LatencyTarget time.Duration
-	// GapTarget is the target time between events.
-	GapTarget time.Duration
+	// EventIntervalTarget is the target time between events.
+	EventIntervalTarget time.Duration
 	// Priority is the priority of the route; 0 is the highest.
 	Priority int
 	// MaxAttempts is the maximum number of servers that may run one request.
@@ -88,8 +88,8 @@
 	// HealthPath is the path of the health check, which returns 200 if the server is
 	// healthy.
 	HealthPath string
-	// MaxConns is the maximum number of connections to one server from all daemons.
-	MaxConns int
+	// MaxConnections is the maximum number of connections to one server from all daemons.
+	MaxConnections int
 	// Engine describes the model engines of the service; nil for plain services.
 	Engine *Engine
 	// WarmupPeriod is the duration of the warm-up after a server starts. WarmUpRate is the
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -31,8 +31,8 @@
 	PrefillPerToken time.Duration
 	// DecodePerToken is the time between two tokens of an answer.
 	DecodePerToken time.Duration
-	// AnswerTokens is the length of an answer unless max_tokens is lower.
-	AnswerTokens int
+	// CompletionTokens is the length of an answer unless max_tokens is lower.
+	CompletionTokens int
 	// ChecksFencing enables the rejection of orders with an outdated fencing token.
 	ChecksFencing bool
 	// LoadReportLag is the age of the reported load.
@@ -215,7 +215,7 @@
 	p, _ := strconv.Atoi(priority)
 	ctx, cancel := context.WithCancel(context.Background())
 	ru := &run{id: id, model: in.Model, priority: p, prompt: prompt.String(), scheduled: make(chan struct{}), updated: make(chan struct{}), ctx: ctx, cancel: cancel}
-	ru.targetTokens = e.cfg.AnswerTokens
+	ru.targetTokens = e.cfg.CompletionTokens
 	if in.MaxTokens > 0 {
 		ru.targetTokens = min(ru.targetTokens, in.MaxTokens)
 	}
--- a/lab/experiments/routing.go
+++ b/lab/experiments/routing.go
@@ -22,7 +22,7 @@
 	warmupDuration = 20 * time.Second
 )
 
-var deskWorkload = sim.Workload{PrefixGroups: 400, SharedTokens: 1024, UniqueTokens: 256, MeanOutputTokens: 60}
+var deskWorkload = sim.Workload{PrefixGroups: 400, SharedTokens: 1024, UniqueTokens: 256, MeanCompletionTokens: 60}
 
 type policyFactory = func(c *sim.Cluster, daemon int, rng *rand.Rand) sim.Policy
 
--- a/lab/sim/engine.go
+++ b/lab/sim/engine.go
@@ -9,10 +9,10 @@
 
 // Job is a request submitted to an engine.
 type Job struct {
-	PromptTokens int
-	Blocks       []uint64
-	OutputTokens int
-	Priority     int
+	PromptTokens     int
+	Blocks           []uint64
+	CompletionTokens int
+	Priority         int
 	// OnFirstToken is called at the first token, OnDone at the end, and OnLost instead when
 	// the engine is down or goes down.
 	OnFirstToken func()
@@ -124,7 +124,7 @@
 			j.OnFirstToken()
 		}
 	})
-	e.clock.After(firstToken+time.Duration(slowdown*float64(j.OutputTokens)*float64(e.DecodePerToken)), func() {
+	e.clock.After(firstToken+time.Duration(slowdown*float64(j.CompletionTokens)*float64(e.DecodePerToken)), func() {
 		if !e.running[j] {
 			return
 		}
--- a/lab/sim/router.go
+++ b/lab/sim/router.go
@@ -13,10 +13,10 @@
 
 // Request is one request of a workload.
 type Request struct {
-	PromptTokens int
-	Blocks       []uint64
-	OutputTokens int
-	Priority     int
+	PromptTokens     int
+	Blocks           []uint64
+	CompletionTokens int
+	Priority         int
 	// Deadline bounds the time to the first token; zero means none.
 	Deadline time.Duration
 }
@@ -121,7 +121,7 @@
 	p.RecordDispatch(server, r)
 	start := c.Clock.now
 	var wait time.Duration
-	j := &Job{PromptTokens: r.PromptTokens, Blocks: r.Blocks, OutputTokens: r.OutputTokens, Priority: r.Priority}
+	j := &Job{PromptTokens: r.PromptTokens, Blocks: r.Blocks, CompletionTokens: r.CompletionTokens, Priority: r.Priority}
 	j.OnFirstToken = func() {
 		c.Clock.After(c.networkDelay, func() {
 			if res.TimedOut {
--- a/lab/sim/workload.go
+++ b/lab/sim/workload.go
@@ -15,9 +15,9 @@
 	// SharedTokens and UniqueTokens are the lengths of the shared prefix and of the rest of
 	// the prompt.
 	SharedTokens, UniqueTokens int
-	// MeanOutputTokens is the mean output length. Lengths are uniform between 0.5 and 1.5
+	// MeanCompletionTokens is the mean output length. Lengths are uniform between 0.5 and 1.5
 	// times the mean.
-	MeanOutputTokens int
+	MeanCompletionTokens int
 	// Deadline bounds the time to the first token; zero means none.
 	Deadline time.Duration
 	// UrgentFraction is the fraction of requests with priority 0; the others have priority 1.
@@ -29,7 +29,7 @@
 	group := zipf.Uint64()
 	r := &Request{
 		PromptTokens: w.SharedTokens + w.UniqueTokens, Deadline: w.Deadline,
-		OutputTokens: w.MeanOutputTokens/2 + rng.IntN(w.MeanOutputTokens+1),
+		CompletionTokens: w.MeanCompletionTokens/2 + rng.IntN(w.MeanCompletionTokens+1),
 	}
 	if rng.Float64() >= w.UrgentFraction {
 		r.Priority = 1
--- a/lab/slopes/fleet.go
+++ b/lab/slopes/fleet.go
@@ -104,7 +104,7 @@
 // startFleet starts a fleet. All servers of its pool are one engine stand-in.
 func startFleet(s fleetShape) (*testFleet, error) {
 	f := &testFleet{log: newMemoryLog()}
-	engine := standin.NewEngine(standin.EngineConfig{Slots: 1 << 20, AnswerTokens: 8, ChecksFencing: true}, "m@v1")
+	engine := standin.NewEngine(standin.EngineConfig{Slots: 1 << 20, CompletionTokens: 8, ChecksFencing: true}, "m@v1")
 	engineServer, err := standin.Serve(engine)
 	if err != nil {
 		return nil, err
--- a/lab/traces/examples.go
+++ b/lab/traces/examples.go
@@ -14,12 +14,12 @@
 
 // deskRequest returns a request with a long prompt and one of many shared prefixes.
 func deskRequest(rng *rand.Rand, at int64) Event {
-	return Event{TimeMillis: at, Group: uint64(rng.ExpFloat64() * 12), SharedTokens: 1024, UniqueTokens: 128 + rng.IntN(128), AnswerTokens: 30 + rng.IntN(60), DeadlineMillis: 3000}
+	return Event{TimeMillis: at, Group: uint64(rng.ExpFloat64() * 12), SharedTokens: 1024, UniqueTokens: 128 + rng.IntN(128), CompletionTokens: 30 + rng.IntN(60), DeadlineMillis: 3000}
 }
 
 // registrationRequest returns a request of lower priority with a short prompt.
 func registrationRequest(rng *rand.Rand, at int64) Event {
-	return Event{TimeMillis: at, Group: 1000 + uint64(rng.IntN(4)), SharedTokens: 256, UniqueTokens: 64, AnswerTokens: 20 + rng.IntN(30), Priority: 1, DeadlineMillis: 4000}
+	return Event{TimeMillis: at, Group: 1000 + uint64(rng.IntN(4)), SharedTokens: 256, UniqueTokens: 64, CompletionTokens: 20 + rng.IntN(30), Priority: 1, DeadlineMillis: 4000}
 }
 
 // appendRequests appends the requests of a Poisson process between two times in ms.
--- a/lab/traces/trace.go
+++ b/lab/traces/trace.go
@@ -50,11 +50,11 @@
 	// TimeMillis is the time since the start of the trace, in ms.
 	TimeMillis int64 `json:"at"`
 	// Group identifies the prompt prefix of SharedTokens that requests share.
-	Group        uint64 `json:"group,omitempty"`
-	SharedTokens int    `json:"shared,omitempty"`
-	UniqueTokens int    `json:"own,omitempty"`
-	AnswerTokens int    `json:"answer,omitempty"`
-	Priority     int    `json:"priority,omitempty"`
+	Group            uint64 `json:"group,omitempty"`
+	SharedTokens     int    `json:"shared,omitempty"`
+	UniqueTokens     int    `json:"own,omitempty"`
+	CompletionTokens int    `json:"answer,omitempty"`
+	Priority         int    `json:"priority,omitempty"`
 	// DeadlineMillis is the maximum time to the first token, in ms. Zero is no limit.
 	DeadlineMillis int64 `json:"deadline,omitempty"`
 	// Fault is "slow", "down" or "up". It applies to Server.
@@ -152,7 +152,7 @@
 }
 
 func (event Event) simRequest(n uint64) *sim.Request {
-	r := &sim.Request{PromptTokens: event.SharedTokens + event.UniqueTokens, OutputTokens: event.AnswerTokens, Priority: event.Priority, Deadline: time.Duration(event.DeadlineMillis) * time.Millisecond}
+	r := &sim.Request{PromptTokens: event.SharedTokens + event.UniqueTokens, CompletionTokens: event.CompletionTokens, Priority: event.Priority, Deadline: time.Duration(event.DeadlineMillis) * time.Millisecond}
 	for b := range event.SharedTokens / routing.BlockTokens {
 		r.Blocks = append(r.Blocks, event.Group<<16|uint64(b)+1)
 	}
