--- a/internal/cascade/escalator.go
+++ b/internal/cascade/escalator.go
@@ -35,7 +35,7 @@
 	PromptTokens, CompletionTokens int
 	// FirstEventTarget is the time left to the target for the first event, zero if there
 	// is none. Remaining is the time left to the deadline of the complete answer.
-	FirstEventTarget, Remaining time.Duration
+	FirstEventTarget, RemainingTime time.Duration
 }
 
 // Estimate is the expected performance of one model on the best available server.
@@ -124,7 +124,7 @@
 	if r.FirstEventTarget != 0 {
 		inTime = e.firstEvent.ProbabilityWithin(o.FirstEvent, r.FirstEventTarget)
 	}
-	complete := e.remainder.ProbabilityWithin(o.Remainder, r.Remaining-o.FirstEvent)
+	complete := e.remainder.ProbabilityWithin(o.Remainder, r.RemainingTime-o.FirstEvent)
 	return complete * (lateValueShare + (1-lateValueShare)*inTime)
 }
 
@@ -197,11 +197,11 @@
 	e.calibration.observe(from, to, before, after)
 }
 
-// ObserveDispatch updates the cost of delay from a dispatched request. The cost is the
+// ObserveSend updates the cost of delay from a dispatched request. The cost is the
 // larger of the marginal cost of a delay and the average cost per second of the expected
 // delay. The marginal cost alone vanishes once all requests are late, which would keep an
 // overload going.
-func (e *Escalator) ObserveDispatch(r Request, models []Model, at int, estimate Estimate) {
+func (e *Escalator) ObserveSend(r Request, models []Model, at int, estimate Estimate) {
 	if e.delayCostByModel == nil {
 		e.delayCostByModel = map[string]float64{}
 	}
--- a/internal/cascade/escalator_test.go
+++ b/internal/cascade/escalator_test.go
@@ -12,7 +12,7 @@
 }
 
 func testRequest() Request {
-	return Request{Route: "r", PromptTokens: 9000, CompletionTokens: 100, FirstEventTarget: 2 * time.Second, Remaining: 10 * time.Second}
+	return Request{Route: "r", PromptTokens: 9000, CompletionTokens: 100, FirstEventTarget: 2 * time.Second, RemainingTime: 10 * time.Second}
 }
 
 // fastEstimates returns estimates of three models on servers without a queue.
@@ -144,7 +144,7 @@
 	)
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	models := []Model{{"small", 0.01, 0.13}, {"large", 0.13, 0.13}}
-	request := Request{Route: "r", PromptTokens: 1000, CompletionTokens: 20, FirstEventTarget: time.Second, Remaining: 10 * time.Second}
+	request := Request{Route: "r", PromptTokens: 1000, CompletionTokens: 20, FirstEventTarget: time.Second, RemainingTime: 10 * time.Second}
 	var escalator Escalator
 	queued, escalationRate, late := 300.0, 0.0, 0.0
 	for now := 0.0; now < until; now += step {
@@ -156,7 +156,7 @@
 			escalator.ObserveRequest(request)
 			confidence := 100 * (float64(i) + 0.5) / (load * step)
 			if escalator.Decide(request, models, []Estimate{{Unavailable: true}, offer}, 0, confidence, Estimate{}, maxRuns).Model == 1 {
-				escalator.ObserveDispatch(request, models, 1, offer)
+				escalator.ObserveSend(request, models, 1, offer)
 				escalator.ObserveFirstEvent(first, first)
 				escalations++
 			}
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -149,7 +149,7 @@
 	}
 	chosen := candidates[decision.Index]
 	b.recordSend(p, cfg.Pools[poolName].SlowStart, &chosen)
-	p.load.RecordDispatch(chosen.ID, r.Blocks, r.Urgent, time.Now())
+	p.load.RecordSend(chosen.ID, r.Blocks, r.Urgent, time.Now())
 	return pick{
 		pool: poolName, candidate: chosen, expectedFirstToken: decision.Expected, urgent: r.Urgent, slowStart: slowStartLimit(cfg.Pools[poolName].SlowStart),
 		uncachedTokens: max(0, r.PromptTokens-int(r.CachedBlocks[decision.Index])*r.BlockTokens),
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -145,7 +145,7 @@
 // RecordCrash records a crash and the requests that ran on the server.
 func (t *Tracker) RecordCrash(key IncarnationKey, at time.Duration, suspects []Fingerprint, now time.Duration) Change {
 	t.sweep(now)
-	id := t.crashOf(key, at)
+	id := t.findOrAddCrash(key, at)
 	c := t.crashes[id]
 	var out Change
 	attribute := false
@@ -165,9 +165,9 @@
 	return out
 }
 
-// crashOf returns the crash of an incarnation at about a time, and records a new one if there
+// findOrAddCrash returns the crash of an incarnation at about a time, and records a new one if there
 // is none.
-func (t *Tracker) crashOf(key IncarnationKey, at time.Duration) crashID {
+func (t *Tracker) findOrAddCrash(key IncarnationKey, at time.Duration) crashID {
 	if id, known := t.latestCrash[key]; known && (at-t.crashes[id].at).Abs() <= CrashDedupWindow {
 		return id
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -145,7 +145,7 @@
 	}
 	return requirements{
 		service: x.service.Name, engine: x.service.Engine, model: model, prompt: x.call.Prompt, bodyBytes: len(x.call.Body),
-		urgent: x.route.Priority == 0, timeLeft: time.Until(x.deadline), tried: x.tried,
+		urgent: x.route.Priority == 0, remainingTime: time.Until(x.deadline), tried: x.tried,
 		versions:    x.relay.Rollouts.ChooseVersion(x.service.Name, x.call.Session, x.hash),
 		fingerprint: x.fingerprint, quarantineStatus: x.quarantineStatus,
 		gateRequest: gate.Request{Held: x.quarantineStatus.Held}, slowStart: x.relay.slowStartLimit(x),
@@ -199,7 +199,7 @@
 // takes the retry from the budget. Without budget, it only leaves a lost server:
 // a stream whose server is merely slow would be aborted.
 func (x *exchange) mayReroute(lost bool) bool {
-	if !x.retryState.Repeatable || x.retryState.RunsLeft() <= 0 {
+	if !x.retryState.Repeatable || x.retryState.RemainingRuns() <= 0 {
 		return false
 	}
 	if x.relay.withdrawRetry(x.service.Name, 0) {
--- a/internal/relay/latency.go
+++ b/internal/relay/latency.go
@@ -50,16 +50,16 @@
 // relativeLatency estimates a model's latency relative to the cheapest model's, from the
 // costs.
 func relativeLatency(model string, e *route.Engine) float64 {
-	if e == nil || e.CostPer1kTokens[model] <= 0 {
+	if e == nil || e.CostPerKiloToken[model] <= 0 {
 		return 1
 	}
-	lowest := e.CostPer1kTokens[model]
-	for _, c := range e.CostPer1kTokens {
+	lowest := e.CostPerKiloToken[model]
+	for _, c := range e.CostPerKiloToken {
 		if c > 0 {
 			lowest = min(lowest, c)
 		}
 	}
-	return math.Pow(e.CostPer1kTokens[model]/lowest, costExponent)
+	return math.Pow(e.CostPerKiloToken[model]/lowest, costExponent)
 }
 
 // prefillScale is the prefill time per token relative to referenceTokenTime.
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -25,7 +25,7 @@
 	for i, name := range x.route.Models {
 		out[i].Name = name
 		if x.service.Engine != nil {
-			out[i].Price = x.service.Engine.CostPer1kTokens[name]
+			out[i].Price = x.service.Engine.CostPerKiloToken[name]
 		}
 		highest = max(highest, out[i].Price)
 	}
@@ -39,7 +39,7 @@
 func (x *exchange) cascadeRequest() cascade.Request {
 	r := cascade.Request{
 		Route: x.route.Name, PromptTokens: x.call.Prompt.Tokens, CompletionTokens: x.call.Prompt.ExpectedCompletionTokens(),
-		Remaining: time.Until(x.deadline),
+		RemainingTime: time.Until(x.deadline),
 	}
 	if target := x.route.LatencyTarget; target > 0 {
 		// Zero would mean that the route has no target.
@@ -96,7 +96,7 @@
 		if previous.modelIndex < x.modelIndex {
 			v.ObserveEscalation(models[previous.modelIndex], models[x.modelIndex], previous.confidence, confidence)
 		}
-		verdict = v.Decide(r, models, offers, x.modelIndex, confidence, current, x.retryState.RunsLeft())
+		verdict = v.Decide(r, models, offers, x.modelIndex, confidence, current, x.retryState.RemainingRuns())
 		delay = v.DelayCost(models[len(models)-1])
 	})
 	if verdict.Model == x.modelIndex {
@@ -122,7 +122,7 @@
 	}
 	r, models := x.cascadeRequest(), x.models()
 	o := cascade.Estimate{FirstEvent: t.expectedLatency, Remainder: x.relay.State.remainingStreamTime(t, x.expectedEvents())}
-	x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveDispatch(r, models, x.modelIndex, o) })
+	x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveSend(r, models, x.modelIndex, o) })
 }
 
 // recordFirstEvent records the time to the first event.
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -18,14 +18,14 @@
 
 // requirements are a request's requirements on a server.
 type requirements struct {
-	service   string
-	engine    *route.Engine
-	model     string
-	prompt    Prompt
-	bodyBytes int
-	urgent    bool
-	timeLeft  time.Duration
-	tried     []string
+	service       string
+	engine        *route.Engine
+	model         string
+	prompt        Prompt
+	bodyBytes     int
+	urgent        bool
+	remainingTime time.Duration
+	tried         []string
 	// fingerprint and standing are the request's identity and state in quarantine.
 	fingerprint      quarantine.Fingerprint
 	quarantineStatus quarantine.Status
@@ -78,7 +78,7 @@
 	sel := selection{service: sv, candidates: sv.tracker.Snapshot(s.candidateBuf[:0], now)}
 	s.candidateBuf = sel.candidates
 	r := &sel.request
-	*r = routing.Request{PromptTokens: req.prompt.Tokens, Urgent: req.urgent, PrefillScale: latency.prefillScale(), Budget: req.timeLeft, FailureDomain: s.failureDomain, BodyBytes: req.bodyBytes}
+	*r = routing.Request{PromptTokens: req.prompt.Tokens, Urgent: req.urgent, PrefillScale: latency.prefillScale(), Budget: req.remainingTime, FailureDomain: s.failureDomain, BodyBytes: req.bodyBytes}
 	pipeline := routing.DefaultPipeline()
 	if req.engine != nil {
 		pipeline = routing.EnginePipeline()
@@ -89,7 +89,7 @@
 		sv.tracker.Prefix.Expire(now)
 		sv.tracker.Prefix.Lookup(r)
 		rankAffinity(affinityKey(req.model, req.prompt), sel.candidates, r)
-		r.OutsidePartition = sv.partitionFor(req.engine).Outside(req.model, sv.tracker.IndicesByHash())
+		r.OutsidePartition = sv.partitionFor(req.engine).IndicesOutside(req.model, sv.tracker.IndicesByHash())
 	}
 	s.applyExclusions(&sel, req, req.versions.Preferred, uptime)
 	limitToFraction(r, sel.candidates, sv.tracker.IndicesByHash(), req.versions.Fraction)
@@ -191,7 +191,7 @@
 	}
 	c := sel.candidates[sel.decision.Index]
 	tracker, blocks := sel.service.tracker, sel.request.Blocks
-	tracker.RecordDispatch(c.ID, blocks, req.urgent, now)
+	tracker.RecordSend(c.ID, blocks, req.urgent, now)
 	t := &target{
 		server: sel.service.servers[c.ID], service: req.service, model: req.model, urgent: req.urgent, slowStart: req.slowStart,
 		expectedLatency: sel.decision.Expected,
@@ -231,11 +231,11 @@
 // expectedWork returns the relative work of the smallest and the largest model.
 func expectedWork(e *route.Engine) map[string]float64 {
 	var small, large string
-	for m, c := range e.CostPer1kTokens {
-		if small == "" || c < e.CostPer1kTokens[small] {
+	for m, c := range e.CostPerKiloToken {
+		if small == "" || c < e.CostPerKiloToken[small] {
 			small = m
 		}
-		if large == "" || c > e.CostPer1kTokens[large] {
+		if large == "" || c > e.CostPerKiloToken[large] {
 			large = m
 		}
 	}
--- a/internal/relay/pick_test.go
+++ b/internal/relay/pick_test.go
@@ -26,9 +26,9 @@
 }
 
 func engineRequirements(rng *rand.Rand) *requirements {
-	e := &route.Engine{Slots: 32, KVCacheTokens: 500_000, CostPer1kTokens: map[string]float64{"m0": 1, "m1": 8, "m2": 16}}
+	e := &route.Engine{Slots: 32, KVCacheTokens: 500_000, CostPerKiloToken: map[string]float64{"m0": 1, "m1": 8, "m2": 16}}
 	parts := []PromptPart{{ID: uint64(rng.IntN(4)), Tokens: 2500}, {ID: uint64(rng.IntN(1000)), Tokens: 3800}, {ID: rng.Uint64(), Tokens: 2900}}
-	return &requirements{service: "lm", engine: e, model: "m0", prompt: Prompt{Tokens: 9200, Parts: parts}, timeLeft: 8 * time.Second, versions: anyVersionChoice()}
+	return &requirements{service: "lm", engine: e, model: "m0", prompt: Prompt{Tokens: 9200, Parts: parts}, remainingTime: 8 * time.Second, versions: anyVersionChoice()}
 }
 
 // Measures one selection of an engine, including its bookkeeping.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -108,7 +108,7 @@
 	table, err := route.NewTable(route.Document{
 		Version: 1, KeyRequired: true, Keys: map[string]route.Workspace{"k": {Name: "w"}},
 		Services: []route.Service{
-			{Name: "lm", MaxConnections: 100, Engine: &route.Engine{Slots: 8, CostPer1kTokens: map[string]float64{"small": 0.02, "middle": 0.14, "large": 0.27}}},
+			{Name: "lm", MaxConnections: 100, Engine: &route.Engine{Slots: 8, CostPerKiloToken: map[string]float64{"small": 0.02, "middle": 0.14, "large": 0.27}}},
 			{Name: "app", MaxConnections: 100},
 		},
 		Routes: []route.Route{
@@ -386,7 +386,7 @@
 }
 
 // Guards against retries with the original timeout instead of the time left.
-func TestSendTimeoutIsTimeLeft(t *testing.T) {
+func TestSendTimeoutIsRemainingTime(t *testing.T) {
 	h := newHarness(t, respond(500, "x"), respond(200, "y"))
 	out := &fakeResponseWriter{}
 	c := &Call{ID: "id1", Host: "h", Method: "GET", Target: "/l/x", Path: "/l/x", Key: "k", LastEvent: NoEvent, Received: time.Now().Add(-500 * time.Millisecond), Timeout: time.Second}
--- a/internal/request/proxy_retry_state.go
+++ b/internal/request/proxy_retry_state.go
@@ -54,8 +54,8 @@
 // Runs returns the number of sends that ran or may have run.
 func (s *ProxyRetryState) Runs() int { return s.runs }
 
-// RunsLeft returns the number of further servers that may run the request.
-func (s *ProxyRetryState) RunsLeft() int { return max(1, s.MaxRuns) - s.runs }
+// RemainingRuns returns the number of further servers that may run the request.
+func (s *ProxyRetryState) RemainingRuns() int { return max(1, s.MaxRuns) - s.runs }
 
 // ExecutionState returns whether the request ran on any server, as far as known.
 func (s *ProxyRetryState) ExecutionState() fault.ExecutionState {
@@ -86,7 +86,7 @@
 		return s.fail(fault.DeadlineExceeded, "the deadline passed")
 	case outcome != NotStarted && !s.Repeatable:
 		return s.fail(fault.EngineFailed, "the request may not be repeated")
-	case s.RunsLeft() <= 0:
+	case s.RemainingRuns() <= 0:
 		return s.fail(fault.EngineFailed, "every attempt failed")
 	case s.sends >= max(1, s.MaxRuns)+maxRefusedSends:
 		return s.fail(fault.EngineRefused, "every server refused")
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -106,8 +106,8 @@
 	KVCacheTokens int
 	// EventTokens is the number of tokens per stream event; zero means one.
 	EventTokens int
-	// CostPer1kTokens is the price of 1,000 generated tokens by model.
-	CostPer1kTokens map[string]float64
+	// CostPerKiloToken is the price of 1,000 generated tokens by model.
+	CostPerKiloToken map[string]float64
 }
 
 // Workspace is the owner of API keys.
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -23,7 +23,7 @@
 			now := time.Unix(1000, 0)
 			rng := rand.New(rand.NewPCG(1, 1))
 			for _, m := range Subset("d1", members, size)[:size/2] {
-				tracker.RecordDispatch(m.ID, blocks, false, now)
+				tracker.RecordSend(m.ID, blocks, false, now)
 				tracker.RecordReport(m.ID, rng.IntN(8), now)
 			}
 			pipeline := DefaultPipeline()
--- a/internal/routing/partition.go
+++ b/internal/routing/partition.go
@@ -62,10 +62,10 @@
 
 func (p *Partition) setShares(shares map[string]float64) { p.shareByModel = shares }
 
-// Outside returns the candidates outside a model's part. The order lists the candidate
+// IndicesOutside returns the candidates outside a model's part. The order lists the candidate
 // indices by hash, see LoadTracker.IndicesByHash. Daemons with similar traffic compute the
 // same partition without coordination.
-func (p *Partition) Outside(model string, order []int) (outside Set) {
+func (p *Partition) IndicesOutside(model string, order []int) (outside Set) {
 	p.rebalance(len(order))
 	if len(p.shareByModel) < 2 || p.shareByModel[model] == 0 || len(order) < len(p.shareByModel) {
 		return outside
--- a/internal/routing/partition_test.go
+++ b/internal/routing/partition_test.go
@@ -34,7 +34,7 @@
 	} {
 		partition := NewPartition(map[string]float64{"small": tt.small, "large": tt.large})
 		indices := sequentialIndices(tt.n)
-		notSmall, notLarge := partition.Outside("small", indices), partition.Outside("large", indices)
+		notSmall, notLarge := partition.IndicesOutside("small", indices), partition.IndicesOutside("large", indices)
 		small, large := tt.n-notSmall.Len(), tt.n-notLarge.Len()
 		if both := notSmall.Intersect(notLarge); small+large != tt.n || !both.Empty() {
 			t.Errorf("%d engines: parts of %d and %d engines overlap or leave engines out", tt.n, small, large)
@@ -46,13 +46,13 @@
 }
 
 func TestPartitionInactiveForOneModelOrTooFewEngines(t *testing.T) {
-	if f := NewPartition(map[string]float64{"m": 1}).Outside("m", sequentialIndices(5)); !f.Empty() {
+	if f := NewPartition(map[string]float64{"m": 1}).IndicesOutside("m", sequentialIndices(5)); !f.Empty() {
 		t.Errorf("one model: outside %b", f)
 	}
-	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).Outside("a", sequentialIndices(1)); !f.Empty() {
+	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).IndicesOutside("a", sequentialIndices(1)); !f.Empty() {
 		t.Errorf("one engine: outside %b", f)
 	}
-	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).Outside("c", sequentialIndices(5)); !f.Empty() {
+	if f := NewPartition(map[string]float64{"a": 1, "b": 1}).IndicesOutside("c", sequentialIndices(5)); !f.Empty() {
 		t.Errorf("unknown model: outside %b", f)
 	}
 }
@@ -65,7 +65,7 @@
 		partition.RecordWork("small", 100*time.Millisecond, now)
 		partition.RecordWork("large", 100*time.Millisecond, now)
 	}
-	outside := partition.Outside("small", sequentialIndices(10))
+	outside := partition.IndicesOutside("small", sequentialIndices(10))
 	if n := 10 - outside.Len(); n < 4 || n > 6 {
 		t.Errorf("the small model has %d of 10 engines for half of the work", n)
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -89,7 +89,7 @@
 	tracker := NewLoadTracker()
 	tracker.Update([]Member{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}})
 	blocks := Blocks(nil, "m@v1", strings.Repeat("x", 4*BlockBytes))
-	tracker.RecordDispatch("a", blocks, false, testTime)
+	tracker.RecordSend("a", blocks, false, testTime)
 	tracker.RecordUnreachable("a", testTime)
 	tracker.Update([]Member{{ID: "b", Address: "2"}, {ID: "a", Address: "3"}})
 	r := Request{Blocks: blocks}
--- a/internal/routing/tracker.go
+++ b/internal/routing/tracker.go
@@ -242,8 +242,8 @@
 	return &t.servers[i]
 }
 
-// RecordDispatch records an attempt sent to a server.
-func (t *LoadTracker) RecordDispatch(id string, blocks []uint64, urgent bool, now time.Time) {
+// RecordSend records an attempt sent to a server.
+func (t *LoadTracker) RecordSend(id string, blocks []uint64, urgent bool, now time.Time) {
 	s := t.server(id)
 	if s == nil {
 		return
--- a/lab/sim/router.go
+++ b/lab/sim/router.go
@@ -39,9 +39,9 @@
 type Policy interface {
 	// Pick returns the index of a server that was not tried, or -1 to refuse the request.
 	Pick(r *Request, tried []int) int
-	// RecordDispatch, RecordFirstToken, and RecordCompletion are called in the course of an
+	// RecordSend, RecordFirstToken, and RecordCompletion are called in the course of an
 	// attempt. RecordFirstToken returns the part of the latency that was spent queueing.
-	RecordDispatch(server int, r *Request)
+	RecordSend(server int, r *Request)
 	RecordFirstToken(server int, r *Request, latency time.Duration) time.Duration
 	RecordCompletion(server int, r *Request, duration time.Duration, failed bool)
 	// RecordUnreachable records that the server went down.
@@ -118,7 +118,7 @@
 	tried = append(slices.Clone(tried), server)
 	retry.RecordAttempt()
 	res.Attempts++
-	p.RecordDispatch(server, r)
+	p.RecordSend(server, r)
 	start := c.Clock.now
 	var wait time.Duration
 	j := &Job{PromptTokens: r.PromptTokens, Blocks: r.Blocks, CompletionTokens: r.CompletionTokens, Priority: r.Priority}
@@ -203,9 +203,9 @@
 	return p.pipeline.Pick(&q, p.candidates, p.rng).Index
 }
 
-// RecordDispatch implements Policy.
-func (p *PipelinePolicy) RecordDispatch(server int, r *Request) {
-	p.tracker.RecordDispatch(serverID(server), r.Blocks, r.Priority == 0, p.cluster.Clock.Now())
+// RecordSend implements Policy.
+func (p *PipelinePolicy) RecordSend(server int, r *Request) {
+	p.tracker.RecordSend(serverID(server), r.Blocks, r.Priority == 0, p.cluster.Clock.Now())
 }
 
 // RecordFirstToken implements Policy.
@@ -264,8 +264,8 @@
 	return p.roundRobin.Pick(candidates)
 }
 
-// RecordDispatch implements Policy.
-func (n *BaselinePolicy) RecordDispatch(int, *Request) {}
+// RecordSend implements Policy.
+func (n *BaselinePolicy) RecordSend(int, *Request) {}
 
 // RecordFirstToken implements Policy.
 func (n *BaselinePolicy) RecordFirstToken(int, *Request, time.Duration) time.Duration { return 0 }
