--- a/internal/app/end_to_end_test.go
+++ b/internal/app/end_to_end_test.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if plain.Choices[0].FinishReason != "stop" || plain.Usage.CompletionTokens != int64(demo.EngineConfig.AnswerTokens) {
+	if plain.Choices[0].FinishReason != "stop" || plain.Usage.CompletionTokens != int64(demo.EngineConfig.CompletionTokens) {
 		t.Fatalf("plain answer: %+v", plain)
 	}
 	stream := c.Chat.Completions.NewStreaming(t.Context(), params)
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestCallerDisconnectCancelsRun checks that the engine's run is cancelled when the caller
+// TestClientDisconnectCancelsRun checks that the engine's run is cancelled when the caller
 // closes a stream before its end.
-func TestCallerDisconnectCancelsRun(t *testing.T) {
+func TestClientDisconnectCancelsRun(t *testing.T) {
 	cluster := newCluster(t, 1)
 	for _, e := range cluster.Engines {
 		e.SetBehaviour("bib-lookup@v1", standin.Behaviour{SlowFactor: 100})
--- a/internal/cascade/escalator.go
+++ b/internal/cascade/escalator.go
@@ -29,12 +29,12 @@
 // Request describes the request to decide on. Times count from the decision.
 type Request struct {
 	Route string
-	// PromptTokens is the length of the prompt, and AnswerTokens the expected length of
+	// PromptTokens is the length of the prompt, and CompletionTokens the expected length of
 	// the answer.
-	PromptTokens, AnswerTokens int
+	PromptTokens, CompletionTokens int
 	// FirstEventTarget is the time left to the target for the first event, zero if there
 	// is none. Remaining is the time left to the deadline of the complete answer.
-	FirstEventTarget, Remaining time.Duration
+	FirstEventTarget, RemainingTime time.Duration
 }
 
 // Estimate is the expected performance of one model on the best available server.
@@ -71,10 +71,10 @@
 	lateValueShare = 0.3
 	// sizeValueShare is the fraction of an answer's value that is proportional to its size
 	// relative to the route's mean, maxSizeFactor the bound of its value relative to the
-	// mean, and answerTokenSize the size of a generated token in prompt tokens.
-	sizeValueShare  = 0.7
-	maxSizeFactor   = 4
-	answerTokenSize = 10
+	// mean, and completionTokenSize the size of a generated token in prompt tokens.
+	sizeValueShare      = 0.7
+	maxSizeFactor       = 4
+	completionTokenSize = 10
 	// promptTokenPrice is the price of a prompt token relative to a generated one.
 	promptTokenPrice = 0.25
 	// priceTokens is the number of tokens that Model.Price refers to.
@@ -86,7 +86,7 @@
 )
 
 // requestSize is the mean size of a route's requests in tokens.
-type requestSize struct{ prompt, answer float64 }
+type requestSize struct{ prompt, completion float64 }
 
 // requestSizeWeight is the weight of a new request in the mean size.
 const requestSizeWeight = 0.02
@@ -97,7 +97,7 @@
 		if e.sizeByRoute == nil {
 			e.sizeByRoute = map[string]*requestSize{}
 		}
-		size = &requestSize{float64(r.PromptTokens), float64(r.AnswerTokens)}
+		size = &requestSize{float64(r.PromptTokens), float64(r.CompletionTokens)}
 		e.sizeByRoute[r.Route] = size
 	}
 	return size
@@ -111,8 +111,8 @@
 // AnswerValue returns the value of a correct answer in time, in the unit of prices.
 func (e *Escalator) AnswerValue(r Request, models []Model) float64 {
 	meanSize := e.meanRequestSize(r)
-	relativeSize := (float64(r.PromptTokens) + answerTokenSize*float64(r.AnswerTokens)) / max(meanSize.prompt+answerTokenSize*meanSize.answer, 1)
-	meanValue := valuePerCost * models[len(models)-1].cost(meanSize.prompt, meanSize.answer)
+	relativeSize := (float64(r.PromptTokens) + completionTokenSize*float64(r.CompletionTokens)) / max(meanSize.prompt+completionTokenSize*meanSize.completion, 1)
+	meanValue := valuePerCost * models[len(models)-1].cost(meanSize.prompt, meanSize.completion)
 	return meanValue * min(1-sizeValueShare+sizeValueShare*relativeSize, maxSizeFactor)
 }
 
@@ -121,9 +121,9 @@
 func (e *Escalator) expectedShare(r Request, estimate Estimate) float64 {
 	inTime := 1.0
 	if r.FirstEventTarget != 0 {
-		inTime = e.firstEvent.Within(estimate.FirstEvent, r.FirstEventTarget)
+		inTime = e.firstEvent.ProbabilityWithin(estimate.FirstEvent, r.FirstEventTarget)
 	}
-	complete := e.remainder.Within(estimate.Remainder, r.Remaining-estimate.FirstEvent)
+	complete := e.remainder.ProbabilityWithin(estimate.Remainder, r.RemainingTime-estimate.FirstEvent)
 	return complete * (lateValueShare + (1-lateValueShare)*inTime)
 }
 
@@ -152,7 +152,7 @@
 		return math.Inf(-1)
 	}
 	m, r := e.models[model], e.request
-	cost := m.cost(float64(r.PromptTokens), float64(r.AnswerTokens)) + estimate.EngineTime.Seconds()*estimate.DelayedPerSecond*e.delayCostByModel[m.Name]
+	cost := m.cost(float64(r.PromptTokens), float64(r.CompletionTokens)) + estimate.EngineTime.Seconds()*estimate.DelayedPerSecond*e.delayCostByModel[m.Name]
 	next := 0.0
 	for to := model + 1; to < len(e.models); to++ {
 		next = max(next, e.escalationValue(to, estimate, runs-1))
@@ -165,7 +165,7 @@
 func (e *Escalator) ObserveRequest(r Request) {
 	size := e.meanRequestSize(r)
 	size.prompt += requestSizeWeight * (float64(r.PromptTokens) - size.prompt)
-	size.answer += requestSizeWeight * (float64(r.AnswerTokens) - size.answer)
+	size.completion += requestSizeWeight * (float64(r.CompletionTokens) - size.completion)
 }
 
 // Decide decides whether the answer of a model, given by index, is kept or escalated.
@@ -196,10 +196,10 @@
 	e.calibration.observe(from, to, before, after)
 }
 
-// ObserveDispatch updates the cost of delay from a dispatched request: the larger of its
+// ObserveSend updates the cost of delay from a dispatched request: the larger of its
 // marginal cost and the average cost per second of the expected delay. The marginal cost
 // alone vanishes once all requests are late, which would prolong an overload.
-func (e *Escalator) ObserveDispatch(r Request, models []Model, model int, estimate Estimate) {
+func (e *Escalator) ObserveSend(r Request, models []Model, model int, estimate Estimate) {
 	if e.delayCostByModel == nil {
 		e.delayCostByModel = map[string]float64{}
 	}
--- a/internal/cascade/escalator_test.go
+++ b/internal/cascade/escalator_test.go
@@ -12,7 +12,7 @@
 }
 
 func testRequest() Request {
-	return Request{Route: "r", PromptTokens: 9000, AnswerTokens: 100, FirstEventTarget: 2 * time.Second, Remaining: 10 * time.Second}
+	return Request{Route: "r", PromptTokens: 9000, CompletionTokens: 100, FirstEventTarget: 2 * time.Second, RemainingTime: 10 * time.Second}
 }
 
 // fastEstimates returns estimates of three models on servers without a queue.
@@ -99,12 +99,12 @@
 	var escalator Escalator
 	short, long := testRequest(), testRequest()
 	escalator.ObserveRequest(short)
-	long.AnswerTokens = 900
+	long.CompletionTokens = 900
 	shortValue, longValue := escalator.AnswerValue(short, threeModels()), escalator.AnswerValue(long, threeModels())
 	if want := shortValue * (1 - sizeValueShare + sizeValueShare*18000/10000); math.Abs(longValue-want) > 0.01*want {
 		t.Errorf("value of an average answer %.3f, of a long one %.3f, want %.3f", shortValue, longValue, want)
 	}
-	long.AnswerTokens = 1e6
+	long.CompletionTokens = 1e6
 	if most := escalator.AnswerValue(long, threeModels()); most > maxSizeFactor*shortValue*1.001 {
 		t.Errorf("value of a huge answer is %.1f times the average", most/shortValue)
 	}
@@ -112,7 +112,7 @@
 
 func TestLatencyForecastLearnsBiasAndSpread(t *testing.T) {
 	var forecast LatencyForecast
-	if p := forecast.Within(time.Second, time.Second); math.Abs(p-0.5) > 0.01 {
+	if p := forecast.ProbabilityWithin(time.Second, time.Second); math.Abs(p-0.5) > 0.01 {
 		t.Errorf("initial probability %.2f, want 0.50", p)
 	}
 	for i := range 400 {
@@ -124,11 +124,11 @@
 		forecast.Observe(time.Second, time.Duration(factor*float64(time.Second)))
 	}
 	for limit, want := range map[time.Duration]float64{time.Second: 0, 2 * time.Second: 0.5, 4 * time.Second: 1} {
-		if p := forecast.Within(time.Second, limit); math.Abs(p-want) > 0.06 {
+		if p := forecast.ProbabilityWithin(time.Second, limit); math.Abs(p-want) > 0.06 {
 			t.Errorf("within %s: %.2f, want %.2f", limit, p, want)
 		}
 	}
-	if forecast.Within(time.Second, 0) != 0 || forecast.Within(0, time.Second) != 1 {
+	if forecast.ProbabilityWithin(time.Second, 0) != 0 || forecast.ProbabilityWithin(0, time.Second) != 1 {
 		t.Error("want probability 0 with no time left and 1 for an expected time of 0")
 	}
 }
@@ -144,7 +144,7 @@
 	)
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	models := []Model{{"small", 0.01, 0.13}, {"large", 0.13, 0.13}}
-	request := Request{Route: "r", PromptTokens: 1000, AnswerTokens: 20, FirstEventTarget: time.Second, Remaining: 10 * time.Second}
+	request := Request{Route: "r", PromptTokens: 1000, CompletionTokens: 20, FirstEventTarget: time.Second, RemainingTime: 10 * time.Second}
 	var escalator Escalator
 	queued, escalationRate, late := 300.0, 0.0, 0.0
 	for now := 0.0; now < until; now += step {
@@ -156,7 +156,7 @@
 			escalator.ObserveRequest(request)
 			confidence := 100 * (float64(i) + 0.5) / (load * step)
 			if escalator.Decide(request, models, []Estimate{{Unavailable: true}, estimate}, 0, confidence, Estimate{}, maxRuns).Model == 1 {
-				escalator.ObserveDispatch(request, models, 1, estimate)
+				escalator.ObserveSend(request, models, 1, estimate)
 				escalator.ObserveFirstEvent(first, first)
 				escalations++
 			}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,12 +27,12 @@
 	"github.com/damaskrudder/damaskrudder/internal/slo"
 )
 
-// Dependencies are the external services of a daemon. Log is required. VMs, Rater
+// Dependencies are the external services of a daemon. Log is required. VMs, Ratings
 // and Weights are nil on platforms without that service.
 type Dependencies struct {
 	Log     platform.Log
 	VMs     platform.VMList
-	Rater   platform.RatingService
+	Ratings platform.RatingService
 	Weights platform.WeightStore
 	Logger  *log.Logger
 	Metrics tally.Scope
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -22,7 +22,7 @@
 	// vmListInterval is the pause between two reads of the VM list.
 	vmListInterval = time.Second
 	// vmListTimeout bounds one read. With vmListInterval it stays below
-	// membership.ServersMaxAge, so that an unresponsive list service is detected
+	// membership.MaxServersAge, so that an unresponsive list service is detected
 	// before the last result expires.
 	vmListTimeout = 900 * time.Millisecond
 )
@@ -149,7 +149,7 @@
 	}
 	chosen := candidates[decision.Index]
 	b.recordSend(p, cfg.Pools[poolName].SlowStart, &chosen)
-	p.load.RecordDispatch(chosen.ID, r.Blocks, r.Urgent, time.Now())
+	p.load.RecordSend(chosen.ID, r.Blocks, r.Urgent, time.Now())
 	return pick{
 		pool: poolName, candidate: chosen, expectedFirstToken: decision.Expected, urgent: r.Urgent, slowStart: slowStartLimit(cfg.Pools[poolName].SlowStart),
 		uncachedTokens: max(0, r.PromptTokens-int(r.CachedBlocks[decision.Index])*r.BlockTokens),
@@ -233,8 +233,8 @@
 			p.versions[cand.ID] = load.Versions
 		}
 		p.load.SetLeaving(cand.ID, load.Draining || b.leaving[cand.ID])
-		if load.WarmUpMillis > 0 {
-			p.warmAt[cand.ID] = b.uptime() + time.Duration(load.WarmUpMillis)*time.Millisecond
+		if load.WarmupRemainingMillis > 0 {
+			p.warmAt[cand.ID] = b.uptime() + time.Duration(load.WarmupRemainingMillis)*time.Millisecond
 		}
 	})
 }
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -15,9 +15,9 @@
 
 const (
 	// minBroadcastInterval is the minimum interval between two broadcasts of
-	// quarantine updates, and broadcastFanOut the number of daemons called in each.
+	// quarantine updates, and broadcastFanout the number of daemons called in each.
 	minBroadcastInterval = 100 * time.Millisecond
-	broadcastFanOut      = 4
+	broadcastFanout      = 4
 )
 
 // newGuard returns the guard that holds requests whose execution terminates servers.
@@ -26,16 +26,16 @@
 	return containment.New(containment.Options{
 		BootTime: func() time.Duration { return time.Since(started) }, Logger: d.log,
 		RefusesConnections: func(ctx context.Context, s containment.Server) bool {
-			return d.engine.ConnectionRefused(ctx, s.Address)
+			return d.engine.RefusesConnections(ctx, s.Address)
 		},
 		Leaving:      func(s containment.Server) bool { return d.balancer.isLeaving(s.ID) },
-		OnTerminated: d.balancer.recordTerminated, ServersTerminated: d.metrics.serversEnded, RequestsHeld: d.metrics.requestsHeld,
+		OnTerminated: d.balancer.recordServerTerminated, ServersTerminated: d.metrics.serversTerminated, RequestsHeld: d.metrics.requestsHeld,
 	})
 }
 
 // broadcastHolds sends quarantine updates to other daemons until the context ends.
 func (d *Daemon) broadcastHolds(ctx context.Context) {
-	d.guard.Broadcast(ctx, minBroadcastInterval, func(ctx context.Context) { d.members.exchangeWithRandom(ctx, broadcastFanOut) })
+	d.guard.Broadcast(ctx, minBroadcastInterval, func(ctx context.Context) { d.members.exchangeWithRandom(ctx, broadcastFanout) })
 }
 
 // exchangeWithRandom exchanges heartbeats with up to n random live daemons.
@@ -82,7 +82,7 @@
 	switch {
 	case complete, event == request.AttemptRefused, event == request.RunFailed:
 		return containment.Completed
-	case event == request.CallerDisconnected:
+	case event == request.ClientDisconnected:
 		return containment.Canceled
 	case event == request.ConnectFailed && !started:
 		return containment.Completed
@@ -97,8 +97,8 @@
 	return b.leaving[id]
 }
 
-// recordTerminated records that the server with an incarnation key has terminated.
-func (b *balancer) recordTerminated(key quarantine.IncarnationKey) {
+// recordServerTerminated records that the server with an incarnation key has terminated.
+func (b *balancer) recordServerTerminated(key quarantine.IncarnationKey) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -74,7 +74,7 @@
 
 func (c *Cluster) startAll(count int) error {
 	var urls []string
-	for _, h := range []http.Handler{c.Log, standin.NewRater(time.Second), c.VMs} {
+	for _, h := range []http.Handler{c.Log, standin.NewRatingService(time.Second), c.VMs} {
 		s, err := c.serve(h)
 		if err != nil {
 			return err
@@ -102,7 +102,7 @@
 // EngineConfig is the configuration of the demo's engines.
 var EngineConfig = standin.EngineConfig{
 	Slots: 8, PrefillPerToken: 40 * time.Microsecond, DecodePerToken: 2 * time.Millisecond,
-	AnswerTokens: 24, ChecksFencing: true, LoadReportLag: 500 * time.Millisecond, CacheBlocks: 512,
+	CompletionTokens: 24, ChecksFencing: true, LoadReportLag: 500 * time.Millisecond, CacheBlocks: 512,
 }
 
 const (
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -29,13 +29,13 @@
 	priority  int
 	deadline  time.Time
 	// hash is uniformly distributed and the same for every send of the call.
-	hash    uint64
-	journey request.ProxyRetryState
-	tried   []string
+	hash       uint64
+	retryState request.ProxyRetryState
+	tried      []string
 	// fingerprint is the same for every retry of the request by its client.
 	fingerprint quarantine.Fingerprint
-	// standing is the request's quarantine state before the last send.
-	standing quarantine.Status
+	// quarantineStatus is the request's quarantine state before the last send.
+	quarantineStatus quarantine.Status
 	// run is the containment record of the last send.
 	run *containment.Attempt
 	// succeeded is set once a server has sent a complete, successful response.
@@ -52,8 +52,8 @@
 	serverFailure *bufferedResponse
 	// firstEventAt is when the first event was forwarded.
 	firstEventAt time.Time
-	// retryTaken is set if the budget was already charged for the retry after a reroute.
-	retryTaken atomic.Bool
+	// retryWithdrawn is set if the budget was already charged for the retry after a reroute.
+	retryWithdrawn atomic.Bool
 }
 
 // errRerouted cancels a send whose request continues on another server.
@@ -72,10 +72,10 @@
 			x.fail(refusal)
 			return
 		}
-		if x.journey.Sends() == 0 {
+		if x.retryState.Sends() == 0 {
 			x.relay.recordFirstSend(x.service.Name)
 		}
-		x.journey.RecordSend()
+		x.retryState.RecordSend()
 		if t.warming {
 			x.relay.Metrics.WarmingSends.Inc(1)
 		}
@@ -91,11 +91,11 @@
 		}
 		// A request suspected of crashing servers is escalated on the same server:
 		// its cancelled run may still crash that one, and must not crash a second.
-		if outcome != request.LowConfidence || x.standing.Crashes == 0 {
+		if outcome != request.LowConfidence || x.quarantineStatus.Crashes == 0 {
 			x.tried = append(x.tried, t.server.ID)
 		}
-		refusal = x.journey.Next(outcome, time.Now(), func() bool {
-			return outcome == request.LowConfidence || x.retryTaken.Swap(false) || x.relay.takeRetry(x.service.Name, 0)
+		refusal = x.retryState.Next(outcome, time.Now(), func() bool {
+			return outcome == request.LowConfidence || x.retryWithdrawn.Swap(false) || x.relay.withdrawRetry(x.service.Name, 0)
 		})
 		if refusal != nil {
 			x.fail(refusal)
@@ -125,14 +125,14 @@
 // does not abort requests that were admitted before.
 func (x *exchange) selectServer() (*target, *fault.Error) {
 	req := x.requirements(x.effectiveModel())
-	t, err := x.relay.State.pick(&req, x.service.MaxConns)
-	if err != nil && len(x.tried) > 0 && x.journey.Repeatable {
+	t, err := x.relay.State.pick(&req, x.service.MaxConnections)
+	if err != nil && len(x.tried) > 0 && x.retryState.Repeatable {
 		// All servers were tried. One that was lost may respond again.
 		req.tried = nil
-		t, err = x.relay.State.pick(&req, x.service.MaxConns)
+		t, err = x.relay.State.pick(&req, x.service.MaxConnections)
 	}
 	if err != nil {
-		return nil, x.journey.Fail(err.Kind, err.Detail).WithRetryAfter(err.RetryAfter)
+		return nil, x.retryState.Fail(err.Kind, err.Detail).WithRetryAfter(err.RetryAfter)
 	}
 	return t, nil
 }
@@ -144,10 +144,10 @@
 	}
 	return requirements{
 		service: x.service.Name, engine: x.service.Engine, model: model, prompt: x.call.Prompt, bodyBytes: len(x.call.Body),
-		urgent: x.route.Priority == 0, timeLeft: time.Until(x.deadline), tried: x.tried,
+		urgent: x.route.Priority == 0, remainingTime: time.Until(x.deadline), tried: x.tried,
 		versions:    x.relay.Rollouts.ChooseVersion(x.service.Name, x.call.Session, x.hash),
-		fingerprint: x.fingerprint, standing: x.standing,
-		gateRequest: gate.Request{Held: x.standing.Held}, slowStart: x.relay.slowStartLimit(x),
+		fingerprint: x.fingerprint, quarantineStatus: x.quarantineStatus,
+		gateRequest: gate.Request{Held: x.quarantineStatus.Held}, slowStart: x.relay.slowStartLimit(x),
 	}
 }
 
@@ -157,7 +157,7 @@
 	defer cancel(nil)
 	x.run = x.relay.Guard.Begin(containmentServer(t.server), x.fingerprint, cancel)
 	outcome, done := x.send(ctx, cancel, t)
-	x.relay.Guard.End(ctx, x.run, containmentServer(t.server), fateOf(ctx, outcome, done))
+	x.relay.Guard.End(ctx, x.run, containmentServer(t.server), containmentOutcome(ctx, outcome, done))
 	if x.succeeded {
 		x.relay.Guard.RecordSuccess(x.fingerprint)
 	}
@@ -167,7 +167,7 @@
 // send makes one attempt. It returns true if the client has the final response.
 func (x *exchange) send(ctx context.Context, cancel context.CancelCauseFunc, t *target) (request.SendOutcome, bool) {
 	by, age := x.relay.State.LastConfirmation(freshness.Servers)
-	x.logEvent("send", t, "entries_age_ms", age.Milliseconds(), "entries_by", by, "expected_ms", t.expectedLatency.Milliseconds(), "uncached", t.uncached, "warming", t.warming, "send", x.journey.Sends(), "session", x.call.Session, "fingerprint", x.fingerprint)
+	x.logEvent("send", t, "entries_age_ms", age.Milliseconds(), "entries_by", by, "expected_ms", t.expectedLatency.Milliseconds(), "uncached", t.uncached, "warming", t.warming, "send", x.retryState.Sends(), "session", x.call.Session, "fingerprint", x.fingerprint)
 	sentAt := time.Now()
 	ctx, stop := context.WithDeadline(ctx, x.deadline)
 	defer stop()
@@ -198,11 +198,11 @@
 // the retry from the budget. Without budget, only requests of a lost server are
 // rerouted; streams of a slow one would be aborted.
 func (x *exchange) mayReroute(lost bool) bool {
-	if !x.journey.Repeatable || x.journey.RunsLeft() <= 0 {
+	if !x.retryState.Repeatable || x.retryState.RemainingRuns() <= 0 {
 		return false
 	}
-	if x.relay.takeRetry(x.service.Name, 0) {
-		x.retryTaken.Store(true)
+	if x.relay.withdrawRetry(x.service.Name, 0) {
+		x.retryWithdrawn.Store(true)
 		return true
 	}
 	return lost
@@ -211,7 +211,7 @@
 // sendPriority raises the priority of requests that have lost time to an earlier
 // server or model.
 func (x *exchange) sendPriority() int {
-	if x.journey.Sends() > 1 {
+	if x.retryState.Sends() > 1 {
 		return max(0, x.priority-basePriority)
 	}
 	return x.priority
@@ -226,10 +226,10 @@
 	failed := e.Reason != upstream.Canceled && e.Reason != upstream.ConnectionLimit
 	x.relay.State.recordSendEnd(t, time.Since(sentAt), failed)
 	if e.Reason == upstream.Unreachable {
-		x.relay.State.markUnreachable(t)
+		x.relay.State.recordUnreachable(t)
 	}
 	if errors.Is(e.Err, syscall.ECONNREFUSED) {
-		x.relay.State.recordServerEnd(t.server.ID)
+		x.relay.State.recordServerTerminated(t.server.ID)
 	}
 	x.relay.Metrics.SendsFailed.Inc(1)
 	x.logEvent("send failed", t, "reason", e.Reason, "sent", e.Sent, "err", e.Err, "after_ms", time.Since(sentAt).Milliseconds())
--- a/internal/relay/models.go
+++ b/internal/relay/models.go
@@ -25,7 +25,7 @@
 	for i, name := range x.route.Models {
 		out[i].Name = name
 		if x.service.Engine != nil {
-			out[i].Price = x.service.Engine.CostPer1kTokens[name]
+			out[i].Price = x.service.Engine.CostPerKiloToken[name]
 		}
 		highest = max(highest, out[i].Price)
 	}
@@ -38,8 +38,8 @@
 // cascadeRequest describes the call for model selection.
 func (x *exchange) cascadeRequest() cascade.Request {
 	r := cascade.Request{
-		Route: x.route.Name, PromptTokens: x.call.Prompt.Tokens, AnswerTokens: x.call.Prompt.ExpectedAnswerTokens(),
-		Remaining: time.Until(x.deadline),
+		Route: x.route.Name, PromptTokens: x.call.Prompt.Tokens, CompletionTokens: x.call.Prompt.ExpectedCompletionTokens(),
+		RemainingTime: time.Until(x.deadline),
 	}
 	if target := x.route.LatencyTarget; target > 0 {
 		// Zero would mean that the route has no target.
@@ -54,7 +54,7 @@
 	if engine := x.service.Engine; engine != nil {
 		perEvent = max(engine.EventTokens, 1)
 	}
-	return float64(x.call.Prompt.ExpectedAnswerTokens()) / float64(perEvent)
+	return float64(x.call.Prompt.ExpectedCompletionTokens()) / float64(perEvent)
 }
 
 // modelOffers estimates the latency and cost of each model from an index on. Smaller
@@ -78,7 +78,7 @@
 	x.lastConfidence = modelConfidence{confidence: noConfidence}
 	if x.choosesModel() {
 		r := x.cascadeRequest()
-		x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveRequest(r) })
+		x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveRequest(r) })
 	}
 }
 
@@ -93,18 +93,18 @@
 	delay := 0.0
 	previous := x.lastConfidence
 	x.lastConfidence = modelConfidence{x.modelIndex, confidence}
-	x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) {
+	x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) {
 		if previous.modelIndex < x.modelIndex {
 			v.ObserveEscalation(models[previous.modelIndex], models[x.modelIndex], previous.confidence, confidence)
 		}
-		verdict = v.Decide(r, models, offers, x.modelIndex, confidence, current, x.journey.RunsLeft())
+		verdict = v.Decide(r, models, offers, x.modelIndex, confidence, current, x.retryState.RemainingRuns())
 		delay = v.DelayCost(models[len(models)-1])
 	})
 	if verdict.Model == x.modelIndex {
 		x.logEvent("answer accepted", t, "confidence", confidence, "right", verdict.CorrectProbability, "worth", verdict.KeepValue, "worth_of_asking", verdict.EscalateValue, "delay_price", delay)
 		return false
 	}
-	if !x.relay.takeRetry(x.service.Name, failoverReserveFraction) {
+	if !x.relay.withdrawRetry(x.service.Name, failoverReserveFraction) {
 		x.logEvent("low-confidence answer kept", t, "confidence", confidence, "right", verdict.CorrectProbability, "why", "retry budget exhausted")
 		return false
 	}
@@ -123,13 +123,13 @@
 	}
 	r, models := x.cascadeRequest(), x.models()
 	estimate := cascade.Estimate{FirstEvent: t.expectedLatency, Remainder: x.relay.State.remainingStreamTime(t, x.expectedEvents())}
-	x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveDispatch(r, models, x.modelIndex, estimate) })
+	x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveSend(r, models, x.modelIndex, estimate) })
 }
 
 // recordFirstEvent records the time to the first event.
 func (x *exchange) recordFirstEvent(t *target, elapsed time.Duration) {
 	if x.choosesModel() {
-		x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveFirstEvent(t.expectedLatency, elapsed) })
+		x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveFirstEvent(t.expectedLatency, elapsed) })
 	}
 }
 
@@ -139,5 +139,5 @@
 		return
 	}
 	expected := x.relay.State.remainingStreamTime(t, x.expectedEvents())
-	x.relay.withValuer(x.service.Name, func(v *cascade.Escalator) { v.ObserveCompletion(expected, elapsed) })
+	x.relay.withEscalator(x.service.Name, func(v *cascade.Escalator) { v.ObserveCompletion(expected, elapsed) })
 }
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -18,17 +18,17 @@
 
 // requirements are a request's requirements on a server.
 type requirements struct {
-	service   string
-	engine    *route.Engine
-	model     string
-	prompt    Prompt
-	bodyBytes int
-	urgent    bool
-	timeLeft  time.Duration
-	tried     []string
-	// fingerprint and standing are the request's identity and state in quarantine.
-	fingerprint quarantine.Fingerprint
-	standing    quarantine.Status
+	service       string
+	engine        *route.Engine
+	model         string
+	prompt        Prompt
+	bodyBytes     int
+	urgent        bool
+	remainingTime time.Duration
+	tried         []string
+	// fingerprint and quarantineStatus are the request's identity and state in quarantine.
+	fingerprint      quarantine.Fingerprint
+	quarantineStatus quarantine.Status
 	// versions are the server versions that the request may use.
 	versions VersionChoice
 	// gateRequest is the request for the gate, slowStart the limit of warming servers.
@@ -78,7 +78,7 @@
 	sel := selection{service: sv, candidates: sv.tracker.Snapshot(s.candidateBuf[:0], now)}
 	s.candidateBuf = sel.candidates
 	r := &sel.request
-	*r = routing.Request{PromptTokens: req.prompt.Tokens, Urgent: req.urgent, PrefillScale: latency.prefillScale(), Budget: req.timeLeft, FailureDomain: s.failureDomain, BodyBytes: req.bodyBytes}
+	*r = routing.Request{PromptTokens: req.prompt.Tokens, Urgent: req.urgent, PrefillScale: latency.prefillScale(), Budget: req.remainingTime, FailureDomain: s.failureDomain, BodyBytes: req.bodyBytes}
 	pipeline := routing.DefaultPipeline()
 	if req.engine != nil {
 		pipeline = routing.EnginePipeline()
@@ -89,11 +89,11 @@
 		sv.tracker.Prefix.Expire(now)
 		sv.tracker.Prefix.Lookup(r)
 		rankAffinity(affinityKey(req.model, req.prompt), sel.candidates, r)
-		r.OutsidePartition = sv.lanesFor(req.engine).Outside(req.model, sv.tracker.IndicesByHash())
+		r.OutsidePartition = sv.partitionFor(req.engine).IndicesOutside(req.model, sv.tracker.IndicesByHash())
 	}
 	s.applyExclusions(&sel, req, req.versions.Preferred, uptime)
 	limitToFraction(r, sel.candidates, sv.tracker.IndicesByHash(), req.versions.Fraction)
-	if req.standing.Crashes > 0 {
+	if req.quarantineStatus.Crashes > 0 {
 		sel.decision = s.pickByFingerprint(pipeline, *r, &sel, req)
 		if sel.decision.Index >= 0 {
 			return sel
@@ -149,7 +149,7 @@
 	prefillTime := sel.prefillTime()
 	return cascade.Estimate{
 		FirstEvent: sel.decision.Expected, Remainder: sel.service.models.streamTime(req.model, events),
-		EngineTime: prefillTime, DelayedPerSecond: sel.service.models.get(req.model, req.engine).load.ArrivalsDuring(sel.backlog(), prefillTime, s.daemons, sel.laneSize(), now),
+		EngineTime: prefillTime, DelayedPerSecond: sel.service.models.get(req.model, req.engine).load.ArrivalsDuring(sel.backlog(), prefillTime, s.daemons, sel.partitionSize(), now),
 	}
 }
 
@@ -158,8 +158,8 @@
 	return time.Duration(float64(sel.request.UncachedTokens(sel.decision.Index)) * sel.request.PrefillScale * float64(referenceTokenTime))
 }
 
-// laneSize returns the number of engines that serve the model's requests.
-func (sel *selection) laneSize() int {
+// partitionSize returns the number of engines that serve the model's requests.
+func (sel *selection) partitionSize() int {
 	n := 0
 	excluded := sel.request.OutsidePartition.Union(sel.request.Tried)
 	for i := range sel.candidates {
@@ -190,7 +190,7 @@
 	}
 	candidate := sel.candidates[sel.decision.Index]
 	tracker, blocks := sel.service.tracker, sel.request.Blocks
-	tracker.RecordDispatch(candidate.ID, blocks, req.urgent, now)
+	tracker.RecordSend(candidate.ID, blocks, req.urgent, now)
 	t := &target{
 		server: sel.service.servers[candidate.ID], service: req.service, model: req.model, urgent: req.urgent, slowStart: req.slowStart,
 		expectedLatency: sel.decision.Expected,
@@ -205,8 +205,8 @@
 	if req.engine != nil {
 		sel.service.models.get(req.model, req.engine).load.Record(now)
 	}
-	if sel.service.lanes != nil {
-		sel.service.lanes.RecordWork(req.model, sel.prefillTime(), now)
+	if sel.service.partition != nil {
+		sel.service.partition.RecordWork(req.model, sel.prefillTime(), now)
 	}
 	if shared := len(blocks) - 1; shared > 0 && len(s.pendingPlacements) < maxPendingPlacements {
 		// The last part is unique to the request, so peers do not need it.
@@ -215,12 +215,12 @@
 	return t, nil
 }
 
-// lanesFor returns the assignment of the service's engines to its models.
-func (sv *service) lanesFor(e *route.Engine) *routing.Partition {
-	if sv.lanes == nil {
-		sv.lanes = routing.NewPartition(expectedWork(e))
+// partitionFor returns the assignment of the service's engines to its models.
+func (sv *service) partitionFor(e *route.Engine) *routing.Partition {
+	if sv.partition == nil {
+		sv.partition = routing.NewPartition(expectedWork(e))
 	}
-	return sv.lanes
+	return sv.partition
 }
 
 // escalatedFraction is the initial estimate of the fraction of requests that the
@@ -230,11 +230,11 @@
 // expectedWork returns the relative work of the smallest and the largest model.
 func expectedWork(e *route.Engine) map[string]float64 {
 	var small, large string
-	for model, cost := range e.CostPer1kTokens {
-		if small == "" || cost < e.CostPer1kTokens[small] {
+	for model, cost := range e.CostPerKiloToken {
+		if small == "" || cost < e.CostPerKiloToken[small] {
 			small = model
 		}
-		if large == "" || cost > e.CostPer1kTokens[large] {
+		if large == "" || cost > e.CostPerKiloToken[large] {
 			large = model
 		}
 	}
@@ -330,7 +330,7 @@
 	})
 }
 
-// markUnreachable records a server that accepts no connection or does not respond.
-func (s *State) markUnreachable(t *target) {
+// recordUnreachable records a server that accepts no connection or does not respond.
+func (s *State) recordUnreachable(t *target) {
 	s.withService(t.service, func(sv *service) { sv.tracker.RecordUnreachable(t.server.ID, time.Now()) })
 }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -14,12 +14,12 @@
 // newGuard returns the guard that quarantines requests suspected of crashing servers.
 func newGuard(r *Relay) *containment.Guard {
 	return containment.New(containment.Options{
-		BootTime: r.State.bootTime, Logger: r.log, ServersTerminated: r.Metrics.ServersEnded, RequestsHeld: r.Metrics.RequestsHeld,
+		BootTime: r.State.bootTime, Logger: r.log, ServersTerminated: r.Metrics.ServersTerminated, RequestsHeld: r.Metrics.RequestsHeld,
 		RefusesConnections: func(ctx context.Context, s containment.Server) bool {
 			return r.backend.RefusesConnections(ctx, s.Address)
 		},
 		Leaving:      func(s containment.Server) bool { return r.State.isLeaving(s.ID) },
-		OnTerminated: r.State.recordLostServer,
+		OnTerminated: r.State.recordIncarnationTerminated,
 	})
 }
 
@@ -31,16 +31,16 @@
 // checkHold returns the refusal of a quarantined request, or nil. It runs before
 // every send: first sends, retries, escalations and resumed streams.
 func (x *exchange) checkHold() *fault.Error {
-	x.standing = x.relay.Guard.Check(x.fingerprint)
-	if !x.standing.Held {
+	x.quarantineStatus = x.relay.Guard.Check(x.fingerprint)
+	if !x.quarantineStatus.Held {
 		return nil
 	}
-	x.logEvent("held", nil, "fingerprint", x.fingerprint, "left_ms", x.standing.Remaining.Milliseconds(), "sends", x.journey.Sends())
-	return x.journey.Fail(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(x.standing))
+	x.logEvent("held", nil, "fingerprint", x.fingerprint, "left_ms", x.quarantineStatus.Remaining.Milliseconds(), "sends", x.retryState.Sends())
+	return x.retryState.Fail(fault.Quarantined, "servers ended that ran this request").WithRetryAfter(containment.RetryAfter(x.quarantineStatus))
 }
 
-// fateOf maps the outcome of a send to the containment outcome of its run.
-func fateOf(ctx context.Context, o request.SendOutcome, done bool) containment.Outcome {
+// containmentOutcome maps the outcome of a send to the containment outcome of its run.
+func containmentOutcome(ctx context.Context, o request.SendOutcome, done bool) containment.Outcome {
 	switch {
 	case done, o == request.NotStarted:
 		return containment.Completed
@@ -52,8 +52,8 @@
 	return containment.Completed
 }
 
-// recordLostServer records the end of a server, identified by its key in reports of peers.
-func (s *State) recordLostServer(run quarantine.IncarnationKey) {
+// recordIncarnationTerminated records the end of a server, identified by its key in reports of peers.
+func (s *State) recordIncarnationTerminated(run quarantine.IncarnationKey) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -26,7 +26,7 @@
 func newCall(path, body string) *Call {
 	call := &Call{ID: "id1", Host: "h", Method: "POST", Target: path, Path: path, Body: []byte(body), Key: "k", LastEvent: NoEvent, Received: time.Now()}
 	if strings.HasPrefix(path, "/s/") {
-		call.Model, call.Prompt = AnyModel, Prompt{Tokens: 100, MaxAnswerTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
+		call.Model, call.Prompt = AnyModel, Prompt{Tokens: 100, MaxCompletionTokens: 20, Parts: []PromptPart{{1, 50}, {2, 50}}}
 	}
 	return call
 }
@@ -200,7 +200,7 @@
 	h := newHarness(t, respond(200, ""))
 	perServer := map[string]int{}
 	for fingerprint := quarantine.Fingerprint(1); fingerprint <= 60; fingerprint++ {
-		req := &requirements{service: "app", fingerprint: fingerprint, standing: quarantine.Status{Crashes: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
+		req := &requirements{service: "app", fingerprint: fingerprint, quarantineStatus: quarantine.Status{Crashes: 1}, versions: VersionChoice{Preferred: anyVersion, Fallback: anyVersion}}
 		first := ""
 		for range 3 {
 			got, err := h.relay.State.pick(req, 100)
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -30,9 +30,9 @@
 	storedPhases map[string]datedPhase
 	// lostPhases holds the services whose phase is missing from a store that was
 	// restored from an older copy, with the time at which this was found.
-	// storeRestored is set once the store was restored.
-	lostPhases    map[string]time.Time
-	storeRestored bool
+	// storeEraChanged is set once the store was restored.
+	lostPhases      map[string]time.Time
+	storeEraChanged bool
 }
 
 type orderState struct {
@@ -94,9 +94,9 @@
 // OrderReport is a daemon's report on an order to its peers.
 type OrderReport struct {
 	Service     string           `cbor:"1,keyasint"`
-	Offset      uint64           `cbor:"2,keyasint"`
+	OrderOffset uint64           `cbor:"2,keyasint"`
 	Phase       rollout.Phase    `cbor:"3,keyasint"`
-	AgeMs       int64            `cbor:"4,keyasint"`
+	OrderAgeMs  int64            `cbor:"4,keyasint"`
 	OldInFlight int              `cbor:"5,keyasint"`
 	Evidence    rollout.Evidence `cbor:"6,keyasint,omitempty"`
 	// Suspended is set if a daemon that evaluates the evidence of all has suspended the
@@ -130,7 +130,7 @@
 		r.reconcile(order.Service)
 		return
 	}
-	order.SessionWindow = r.sessions.idleTimeout
+	order.SessionIdleTimeout = r.sessions.idleTimeout
 	r.orders[order.Service] = &orderState{
 		Order: order, orderedAt: r.now(),
 		ownEvidence: map[string]*rollout.ServerCounts{}, peerReports: map[string]OrderReport{},
@@ -277,7 +277,7 @@
 			order.pinnedSessions = r.sessions.canarySessions(order.Service, r.now())
 		}
 		report := OrderReport{
-			Service: order.Service, Offset: order.Offset, Phase: order.phase, AgeMs: r.now().Sub(order.orderedAt).Milliseconds(),
+			Service: order.Service, OrderOffset: order.Offset, Phase: order.phase, OrderAgeMs: r.now().Sub(order.orderedAt).Milliseconds(),
 			OldInFlight: order.oldInFlight, PinnedSessions: slices.Collect(maps.Keys(order.pinnedSessions)), Suspended: evaluates && order.suspended,
 		}
 		if evidence {
@@ -303,7 +303,7 @@
 	defer r.mu.Unlock()
 	for _, report := range reports {
 		order := r.orders[report.Service]
-		if order == nil || order.Offset != report.Offset {
+		if order == nil || order.Offset != report.OrderOffset {
 			continue
 		}
 		if report.Evidence == nil {
@@ -314,7 +314,7 @@
 		if report.Suspended {
 			r.suspend(order, "suspended by an evaluating daemon")
 		}
-		if age := time.Duration(report.AgeMs) * time.Millisecond; age > r.now().Sub(order.orderedAt) {
+		if age := time.Duration(report.OrderAgeMs) * time.Millisecond; age > r.now().Sub(order.orderedAt) {
 			order.orderedAt = r.now().Add(-age)
 		}
 		if !report.Phase.Final() {
@@ -325,10 +325,10 @@
 
 // PhaseChange is a transition of an order to a phase. Age is the time since the order.
 type PhaseChange struct {
-	Order  rollout.Order
-	Phase  rollout.Phase
-	Age    time.Duration
-	Reason string
+	Order    rollout.Order
+	Phase    rollout.Phase
+	OrderAge time.Duration
+	Reason   string
 }
 
 // NextPhases lists the due phase changes, by the evidence of all daemons. Only requests in
@@ -348,7 +348,7 @@
 				oldInFlight += p.OldInFlight
 			}
 		}
-		total := rollout.Sum(allEvidence...)
+		total := rollout.SumEvidence(allEvidence...)
 		age := r.now().Sub(order.orderedAt)
 		if p, reason := rollout.DefaultOrderPolicy().NextPhase(order.Order, order.phase, age, total, oldInFlight); p != order.phase {
 			out = append(out, PhaseChange{order.Order, p, age, reason})
--- a/internal/relay/rollouts_bench_test.go
+++ b/internal/relay/rollouts_bench_test.go
@@ -16,7 +16,7 @@
 			server := (daemon + 6*i) % 126
 			evidence = append(evidence, rollout.ServerCounts{Server: fmt.Sprintf("i-%08x", server), FailureDomain: "d", New: server%2 == 0, Counts: rollout.Counts{Requests: 3}})
 		}
-		r.ApplyReports(fmt.Sprint("d", daemon), []OrderReport{{Service: "s", Offset: 7, Evidence: evidence}})
+		r.ApplyReports(fmt.Sprint("d", daemon), []OrderReport{{Service: "s", OrderOffset: 7, Evidence: evidence}})
 	}
 	return r
 }
--- a/internal/relay/storedphases.go
+++ b/internal/relay/storedphases.go
@@ -45,12 +45,12 @@
 	r.reconcile(s.Service)
 }
 
-// StoreRestored records that the store was restored from an older copy. Its phases are
+// StoreEraChanged records that the store was restored from an older copy. Its phases are
 // read again, and those it has lost must be rewritten.
-func (r *Rollouts) StoreRestored() {
+func (r *Rollouts) StoreEraChanged() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storedPhases, r.storeRestored = map[string]datedPhase{}, true
+	r.storedPhases, r.storeEraChanged = map[string]datedPhase{}, true
 	for service, order := range r.orders {
 		if order.phase > 0 {
 			r.lostPhases[service] = r.now()
@@ -79,7 +79,7 @@
 	if stored.orderedAt.Before(order.orderedAt) {
 		order.orderedAt = stored.orderedAt
 	}
-	if order.phase > stored.Phase && r.storeRestored {
+	if order.phase > stored.Phase && r.storeEraChanged {
 		r.lostPhases[service] = r.now() // the restored copy is older
 	}
 	r.advance(order, stored.Phase, "phase in the store")
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -67,7 +67,7 @@
 		{"repeatable run lost", true, []AttemptEvent{ConnectionLost, RunNotFound}, false, Retry, fault.Unknown},
 		{"run lost after partial delivery", true, []AttemptEvent{RunNotFound}, true, Fail, fault.Ran},
 		{"non-repeatable run failed", false, []AttemptEvent{RunFailed}, false, Fail, fault.Ran},
-		{"caller disconnected", true, []AttemptEvent{CallerDisconnected}, true, Cancel, fault.Ran},
+		{"caller disconnected", true, []AttemptEvent{ClientDisconnected}, true, Cancel, fault.Ran},
 		{"connection lost until resumes are exhausted", false, []AttemptEvent{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, false, Fail, fault.Unknown},
 	}
 	for _, c := range cases {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -50,7 +50,7 @@
 		}, 3},
 		{"leaving servers", func(c []Candidate, _ *Request) { c[0].Leaving, c[1].Leaving, c[2].Leaving = true, true, true }, 3},
 		{"suspect servers", func(c []Candidate, _ *Request) { c[0].Suspect, c[1].Suspect, c[2].Suspect = true, true, true }, 3},
-		{"tried servers", func(_ []Candidate, r *Request) { r.Tried = SetOf(0, 1, 3) }, 2},
+		{"tried servers", func(_ []Candidate, r *Request) { r.Tried = NewSet(0, 1, 3) }, 2},
 		{"own first-token delays before reports", func(c []Candidate, _ *Request) {
 			c[0].Wait, c[1].Wait, c[3].Wait = time.Second, time.Second, time.Second
 		}, 2},
@@ -89,7 +89,7 @@
 	tracker := NewLoadTracker()
 	tracker.Update([]Member{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}})
 	blocks := Blocks(nil, "m@v1", strings.Repeat("x", 4*BlockBytes))
-	tracker.RecordDispatch("a", blocks, false, testTime)
+	tracker.RecordSend("a", blocks, false, testTime)
 	tracker.RecordUnreachable("a", testTime)
 	tracker.Update([]Member{{ID: "b", Address: "2"}, {ID: "a", Address: "3"}})
 	r := Request{Blocks: blocks}
--- a/lab/sim/router.go
+++ b/lab/sim/router.go
@@ -13,10 +13,10 @@
 
 // Request is one request of a workload.
 type Request struct {
-	PromptTokens int
-	Blocks       []uint64
-	OutputTokens int
-	Priority     int
+	PromptTokens     int
+	Blocks           []uint64
+	CompletionTokens int
+	Priority         int
 	// Deadline bounds the time to the first token; zero means none.
 	Deadline time.Duration
 }
@@ -39,9 +39,9 @@
 type Policy interface {
 	// Pick returns the index of a server that was not tried, or -1 to refuse the request.
 	Pick(r *Request, tried []int) int
-	// RecordDispatch, RecordFirstToken, and RecordCompletion are called in the course of an
+	// RecordSend, RecordFirstToken, and RecordCompletion are called in the course of an
 	// attempt. RecordFirstToken returns the part of the latency that was spent queueing.
-	RecordDispatch(server int, r *Request)
+	RecordSend(server int, r *Request)
 	RecordFirstToken(server int, r *Request, latency time.Duration) time.Duration
 	RecordCompletion(server int, r *Request, duration time.Duration, failed bool)
 	// RecordUnreachable records that the server went down.
@@ -118,10 +118,10 @@
 	tried = append(slices.Clone(tried), server)
 	retry.RecordAttempt()
 	res.Attempts++
-	policy.RecordDispatch(server, r)
+	policy.RecordSend(server, r)
 	start := c.Clock.now
 	var wait time.Duration
-	job := &Job{PromptTokens: r.PromptTokens, Blocks: r.Blocks, OutputTokens: r.OutputTokens, Priority: r.Priority}
+	job := &Job{PromptTokens: r.PromptTokens, Blocks: r.Blocks, CompletionTokens: r.CompletionTokens, Priority: r.Priority}
 	job.OnFirstToken = func() {
 		c.Clock.After(c.networkDelay, func() {
 			if res.TimedOut {
@@ -203,9 +203,9 @@
 	return p.pipeline.Pick(&q, p.candidates, p.rng).Index
 }
 
-// RecordDispatch implements Policy.
-func (p *PipelinePolicy) RecordDispatch(server int, r *Request) {
-	p.tracker.RecordDispatch(serverID(server), r.Blocks, r.Priority == 0, p.cluster.Clock.Now())
+// RecordSend implements Policy.
+func (p *PipelinePolicy) RecordSend(server int, r *Request) {
+	p.tracker.RecordSend(serverID(server), r.Blocks, r.Priority == 0, p.cluster.Clock.Now())
 }
 
 // RecordFirstToken implements Policy.
@@ -264,8 +264,8 @@
 	return p.roundRobin.Pick(candidates)
 }
 
-// RecordDispatch implements Policy.
-func (p *BaselinePolicy) RecordDispatch(int, *Request) {}
+// RecordSend implements Policy.
+func (p *BaselinePolicy) RecordSend(int, *Request) {}
 
 // RecordFirstToken implements Policy.
 func (p *BaselinePolicy) RecordFirstToken(int, *Request, time.Duration) time.Duration { return 0 }
